--- a/src/wallwell/cli/main.py
+++ b/src/wallwell/cli/main.py
@@ -10,7 +10,6 @@
 from wallwell import __version__
 from wallwell.errors import WallwellError
 
-EXIT_OK = 0
 EXIT_FAILED = 1
 EXIT_USAGE = 2
 
--- a/src/wallwell/config/parse.py
+++ b/src/wallwell/config/parse.py
@@ -10,6 +10,7 @@
 
 from wallwell.config.schema import (
     SPEC_TYPES,
+    WITHOUT_EFFECT,
     EnginePoolSpec,
     FileKey,
     Kind,
@@ -70,6 +71,12 @@
     return ConfigFile(key, spec, body, lines), []  # type: ignore[arg-type]
 
 
+def settings_without_effect(file: ConfigFile) -> list[str]:
+    """Return the settings that a file's text names although no decision reads them."""
+    unread = WITHOUT_EFFECT.get(file.key.kind, ())
+    return [name for name in unread if ("spec", name) in file.lines]
+
+
 def _parse_key(value: Any, problems: ProblemList) -> FileKey | None:
     if not isinstance(value, dict):
         problems.add(WRONG_TYPE, (), "a file is a mapping with kind, name and spec")
--- a/src/wallwell/config/schema.py
+++ b/src/wallwell/config/schema.py
@@ -47,7 +47,7 @@
 
 
 class PrioritySpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A priority. A lower ``rank`` is served first; batch work ages by one rank per ``ageing_s``."""
+    """A priority. A lower ``rank`` is served first."""
 
     rank: Annotated[int, msgspec.Meta(ge=0, le=15)]
     objective: Objective = Objective()
@@ -136,6 +136,13 @@
     Kind.TENANT: TenantSpec,
 }
 
+WITHOUT_EFFECT: dict[Kind, tuple[str, ...]] = {
+    Kind.PRIORITY: ("ageing_s",),
+    Kind.MODEL: ("warm_prefixes",),
+    Kind.TENANT: ("weight",),
+}
+"""Settings that are checked and stored, but that no decision reads. Files that have them stay valid."""
+
 
 class FileKey(msgspec.Struct, frozen=True, order=True):
     """Identity of one operators' file."""
--- a/src/wallwell/deployment/routes.py
+++ b/src/wallwell/deployment/routes.py
@@ -67,6 +67,7 @@
 
     name: str
     max_connections: int = 0
+    """Connections that one back end takes from all callers together; decoded for operators, used by no decision."""
     engines: EngineTraits | None = None
     kv_store_address: str = ""
     """Set for a store of kept KV cache, which takes no requests."""
@@ -138,11 +139,6 @@
         """Limits of the tenants that have one."""
         return {tenant.name: tenant.limit for tenant in self.tenants if tenant.limit is not None}
 
-    @cached_property
-    def service_by_name(self) -> dict[str, Service]:
-        """Services by name."""
-        return {service.name: service for service in self.services}
-
     @cached_property
     def kv_stores(self) -> tuple[Service, ...]:
         """Stores of kept KV cache."""
--- a/src/wallwell/deployment/zone_suspicion.py
+++ b/src/wallwell/deployment/zone_suspicion.py
@@ -53,11 +53,6 @@
         self.on_return: Callable[[str], None] = lambda zone: None
         """Called with a zone that was suspected and has answered."""
 
-    def is_suspected(self, zone: str) -> bool:
-        """Whether a zone counts as cut off."""
-        known = self._zones.get(zone)
-        return known is not None and known.suspected
-
     def on_hung(self, backend: Backend, listed: Iterable[Backend], now_s: float) -> bool:
         """A connection to a back end hung; returns True if its zone is now suspected and was not before."""
         name = backend.record.zone
--- a/src/wallwell/events.py
+++ b/src/wallwell/events.py
@@ -28,6 +28,7 @@
     LOG_LINES_LOST = (1008, "WARNING", "log lines lost")
     CONFIG_ADVANCED = (2001, "INFO", "configuration advanced to a higher revision")
     CONFIG_ACCEPTED = (2002, "INFO", "operators' change accepted")
+    CONFIG_WITHOUT_EFFECT = (2004, "WARNING", "accepted file has settings that nothing acts on")
     CONFIG_REFUSED = (2003, "WARNING", "operators' change refused")
     REQUEST_ENDED = (3001, "INFO", "request ended")
     REQUEST_RETRIED = (3002, "INFO", "attempt failed and is retried")
--- a/src/wallwell/gateway/fleet_state.py
+++ b/src/wallwell/gateway/fleet_state.py
@@ -206,10 +206,6 @@
         """
         return now_s - (self.bounds.version_s * OVERDUE_PART - self.bounds.contact_s * START_PART)
 
-    def usable_backends(self, service: str, generation: Generation | None, now_s: float) -> list[Backend]:
-        """Back ends of a service that may get a request now; see :meth:`usable_of`."""
-        return self.usable_of(self.backends.of_service(service), generation, now_s)
-
     def usable_of(self, listed: Sequence[Backend], generation: Generation | None, now_s: float) -> list[Backend]:
         """Those that may get a request now, without those that are only a last resort if there are others."""
         usable = [each for each in listed if each.is_open(now_s)]
--- a/src/wallwell/gateway/operators_app.py
+++ b/src/wallwell/gateway/operators_app.py
@@ -10,6 +10,7 @@
 
 from wallwell.cluster.messages import MemberStatus
 from wallwell.config.commit import ApplyRequest
+from wallwell.config.parse import parse_file, settings_without_effect
 from wallwell.config.schema import FileKey
 from wallwell.errors import ConfigNotFoundError, UnauthenticatedError, WallwellError
 from wallwell.events import Event, emit
@@ -105,6 +106,7 @@
             emit(Event.CONFIG_REFUSED, code=error.code, operator=apply.operator)
             raise
         emit(Event.CONFIG_ACCEPTED, file=answer.key, revision=answer.revision, operator=apply.operator)
+        warn_of_settings_without_effect(apply.body)
         return _json(answer)
 
     async def _files(self, _request: web.Request) -> web.Response:
@@ -170,3 +172,13 @@
 
 def _json(value: object, status: int = 200) -> web.Response:
     return web.Response(body=msgspec.json.encode(value), status=status, content_type="application/json")
+
+
+def warn_of_settings_without_effect(body: str) -> None:
+    """Tell an operator, in the log, of settings in an accepted file that change nothing."""
+    file, _ = parse_file(body) if body else (None, [])
+    if file is None:
+        return  # A removal has no text.
+    settings = settings_without_effect(file)
+    if settings:
+        emit(Event.CONFIG_WITHOUT_EFFECT, file=str(file.key), settings=settings)
--- a/src/wallwell/rollout/exposure.py
+++ b/src/wallwell/rollout/exposure.py
@@ -25,8 +25,6 @@
 """Time before the deadline at which the next decision would come too late."""
 COUNT_LAG_S = 1.0
 """Age of the oldest counts: nodes send every 0.3 s, a large fleet up to every second."""
-ROW_LAG_S = 0.6
-"""Time until the last of 410 nodes knows a row."""
 WINDOW_S = 1.0
 """Span over which a rate is taken: several reports of each node."""
 MEMORY_S = 10.0
--- a/src/wallwell/routing/blocks.py
+++ b/src/wallwell/routing/blocks.py
@@ -13,7 +13,6 @@
 
 import xxhash
 
-HASH_BITS = 64
 CHECKPOINT_STRIDE = 32
 """The directory records the first block of a chain and every 32nd after it."""
 
--- a/src/wallwell/routing/quarantine.py
+++ b/src/wallwell/routing/quarantine.py
@@ -67,10 +67,6 @@
         """Requests under which a back end has crashed, quarantined or not."""
         return len(self._suspects)
 
-    def is_suspect(self, content: str) -> bool:
-        """Whether a back end has crashed under a request."""
-        return content in self._suspects
-
     def left_s(self, content: str, now_s: float) -> float:
         """Return how much longer a request gets no back end; 0 if it may go to one."""
         suspect = self._suspects.get(content)
--- a/src/wallwell/soak/schedule.py
+++ b/src/wallwell/soak/schedule.py
@@ -157,10 +157,6 @@
         """Time from a rollout's order to its deadline: it ends before all nodes are killed."""
         return self.seconds - RECOVERY_S - SHOWN_RECOVERED_S - ROLLOUT_AT_S - 1.0
 
-    def far_ends(self) -> tuple[str, ...]:
-        """Names of what nodes reach through the proxy."""
-        return (STORE, *self.worker_names(), *self.target_names())
-
     def links(self) -> tuple[str, ...]:
         """Links that a fault can harm: of each node, and of all of them, to each far end but the store."""
         sources = (ALL_NODES, *self.node_names())
--- /dev/null
+++ b/tests/suspects.py
@@ -0,0 +1,10 @@
+"""Which requests a quarantine holds something against, as tests ask it."""
+
+from __future__ import annotations
+
+from wallwell.routing.quarantine import Quarantine
+
+
+def suspected_contents(quarantine: Quarantine) -> set[str]:
+    """Return the contents under which a back end has crashed: those whose crashes expire at some time."""
+    return {content for content, _ in quarantine.expired(float("inf"))}
--- a/tests/unit/deployment/test_zone_suspicion.py
+++ b/tests/unit/deployment/test_zone_suspicion.py
@@ -61,9 +61,10 @@
 )
 def test_three_back_ends_with_no_sign_of_life_between_make_their_zone_suspected(events, suspected):
     zones = Zones()
+    news = []
     for event in events.split():
-        zones.answer(event[1:]) if event.startswith("+") else zones.hang(event)
-    assert zones.suspicion.is_suspected("a") is suspected
+        news += [zones.answer(event[1:])] if event.startswith("+") else zones.hang(event)
+    assert any(news) is suspected
     assert zones.open(10.0) == (B if suspected else A + B)
 
 
--- a/tests/unit/gateway/test_crash_watch.py
+++ b/tests/unit/gateway/test_crash_watch.py
@@ -6,6 +6,7 @@
 import pytest
 
 from tests.faulty_table import DELAYED, LOST_AFTER, LOST_BEFORE, FaultyTable
+from tests.suspects import suspected_contents
 from tests.unit.gateway.fakes import FakeClient, FakeReply, Script, event, make_generation, make_request, make_route
 from tests.unit.gateway.fakes import make_state as fresh_state
 from tests.unit.gateway.plays import OK, RESET, SAFE, UNSAFE
@@ -160,7 +161,7 @@
         await asyncio.sleep(FIRST_LOOK_S + 0.01)
         meanwhile(node)
         await asyncio.sleep(MAX_LOOKS * LOOKED_S + SUCCESSOR_S)
-        return node.rows, node.state.quarantine.is_suspect("c")
+        return node.rows, "c" in suspected_contents(node.state.quarantine)
 
     assert run_virtual(work()) == ({"c/i-0"} if is_crash else set(), is_crash)
 
--- a/tests/unit/gateway/test_fleet_recovery.py
+++ b/tests/unit/gateway/test_fleet_recovery.py
@@ -169,7 +169,7 @@
         generation = Generation("m", sent.parts, None)
         request = make_request(generation=generation)
         exchange = Exchange(request, None, ROUTE, None, "svc", now_s + 5.0, AttemptLog(repeatable=True))
-        usable = state.usable_backends("svc", generation, now_s)
+        usable = state.usable_of(state.backends.of_service("svc"), generation, now_s)
         candidates = [each for each in usable if each is not sent.backend]
         sent.backend = backend = BackendChoice(state).choose(exchange, candidates)
         sent.load = request_load(generation.prompt_tokens)
--- a/tests/unit/routing/test_quarantine.py
+++ b/tests/unit/routing/test_quarantine.py
@@ -2,6 +2,7 @@
 
 import pytest
 
+from tests.suspects import suspected_contents
 from wallwell.routing.quarantine import (
     CLEARED_S,
     CRASHES_TO_QUARANTINE,
@@ -79,8 +80,9 @@
         quarantine.on_crash(f"other-{number}", "i-1", 0.0)
     assert quarantine.suspects == MAX_SUSPECTS
     assert quarantine.left_s("c", 1.0) > 0
-    assert not quarantine.is_suspect("other-0")
-    assert quarantine.is_suspect(f"other-{MAX_SUSPECTS + 4}")
+    suspected = suspected_contents(quarantine)
+    assert "other-0" not in suspected
+    assert f"other-{MAX_SUSPECTS + 4}" in suspected
 
 
 def test_answered_requests_remembered_are_bounded():
