--- a/src/wallwell/bench/faults.py
+++ b/src/wallwell/bench/faults.py
@@ -17,11 +17,11 @@
 from pathlib import Path
 
 from wallwell.backends.engine_protocol import EngineState
-from wallwell.bench.fleet import Fleet
 from wallwell.bench.load import Guarantee, LoadDriver, LoadResult
 from wallwell.bench.workload import PROFILES, ServiceRequest, TraceBuilder, TraceRequest
 from wallwell.config.commit import ApplyRequest
 from wallwell.config.schema import TenantSpec
+from wallwell.emulator.deployment import Fleet
 from wallwell.emulator.engine_server import generated_word
 from wallwell.errors import ConfigConflictError, ConfigUnavailableError
 from wallwell.outcomes import Outcome
--- a/src/wallwell/bench/overhead.py
+++ b/src/wallwell/bench/overhead.py
@@ -17,7 +17,7 @@
 import msgspec
 import numpy
 
-from wallwell.bench.fleet import Fleet
+from wallwell.emulator.deployment import Fleet
 from wallwell.emulator.engine_model import EngineProfile
 
 PAIRS = 200
--- a/src/wallwell/cli/demo.py
+++ b/src/wallwell/cli/demo.py
@@ -11,9 +11,9 @@
 
 import uvloop
 
-from wallwell.bench.fleet import Fleet
 from wallwell.bench.load import LoadDriver, LoadResult
 from wallwell.bench.workload import PROFILES, ServiceRequest, TraceBuilder, TraceRequest
+from wallwell.emulator.deployment import Fleet
 from wallwell.emulator.engine_server import generated_word
 from wallwell.events import configure_logging
 
--- a/src/wallwell/bench/fleet.py
+++ b/src/wallwell/emulator/deployment.py
@@ -1,6 +1,6 @@
 """A deployment in one process: routers, engines, services and the platform over loopback sockets.
 
-Used by the demo, the fault scenarios, the load tool and tests. The operators' files are those of
+Used by the demo, the load tool and tests. The operators' files are those of
 ``examples/``; only the back ends' addresses are replaced by ports the system chose.
 """
 
--- a/tests/contract/conftest.py
+++ b/tests/contract/conftest.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.conftest import EXAMPLES
-from wallwell.bench.fleet import Fleet
+from wallwell.emulator.deployment import Fleet
 from wallwell.emulator.engine_model import EngineProfile
 from wallwell.emulator.engine_server import generated_word
 from wallwell.emulator.faults import FaultSwitches
--- a/tests/contract/test_crashing_request.py
+++ b/tests/contract/test_crashing_request.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.contract.conftest import PROMPT, Harness
-from wallwell.bench.fleet import AWAY_S
+from wallwell.emulator.deployment import AWAY_S
 from wallwell.routing.quarantine import CRASHES_TO_QUARANTINE
 
 CRASHING = "ends its process"
--- a/tests/contract/test_platform.py
+++ b/tests/contract/test_platform.py
@@ -3,7 +3,7 @@
 import aiohttp
 import pytest
 
-from wallwell.bench.fleet import EmulatedBackend
+from wallwell.emulator.deployment import EmulatedBackend
 from wallwell.emulator.platform_server import PlatformServer
 from wallwell.errors import PlatformUnavailableError, TableConflictError
 from wallwell.storage.machines import HttpMachineList, Machine, MachineState
--- a/tests/unit/cluster/test_crash_notices.py
+++ b/tests/unit/cluster/test_crash_notices.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.unit.cluster.test_network import LOSSY, all_know_their_region, make_network
-from wallwell.bench.virtual_network import LinkFaults
+from tests.virtual_network import LinkFaults
 from wallwell.cluster.crash_notices import LONGEST_PAUSE_S, MAX_TOLD, TOLD_FOR_S, CrashNotices
 from wallwell.cluster.messages import CrashNotice
 from wallwell.cluster.node import ClusterNode
--- a/tests/unit/cluster/test_network.py
+++ b/tests/unit/cluster/test_network.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from wallwell.bench.virtual_network import LinkFaults, VirtualNetwork
+from tests.virtual_network import LinkFaults, VirtualNetwork
 from wallwell.cluster.messages import MAX_DATAGRAM_BYTES, EngineNews, MemberStatus
 from wallwell.cluster.node import ClusterNode, NodeIdentity
 from wallwell.config.schema import FileKey, Kind, TenantSpec
--- a/src/wallwell/bench/virtual_network.py
+++ b/tests/virtual_network.py
@@ -1,7 +1,7 @@
 """A seeded in-memory network that drives cluster nodes in virtual time.
 
-Messages are encoded and decoded by the real codec, so byte counts are those of the wire, and processor time
-is measured around each node's own work. Faults: loss, duplication, delay, partitions, pauses, restarts.
+Messages are encoded and decoded by the real codec, so byte counts are those of the wire.
+Faults: loss, duplication, delay, partitions, pauses, restarts.
 """
 
 from __future__ import annotations
@@ -9,7 +9,6 @@
 import heapq
 import itertools
 import random
-import time
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
@@ -25,27 +24,10 @@
 
 @dataclass
 class NodeCost:
-    """What one node spent on control."""
+    """What one node put on the wire and took from it."""
 
     sent_bytes: int = 0
-    received_bytes: int = 0
-    sent_messages: int = 0
     received_messages: int = 0
-    processor_s: float = 0.0
-
-    def minus(self, earlier: NodeCost) -> NodeCost:
-        """Return what was spent since ``earlier``."""
-        return NodeCost(
-            self.sent_bytes - earlier.sent_bytes,
-            self.received_bytes - earlier.received_bytes,
-            self.sent_messages - earlier.sent_messages,
-            self.received_messages - earlier.received_messages,
-            self.processor_s - earlier.processor_s,
-        )
-
-    def copy(self) -> NodeCost:
-        """Return a copy."""
-        return self.minus(NodeCost())
 
 
 @dataclass
@@ -75,7 +57,6 @@
         self.faults = faults or LinkFaults()
         self.now_s = 0.0
         self.hosts: dict[str, _Host] = {}
-        self.on_tick: Callable[[ClusterNode, float], Iterable[Action]] = lambda _node, _now: ()
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._partition: dict[str, int] = {}
@@ -137,10 +118,7 @@
         if not host.alive:
             return
         if not host.paused:
-            started_s = time.thread_time()
             actions = host.node.tick(self.now_s, EPOCH_MS + int(self.now_s * 1000))
-            actions.extend(self.on_tick(host.node, self.now_s))
-            host.cost.processor_s += time.thread_time() - started_s
             self._perform(address, actions)
         self.schedule(TICK_INTERVAL_S, lambda: self._tick(address, host))
 
@@ -161,11 +139,8 @@
         host = self.hosts.get(sender)
         if host is None:
             return
-        started_s = time.thread_time()
         data = _CODEC.encode(action.message)
-        host.cost.processor_s += time.thread_time() - started_s
         host.cost.sent_bytes += len(data)
-        host.cost.sent_messages += 1
         copies = 2 if self.rng.random() < self.faults.duplication else 1
         for _ in range(copies):
             if self.rng.random() >= self.faults.loss:
@@ -182,10 +157,7 @@
         if host.paused:
             host.held.append((sender, data))
             return
-        started_s = time.thread_time()
         actions = host.node.handle(_CODEC.decode(data), sender, self.now_s)
-        host.cost.processor_s += time.thread_time() - started_s
-        host.cost.received_bytes += len(data)
         host.cost.received_messages += 1
         self._perform(address, actions)
 
@@ -199,15 +171,9 @@
         if host is None or peer is None or host.paused or peer.paused or not self._reachable(address, source):
             return
         request = len(_CODEC.encode(FetchRevisions(host.node.config.head)))
-        started_s = time.thread_time()
         delta = peer.node.config.delta_after(host.node.config.head)
         line = _CODEC.encode(delta)
-        served_s = time.thread_time()
         actions = host.node.advance_config(_CODEC.decode_as(line, type(delta)))
-        host.cost.processor_s += time.thread_time() - served_s
-        peer.cost.processor_s += served_s - started_s
-        host.cost.received_bytes += len(line)
         host.cost.sent_bytes += request
         peer.cost.sent_bytes += len(line)
-        peer.cost.received_bytes += request
         self._perform(address, actions)
