--- a/src/wallwell/bench/__init__.py
+++ b/src/wallwell/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Workloads, virtual-time experiments, load generation and fault scenarios."""
+"""Workloads, load over sockets, experiments that compare policies, and what a router adds to a request."""
--- a/src/wallwell/emulator/deployment.py
+++ b/src/wallwell/emulator/deployment.py
@@ -9,7 +9,6 @@
 import asyncio
 import re
 import secrets
-from collections.abc import Callable
 from pathlib import Path
 
 import aiohttp
@@ -81,17 +80,11 @@
         self,
         directory: Path,
         policy: str = "expected_first_token",
-        routers_per_zone: int = 1,
         profile: EngineProfile | None = None,
-        tune: Callable[[NodeSettings], NodeSettings] = lambda settings: settings,
-        seed: int = 1,
     ) -> None:
         self._directory = directory
         self._policy = policy
-        self._routers_per_zone = routers_per_zone
         self._profile = profile or EngineProfile()
-        self._tune = tune
-        self._seed = seed
         self.platform = EmulatedBackend(PlatformServer(calls_per_s=2000.0))
         self.engines: dict[str, EmulatedBackend] = {}
         self.services: dict[str, EmulatedBackend] = {}
@@ -124,9 +117,8 @@
         replaced = await self._start_backends(parsed)
         self.files = [self._with_addresses(file, replaced) for file in parsed]
         zones = {file.key.name: file.spec.region for file in parsed if isinstance(file.spec, ZoneSpec)}
-        for number in range(self._routers_per_zone):
-            for zone, region in zones.items():
-                await self.start_router(f"{zone}-r{number + 1}", zone, region)
+        for zone, region in zones.items():
+            await self.start_router(f"{zone}-r1", zone, region)
         await self.apply(self.files)
         await self.wait_ready()
 
@@ -168,7 +160,7 @@
             cluster=ClusterSettings(key=CLUSTER_KEY, seeds=seeds, sync_interval_s=0.2, suspicion_timeout_s=1.0),
             platform=PlatformAddresses(table=platform, machines=platform),
         )
-        router = RouterNode(self._tune(settings), seed=self._seed + len(self.routers))
+        router = RouterNode(settings, seed=1 + len(self.routers))
         await router.start()
         self.routers.append(router)
         return router
@@ -187,12 +179,6 @@
         """Return an operators' client of one router."""
         return OperatorClient(f"http://{self.routers[router].operators_address}", OPERATOR_TOKEN, session)
 
-    async def wait_in_force(self, timeout_s: float) -> None:
-        """Wait until every router serves the highest revision. Raises TimeoutError."""
-        async with asyncio.timeout(timeout_s):
-            while len({router.context.node.config.head for router in self.routers}) > 1:
-                await asyncio.sleep(0.02)
-
     async def wait_ready(self, timeout_s: float = 15.0) -> None:
         """Wait until every router serves the highest revision and every engine is being read."""
         async with asyncio.timeout(timeout_s):
@@ -219,10 +205,3 @@
         await asyncio.gather(*(router.close() for router in self.routers))
         backends = [self.platform, *self.engines.values(), *self.services.values()]
         await asyncio.gather(*(backend.stop() for backend in backends))
-
-
-def replace_spec_text(file: ConfigFile, old: str, new: str) -> ConfigFile:
-    """Return a file with a text of its body replaced."""
-    changed, problems = parse_file(file.body.replace(old, new))
-    assert changed is not None, problems
-    return changed
--- a/src/wallwell/routing/policy.py
+++ b/src/wallwell/routing/policy.py
@@ -1,7 +1,7 @@
 """Choice of an engine for one request.
 
 Every policy implements :class:`RoutingPolicy`: a request and candidates in, one choice out. Policies hold no
-sockets and no clock; the router and the virtual-time bench drive the same objects.
+sockets and no clock.
 """
 
 from __future__ import annotations
--- a/src/wallwell/routing/selector.py
+++ b/src/wallwell/routing/selector.py
@@ -1,7 +1,7 @@
 """One node's view of the engines and the choice among them.
 
 Joins the prefix directory's answer, this node's own recent dispatches, load estimates and circuit breakers
-into candidates, and asks the policy. Pure: shared by the router and the virtual-time bench.
+into candidates, and asks the policy. Pure: takes state and a time, sends nothing.
 """
 
 from __future__ import annotations
--- a/tests/contract/test_fleet.py
+++ b/tests/contract/test_fleet.py
@@ -6,13 +6,12 @@
 
 import pytest
 
-from tests.contract.conftest import PROMPT, Harness, expected_text
+from tests.contract.conftest import PROMPT, Harness, expected_text, replace_spec_text
 from tests.contract.test_streams import text_of
 from wallwell.backends.engine_protocol import EngineState
 from wallwell.clock import boot_time_s
 from wallwell.config.commit import ApplyRequest
 from wallwell.config.schema import EnginePoolSpec
-from wallwell.emulator.deployment import replace_spec_text
 from wallwell.storage.machines import MachineState
 
 LEAVING_BOUND_S = 3.0
--- a/tests/contract/test_placement.py
+++ b/tests/contract/test_placement.py
@@ -4,12 +4,12 @@
 
 import aiohttp
 
-from tests.contract.conftest import PROMPT, Harness, expected_text
+from tests.contract.conftest import PROMPT, Harness, expected_text, replace_spec_text
 from tests.contract.test_streams import text_of
 from wallwell.backends.engine_client import EngineClient
 from wallwell.backends.engine_protocol import EngineState, LoadOrder
 from wallwell.config.schema import ModelSpec
-from wallwell.emulator.deployment import EmulatedBackend, replace_spec_text
+from wallwell.emulator.deployment import EmulatedBackend
 from wallwell.emulator.engine_server import EngineServer
 
 MIN_SERVING = 4
--- a/tests/unit/routing/test_policy_and_admission.py
+++ b/tests/unit/routing/test_policy_and_admission.py
@@ -9,7 +9,7 @@
 from wallwell.routing.blocks import checkpoint_depths
 from wallwell.routing.directory import EngineIncarnation, HeldPrefix
 from wallwell.routing.load import EngineLoad, LoadReport
-from wallwell.routing.policy import Candidate, ExpectedFirstToken, RoutingRequest
+from wallwell.routing.policy import Candidate, Choice, ExpectedFirstToken, RoutingRequest
 from wallwell.routing.selector import EngineSelector, EngineView
 
 RATE = 16_000.0
@@ -92,3 +92,9 @@
     assert calibration.excess_s(0, 0.0) == 0.0
     assert 1.9 < calibration.excess_s(4, 0.0) <= 2.0
     assert calibration.excess_s(4, 60.0) < 0.01
+
+
+def test_one_crash_on_an_idle_fleet_refuses_nobody():
+    selector = EngineSelector(ExpectedFirstToken(), random.Random(1))
+    selector.calibration.observe(0, expected_s=0.001, observed_s=1.0, now_s=0.0)
+    assert selector.refusal_s(request(COUNTER), Choice("e", 0.3, 4800), 0.0) is None
