--- a/tests/contract/test_fleet.py
+++ b/tests/contract/test_fleet.py
@@ -6,10 +6,9 @@
 
 import pytest
 
-from tests.contract.conftest import PROMPT, Harness, expected_text
+from tests.contract.conftest import PROMPT, Harness, expected_text, replace_spec_text
 from tests.contract.test_streams import text_of
 from wallwell.backends.engine_protocol import EngineState
-from wallwell.bench.fleet import replace_spec_text
 from wallwell.clock import boot_time_s
 from wallwell.config.commit import ApplyRequest
 from wallwell.config.schema import EnginePoolSpec
