--- a/src/wallwell/backends/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Clients of model engines and services."""
--- a/src/wallwell/bench/experiment.py
+++ b/src/wallwell/bench/experiment.py
@@ -20,7 +20,7 @@
 from wallwell.bench.workload import PROFILES, TraceBuilder
 from wallwell.errors import BenchError
 from wallwell.outcomes import Outcome
-from wallwell.typed import load_document
+from wallwell.standalone.typed import load_document
 
 BASELINES = ("round_robin", "least_loaded", "prefix_affinity")
 OWN_POLICY = "expected_first_token"
--- a/src/wallwell/bench/load.py
+++ b/src/wallwell/bench/load.py
@@ -12,17 +12,17 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from wallwell.api.openai_format import chunk_text
 from wallwell.bench.workload import GenerationRequest, ServiceRequest, TraceRequest
 from wallwell.errors import NotReadyError
-from wallwell.gateway.caller import (
+from wallwell.outcomes import Outcome
+from wallwell.standalone.callers.caller import (
     IDEMPOTENCY_HEADER,
     OUTCOME_HEADER,
     PRIORITY_HEADER,
     REQUEST_ID_HEADER,
     ErrorBody,
 )
-from wallwell.outcomes import Outcome
+from wallwell.standalone.callers.openai_format import chunk_text
 
 CONNECTION_LOST = "connection_lost"
 CUT = "cut"
--- a/src/wallwell/cli/config_commands.py
+++ b/src/wallwell/cli/config_commands.py
@@ -14,10 +14,10 @@
 import aiohttp
 
 from wallwell.cli.operator_client import OperatorClient
-from wallwell.config.commit import ApplyRequest
-from wallwell.config.parse import ConfigFile, check_references, parse_file
-from wallwell.config.schema import FileKey, Kind
 from wallwell.errors import ConfigInvalidError, ConfigNotFoundError, WallwellError
+from wallwell.standalone.config.commit import ApplyRequest
+from wallwell.standalone.config.parse import ConfigFile, check_references, parse_file
+from wallwell.standalone.config.schema import FileKey, Kind
 
 TOKEN_VARIABLE = "WALLWELL_OPERATOR_TOKEN"
 _KIND_ORDER = {kind: index for index, kind in enumerate(Kind)}
--- a/src/wallwell/cli/emulate.py
+++ b/src/wallwell/cli/emulate.py
@@ -12,7 +12,7 @@
 
 from wallwell.emulator.settings import emulated_apps
 from wallwell.events import configure_logging
-from wallwell.settings import Listener
+from wallwell.standalone.settings import Listener
 
 
 class EmulatorService(aiomisc.Service):
--- a/src/wallwell/cli/operator_client.py
+++ b/src/wallwell/cli/operator_client.py
@@ -8,9 +8,9 @@
 import aiohttp
 import msgspec
 
-from wallwell.config.commit import ApplyAnswer, ApplyRequest
 from wallwell.errors import ConfigUnavailableError, WallwellError, all_error_types
-from wallwell.gateway.operators_app import FileView, OperatorError, StatusAnswer
+from wallwell.standalone.config.commit import ApplyAnswer, ApplyRequest
+from wallwell.standalone.operators_app import FileView, OperatorError, StatusAnswer
 
 _TIMEOUT = aiohttp.ClientTimeout(total=30.0)
 _TYPES = {error_type.code: error_type for error_type in all_error_types()}
--- a/src/wallwell/cli/router.py
+++ b/src/wallwell/cli/router.py
@@ -10,8 +10,8 @@
 import uvloop
 
 from wallwell.events import configure_logging
-from wallwell.gateway.router_node import RouterNode
-from wallwell.settings import NodeSettings, load_settings
+from wallwell.standalone.router_node import RouterNode
+from wallwell.standalone.settings import NodeSettings, load_settings
 
 _SHUTDOWN_MARGIN_S = 10.0
 _OVERRIDES = {
--- a/src/wallwell/gateway/crash_count.py
+++ b/src/wallwell/cluster/crash_count.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from wallwell.events import Event, emit
-from wallwell.routing.quarantine import Quarantine
+from wallwell.routing.admission.quarantine import Quarantine
 
 
 def count_crash(quarantine: Quarantine, content: str, life: str, now_s: float) -> bool:
--- a/src/wallwell/routing/fleet_load.py
+++ b/src/wallwell/cluster/fleet_load.py
@@ -4,11 +4,11 @@
 
 from dataclasses import dataclass, field
 
+from wallwell.cluster.demand import FleetDemand
+from wallwell.cluster.load_reports import Load
 from wallwell.deployment.backends import BackendRegistry
-from wallwell.routing.demand import FleetDemand
-from wallwell.routing.first_piece import Delays, FirstPieces
-from wallwell.routing.load_reports import Load
-from wallwell.routing.tenant_limits import FleetLimits
+from wallwell.routing.admission.tenant_limits import FleetLimits
+from wallwell.routing.retry.first_token import Delays, FirstPieces
 
 
 @dataclass
--- a/src/wallwell/cluster/load_exchange.py
+++ b/src/wallwell/cluster/load_reporter.py
@@ -1,7 +1,7 @@
 """Tells other nodes what this one has under way, and learns the same of all of them from one or a few.
 
 Within a region every member is heard within a tenth of a second; between regions sums are told by
-:mod:`wallwell.cluster.region_exchange` at the pace that their link allows.
+:mod:`wallwell.cluster.region_load_reporter` at the pace that their link allows.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 import msgspec
 
 from wallwell.clock import boot_time_s
+from wallwell.cluster.crash_reports import Crash, ToldCrashes
+from wallwell.cluster.fleet_load import FleetLoad
+from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load, LoadReports, sum_loads
 from wallwell.cluster.peer_link import PeerLinks, PeerMessage
-from wallwell.cluster.region_exchange import RegionExchange, RegionSum, RelayTotals
-from wallwell.cluster.told_crashes import Crash, ToldCrashes
+from wallwell.cluster.region_load_reporter import RegionExchange, RegionSum, RelayTotals
+from wallwell.cluster.region_traffic import RegionTraffic
 from wallwell.cluster.upstream import UpstreamOrder
 from wallwell.errors import PeerUnavailableError
-from wallwell.routing.fleet_load import FleetLoad
-from wallwell.routing.load_reports import REPORT_LIFETIME_S, Load, LoadReports, sum_loads
-from wallwell.routing.region_traffic import RegionTraffic
 
 INTERVAL_S = 0.05
 """Time between two reports of a member; between those of a relay for each other relay, so that bytes between zones
--- a/src/wallwell/routing/load_reports.py
+++ b/src/wallwell/cluster/load_reports.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from wallwell.routing.first_piece import Delays, sum_delays
+from wallwell.routing.retry.first_token import Delays, sum_delays
 
 REPORT_LIFETIME_S = 1.5
 """How long a report counts; a node that has gone silent may be gone with its requests."""
@@ -22,8 +22,9 @@
     """What a node, or several together, have under way. ``nodes`` says how many they are.
 
     ``requests`` counts by back end, long prompts several times. ``generations`` counts those that came in the last
-    ``RATE_WINDOW_S`` of :mod:`wallwell.routing.demand`. ``delays`` says how soon answers began. ``asked`` counts
-    what tenants with a limit asked for in the last ``ASKED_WINDOW_S`` of :mod:`wallwell.routing.tenant_limits`.
+    ``RATE_WINDOW_S`` of :mod:`wallwell.cluster.demand`. ``delays`` says how soon answers began. ``asked`` counts
+    what tenants with a limit asked for in the last ``ASKED_WINDOW_S`` of
+    :mod:`wallwell.routing.admission.tenant_limits`.
     """
 
     requests: dict[str, int] = {}
--- a/src/wallwell/cluster/region_exchange.py
+++ b/src/wallwell/cluster/region_load_reporter.py
@@ -15,12 +15,12 @@
 import msgspec
 
 from wallwell.clock import boot_time_s
+from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load
 from wallwell.cluster.peer_link import PeerLinks, PeerMessage
+from wallwell.cluster.region_traffic import RegionTraffic
 from wallwell.cluster.upstream import UpstreamOrder
 from wallwell.errors import PeerUnavailableError
 from wallwell.events import Event, emit
-from wallwell.routing.load_reports import REPORT_LIFETIME_S, Load
-from wallwell.routing.region_traffic import RegionTraffic
 
 REGION_INTERVAL_S = 0.25
 """Time between two exchanges of a pair of regions, see ``docs/design/regions.md`` for their bytes."""
--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from wallwell.deployment.places import ONE_REGION, Places
+from wallwell.deployment.topology import ONE_REGION, Places
 from wallwell.routing.rendezvous import key_of, rendezvous_score
 
 MEMBERS_PER_RELAY = 40
--- a/src/wallwell/config/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Operators' files: schema, validation, revisions and the configuration in force."""
--- a/src/wallwell/deployment/backends.py
+++ b/src/wallwell/deployment/backends.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
 
-from wallwell.routing.silence import Silence
+from wallwell.routing.health.silence import Silence
 
 FIRST_SUSPENSION_S = 0.6
 MAX_SUSPENSION_S = 4.0
--- a/src/wallwell/emulator/deployment.py
+++ b/src/wallwell/emulator/deployment.py
@@ -16,16 +16,16 @@
 
 from wallwell.background import BackgroundTasks
 from wallwell.cli.operator_client import OperatorClient
-from wallwell.config.commit import ApplyRequest
-from wallwell.config.parse import ConfigFile, parse_file
-from wallwell.config.schema import EnginePoolSpec, ServiceSpec, ZoneSpec
 from wallwell.emulator.engine_model import EngineProfile
 from wallwell.emulator.engine_server import EngineServer
 from wallwell.emulator.faults import end_at_once
 from wallwell.emulator.platform_server import PlatformServer
 from wallwell.emulator.service_server import ServiceServer
-from wallwell.gateway.router_node import RouterNode
-from wallwell.settings import ClusterSettings, NodeSettings, PlatformAddresses
+from wallwell.standalone.config.commit import ApplyRequest
+from wallwell.standalone.config.parse import ConfigFile, parse_file
+from wallwell.standalone.config.schema import EnginePoolSpec, ServiceSpec, ZoneSpec
+from wallwell.standalone.router_node import RouterNode
+from wallwell.standalone.settings import ClusterSettings, NodeSettings, PlatformAddresses
 
 OPERATOR_TOKEN = "fleet-operator-token"
 CLUSTER_KEY = "fleet-cluster-key-0123456789"
--- a/src/wallwell/emulator/engine_model.py
+++ b/src/wallwell/emulator/engine_model.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from wallwell.routing.load import LoadReport
+from wallwell.standalone.routing.load import LoadReport
 
 
 @dataclass(frozen=True)
--- a/src/wallwell/emulator/engine_server.py
+++ b/src/wallwell/emulator/engine_server.py
@@ -11,11 +11,11 @@
 import xxhash
 from aiohttp import web
 
-from wallwell.api.openai_format import ChatBody, CompletionBody, parse_generation, render_prompt
-from wallwell.backends import engine_protocol as wire
 from wallwell.emulator.engine_model import CacheEvent, EngineModel, EngineProfile, EngineRequest, StepResult
 from wallwell.emulator.faults import FaultControl, cut_connection, reset_connection
-from wallwell.routing.blocks import hash_chain
+from wallwell.standalone.backends import engine_protocol as wire
+from wallwell.standalone.callers.openai_format import ChatBody, CompletionBody, parse_generation, render_prompt
+from wallwell.standalone.routing.blocks import hash_chain
 
 _WORDS = ("take", "with", "food", "daily", "dose", "check", "hut", "trail", "ridge", "permit", "bed", "safe")
 _LOAD_INTERVAL_S = 0.5
--- a/src/wallwell/emulator/platform_server.py
+++ b/src/wallwell/emulator/platform_server.py
@@ -9,8 +9,8 @@
 from aiohttp import web
 
 from wallwell.emulator.faults import FaultControl
-from wallwell.routing.limits import TokenBucket
-from wallwell.storage.machines import Machine, MachineState
+from wallwell.standalone.machines import Machine, MachineState
+from wallwell.standalone.routing.limits import TokenBucket
 from wallwell.storage.table import Commit, Row, Scan, Transaction
 
 
--- a/src/wallwell/emulator/service_server.py
+++ b/src/wallwell/emulator/service_server.py
@@ -7,8 +7,8 @@
 import msgspec
 from aiohttp import web
 
-from wallwell.backends.engine_protocol import REQUEST_ID
 from wallwell.emulator.faults import FaultControl
+from wallwell.standalone.backends.engine_protocol import REQUEST_ID
 
 IDEMPOTENCY_KEY = "Idempotency-Key"
 REFUSED_HEADER = "X-Not-Run"
--- a/src/wallwell/emulator/settings.py
+++ b/src/wallwell/emulator/settings.py
@@ -12,8 +12,8 @@
 from wallwell.emulator.platform_server import PlatformServer
 from wallwell.emulator.service_server import ServiceServer
 from wallwell.errors import SettingsError
-from wallwell.settings import Listener
-from wallwell.typed import load_document
+from wallwell.standalone.settings import Listener
+from wallwell.standalone.typed import load_document
 
 
 class EngineEntry(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/src/wallwell/gateway/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""HTTP listeners for callers and operators."""
--- a/src/wallwell/gateway/crash_watch.py
+++ b/src/wallwell/node/crash_watch.py
@@ -15,12 +15,12 @@
 
 from wallwell.background import BackgroundTasks
 from wallwell.clock import boot_time_s, bounded
-from wallwell.cluster.told_crashes import Crash
+from wallwell.cluster.crash_count import count_crash
+from wallwell.cluster.crash_reports import Crash
 from wallwell.deployment.backends import Backend, BackendRecord
 from wallwell.errors import PlatformUnavailableError, TableConflictError
 from wallwell.events import Event, emit
-from wallwell.gateway.crash_count import count_crash
-from wallwell.gateway.fleet_state import FleetState
+from wallwell.node.state import FleetState
 from wallwell.routing.rendezvous import key_of, owner
 from wallwell.storage.feed import FeedRow
 from wallwell.storage.table import Put, TableService, Transaction
--- a/src/wallwell/gateway/kept_cache_watch.py
+++ b/src/wallwell/node/kv_store_watch.py
@@ -13,8 +13,8 @@
 from wallwell.cluster.upstream import UpstreamOrder
 from wallwell.errors import CacheEventsRefusedError, CacheStoreSilentError, PeerUnavailableError
 from wallwell.events import Event, emit
-from wallwell.gateway.fleet_state import FleetState
-from wallwell.routing.kept_cache import CachePage, CachePosition, KeptCache
+from wallwell.node.state import FleetState
+from wallwell.routing.selection.kv_store import CachePage, CachePosition, KeptCache
 
 WAIT_S = 0.8
 """How long a call is held open until there is an event."""
--- a/src/wallwell/gateway/fleet_metrics.py
+++ b/src/wallwell/node/metrics.py
@@ -8,8 +8,8 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, HistogramMetricFamily, Metric
 
 from wallwell.clock import boot_time_s
-from wallwell.gateway.counters import LATENCY_BOUNDS_S, FleetCounters, LatencyHistogram
-from wallwell.gateway.fleet_state import FleetState
+from wallwell.node.state import FleetState
+from wallwell.serving.counters import LATENCY_BOUNDS_S, FleetCounters, LatencyHistogram
 
 MAX_TENANTS_SHOWN = 20
 """Tenants with series of their own: those that were refused most, so that labels stay bounded with any number."""
--- a/src/wallwell/gateway/fleet_node.py
+++ b/src/wallwell/node/node.py
@@ -8,30 +8,30 @@
 from collections.abc import Awaitable, Callable, Coroutine, Iterable
 from typing import Any, Protocol
 
-from wallwell.backends.http_connection import ConnectionPool
 from wallwell.clock import SuspensionWatch, boot_time_s
-from wallwell.cluster.load_exchange import LoadExchange, MemberLoad, ZoneLoad
+from wallwell.cluster.crash_reports import ToldCrashes
+from wallwell.cluster.load_reporter import LoadExchange, MemberLoad, ZoneLoad
 from wallwell.cluster.peer_link import PeerServer
-from wallwell.cluster.region_exchange import RegionLoad
+from wallwell.cluster.region_load_reporter import RegionLoad
 from wallwell.cluster.relay import RelayedRows, RowsRequest, answer_from
-from wallwell.cluster.told_crashes import ToldCrashes
 from wallwell.cluster.upstream import Member, UpstreamOrder
 from wallwell.deployment.freshness import StoreClock
-from wallwell.deployment.places import Places
+from wallwell.deployment.topology import Places
 from wallwell.events import Event, emit
-from wallwell.gateway.crash_watch import CrashCheck, CrashWatch
-from wallwell.gateway.exchange import BackendClient, CallerReply, CallerRequest
-from wallwell.gateway.fleet_rows import BackendRows, MemberRows, NodeSources, OperatorRows
-from wallwell.gateway.fleet_state import FleetBounds, FleetState
-from wallwell.gateway.kept_cache_watch import CacheRequest, KeptCacheWatch
-from wallwell.gateway.liveness import Liveness, ReachabilityCheck
-from wallwell.gateway.loop_lag import TICK_S, LoopLag
-from wallwell.gateway.pipeline import RequestPipeline
+from wallwell.http_connection import ConnectionPool
+from wallwell.node.crash_watch import CrashCheck, CrashWatch
+from wallwell.node.kv_store_watch import CacheRequest, KeptCacheWatch
+from wallwell.node.loop_lag import TICK_S, LoopLag
+from wallwell.node.rows import BackendRows, MemberRows, NodeSources, OperatorRows
+from wallwell.node.state import FleetBounds, FleetState
 from wallwell.placement.weights_roll_driver import EngineControl, WeightsRollDriver
 from wallwell.rollout.driver import RolloutDriver
 from wallwell.rollout.planner import RolloutPlanner
 from wallwell.rollout.reporter import CountsReporter
 from wallwell.rollout.reports import CountsReport, FleetCounts
+from wallwell.serving.liveness import Liveness, ReachabilityCheck
+from wallwell.serving.messages import BackendClient, CallerReply, CallerRequest
+from wallwell.serving.pipeline import RequestPipeline
 from wallwell.storage.feed import FollowedPage, RowFollower, RowSource
 
 OPERATORS_WAIT_S = 0.8
@@ -185,7 +185,7 @@
     def metrics_text(self) -> bytes:
         """Return this node's figures as text."""
         # Imported here, since the library costs memory that a node without the address need not spend.
-        from wallwell.gateway.fleet_metrics import render
+        from wallwell.node.metrics import render
 
         return render(self._pipeline.counters, self.state)
 
--- a/src/wallwell/gateway/fleet_rows.py
+++ b/src/wallwell/node/rows.py
@@ -8,15 +8,15 @@
 
 import msgspec
 
-from wallwell.backends.http_connection import ConnectionPool
 from wallwell.clock import boot_time_s
 from wallwell.cluster.upstream import Member, UpstreamOrder
 from wallwell.deployment.backends import Backend, BackendRecord
 from wallwell.deployment.routes import DeploymentConfig
 from wallwell.errors import PlatformUnavailableError, TableConflictError
 from wallwell.events import Event, emit
-from wallwell.gateway.fleet_state import FleetState
-from wallwell.gateway.kept_cache_watch import CacheEventSource
+from wallwell.http_connection import ConnectionPool
+from wallwell.node.kv_store_watch import CacheEventSource
+from wallwell.node.state import FleetState
 from wallwell.rollout.model import RolloutOrder
 from wallwell.rollout.store import RolloutStore
 from wallwell.storage.feed import FeedRow, FollowedPage, RowSource
--- a/src/wallwell/gateway/fleet_state.py
+++ b/src/wallwell/node/state.py
@@ -6,29 +6,29 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
+from wallwell.cluster.demand import FleetDemand
+from wallwell.cluster.fleet_load import FleetLoad
+from wallwell.cluster.region_traffic import RegionTraffic
 from wallwell.deployment.backends import Backend, BackendRegistry
 from wallwell.deployment.freshness import Freshness
-from wallwell.deployment.places import ONE_REGION, Distance, Places
 from wallwell.deployment.routes import DeploymentConfig, Service
+from wallwell.deployment.topology import ONE_REGION, Distance, Places
 from wallwell.deployment.weights import WeightsTargets
-from wallwell.deployment.zone_suspicion import ZoneSuspicion
 from wallwell.events import Event, emit
-from wallwell.gateway.exchange import Generation
 from wallwell.placement.weights_roll import OVERDUE_PART
 from wallwell.rollout.model import RolloutBounds
 from wallwell.rollout.records import RolloutBook
-from wallwell.routing.demand import FleetDemand
-from wallwell.routing.first_piece import FirstPieces
-from wallwell.routing.fleet_budget import FleetRetryBudget
-from wallwell.routing.fleet_load import FleetLoad
-from wallwell.routing.kept_cache import KeptCache
-from wallwell.routing.overload import GenerationTime
-from wallwell.routing.quarantine import Quarantine
-from wallwell.routing.reading_pace import ReadingPace
-from wallwell.routing.region_traffic import RegionTraffic
+from wallwell.routing.admission.overload import GenerationTime
+from wallwell.routing.admission.quarantine import Quarantine
+from wallwell.routing.health.zone_suspicion import ZoneSuspicion
 from wallwell.routing.rendezvous import owner
-from wallwell.routing.return_time import ShortestAnswer
-from wallwell.routing.split import WeightedSplit
+from wallwell.routing.retry.first_token import FirstPieces
+from wallwell.routing.retry.retry_after import ShortestAnswer
+from wallwell.routing.retry.retry_budget import FleetRetryBudget
+from wallwell.routing.selection.kv_store import KeptCache
+from wallwell.routing.selection.prefill_rate import ReadingPace
+from wallwell.routing.selection.split import WeightedSplit
+from wallwell.serving.messages import Generation
 
 LAST_PART = 0.93
 """Part of the allowance up to which older weights are used if no engine has newer ones."""
--- a/src/wallwell/placement/weights_roll.py
+++ b/src/wallwell/placement/weights_roll.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field
 
 from wallwell.deployment.backends import Backend
-from wallwell.deployment.places import ONE_REGION, Places
+from wallwell.deployment.topology import ONE_REGION, Places
 from wallwell.deployment.weights import NamedVersion, WeightsTargets
 from wallwell.placement.weights_roll_timing import RollCircumstances, hold_s
-from wallwell.routing.prefix_home import CHUNK_TOKENS, regional_pools
+from wallwell.routing.selection.prefix_home import CHUNK_TOKENS, regional_pools
 
 HOLD_PART = 0.52
 """Part of the allowance for which a weights roll waits at most."""
--- a/src/wallwell/placement/weights_roll_driver.py
+++ b/src/wallwell/placement/weights_roll_driver.py
@@ -15,7 +15,7 @@
 from wallwell.deployment.freshness import StoreClock
 from wallwell.errors import LeaseLostError, PlatformUnavailableError, TableConflictError
 from wallwell.events import Event, emit
-from wallwell.gateway.fleet_state import FleetState
+from wallwell.node.state import FleetState
 from wallwell.placement.weights_roll import EngineReport, LoadOrder, LoadTask, OrderReply, WeightsRollPlanner
 from wallwell.storage.feed import FeedRow
 from wallwell.storage.table import Put, TableService, Transaction
--- a/src/wallwell/platform/cache_events.py
+++ b/src/wallwell/platform/cache_events.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from wallwell.backends.http_connection import ConnectFailedError, ConnectionBrokenError, ConnectionPool
 from wallwell.errors import CacheEventsRefusedError, CacheStoreSilentError
+from wallwell.http_connection import ConnectFailedError, ConnectionBrokenError, ConnectionPool
 from wallwell.platform import names
-from wallwell.routing.kept_cache import CacheEntry, CachePage, CachePosition
+from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition
 
 ANSWER_MARGIN_S = 0.6
 """How much longer than the agreed wait an answer is waited for."""
@@ -36,13 +36,13 @@
 
 
 class CacheEventsClient:
-    """Calls stores of kept KV cache; see :class:`wallwell.gateway.kept_cache_watch.CacheEventSource`."""
+    """Calls stores of kept KV cache; see :class:`wallwell.node.kv_store_watch.CacheEventSource`."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self._pool = pool
 
     async def events(self, address: str, position: CachePosition, wait_s: float) -> CachePage:
-        """See :class:`wallwell.gateway.kept_cache_watch.CacheEventSource`."""
+        """See :class:`wallwell.node.kv_store_watch.CacheEventSource`."""
         target = f"{names.CACHE_EVENTS_PATH}?since={position.number}"
         wait_line = f"{names.WAIT_MS}: {round(wait_s * 1000)}\r\n"
         body = await self._get(address, target, wait_line, EventsBody, wait_s + ANSWER_MARGIN_S)
@@ -53,7 +53,7 @@
         return CachePage(CachePosition(body.epoch, body.next_token), entries)
 
     async def listing(self, address: str) -> CachePage:
-        """See :class:`wallwell.gateway.kept_cache_watch.CacheEventSource`."""
+        """See :class:`wallwell.node.kv_store_watch.CacheEventSource`."""
         body = await self._get(address, names.CACHE_LISTING_PATH, "", ListingBody, LISTING_TIMEOUT_S)
         entries = tuple(CacheEntry(body.next_token, salt, part, tokens) for salt, part, tokens, _ in body.held)
         return CachePage(CachePosition(body.epoch, body.next_token), entries, whole=True)
--- a/src/wallwell/platform/callers.py
+++ b/src/wallwell/platform/callers.py
@@ -17,11 +17,11 @@
 from wallwell.clock import boot_time_s
 from wallwell.errors import BodyTooLargeError, InternalRequestError, MalformedRequestError, RequestError
 from wallwell.events import Event, emit
-from wallwell.gateway.exchange import AnswerHead, CallerRequest, Generation
-from wallwell.gateway.fleet_node import FleetNode
+from wallwell.node.node import FleetNode
 from wallwell.outcomes import Outcome
 from wallwell.platform import names
-from wallwell.routing.prefix_home import PromptPart
+from wallwell.routing.selection.prefix_home import PromptPart
+from wallwell.serving.messages import AnswerHead, CallerRequest, Generation
 from wallwell.socket_options import has_hung_up
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
@@ -40,7 +40,7 @@
 
 
 class HttpReply:
-    """A :class:`wallwell.gateway.exchange.CallerReply` over one aiohttp request."""
+    """A :class:`wallwell.serving.messages.CallerReply` over one aiohttp request."""
 
     def __init__(self, request: web.BaseRequest, request_id: str, closing: Callable[[], bool]) -> None:
         self._request = request
@@ -55,7 +55,7 @@
         return self.response is not None
 
     def is_caller_gone(self) -> bool:
-        """See :class:`wallwell.gateway.exchange.CallerReply`."""
+        """See :class:`wallwell.serving.messages.CallerReply`."""
         return has_hung_up(self._request.transport)
 
     async def answer(self, head: AnswerHead, body: bytes) -> None:
--- a/src/wallwell/platform/main.py
+++ b/src/wallwell/platform/main.py
@@ -11,8 +11,8 @@
 
 from wallwell.errors import WallwellError
 from wallwell.events import Event, configure_logging, emit
-from wallwell.gateway.fleet_node import FleetNode
-from wallwell.gateway.fleet_rows import NodeSources
+from wallwell.node.node import FleetNode
+from wallwell.node.rows import NodeSources
 from wallwell.platform import names
 from wallwell.platform.cache_events import CacheEventsClient
 from wallwell.platform.callers import CallersListener
--- a/src/wallwell/platform/settings.py
+++ b/src/wallwell/platform/settings.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from wallwell.deployment.places import Places
+from wallwell.deployment.topology import Places
 from wallwell.errors import SettingsError
-from wallwell.gateway.fleet_state import FleetBounds
+from wallwell.node.state import FleetBounds
 from wallwell.platform.names import SETTINGS_VARIABLE
 from wallwell.rollout.model import RolloutBounds
 
--- a/src/wallwell/platform/store.py
+++ b/src/wallwell/platform/store.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from wallwell.backends.http_connection import ConnectFailedError, ConnectionBrokenError, ConnectionPool
 from wallwell.errors import HistoryLostError, PlatformUnavailableError, TableConflictError
+from wallwell.http_connection import ConnectFailedError, ConnectionBrokenError, ConnectionPool
 from wallwell.platform import names
 from wallwell.storage.feed import FeedPage, FeedRow
 from wallwell.storage.table import Row, Scan, Transaction
--- a/src/wallwell/platform/workers.py
+++ b/src/wallwell/platform/workers.py
@@ -7,18 +7,18 @@
 import msgspec
 from aiohttp.http_parser import RawResponseMessage
 
-from wallwell.backends.http_connection import (
+from wallwell.deployment.backends import BackendRecord
+from wallwell.deployment.topology import ONE_REGION, Distance, Places
+from wallwell.http_connection import (
     BackendConnection,
     ConnectFailedError,
     ConnectionBrokenError,
     ConnectionPool,
 )
-from wallwell.deployment.backends import BackendRecord
-from wallwell.deployment.places import ONE_REGION, Distance, Places
-from wallwell.gateway.exchange import AnswerHead, AttemptError, Dispatch
 from wallwell.placement.weights_roll import EngineReport, LoadOrder, OrderReply
 from wallwell.platform import names
-from wallwell.routing.outcome import TransportEvent
+from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.serving.messages import AnswerHead, AttemptError, Dispatch
 
 CONNECT_TIMEOUT_S = 0.25
 REACHABLE_TIMEOUT_S = 0.12
@@ -51,7 +51,7 @@
         self._pool = pool
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """See :class:`wallwell.gateway.exchange.BackendAnswer`."""
+        """See :class:`wallwell.serving.messages.BackendAnswer`."""
         try:
             if self._connection is not None:
                 async for data in self._connection.body():
@@ -60,7 +60,7 @@
             raise AttemptError(TransportEvent.RESET_AFTER_SEND, str(error)) from error
 
     def close(self) -> None:
-        """See :class:`wallwell.gateway.exchange.BackendAnswer`."""
+        """See :class:`wallwell.serving.messages.BackendAnswer`."""
         if self._connection is not None:
             self._pool.release(self._address, self._connection)
             self._connection = None
@@ -74,7 +74,7 @@
         self.pool = ConnectionPool(names.REQUEST_ID, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
 
     async def send(self, dispatch: Dispatch) -> WorkerAnswer:
-        """See :class:`wallwell.gateway.exchange.BackendClient`."""
+        """See :class:`wallwell.serving.messages.BackendClient`."""
         address = dispatch.backend.address
         dispatch.progress.connecting = True
         try:
@@ -104,12 +104,12 @@
         return answer
 
     async def is_reachable(self, backend: BackendRecord) -> bool:
-        """See :class:`wallwell.gateway.liveness.ReachabilityCheck`; the connection serves the next request."""
+        """See :class:`wallwell.serving.liveness.ReachabilityCheck`; the connection serves the next request."""
         failure = await self._knock(backend)
         return failure is None or not failure.timed_out
 
     async def is_refused(self, backend: BackendRecord) -> bool:
-        """See :class:`wallwell.gateway.crash_watch.CrashCheck`; a connection that is made is kept."""
+        """See :class:`wallwell.node.crash_watch.CrashCheck`; a connection that is made is kept."""
         if self.pool.has_resting(backend.address):
             return False  # The end of its process would have reset it.
         failure = await self._knock(backend)
--- a/src/wallwell/rollout/driver.py
+++ b/src/wallwell/rollout/driver.py
@@ -14,7 +14,7 @@
 from wallwell.deployment.freshness import StoreClock
 from wallwell.errors import PlatformUnavailableError, TableConflictError
 from wallwell.events import Event, emit
-from wallwell.gateway.fleet_state import FleetState
+from wallwell.node.state import FleetState
 from wallwell.rollout.model import Capacity, Phase, RolloutCounts, RolloutDecision, RolloutRecord
 from wallwell.rollout.records import bar_replaced, opening_record
 from wallwell.rollout.reporter import report_interval_s
--- a/src/wallwell/routing/__init__.py
+++ b/src/wallwell/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions of the request path: no sockets, no event loop, time passed in."""
+"""The decisions: pure functions and classes of state, time and randomness. No I/O, no log lines, no wire format."""
--- a/src/wallwell/routing/kept_cache.py
+++ b/src/wallwell/routing/selection/kv_store.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from wallwell.routing.prefix_home import PromptPart, shared_parts
+from wallwell.routing.selection.prefix_home import PromptPart, shared_parts
 
 MAX_JOURNAL = 4000
 """Changes remembered for peers; a peer that is further behind takes everything anew."""
--- a/src/wallwell/routing/prefix_home.py
+++ b/src/wallwell/routing/selection/prefix_home.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from wallwell.deployment.backends import Backend
-from wallwell.deployment.places import Places
+from wallwell.deployment.topology import Places
 from wallwell.routing.rendezvous import key_of, rendezvous_score
 
 CHUNK_TOKENS = 4096
--- a/src/wallwell/gateway/admission.py
+++ b/src/wallwell/serving/admission.py
@@ -12,13 +12,13 @@
     UnauthenticatedError,
     UnknownResourceError,
 )
-from wallwell.gateway.exchange import CallerReply, CallerRequest
-from wallwell.gateway.exchange_state import Exchange
-from wallwell.gateway.fleet_state import FleetState
-from wallwell.gateway.return_times import ReturnTimes
-from wallwell.routing.outcome import AttemptLog
-from wallwell.routing.return_time import ReturnCause
-from wallwell.routing.tenant_limits import Admitted, OverLimit
+from wallwell.node.state import FleetState
+from wallwell.routing.admission.tenant_limits import Admitted, OverLimit
+from wallwell.routing.retry.attempt_outcome import AttemptLog
+from wallwell.routing.retry.retry_after import ReturnCause
+from wallwell.serving.messages import CallerReply, CallerRequest
+from wallwell.serving.request_state import Exchange
+from wallwell.serving.retry_after import ReturnTimes
 
 
 class Admission:
--- a/src/wallwell/gateway/backend_choice.py
+++ b/src/wallwell/serving/backend_choice.py
@@ -7,11 +7,11 @@
 
 from wallwell.deployment.backends import Backend
 from wallwell.errors import OverloadedError
-from wallwell.gateway.exchange_state import Exchange
-from wallwell.gateway.fleet_state import FleetState
-from wallwell.gateway.side_choice import taking
-from wallwell.routing.overload import Occupancy, refused_part, return_after_s
-from wallwell.routing.prefix_home import (
+from wallwell.node.state import FleetState
+from wallwell.routing.admission.overload import Occupancy, refused_part, return_after_s
+from wallwell.routing.rendezvous import rendezvous_score
+from wallwell.routing.retry.retry_after import ShortestAnswer
+from wallwell.routing.selection.prefix_home import (
     choose_engine,
     choose_from_tiers,
     find_room,
@@ -20,8 +20,8 @@
     regional_pools,
     shared_parts,
 )
-from wallwell.routing.rendezvous import rendezvous_score
-from wallwell.routing.return_time import ShortestAnswer
+from wallwell.serving.request_state import Exchange
+from wallwell.serving.version_choice import taking
 
 REGION_WAY_S = 0.04
 """What the way to an engine of another region and back adds to a first piece: twice 20 ms (the users' figure)."""
--- a/src/wallwell/gateway/cache_planning.py
+++ b/src/wallwell/serving/cache_planning.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from wallwell.deployment.backends import Backend
-from wallwell.deployment.places import Distance
 from wallwell.deployment.routes import Service
-from wallwell.gateway.exchange import CachePlan, Generation
-from wallwell.gateway.exchange_state import Exchange
-from wallwell.gateway.fleet_state import FleetState
-from wallwell.routing.prefix_home import shared_parts
+from wallwell.deployment.topology import Distance
+from wallwell.node.state import FleetState
+from wallwell.routing.selection.prefix_home import shared_parts
+from wallwell.serving.messages import CachePlan, Generation
+from wallwell.serving.request_state import Exchange
 
 SAVE_FRESHNESS_S = 2.0
 """Age of the store's last word beyond which a weights roll may be under way that this node does not know of."""
--- a/src/wallwell/gateway/region_answers.py
+++ b/src/wallwell/serving/counted_answer.py
@@ -5,8 +5,8 @@
 from collections.abc import AsyncIterator
 from contextlib import aclosing
 
-from wallwell.gateway.exchange import BackendAnswer
-from wallwell.routing.region_traffic import RegionTraffic
+from wallwell.cluster.region_traffic import RegionTraffic
+from wallwell.serving.messages import BackendAnswer
 
 
 class CountedAnswer:
--- a/src/wallwell/gateway/liveness.py
+++ b/src/wallwell/serving/liveness.py
@@ -11,9 +11,9 @@
 from wallwell.clock import boot_time_s
 from wallwell.deployment.backends import Backend, BackendRecord
 from wallwell.events import Event, emit
-from wallwell.gateway.exchange import AttemptError
-from wallwell.gateway.fleet_state import FleetState
-from wallwell.routing.outcome import TransportEvent
+from wallwell.node.state import FleetState
+from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.serving.messages import AttemptError
 
 TICK_S = 0.04
 
--- a/src/wallwell/gateway/exchange.py
+++ b/src/wallwell/serving/messages.py
@@ -12,8 +12,8 @@
 
 from wallwell.deployment.backends import BackendRecord
 from wallwell.errors import RequestError
-from wallwell.routing.outcome import TransportEvent
-from wallwell.routing.prefix_home import PromptPart
+from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.routing.selection.prefix_home import PromptPart
 
 Headers = tuple[tuple[str, str], ...]
 
--- a/src/wallwell/gateway/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -10,19 +10,26 @@
 
 from wallwell.clock import boot_time_s, bounded
 from wallwell.deployment.backends import Backend
-from wallwell.deployment.places import Distance
 from wallwell.deployment.routes import RouteKind
+from wallwell.deployment.topology import Distance
 from wallwell.errors import (
     RequestError,
     StreamOrderError,
 )
 from wallwell.events import Event, emit
-from wallwell.gateway.admission import Admission
-from wallwell.gateway.backend_choice import BackendChoice
-from wallwell.gateway.cache_planning import CachePlanner
-from wallwell.gateway.counters import FleetCounters
-from wallwell.gateway.crash_watch import CrashWatch
-from wallwell.gateway.exchange import (
+from wallwell.node.crash_watch import CrashWatch
+from wallwell.node.state import FleetState
+from wallwell.outcomes import Outcome
+from wallwell.routing.retry.attempt_outcome import REFUSED_BY_BACKEND, TransportEvent
+from wallwell.routing.retry.retry_after import ReturnCause
+from wallwell.routing.selection.prefix_home import request_load
+from wallwell.serving.admission import Admission
+from wallwell.serving.backend_choice import BackendChoice
+from wallwell.serving.cache_planning import CachePlanner
+from wallwell.serving.counted_answer import CountedAnswer
+from wallwell.serving.counters import FleetCounters
+from wallwell.serving.liveness import Liveness
+from wallwell.serving.messages import (
     AttemptError,
     BackendAnswer,
     BackendClient,
@@ -31,17 +38,10 @@
     CallerRequest,
     Dispatch,
 )
-from wallwell.gateway.exchange_state import Exchange
-from wallwell.gateway.fleet_state import FleetState
-from wallwell.gateway.head_wait import MIN_REMAINING_S, HeadWait
-from wallwell.gateway.liveness import Liveness
-from wallwell.gateway.region_answers import CountedAnswer
-from wallwell.gateway.request_errors import RequestErrors
-from wallwell.gateway.side_choice import begin_attempt, end_attempt, offer
-from wallwell.outcomes import Outcome
-from wallwell.routing.outcome import REFUSED_BY_BACKEND, TransportEvent
-from wallwell.routing.prefix_home import request_load
-from wallwell.routing.return_time import ReturnCause
+from wallwell.serving.request_errors import RequestErrors
+from wallwell.serving.request_state import Exchange
+from wallwell.serving.response_timeout import MIN_REMAINING_S, HeadWait
+from wallwell.serving.version_choice import begin_attempt, end_attempt, offer
 
 MAX_ARRIVALS_BEYOND_ATTEMPTS = 3
 """Further back ends tried when earlier ones prove that they did not run the request."""
--- a/src/wallwell/gateway/request_errors.py
+++ b/src/wallwell/serving/request_errors.py
@@ -12,11 +12,11 @@
     RequestQuarantinedError,
     RetriesExhaustedError,
 )
-from wallwell.gateway.exchange_state import Exchange
-from wallwell.gateway.fleet_state import FleetState
-from wallwell.gateway.return_times import ReturnTimes
+from wallwell.node.state import FleetState
 from wallwell.outcomes import Outcome
-from wallwell.routing.return_time import ReturnCause
+from wallwell.routing.retry.retry_after import ReturnCause
+from wallwell.serving.request_state import Exchange
+from wallwell.serving.retry_after import ReturnTimes
 
 
 class RequestErrors:
--- a/src/wallwell/gateway/head_wait.py
+++ b/src/wallwell/serving/response_timeout.py
@@ -6,12 +6,12 @@
 
 from wallwell.clock import boot_time_s
 from wallwell.deployment.backends import Backend
-from wallwell.gateway.exchange import AttemptError, BackendAnswer, BackendClient, Dispatch
-from wallwell.gateway.exchange_state import Exchange
-from wallwell.gateway.fleet_state import FleetState
-from wallwell.gateway.side_choice import offer
 from wallwell.late_loop import is_done_within
-from wallwell.routing.outcome import TransportEvent
+from wallwell.node.state import FleetState
+from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.serving.messages import AttemptError, BackendAnswer, BackendClient, Dispatch
+from wallwell.serving.request_state import Exchange
+from wallwell.serving.version_choice import offer
 
 FIRST_BYTE_PATIENCE = 0.6
 """Part of the objective after which a silent back end is given up, if the request may be repeated."""
--- a/src/wallwell/gateway/return_times.py
+++ b/src/wallwell/serving/retry_after.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 from wallwell.clock import boot_time_s
-from wallwell.gateway.exchange import CallerRequest
-from wallwell.gateway.exchange_state import Exchange
-from wallwell.gateway.fleet_state import FleetState
-from wallwell.routing.return_time import ReturnCause, ReturnKnowledge, return_after_s
+from wallwell.node.state import FleetState
+from wallwell.routing.retry.retry_after import ReturnCause, ReturnKnowledge, return_after_s
+from wallwell.serving.messages import CallerRequest
+from wallwell.serving.request_state import Exchange
 
 ASSUMED_ALLOWANCE_S = 3.0
 """Time of a caller who does not tell it, where no route is known that would; a short one of those in use."""
--- a/src/wallwell/gateway/side_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -9,12 +9,12 @@
 from typing import NamedTuple
 
 from wallwell.deployment.backends import Backend
-from wallwell.gateway.exchange import AttemptError
-from wallwell.gateway.exchange_state import Exchange
-from wallwell.gateway.fleet_state import FleetState
+from wallwell.node.state import FleetState
 from wallwell.rollout.sides import ServiceSides
 from wallwell.rollout.tally import CountedAttempt
-from wallwell.routing.outcome import TransportEvent
+from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.serving.messages import AttemptError
+from wallwell.serving.request_state import Exchange
 
 
 class Offer(NamedTuple):
--- /dev/null
+++ b/src/wallwell/standalone/__init__.py
@@ -0,0 +1,3 @@
+"""The router without the platform's store, whole: callers' and operators' interfaces, membership, shards,
+policies.
+"""
--- a/src/wallwell/backends/attempt.py
+++ b/src/wallwell/standalone/backends/attempt.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wallwell.routing.outcome import TransportEvent
+from wallwell.routing.retry.attempt_outcome import TransportEvent
 
 
 class AttemptFailed(Exception):
--- a/src/wallwell/backends/engine_client.py
+++ b/src/wallwell/standalone/backends/engine_client.py
@@ -9,11 +9,11 @@
 import aiohttp
 import msgspec
 
-from wallwell.backends import engine_protocol as wire
-from wallwell.backends.attempt import AttemptFailed
 from wallwell.clock import bounded
 from wallwell.late_loop import is_done_within
-from wallwell.routing.outcome import TransportEvent
+from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.standalone.backends import engine_protocol as wire
+from wallwell.standalone.backends.attempt import AttemptFailed
 
 CONNECT_TIMEOUT_S = 1.0
 CANCEL_TIMEOUT_S = 1.0
--- a/src/wallwell/backends/engine_watch.py
+++ b/src/wallwell/standalone/backends/engine_watch.py
@@ -14,16 +14,16 @@
 import aiohttp
 import msgspec
 
-from wallwell.backends import engine_protocol as wire
-from wallwell.backends.engine_client import EngineClient
 from wallwell.clock import boot_time_s
-from wallwell.cluster.messages import INTERACTIVE_RANK, EngineNews
-from wallwell.cluster.node import ClusterNode
-from wallwell.cluster.shards import EngineReader
-from wallwell.config.compiled import Engine
 from wallwell.events import Event, emit
-from wallwell.routing.load import LOWEST_RANK, LoadReport
-from wallwell.routing.selector import EngineSelector
+from wallwell.standalone.backends import engine_protocol as wire
+from wallwell.standalone.backends.engine_client import EngineClient
+from wallwell.standalone.cluster.messages import INTERACTIVE_RANK, EngineNews
+from wallwell.standalone.cluster.node import ClusterNode
+from wallwell.standalone.cluster.shards import EngineReader
+from wallwell.standalone.config.compiled import Engine
+from wallwell.standalone.routing.load import LOWEST_RANK, LoadReport
+from wallwell.standalone.routing.selector import EngineSelector
 
 RECONCILE_INTERVAL_S = 0.5
 EVENTS_IDLE_TIMEOUT_S = 3.0
--- a/src/wallwell/backends/service_client.py
+++ b/src/wallwell/standalone/backends/service_client.py
@@ -7,9 +7,9 @@
 
 import aiohttp
 
-from wallwell.backends.attempt import AttemptFailed
-from wallwell.backends.engine_protocol import REQUEST_ID
-from wallwell.routing.outcome import TransportEvent
+from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.standalone.backends.attempt import AttemptFailed
+from wallwell.standalone.backends.engine_protocol import REQUEST_ID
 
 CONNECT_TIMEOUT_S = 1.0
 NOT_RUN_HEADER = "X-Not-Run"
--- a/src/wallwell/gateway/callers_app.py
+++ b/src/wallwell/standalone/callers/app.py
@@ -8,10 +8,10 @@
 
 from wallwell.errors import InternalRequestError, RequestError, UnknownResourceError, WallwellError
 from wallwell.events import Event, emit
-from wallwell.gateway.caller import CallerRequest, check_caller, error_response, request_id_of
-from wallwell.gateway.context import NodeContext
-from wallwell.gateway.generation import GenerationHandler
-from wallwell.gateway.service_calls import ServiceHandler
+from wallwell.standalone.callers.caller import CallerRequest, check_caller, error_response, request_id_of
+from wallwell.standalone.callers.context import NodeContext
+from wallwell.standalone.callers.generation import GenerationHandler
+from wallwell.standalone.callers.service_calls import ServiceHandler
 
 
 class CallersApp:
--- a/src/wallwell/gateway/caller.py
+++ b/src/wallwell/standalone/callers/caller.py
@@ -13,9 +13,6 @@
 from aiohttp import web
 
 from wallwell.clock import boot_time_s, bounded
-from wallwell.cluster.limits import TenantLimit
-from wallwell.config.compiled import Tenant
-from wallwell.config.schema import PrioritySpec
 from wallwell.errors import (
     BodyTooLargeError,
     ForbiddenError,
@@ -26,8 +23,11 @@
     UnauthenticatedError,
     UnknownResourceError,
 )
-from wallwell.gateway.context import NodeContext
 from wallwell.outcomes import Outcome
+from wallwell.standalone.callers.context import NodeContext
+from wallwell.standalone.cluster.limits import TenantLimit
+from wallwell.standalone.config.compiled import Tenant
+from wallwell.standalone.config.schema import PrioritySpec
 
 REQUEST_ID_HEADER = "X-Request-Id"
 PRIORITY_HEADER = "X-Priority"
--- a/src/wallwell/gateway/context.py
+++ b/src/wallwell/standalone/callers/context.py
@@ -10,19 +10,19 @@
 
 import aiohttp
 
-from wallwell.backends.service_client import ServiceClient
 from wallwell.background import BackgroundTasks
-from wallwell.cluster.claims import ClaimTable
-from wallwell.cluster.messages import EngineNews
-from wallwell.cluster.node import ClusterNode
-from wallwell.cluster.transport import ClusterTransport
-from wallwell.config.commit import ConfigCommitter
-from wallwell.config.compiled import CompiledConfig, Engine
-from wallwell.gateway.crash_memory import CrashMemory
-from wallwell.gateway.metrics import NodeMetrics
-from wallwell.routing.retry import CircuitBreaker, RetryBudget
-from wallwell.routing.selector import EngineSelector
-from wallwell.settings import NodeSettings
+from wallwell.standalone.backends.service_client import ServiceClient
+from wallwell.standalone.cluster.claims import ClaimTable
+from wallwell.standalone.cluster.messages import EngineNews
+from wallwell.standalone.cluster.node import ClusterNode
+from wallwell.standalone.cluster.transport import ClusterTransport
+from wallwell.standalone.config.commit import ConfigCommitter
+from wallwell.standalone.config.compiled import CompiledConfig, Engine
+from wallwell.standalone.crash_memory import CrashMemory
+from wallwell.standalone.metrics import NodeMetrics
+from wallwell.standalone.routing.retry import CircuitBreaker, RetryBudget
+from wallwell.standalone.routing.selector import EngineSelector
+from wallwell.standalone.settings import NodeSettings
 from wallwell.storage.table import TableService
 
 T = TypeVar("T")
--- a/src/wallwell/gateway/generation.py
+++ b/src/wallwell/standalone/callers/generation.py
@@ -9,21 +9,7 @@
 import msgspec
 from aiohttp import web
 
-from wallwell.api.openai_format import (
-    GenerationBody,
-    chunk_text,
-    parse_generation,
-    render_prompt,
-    whole_answer,
-)
-from wallwell.backends.attempt import AttemptFailed
-from wallwell.backends.engine_client import EngineClient, GenerationCall, GenerationHead
-from wallwell.backends.engine_protocol import DONE_EVENT, Resume
 from wallwell.clock import boot_time_s
-from wallwell.cluster.messages import EngineNews
-from wallwell.cluster.transport import LookupResult
-from wallwell.config.compiled import Engine
-from wallwell.config.schema import ModelSpec
 from wallwell.errors import (
     BackendFailedError,
     DeadlineUnreachableError,
@@ -35,7 +21,13 @@
     UnknownResourceError,
 )
 from wallwell.events import Event, emit
-from wallwell.gateway.caller import (
+from wallwell.outcomes import Outcome
+from wallwell.routing.admission.request_content import content_digest
+from wallwell.routing.retry.attempt_outcome import REFUSED_BY_BACKEND, AttemptLog, TransportEvent
+from wallwell.standalone.backends.attempt import AttemptFailed
+from wallwell.standalone.backends.engine_client import EngineClient, GenerationCall, GenerationHead
+from wallwell.standalone.backends.engine_protocol import DONE_EVENT, Resume
+from wallwell.standalone.callers.caller import (
     OUTCOME_HEADER,
     REQUEST_ID_HEADER,
     CallerRequest,
@@ -43,15 +35,23 @@
     error_body,
     read_body,
 )
-from wallwell.gateway.context import NodeContext
-from wallwell.outcomes import Outcome
-from wallwell.placement.reconcile import engines_to_use
-from wallwell.routing.blocks import CacheKey, hash_chain
-from wallwell.routing.outcome import REFUSED_BY_BACKEND, AttemptLog, TransportEvent
-from wallwell.routing.policy import Choice, RoutingRequest
-from wallwell.routing.request_content import content_digest
-from wallwell.routing.retry import full_jitter_delay_s
-from wallwell.routing.selector import EngineView
+from wallwell.standalone.callers.context import NodeContext
+from wallwell.standalone.callers.openai_format import (
+    GenerationBody,
+    chunk_text,
+    parse_generation,
+    render_prompt,
+    whole_answer,
+)
+from wallwell.standalone.cluster.messages import EngineNews
+from wallwell.standalone.cluster.transport import LookupResult
+from wallwell.standalone.config.compiled import Engine
+from wallwell.standalone.config.schema import ModelSpec
+from wallwell.standalone.placement.reconcile import engines_to_use
+from wallwell.standalone.routing.blocks import CacheKey, hash_chain
+from wallwell.standalone.routing.policy import Choice, RoutingRequest
+from wallwell.standalone.routing.retry import full_jitter_delay_s
+from wallwell.standalone.routing.selector import EngineView
 
 MAX_ATTEMPTS = 6
 """Attempts in a row that bring no new token."""
--- a/src/wallwell/api/openai_format.py
+++ b/src/wallwell/standalone/callers/openai_format.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from wallwell.backends.engine_protocol import Resume
 from wallwell.errors import MalformedRequestError
+from wallwell.standalone.backends.engine_protocol import Resume
 
 DEFAULT_MAX_TOKENS = 64
 MaxTokens = Annotated[int, msgspec.Meta(ge=1, le=32_768)]
--- a/src/wallwell/gateway/service_calls.py
+++ b/src/wallwell/standalone/callers/service_calls.py
@@ -10,11 +10,7 @@
 
 from aiohttp import web
 
-from wallwell.backends.attempt import AttemptFailed
-from wallwell.backends.service_client import ServiceAnswer, ServiceCall
 from wallwell.clock import boot_time_s
-from wallwell.cluster.claims import Claim, ClaimResult
-from wallwell.config.schema import ServiceInstance, ServiceSpec
 from wallwell.errors import (
     BackendFailedError,
     DeadlineUnreachableError,
@@ -26,7 +22,12 @@
     UnknownResourceError,
 )
 from wallwell.events import Event, emit
-from wallwell.gateway.caller import (
+from wallwell.outcomes import Outcome
+from wallwell.routing.admission.request_content import content_digest
+from wallwell.routing.retry.attempt_outcome import AttemptLog, TransportEvent
+from wallwell.standalone.backends.attempt import AttemptFailed
+from wallwell.standalone.backends.service_client import ServiceAnswer, ServiceCall
+from wallwell.standalone.callers.caller import (
     IDEMPOTENCY_HEADER,
     OUTCOME_HEADER,
     REQUEST_ID_HEADER,
@@ -34,11 +35,10 @@
     admitted,
     read_body,
 )
-from wallwell.gateway.context import NodeContext
-from wallwell.outcomes import Outcome
-from wallwell.routing.outcome import AttemptLog, TransportEvent
-from wallwell.routing.request_content import content_digest
-from wallwell.routing.retry import CircuitBreaker, full_jitter_delay_s
+from wallwell.standalone.callers.context import NodeContext
+from wallwell.standalone.cluster.claims import Claim, ClaimResult
+from wallwell.standalone.config.schema import ServiceInstance, ServiceSpec
+from wallwell.standalone.routing.retry import CircuitBreaker, full_jitter_delay_s
 
 MAX_ATTEMPTS = 4
 LEAVING_PAUSE_S = 30.0
--- a/src/wallwell/cluster/codec.py
+++ b/src/wallwell/standalone/cluster/codec.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from wallwell.cluster.messages import ClusterMessage
 from wallwell.errors import ClusterMessageError
+from wallwell.standalone.cluster.messages import ClusterMessage
 
 _MAC_BYTES = 8
 _MAC_TEXT = 2 * _MAC_BYTES
--- a/src/wallwell/cluster/crash_notices.py
+++ b/src/wallwell/standalone/cluster/crash_notices.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from wallwell.cluster.messages import CrashNotice
+from wallwell.standalone.cluster.messages import CrashNotice
 
 FIRST_PAUSE_S = 1.0
 LONGEST_PAUSE_S = 60.0
--- a/src/wallwell/cluster/limits.py
+++ b/src/wallwell/standalone/cluster/limits.py
@@ -12,8 +12,8 @@
 import random
 from dataclasses import dataclass, field
 
-from wallwell.cluster.messages import Action, Send, TokenGrant, TokenRequest
-from wallwell.routing.limits import TokenBucket
+from wallwell.standalone.cluster.messages import Action, Send, TokenGrant, TokenRequest
+from wallwell.standalone.routing.limits import TokenBucket
 
 REQUEST_INTERVAL_S = 0.25
 _GRANT_KEEP = 0.5
--- a/src/wallwell/cluster/members.py
+++ b/src/wallwell/standalone/cluster/members.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from wallwell.cluster.messages import DigestEntry, LoadRecord, MemberRecord, MemberStatus
+from wallwell.standalone.cluster.messages import DigestEntry, LoadRecord, MemberRecord, MemberStatus
 
 
 @dataclass(frozen=True)
--- a/src/wallwell/cluster/membership.py
+++ b/src/wallwell/standalone/cluster/membership.py
@@ -16,8 +16,9 @@
 
 import msgspec
 
-from wallwell.cluster.members import Member, MemberChange, MembershipTimings
-from wallwell.cluster.messages import (
+from wallwell.routing.rendezvous import key_of
+from wallwell.standalone.cluster.members import Member, MemberChange, MembershipTimings
+from wallwell.standalone.cluster.messages import (
     Ack,
     Action,
     DigestEntry,
@@ -31,8 +32,7 @@
     Sync,
     SyncReply,
 )
-from wallwell.cluster.reconcile import ReplyContent, is_newer
-from wallwell.routing.rendezvous import key_of
+from wallwell.standalone.cluster.reconcile import ReplyContent, is_newer
 
 DIGEST_SAMPLE = 20
 DIGEST_RECENT = 6
--- a/src/wallwell/cluster/node.py
+++ b/src/wallwell/standalone/cluster/node.py
@@ -11,17 +11,17 @@
 from collections.abc import Iterable, Iterator, Sequence
 from dataclasses import dataclass
 
-from wallwell.cluster import messages as msg
-from wallwell.cluster.crash_notices import CrashNotices
-from wallwell.cluster.limits import SharedLimits, TenantLimit
-from wallwell.cluster.members import Member, MemberChange, MembershipTimings
-from wallwell.cluster.membership import Membership
-from wallwell.cluster.messages import Action, FetchConfig, HeadNotice, Send
-from wallwell.cluster.regions import CONTACTS, RegionDelegate
-from wallwell.cluster.shards import DirectoryShard, EngineReader, lookup_hashes, shard_owner
-from wallwell.config.store import ConfigDelta, ConfigStore
-from wallwell.routing.directory import EngineIncarnation
 from wallwell.routing.rendezvous import key_of, owner
+from wallwell.standalone.cluster import messages as msg
+from wallwell.standalone.cluster.crash_notices import CrashNotices
+from wallwell.standalone.cluster.limits import SharedLimits, TenantLimit
+from wallwell.standalone.cluster.members import Member, MemberChange, MembershipTimings
+from wallwell.standalone.cluster.membership import Membership
+from wallwell.standalone.cluster.messages import Action, FetchConfig, HeadNotice, Send
+from wallwell.standalone.cluster.regions import CONTACTS, RegionDelegate
+from wallwell.standalone.cluster.shards import DirectoryShard, EngineReader, lookup_hashes, shard_owner
+from wallwell.standalone.config.store import ConfigDelta, ConfigStore
+from wallwell.standalone.routing.directory import EngineIncarnation
 
 HEAD_FANOUT = 3
 REPORT_INTERVAL_S = 0.25
--- a/src/wallwell/cluster/reconcile.py
+++ b/src/wallwell/standalone/cluster/reconcile.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from wallwell.cluster.members import Member
-from wallwell.cluster.messages import (
+from wallwell.standalone.cluster.members import Member
+from wallwell.standalone.cluster.messages import (
     MAX_DATAGRAM_BYTES,
     DigestEntry,
     LoadRecord,
--- a/src/wallwell/cluster/regions.py
+++ b/src/wallwell/standalone/cluster/regions.py
@@ -10,8 +10,8 @@
 import random
 from dataclasses import dataclass, field
 
-from wallwell.cluster.messages import Action, FetchConfig, RegionNews, RegionSummary, Send
 from wallwell.routing.rendezvous import key_of, owners
+from wallwell.standalone.cluster.messages import Action, FetchConfig, RegionNews, RegionSummary, Send
 
 DELEGATES = 2
 CONTACTS = 3
--- a/src/wallwell/cluster/shards.py
+++ b/src/wallwell/standalone/cluster/shards.py
@@ -13,12 +13,12 @@
 from collections.abc import Callable, Iterator, Sequence
 from dataclasses import dataclass, field
 
-from wallwell.backends.engine_protocol import CacheLine, pack_hashes, unpack_hashes
-from wallwell.cluster.messages import BlockReport, DispatchReport, Lookup, LookupReply
-from wallwell.routing.blocks import CHECKPOINT_STRIDE, checkpoint_depths, is_checkpoint
-from wallwell.routing.directory import EngineIncarnation, PrefixDirectory
 from wallwell.routing.rendezvous import owner
-from wallwell.routing.table import CompactTable
+from wallwell.standalone.backends.engine_protocol import CacheLine, pack_hashes, unpack_hashes
+from wallwell.standalone.cluster.messages import BlockReport, DispatchReport, Lookup, LookupReply
+from wallwell.standalone.routing.blocks import CHECKPOINT_STRIDE, checkpoint_depths, is_checkpoint
+from wallwell.standalone.routing.directory import EngineIncarnation, PrefixDirectory
+from wallwell.standalone.routing.table import CompactTable
 
 MAX_LOOKUP_HASHES = 96
 MAX_REPORT_HASHES = 72
--- a/src/wallwell/cluster/transport.py
+++ b/src/wallwell/standalone/cluster/transport.py
@@ -9,19 +9,19 @@
 
 import msgspec
 
-from wallwell.backends.engine_protocol import pack_hashes
 from wallwell.background import BackgroundTasks
 from wallwell.clock import boot_time_s, bounded
-from wallwell.cluster.codec import LineCodec
-from wallwell.cluster.messages import Action, FetchConfig, Lookup, Send
-from wallwell.cluster.node import ClusterNode
-from wallwell.cluster.shards import blocks_of_checkpoints, lookup_hashes
-from wallwell.config.store import ConfigDelta
 from wallwell.errors import AddressInUseError, ClusterMessageError, PeerUnavailableError
 from wallwell.events import Event, emit
-from wallwell.routing.directory import EngineIncarnation, HeldPrefix
-from wallwell.routing.limits import TokenBucket
-from wallwell.settings import Listener
+from wallwell.standalone.backends.engine_protocol import pack_hashes
+from wallwell.standalone.cluster.codec import LineCodec
+from wallwell.standalone.cluster.messages import Action, FetchConfig, Lookup, Send
+from wallwell.standalone.cluster.node import ClusterNode
+from wallwell.standalone.cluster.shards import blocks_of_checkpoints, lookup_hashes
+from wallwell.standalone.config.store import ConfigDelta
+from wallwell.standalone.routing.directory import EngineIncarnation, HeldPrefix
+from wallwell.standalone.routing.limits import TokenBucket
+from wallwell.standalone.settings import Listener
 
 TICK_INTERVAL_S = 0.1
 LOOKUP_DEADLINE_S = 0.005
--- a/src/wallwell/config/commit.py
+++ b/src/wallwell/standalone/config/commit.py
@@ -11,9 +11,6 @@
 
 import msgspec
 
-from wallwell.config.parse import ConfigFile, check_references, parse_file, references_to
-from wallwell.config.schema import FileKey
-from wallwell.config.store import ConfigDelta, ConfigStore, FileRevision
 from wallwell.errors import (
     ConfigConflictError,
     ConfigInvalidError,
@@ -22,8 +19,11 @@
     PlatformUnavailableError,
     TableConflictError,
 )
+from wallwell.standalone.config.parse import ConfigFile, check_references, parse_file, references_to
+from wallwell.standalone.config.schema import FileKey
+from wallwell.standalone.config.store import ConfigDelta, ConfigStore, FileRevision
+from wallwell.standalone.typed import Problem
 from wallwell.storage.table import Condition, Put, Scan, TableService, Transaction
-from wallwell.typed import Problem
 
 CONFIG_PREFIX = "config/"
 HEAD_KEY = "config/head"
--- a/src/wallwell/config/compiled.py
+++ b/src/wallwell/standalone/config/compiled.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-from wallwell.config.parse import ConfigFile
-from wallwell.config.schema import (
+from wallwell.standalone.config.parse import ConfigFile
+from wallwell.standalone.config.schema import (
     BackendState,
     EnginePoolSpec,
     EngineSpec,
--- a/src/wallwell/config/parse.py
+++ b/src/wallwell/standalone/config/parse.py
@@ -8,7 +8,8 @@
 
 import msgspec
 
-from wallwell.config.schema import (
+from wallwell.errors import DocumentSyntaxError
+from wallwell.standalone.config.schema import (
     SPEC_TYPES,
     WITHOUT_EFFECT,
     EnginePoolSpec,
@@ -18,8 +19,7 @@
     Spec,
     TenantSpec,
 )
-from wallwell.errors import DocumentSyntaxError
-from wallwell.typed import (
+from wallwell.standalone.typed import (
     DUPLICATE,
     MISSING_KEY,
     REFERENCE,
--- a/src/wallwell/config/store.py
+++ b/src/wallwell/standalone/config/store.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from wallwell.config.compiled import CompiledConfig, compile_config
-from wallwell.config.parse import ConfigFile
-from wallwell.config.schema import SPEC_TYPES, FileKey, Kind, Spec
+from wallwell.standalone.config.compiled import CompiledConfig, compile_config
+from wallwell.standalone.config.parse import ConfigFile
+from wallwell.standalone.config.schema import SPEC_TYPES, FileKey, Kind, Spec
 
 
 class FileRevision(msgspec.Struct, frozen=True):
--- a/src/wallwell/gateway/crash_memory.py
+++ b/src/wallwell/standalone/crash_memory.py
@@ -1,7 +1,7 @@
 """What one router of the own deployment remembers of requests under which back ends crashed.
 
 A crash is a run whose connection broke at an address that then refuses connections. Routers tell each other by
-:mod:`wallwell.cluster.crash_notices`.
+:mod:`wallwell.standalone.cluster.crash_notices`.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 from wallwell.background import BackgroundTasks
 from wallwell.clock import boot_time_s, bounded
-from wallwell.cluster.crash_notices import CrashNotices
+from wallwell.cluster.crash_count import count_crash
 from wallwell.errors import RequestQuarantinedError
 from wallwell.events import Event, emit
-from wallwell.gateway.crash_count import count_crash
-from wallwell.routing.outcome import TransportEvent
-from wallwell.routing.quarantine import Quarantine
+from wallwell.routing.admission.quarantine import Quarantine
+from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.standalone.cluster.crash_notices import CrashNotices
 
 LOOK_TIMEOUT_S = 0.25
 """How long a machine is given to answer a connection's first packet; one of another region takes 0.1 s."""
--- a/src/wallwell/gateway/operators_app.py
+++ b/src/wallwell/standalone/operators_app.py
@@ -8,13 +8,13 @@
 import yaml
 from aiohttp import web
 
-from wallwell.cluster.messages import MemberStatus
-from wallwell.config.commit import ApplyRequest
-from wallwell.config.parse import parse_file, settings_without_effect
-from wallwell.config.schema import FileKey
 from wallwell.errors import ConfigNotFoundError, UnauthenticatedError, WallwellError
 from wallwell.events import Event, emit
-from wallwell.gateway.context import NodeContext
+from wallwell.standalone.callers.context import NodeContext
+from wallwell.standalone.cluster.messages import MemberStatus
+from wallwell.standalone.config.commit import ApplyRequest
+from wallwell.standalone.config.parse import parse_file, settings_without_effect
+from wallwell.standalone.config.schema import FileKey
 
 
 class MemberView(msgspec.Struct, frozen=True):
--- /dev/null
+++ b/src/wallwell/standalone/placement/__init__.py
@@ -0,0 +1,1 @@
+"""Weights on the engines of the standalone router."""
--- a/src/wallwell/placement/controller.py
+++ b/src/wallwell/standalone/placement/controller.py
@@ -8,16 +8,16 @@
 
 import asyncio
 
-from wallwell.backends.engine_client import EngineClient
-from wallwell.backends.engine_protocol import LoadOrder
 from wallwell.clock import boot_time_s
 from wallwell.cluster.leases import LeaseKeeper
-from wallwell.config.schema import ModelSpec
 from wallwell.errors import LeaseLostError, PlatformUnavailableError
 from wallwell.events import Event, emit
-from wallwell.gateway.context import NodeContext
-from wallwell.placement.reconcile import loaded_version, next_loads
 from wallwell.routing.rendezvous import key_of, owner
+from wallwell.standalone.backends.engine_client import EngineClient
+from wallwell.standalone.backends.engine_protocol import LoadOrder
+from wallwell.standalone.callers.context import NodeContext
+from wallwell.standalone.config.schema import ModelSpec
+from wallwell.standalone.placement.reconcile import loaded_version, next_loads
 
 RECONCILE_INTERVAL_S = 0.5
 LEASE_TTL_S = 6.0
--- a/src/wallwell/placement/reconcile.py
+++ b/src/wallwell/standalone/placement/reconcile.py
@@ -5,8 +5,8 @@
 from collections import Counter
 from collections.abc import Collection, Mapping, Sequence
 
-from wallwell.cluster.messages import EngineNews
-from wallwell.config.schema import ModelSpec
+from wallwell.standalone.cluster.messages import EngineNews
+from wallwell.standalone.config.schema import ModelSpec
 
 
 def loaded_version(news: EngineNews, model: str) -> str:
--- a/src/wallwell/gateway/router_node.py
+++ b/src/wallwell/standalone/router_node.py
@@ -12,29 +12,29 @@
 import aiohttp
 from aiohttp import web
 
-from wallwell.backends.engine_client import client_session
-from wallwell.backends.engine_watch import EngineWatch
-from wallwell.backends.service_client import ServiceClient
 from wallwell.clock import TICK_S, SuspensionWatch, boot_time_s
-from wallwell.cluster.claims import ClaimTable
-from wallwell.cluster.codec import LineCodec
-from wallwell.cluster.members import MembershipTimings
-from wallwell.cluster.messages import MemberStatus
-from wallwell.cluster.node import ClusterNode, NodeIdentity
-from wallwell.cluster.transport import ClusterTransport
-from wallwell.config.commit import ConfigCommitter
 from wallwell.errors import AddressInUseError, PeerUnavailableError, PlatformUnavailableError
 from wallwell.events import Event, emit
-from wallwell.gateway.callers_app import CallersApp
-from wallwell.gateway.context import NodeContext
-from wallwell.gateway.crash_memory import CrashMemory
-from wallwell.gateway.metrics import NodeMetrics
-from wallwell.gateway.operators_app import OperatorsApp
-from wallwell.placement.controller import PlacementController
-from wallwell.routing.policy import POLICIES
-from wallwell.routing.selector import EngineSelector
-from wallwell.settings import Listener, NodeSettings
-from wallwell.storage.machines import HttpMachineList, MachineState
+from wallwell.standalone.backends.engine_client import client_session
+from wallwell.standalone.backends.engine_watch import EngineWatch
+from wallwell.standalone.backends.service_client import ServiceClient
+from wallwell.standalone.callers.app import CallersApp
+from wallwell.standalone.callers.context import NodeContext
+from wallwell.standalone.cluster.claims import ClaimTable
+from wallwell.standalone.cluster.codec import LineCodec
+from wallwell.standalone.cluster.members import MembershipTimings
+from wallwell.standalone.cluster.messages import MemberStatus
+from wallwell.standalone.cluster.node import ClusterNode, NodeIdentity
+from wallwell.standalone.cluster.transport import ClusterTransport
+from wallwell.standalone.config.commit import ConfigCommitter
+from wallwell.standalone.crash_memory import CrashMemory
+from wallwell.standalone.machines import HttpMachineList, MachineState
+from wallwell.standalone.metrics import NodeMetrics
+from wallwell.standalone.operators_app import OperatorsApp
+from wallwell.standalone.placement.controller import PlacementController
+from wallwell.standalone.routing.policy import POLICIES
+from wallwell.standalone.routing.selector import EngineSelector
+from wallwell.standalone.settings import Listener, NodeSettings
 from wallwell.storage.table import HttpTableService
 
 READINESS_INTERVAL_S = 0.05
--- /dev/null
+++ b/src/wallwell/standalone/routing/__init__.py
@@ -0,0 +1,1 @@
+"""The standalone router's decisions: directory of cached blocks, load, admission, selection policies."""
--- a/src/wallwell/routing/directory.py
+++ b/src/wallwell/standalone/routing/directory.py
@@ -12,8 +12,8 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from wallwell.routing.blocks import checkpoint_depths
-from wallwell.routing.table import CompactTable
+from wallwell.standalone.routing.blocks import checkpoint_depths
+from wallwell.standalone.routing.table import CompactTable
 
 _SLOT_BITS = 16
 _SLOT_MASK = (1 << _SLOT_BITS) - 1
--- a/src/wallwell/routing/policy.py
+++ b/src/wallwell/standalone/routing/policy.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from wallwell.config.schema import Objective
-from wallwell.routing.load import EngineLoad
 from wallwell.routing.rendezvous import rendezvous_score
+from wallwell.standalone.config.schema import Objective
+from wallwell.standalone.routing.load import EngineLoad
 
 CROSS_ZONE_COST_S = 0.004
 CONGESTION_UNIT_S = 0.05
--- a/src/wallwell/routing/selector.py
+++ b/src/wallwell/standalone/routing/selector.py
@@ -10,13 +10,13 @@
 from collections.abc import Collection, Iterable, Sequence
 from dataclasses import dataclass, field
 
-from wallwell.routing.admission import WaitCalibration, retry_after_s
-from wallwell.routing.blocks import checkpoint_depths
-from wallwell.routing.directory import EngineIncarnation, HeldPrefix, PrefixDirectory
-from wallwell.routing.load import EngineLoad
-from wallwell.routing.policy import Candidate, Choice, RoutingPolicy, RoutingRequest
 from wallwell.routing.rendezvous import rendezvous_score
-from wallwell.routing.retry import CircuitBreaker
+from wallwell.standalone.routing.admission import WaitCalibration, retry_after_s
+from wallwell.standalone.routing.blocks import checkpoint_depths
+from wallwell.standalone.routing.directory import EngineIncarnation, HeldPrefix, PrefixDirectory
+from wallwell.standalone.routing.load import EngineLoad
+from wallwell.standalone.routing.policy import Candidate, Choice, RoutingPolicy, RoutingRequest
+from wallwell.standalone.routing.retry import CircuitBreaker
 
 MAX_CANDIDATES = 16
 QUEUE_SHARE = 0.25
--- a/src/wallwell/settings.py
+++ b/src/wallwell/standalone/settings.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from wallwell.errors import DocumentSyntaxError, SettingsError
-from wallwell.typed import OUT_OF_RANGE, ProblemList, convert_all, load_yaml
+from wallwell.standalone.typed import OUT_OF_RANGE, ProblemList, convert_all, load_yaml
 
 MIN_KEY_CHARACTERS = 16
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
--- a/tests/contract/conftest.py
+++ b/tests/contract/conftest.py
@@ -8,11 +8,11 @@
 import pytest
 
 from tests.conftest import EXAMPLES
-from wallwell.config.parse import parse_file
 from wallwell.emulator.deployment import Fleet
 from wallwell.emulator.engine_model import EngineProfile
 from wallwell.emulator.engine_server import generated_word
 from wallwell.emulator.faults import FaultSwitches
+from wallwell.standalone.config.parse import parse_file
 
 FAST = EngineProfile(step_base_s=0.001, decode_s_per_request=0.0, prefill_s_per_token=1 / 400_000)
 PROMPT = "Check this basket against the dosage guidance. " * 20
--- a/tests/contract/test_callers.py
+++ b/tests/contract/test_callers.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.contract.conftest import PROMPT, TOKENS, expected_text
-from wallwell.routing.admission import WaitCalibration
+from wallwell.standalone.routing.admission import WaitCalibration
 
 GOOD = {"model": "dosage-8b", "prompt": "hello", "max_tokens": 2}
 BAD_REQUESTS = [
--- a/tests/contract/test_crashing_request.py
+++ b/tests/contract/test_crashing_request.py
@@ -13,7 +13,7 @@
 
 from tests.contract.conftest import PROMPT, Harness
 from wallwell.emulator.deployment import AWAY_S
-from wallwell.routing.quarantine import CRASHES_TO_QUARANTINE
+from wallwell.routing.admission.quarantine import CRASHES_TO_QUARANTINE
 
 CRASHING = "ends its process"
 SENDINGS = 4
--- a/tests/contract/test_fleet.py
+++ b/tests/contract/test_fleet.py
@@ -8,11 +8,11 @@
 
 from tests.contract.conftest import PROMPT, Harness, expected_text, replace_spec_text
 from tests.contract.test_streams import text_of
-from wallwell.backends.engine_protocol import EngineState
 from wallwell.clock import boot_time_s
-from wallwell.config.commit import ApplyRequest
-from wallwell.config.schema import EnginePoolSpec
-from wallwell.storage.machines import MachineState
+from wallwell.standalone.backends.engine_protocol import EngineState
+from wallwell.standalone.config.commit import ApplyRequest
+from wallwell.standalone.config.schema import EnginePoolSpec
+from wallwell.standalone.machines import MachineState
 
 LEAVING_BOUND_S = 3.0
 
--- a/tests/contract/test_placement.py
+++ b/tests/contract/test_placement.py
@@ -6,11 +6,11 @@
 
 from tests.contract.conftest import PROMPT, Harness, expected_text, replace_spec_text
 from tests.contract.test_streams import text_of
-from wallwell.backends.engine_client import EngineClient
-from wallwell.backends.engine_protocol import EngineState, LoadOrder
-from wallwell.config.schema import ModelSpec
 from wallwell.emulator.deployment import EmulatedBackend
 from wallwell.emulator.engine_server import EngineServer
+from wallwell.standalone.backends.engine_client import EngineClient
+from wallwell.standalone.backends.engine_protocol import EngineState, LoadOrder
+from wallwell.standalone.config.schema import ModelSpec
 
 MIN_SERVING = 4
 MAX_LOADS = 2
--- a/tests/contract/test_platform.py
+++ b/tests/contract/test_platform.py
@@ -6,7 +6,7 @@
 from wallwell.emulator.deployment import EmulatedBackend
 from wallwell.emulator.platform_server import PlatformServer
 from wallwell.errors import PlatformUnavailableError, TableConflictError
-from wallwell.storage.machines import HttpMachineList, Machine, MachineState
+from wallwell.standalone.machines import HttpMachineList, Machine, MachineState
 from wallwell.storage.table import Condition, HttpTableService, Put, Transaction
 
 
--- a/tests/contract/test_process.py
+++ b/tests/contract/test_process.py
@@ -13,12 +13,12 @@
 
 from tests.conftest import EXAMPLES
 from tests.faulty_table import FaultyTable
-from wallwell.config.commit import ApplyRequest, ConfigCommitter
-from wallwell.config.store import ConfigStore
 from wallwell.emulator.deployment import EmulatedBackend
 from wallwell.emulator.platform_server import PlatformServer
 from wallwell.emulator.service_server import ServiceServer
-from wallwell.settings import NodeSettings, load_settings
+from wallwell.standalone.config.commit import ApplyRequest, ConfigCommitter
+from wallwell.standalone.config.store import ConfigStore
+from wallwell.standalone.settings import NodeSettings, load_settings
 
 SETTINGS = """
 node: {node}
--- a/tests/platform/test_busy_node.py
+++ b/tests/platform/test_busy_node.py
@@ -14,7 +14,7 @@
 
 from tests.platform.conftest import config, route
 from wallwell.clock import boot_time_s
-from wallwell.gateway.loop_lag import LATE_S, LoopLag
+from wallwell.node.loop_lag import LATE_S, LoopLag
 from wallwell.platform.main import _listen
 
 LOOPS = pytest.mark.parametrize("loop", [asyncio.new_event_loop, uvloop.new_event_loop], ids=["asyncio", "uvloop"])
--- a/tests/platform/test_cache_events.py
+++ b/tests/platform/test_cache_events.py
@@ -8,7 +8,7 @@
 from wallwell.errors import CacheEventsRefusedError, CacheStoreSilentError
 from wallwell.platform.cache_events import CacheEventsClient
 from wallwell.platform.workers import WorkerClient
-from wallwell.routing.kept_cache import CacheEntry, CachePosition
+from wallwell.routing.selection.kv_store import CacheEntry, CachePosition
 
 EVENTS = {
     "epoch": 7,
--- a/tests/platform/test_caller_gone.py
+++ b/tests/platform/test_caller_gone.py
@@ -9,9 +9,9 @@
 import uvloop
 
 from tests.platform.conftest import config, route
-from tests.unit.gateway.fakes import event
-from wallwell.backends.http_connection import BackendConnection
+from tests.unit.serving.fakes import event
 from wallwell.clock import boot_time_s
+from wallwell.http_connection import BackendConnection
 
 STOPS_WITHIN_S = 0.5
 STREAM_HEADERS = {"X_Model": "m", "X_Prefix_Hash": "aa:100,bb:50", "X_Token_Usage": "150,10"}
--- a/tests/platform/test_crashing_request.py
+++ b/tests/platform/test_crashing_request.py
@@ -20,7 +20,7 @@
 from tests.platform.conftest import PlatformHarness, config, route
 from tests.platform.stand_ins import WorkerStandIn
 from tests.platform.test_peers import second_node
-from tests.unit.gateway.fakes import event
+from tests.unit.serving.fakes import event
 from wallwell.clock import boot_time_s
 from wallwell.platform.callers import CallersListener
 
--- a/tests/platform/test_node.py
+++ b/tests/platform/test_node.py
@@ -8,7 +8,7 @@
 from loguru import logger
 
 from tests.platform.conftest import config, route
-from tests.unit.gateway.fakes import event
+from tests.unit.serving.fakes import event
 from wallwell.errors import HistoryLostError, PlatformUnavailableError, SettingsError, TableConflictError
 from wallwell.events import Event
 from wallwell.platform.main import reload_settings
--- a/tests/platform/test_reachability.py
+++ b/tests/platform/test_reachability.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from wallwell.backends.http_connection import ConnectFailedError
 from wallwell.deployment.backends import BackendRecord
-from wallwell.deployment.places import Places
+from wallwell.deployment.topology import Places
+from wallwell.http_connection import ConnectFailedError
 from wallwell.platform.workers import FAR_REACHABLE_TIMEOUT_S, REACHABLE_TIMEOUT_S, WorkerClient
 
 
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -10,7 +10,7 @@
 
 from tests.platform.conftest import config, route
 from tests.platform.stand_ins import SEAL
-from tests.unit.gateway.fakes import event
+from tests.unit.serving.fakes import event
 from wallwell.clock import boot_time_s
 
 PARTS = "aa:100,bb:50"
--- a/tests/platform/test_send_progress.py
+++ b/tests/platform/test_send_progress.py
@@ -6,10 +6,10 @@
 import pytest
 
 from tests.platform.stand_ins import WorkerStandIn
-from tests.unit.gateway.fakes import make_request
+from tests.unit.serving.fakes import make_request
 from wallwell.deployment.backends import BackendRecord
-from wallwell.gateway.exchange import Dispatch
 from wallwell.platform.workers import WorkerClient
+from wallwell.serving.messages import Dispatch
 
 
 @pytest.mark.parametrize("comes_up", [True, False])
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -22,7 +22,7 @@
 START = "from wallwell.platform.main import main; import sys; sys.exit(main())"
 HANGING_STOP = f"""
 import asyncio, threading, time
-from wallwell.gateway.fleet_node import FleetNode
+from wallwell.node.node import FleetNode
 async def ignore_cancellation():
     while True:
         try:
@@ -43,7 +43,7 @@
 """
 STANDING_LOOP = f"""
 import time
-from wallwell.gateway.fleet_node import FleetNode
+from wallwell.node.node import FleetNode
 async def stop(self):
     time.sleep(600)
 FleetNode.stop = stop
--- a/tests/platform/test_time_of_day.py
+++ b/tests/platform/test_time_of_day.py
@@ -13,34 +13,34 @@
 import pytest
 
 from tests.platform.conftest import config
-from tests.unit.gateway.fakes import event
+from tests.unit.serving.fakes import event
 from wallwell.platform.settings import Bounds
 
 SOURCES = Path(__file__).parents[2] / "src"
-IMPORTED_LATER = ("wallwell.gateway.fleet_metrics",)
+IMPORTED_LATER = ("wallwell.node.metrics",)
 """Modules that a node imports only where they are used."""
 OF_THE_DAY = {"time", "time_ns", "ctime", "localtime", "gmtime", "strftime", "asctime", "clock_gettime"}
-SEEDS = {("wallwell.gateway.fleet_node", "time_ns"): 1, ("wallwell.clock", "clock_gettime"): 1}
+SEEDS = {("wallwell.node.node", "time_ns"): 1, ("wallwell.clock", "clock_gettime"): 1}
 """The seed of a node's random generator, and the boot clock."""
 STOPPED_BY_SUSPENSION = {"monotonic", "monotonic_ns", "perf_counter", "timeout", "timeout_at", "wait_for"}
 """The steady clock, and bounds on waiting that go by it."""
 UNTOUCHED_BY_SUSPENSION = {
     ("wallwell.clock", "monotonic"): 1,
     ("wallwell.clock", "timeout"): 1,
-    ("wallwell.gateway.liveness", "timeout"): 1,
+    ("wallwell.serving.liveness", "timeout"): 1,
     ("wallwell.log_writer", "monotonic"): 1,
 }
 """The clock itself; an end that is set by hand and has no time; the rate of routine log lines."""
 OWN_DEPLOYMENT = (
-    "backends.engine_client",
-    "backends.engine_watch",
-    "backends.service_client",
-    "cluster.node",
-    "cluster.transport",
-    "gateway.generation",
-    "gateway.router_node",
-    "gateway.service_calls",
-    "placement.controller",
+    "standalone.backends.engine_client",
+    "standalone.backends.engine_watch",
+    "standalone.backends.service_client",
+    "standalone.cluster.node",
+    "standalone.cluster.transport",
+    "standalone.callers.generation",
+    "standalone.router_node",
+    "standalone.callers.service_calls",
+    "standalone.placement.controller",
 )
 """Modules with clocks that only the router of the own deployment has."""
 LIST_MODULES = f"""
@@ -76,9 +76,11 @@
 
 def test_no_module_of_a_node_asks_for_the_time_of_day():
     modules = modules_of_a_node()
-    assert {"wallwell.gateway.pipeline", "wallwell.cluster.leases", "wallwell.routing.tenant_limits"} <= set(
-        modules
-    )
+    assert {
+        "wallwell.serving.pipeline",
+        "wallwell.cluster.leases",
+        "wallwell.routing.admission.tenant_limits",
+    } <= set(modules)
     found = [(module, name) for module in modules for name in uses_of_the_day(module)]
     assert {each: found.count(each) for each in found} == SEEDS
 
--- a/tests/suspects.py
+++ b/tests/suspects.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wallwell.routing.quarantine import Quarantine
+from wallwell.routing.admission.quarantine import Quarantine
 
 
 def suspected_contents(quarantine: Quarantine) -> set[str]:
--- a/tests/unit/cluster/relay_network.py
+++ b/tests/unit/cluster/relay_network.py
@@ -9,7 +9,7 @@
 from wallwell.cluster.relay import RelayedRows
 from wallwell.cluster.upstream import Member, UpstreamOrder
 from wallwell.deployment.freshness import StoreClock
-from wallwell.deployment.places import Places
+from wallwell.deployment.topology import Places
 from wallwell.errors import PeerUnavailableError, PlatformUnavailableError
 from wallwell.storage.feed import RowFollower
 
--- a/tests/unit/cluster/test_leases.py
+++ b/tests/unit/cluster/test_leases.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from tests.faulty_table import DELAYED, LOST_AFTER, LOST_BEFORE, OK, FaultyTable
-from tests.unit.cluster.test_claims import drive
+from tests.unit.standalone.cluster.test_claims import drive
 from wallwell.cluster.leases import LeaseKeeper
 from wallwell.errors import LeaseLostError, PlatformUnavailableError
 
--- a/tests/unit/cluster/test_load_exchange.py
+++ b/tests/unit/cluster/test_load_reporter.py
@@ -6,22 +6,22 @@
 
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
-from wallwell.cluster.load_exchange import (
+from wallwell.cluster.crash_reports import HEARD_S, MAX_TOLD, ToldCrashes
+from wallwell.cluster.demand import RATE_WINDOW_S
+from wallwell.cluster.fleet_load import FleetLoad
+from wallwell.cluster.load_reporter import (
     INTERVAL_S,
     THIN_LINK_INTERVAL_S,
     LoadExchange,
     MemberLoad,
     ZoneLoad,
 )
+from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load
 from wallwell.cluster.peer_link import PeerServer
-from wallwell.cluster.told_crashes import HEARD_S, MAX_TOLD, ToldCrashes
 from wallwell.cluster.upstream import Member, UpstreamOrder
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import TenantLimit
-from wallwell.routing.demand import RATE_WINDOW_S
-from wallwell.routing.first_piece import MIN_ANSWERS
-from wallwell.routing.fleet_load import FleetLoad
-from wallwell.routing.load_reports import REPORT_LIFETIME_S, Load
+from wallwell.routing.retry.first_token import MIN_ANSWERS
 
 ENGINES = ("e0", "e1", "e2")
 
@@ -120,8 +120,8 @@
         await exchange(nodes)
         gone = next(node for node in nodes if node.order.candidates(boot_time_s()))
         staying = [node for node in nodes if node is not gone]
-        monkeypatch.setattr("wallwell.routing.load_reports.REPORT_LIFETIME_S", 0.0)
-        monkeypatch.setattr("wallwell.cluster.load_exchange.REPORT_LIFETIME_S", 60.0)
+        monkeypatch.setattr("wallwell.cluster.load_reports.REPORT_LIFETIME_S", 0.0)
+        monkeypatch.setattr("wallwell.cluster.load_reporter.REPORT_LIFETIME_S", 60.0)
         await exchange(staying, rounds=1)
         return [node.peers_loads()[1] for node in staying if not node.order.candidates(boot_time_s())]
 
@@ -135,7 +135,7 @@
         for node in nodes:
             if node is not follower:
                 node.server.close()
-        monkeypatch.setattr("wallwell.cluster.load_exchange.REPORT_LIFETIME_S", 0.0)
+        monkeypatch.setattr("wallwell.cluster.load_reporter.REPORT_LIFETIME_S", 0.0)
         await follower.exchange.step()
         return follower.peers_loads(), follower.backends.get("e1").fleet_load(nodes=3)
 
--- a/tests/unit/routing/test_load_reports.py
+++ b/tests/unit/cluster/test_load_reports.py
@@ -1,7 +1,7 @@
 """Sums of what nodes report: the newest of each, and only for a while."""
 
-from wallwell.routing.demand import RATE_WINDOW_S, FleetDemand
-from wallwell.routing.load_reports import REPORT_LIFETIME_S, Load, LoadReports, sum_loads
+from wallwell.cluster.demand import RATE_WINDOW_S, FleetDemand
+from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load, LoadReports, sum_loads
 
 
 def total(reports, now_s, without=""):
--- a/tests/unit/cluster/test_region_exchange.py
+++ b/tests/unit/cluster/test_region_load_reporter.py
@@ -8,19 +8,19 @@
 
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
-from wallwell.cluster import region_exchange
-from wallwell.cluster.load_exchange import LoadExchange, MemberLoad, ZoneLoad
+from wallwell.cluster import region_load_reporter as region_exchange
+from wallwell.cluster.fleet_load import FleetLoad
+from wallwell.cluster.load_reporter import LoadExchange, MemberLoad, ZoneLoad
+from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load
 from wallwell.cluster.peer_link import CONNECT_TIMEOUT_S, PeerLinks
-from wallwell.cluster.region_exchange import REGION_INTERVAL_S, RegionLoad, RegionSum
+from wallwell.cluster.region_load_reporter import REGION_INTERVAL_S, RegionLoad, RegionSum
+from wallwell.cluster.region_traffic import RegionTraffic
 from wallwell.cluster.upstream import Member, PeerHealth, UpstreamOrder
 from wallwell.deployment.backends import BackendRecord
-from wallwell.deployment.places import Places
 from wallwell.deployment.routes import TenantLimit
+from wallwell.deployment.topology import Places
 from wallwell.errors import PeerUnavailableError
 from wallwell.events import Event
-from wallwell.routing.fleet_load import FleetLoad
-from wallwell.routing.load_reports import REPORT_LIFETIME_S, Load
-from wallwell.routing.region_traffic import RegionTraffic
 
 MAP = {"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b", "b3": "b"}
 WAY_S = {"own": 0.0005, "other": 0.020}
--- a/tests/unit/cluster/test_upstream.py
+++ b/tests/unit/cluster/test_upstream.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from wallwell.cluster.upstream import MAX_PAUSE_S, MEMBERS_PER_RELAY, Member, UpstreamOrder
-from wallwell.deployment.places import Places
+from wallwell.deployment.topology import Places
 
 
 def fleet(count, zones=1):
--- a/tests/unit/deployment/test_places.py
+++ b/tests/unit/deployment/test_topology.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wallwell.deployment.places import Distance, Places
+from wallwell.deployment.topology import Distance, Places
 
 MAP = {"a1": "a", "a2": "a", "b1": "b"}
 PLACES = Places("a1", MAP, "a")
--- a/tests/unit/gateway/test_backend_rows.py
+++ b/tests/unit/node/test_backend_rows.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import make_state
+from tests.unit.serving.fakes import make_state
 from tests.virtual_time import run_virtual
-from wallwell.backends.http_connection import ConnectionPool
 from wallwell.clock import boot_time_s
 from wallwell.deployment.backends import BackendRecord
 from wallwell.events import Event
-from wallwell.gateway import fleet_rows
-from wallwell.gateway.fleet_rows import LAPSE_GRACE_S, BackendRows
-from wallwell.gateway.side_choice import taking
+from wallwell.http_connection import ConnectionPool
+from wallwell.node import rows as fleet_rows
+from wallwell.node.rows import LAPSE_GRACE_S, BackendRows
+from wallwell.serving.version_choice import taking
 from wallwell.storage.feed import FeedPage, FeedRow, FollowedPage
 
 AWAY_S = 5.0
--- a/tests/unit/gateway/test_crash_watch.py
+++ b/tests/unit/node/test_crash_watch.py
@@ -7,13 +7,13 @@
 
 from tests.faulty_table import DELAYED, LOST_AFTER, LOST_BEFORE, FaultyTable
 from tests.suspects import suspected_contents
-from tests.unit.gateway.fakes import FakeClient, FakeReply, Script, event, make_generation, make_request, make_route
-from tests.unit.gateway.fakes import make_state as fresh_state
-from tests.unit.gateway.plays import OK, RESET, SAFE, UNSAFE
+from tests.unit.serving.fakes import FakeClient, FakeReply, Script, event, make_generation, make_request, make_route
+from tests.unit.serving.fakes import make_state as fresh_state
+from tests.unit.serving.plays import OK, RESET, SAFE, UNSAFE
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind
-from wallwell.gateway.crash_watch import (
+from wallwell.node.crash_watch import (
     CRASH_PREFIX,
     FIRST_LOOK_S,
     MAX_LOOKS,
@@ -22,10 +22,10 @@
     SWEEP_S,
     CrashWatch,
 )
-from wallwell.gateway.pipeline import RequestPipeline
 from wallwell.outcomes import Outcome
-from wallwell.routing.outcome import TransportEvent as T
-from wallwell.routing.quarantine import CRASHES_TO_QUARANTINE, QUARANTINE_S, SUSPECT_S
+from wallwell.routing.admission.quarantine import CRASHES_TO_QUARANTINE, QUARANTINE_S, SUSPECT_S
+from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.serving.pipeline import RequestPipeline
 from wallwell.storage.feed import FeedRow
 
 LOOKED_S = FIRST_LOOK_S + SECOND_LOOK_S + 0.1
--- a/tests/unit/gateway/test_fleet_recovery.py
+++ b/tests/unit/node/test_fleet_recovery.py
@@ -14,17 +14,17 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import make_request, make_route
+from tests.unit.serving.fakes import make_request, make_route
+from wallwell.cluster.load_reports import sum_loads
 from wallwell.deployment.backends import Backend, BackendRecord
-from wallwell.deployment.places import Distance, Places
 from wallwell.deployment.routes import DeploymentConfig, RouteKind
-from wallwell.gateway.backend_choice import BackendChoice
-from wallwell.gateway.exchange import Generation
-from wallwell.gateway.exchange_state import Exchange
-from wallwell.gateway.fleet_state import FleetBounds, FleetState
-from wallwell.routing.load_reports import sum_loads
-from wallwell.routing.outcome import AttemptLog
-from wallwell.routing.prefix_home import PromptPart, request_load
+from wallwell.deployment.topology import Distance, Places
+from wallwell.node.state import FleetBounds, FleetState
+from wallwell.routing.retry.attempt_outcome import AttemptLog
+from wallwell.routing.selection.prefix_home import PromptPart, request_load
+from wallwell.serving.backend_choice import BackendChoice
+from wallwell.serving.messages import Generation
+from wallwell.serving.request_state import Exchange
 
 NODES, ENGINES, ZONES = 24, 59, 7
 GUIDE_TOKENS, CASE_TOKENS, CASES = 2_520, 3_780, 1_266
--- a/tests/unit/gateway/test_kv_store_choice.py
+++ b/tests/unit/node/test_kv_store_choice.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import (
+from tests.unit.serving.fakes import (
     FakeClient,
     FakeReply,
     Script,
@@ -16,8 +16,8 @@
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind, Service
-from wallwell.gateway.pipeline import RequestPipeline
-from wallwell.routing.prefix_home import PromptPart
+from wallwell.routing.selection.prefix_home import PromptPart
+from wallwell.serving.pipeline import RequestPipeline
 
 STREAM = make_route(RouteKind.STREAM)
 ANSWER = Script(chunks=(b"ok",), stream=False, version=1)
--- a/tests/unit/gateway/test_kept_cache_watch.py
+++ b/tests/unit/node/test_kv_store_watch.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import make_state
+from tests.unit.serving.fakes import make_state
 from wallwell.cluster.peer_link import PeerServer
 from wallwell.cluster.upstream import Member, UpstreamOrder
 from wallwell.deployment.routes import Service
 from wallwell.errors import CacheEventsRefusedError, CacheStoreSilentError
-from wallwell.gateway.kept_cache_watch import CacheRequest, KeptCacheWatch
-from wallwell.routing.kept_cache import CacheEntry, CachePage, CachePosition, KeptCache
-from wallwell.routing.prefix_home import PromptPart
+from wallwell.node.kv_store_watch import CacheRequest, KeptCacheWatch
+from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KeptCache
+from wallwell.routing.selection.prefix_home import PromptPart
 
 ADDRESS = "10.9.0.1:80"
 
@@ -113,7 +113,7 @@
 
 
 def test_a_waiting_member_is_told_of_a_change_at_once(with_nodes, monkeypatch):
-    monkeypatch.setattr("wallwell.gateway.kept_cache_watch.WAIT_S", 30.0)
+    monkeypatch.setattr("wallwell.node.kv_store_watch.WAIT_S", 30.0)
 
     async def scenario(store, relay, member):
         await relay.watch.step(ADDRESS)
@@ -211,7 +211,7 @@
 
 def test_several_stores_are_followed_through_one_peer_at_the_same_time(with_nodes, monkeypatch):
     """A link between peers carries one request at a time; the followers of three stores shared one."""
-    monkeypatch.setattr("wallwell.gateway.kept_cache_watch.WAIT_S", 0.3)
+    monkeypatch.setattr("wallwell.node.kv_store_watch.WAIT_S", 0.3)
 
     async def scenario(store, relay, member):
         store.save("a")
--- a/tests/unit/gateway/test_loop_lag.py
+++ b/tests/unit/node/test_loop_lag.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wallwell.gateway.loop_lag import LATE_S, STARVED_S, LoopLag
+from wallwell.node.loop_lag import LATE_S, STARVED_S, LoopLag
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/placement/test_weights_roll_driver.py
+++ b/tests/unit/placement/test_weights_roll_driver.py
@@ -12,7 +12,7 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.freshness import StoreClock
 from wallwell.errors import PlatformUnavailableError
-from wallwell.gateway.fleet_state import FleetBounds, FleetState
+from wallwell.node.state import FleetBounds, FleetState
 from wallwell.placement.weights_roll import EngineReport, OrderReply
 from wallwell.placement.weights_roll_driver import WeightsRollDriver
 from wallwell.rollout.model import Phase, RolloutRecord
--- a/tests/unit/platform/test_settings.py
+++ b/tests/unit/platform/test_settings.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wallwell.deployment.places import Distance
+from wallwell.deployment.topology import Distance
 from wallwell.platform.settings import load_platform_settings
 
 BASE = """
--- a/tests/unit/rollout/fleet.py
+++ b/tests/unit/rollout/fleet.py
@@ -14,7 +14,7 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.freshness import StoreClock
 from wallwell.emulator.platform_server import TableModel
-from wallwell.gateway.fleet_state import FleetBounds, FleetState
+from wallwell.node.state import FleetBounds, FleetState
 from wallwell.rollout.driver import RolloutDriver
 from wallwell.rollout.model import Phase, RolloutDecision, RolloutOrder, RolloutRecord
 from wallwell.rollout.reporter import REPORT_INTERVAL_S
--- a/tests/unit/routing/limit_fleet.py
+++ b/tests/unit/routing/admission/limit_fleet.py
@@ -1,9 +1,9 @@
 """A fleet of nodes that keep a tenant's limit together, in virtual time, with the callers that press on it.
 
-The nodes are the product's; what they tell each other goes the way of :mod:`wallwell.cluster.load_exchange`:
+The nodes are the product's; what they tell each other goes the way of :mod:`wallwell.cluster.load_reporter`:
 members report to their zone's relay four times a second, relays tell each other their sums. Between regions one
 pair of relays exchanges the sums of its region, over a link with a delay that may be cut or lose exchanges, as
-:mod:`wallwell.cluster.region_exchange` does.
+:mod:`wallwell.cluster.region_load_reporter` does.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from wallwell.cluster.region_exchange import REGION_INTERVAL_S
+from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load, sum_loads
+from wallwell.cluster.region_load_reporter import REGION_INTERVAL_S
 from wallwell.deployment.routes import TenantLimit
-from wallwell.routing.load_reports import REPORT_LIFETIME_S, Load, sum_loads
-from wallwell.routing.tenant_limits import Admitted, FleetLimits
+from wallwell.routing.admission.tenant_limits import Admitted, FleetLimits
 
 INTERVAL_S = 0.25
 PASSED_ON_S = 0.1
--- a/tests/unit/routing/test_overload.py
+++ b/tests/unit/routing/admission/test_overload.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wallwell.routing.overload import (
+from wallwell.routing.admission.overload import (
     BEGIN_REFUSING,
     DEFAULT_GENERATION_S,
     RANK_STEP,
--- a/tests/unit/routing/test_quarantine.py
+++ b/tests/unit/routing/admission/test_quarantine.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.suspects import suspected_contents
-from wallwell.routing.quarantine import (
+from wallwell.routing.admission.quarantine import (
     CLEARED_S,
     CRASHES_TO_QUARANTINE,
     MAX_CLEARED,
--- a/tests/unit/routing/test_request_content.py
+++ b/tests/unit/routing/admission/test_request_content.py
@@ -2,11 +2,11 @@
 
 import dataclasses
 
-from tests.unit.gateway.fakes import FakeReply, make_request, make_route
+from tests.unit.serving.fakes import FakeReply, make_request, make_route
 from wallwell.deployment.routes import TenantAccess
-from wallwell.gateway.exchange_state import Exchange
-from wallwell.routing.outcome import AttemptLog
-from wallwell.routing.request_content import content_digest
+from wallwell.routing.admission.request_content import content_digest
+from wallwell.routing.retry.attempt_outcome import AttemptLog
+from wallwell.serving.request_state import Exchange
 
 BASE = {"host": "h", "target": "/p?q=1", "caller": "t", "body": b"body"}
 
--- a/tests/unit/routing/test_silence.py
+++ b/tests/unit/routing/health/test_silence.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wallwell.routing.silence import ASK_AGAIN_S, HALF_LIFE_S, LONG_FACTOR, LONGEST_S, SHORTEST_S, Silence
+from wallwell.routing.health.silence import ASK_AGAIN_S, HALF_LIFE_S, LONG_FACTOR, LONGEST_S, SHORTEST_S, Silence
 
 
 def heard(*silences_s):
--- a/tests/unit/deployment/test_zone_suspicion.py
+++ b/tests/unit/routing/health/test_zone_suspicion.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wallwell.deployment.backends import Backend, BackendRecord
-from wallwell.deployment.zone_suspicion import (
+from wallwell.routing.health.zone_suspicion import (
     ASK_AGAIN_S,
     HOLD_S,
     HUNG_WINDOW_S,
--- a/tests/unit/routing/test_outcome.py
+++ b/tests/unit/routing/retry/test_attempt_outcome.py
@@ -3,8 +3,8 @@
 import pytest
 
 from wallwell.outcomes import Outcome
-from wallwell.routing.outcome import VERDICTS, AttemptLog
-from wallwell.routing.outcome import TransportEvent as E
+from wallwell.routing.retry.attempt_outcome import VERDICTS, AttemptLog
+from wallwell.routing.retry.attempt_outcome import TransportEvent as E
 
 
 def test_every_event_has_a_verdict():
--- a/tests/unit/routing/test_first_piece.py
+++ b/tests/unit/routing/retry/test_first_token.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wallwell.routing.first_piece import DELAY_WINDOW_S, MIN_ANSWERS, Delays, FirstPieces, sum_delays
+from wallwell.routing.retry.first_token import DELAY_WINDOW_S, MIN_ANSWERS, Delays, FirstPieces, sum_delays
 
 
 def observed(*delays_s):
--- a/tests/unit/routing/test_return_time.py
+++ b/tests/unit/routing/retry/test_retry_after.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wallwell.routing.return_time import (
+from wallwell.routing.retry.retry_after import (
     ANSWER_PART,
     CUT_SPREAD,
     ELSEWHERE_S,
--- a/tests/unit/routing/test_fleet_budget.py
+++ b/tests/unit/routing/retry/test_retry_budget.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wallwell.routing.fleet_budget import FleetRetryBudget
+from wallwell.routing.retry.retry_budget import FleetRetryBudget
 
 RATIO, EXTRA, WINDOW_S = 0.2, 54.0, 10.0
 
--- a/tests/unit/routing/test_kept_cache.py
+++ b/tests/unit/routing/selection/test_kv_store.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wallwell.routing.kept_cache import (
+from wallwell.routing.selection.kv_store import (
     MAX_JOURNAL,
     MAX_SAVES_KNOWN,
     SAVE_UNDER_WAY_S,
@@ -13,7 +13,7 @@
     CachePosition,
     KeptCache,
 )
-from wallwell.routing.prefix_home import PromptPart
+from wallwell.routing.selection.prefix_home import PromptPart
 
 GUIDE = PromptPart("guide", 2520)
 CASE = PromptPart("case", 3780)
--- a/tests/unit/routing/test_reading_pace.py
+++ b/tests/unit/routing/selection/test_prefill_rate.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wallwell.routing.reading_pace import DEFAULT_S, ReadingPace
+from wallwell.routing.selection.prefill_rate import DEFAULT_S, ReadingPace
 
 
 @pytest.mark.parametrize("seconds_per_unit", [0.02, 0.08, 0.3])
--- a/tests/unit/routing/test_prefix_home.py
+++ b/tests/unit/routing/selection/test_prefix_home.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wallwell.deployment.backends import Backend, BackendRecord
-from wallwell.routing.prefix_home import (
+from wallwell.routing.selection.prefix_home import (
     CHUNK_TOKENS,
     PromptPart,
     choose_engine,
--- a/tests/unit/routing/test_split.py
+++ b/tests/unit/routing/selection/test_split.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from wallwell.deployment.routes import Route, RouteKind, WeightedService
-from wallwell.routing.split import WeightedSplit
+from wallwell.routing.selection.split import WeightedSplit
 
 
 def split_route(*weights):
--- a/tests/unit/gateway/fakes.py
+++ b/tests/unit/serving/fakes.py
@@ -10,10 +10,10 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import DeploymentConfig, Route, RouteKind, TenantAccess, WeightedService
 from wallwell.errors import RequestError
-from wallwell.gateway.exchange import AnswerHead, AttemptError, CallerRequest, Dispatch, Generation
-from wallwell.gateway.fleet_state import FleetBounds, FleetState
-from wallwell.routing.outcome import TransportEvent
-from wallwell.routing.prefix_home import PromptPart
+from wallwell.node.state import FleetBounds, FleetState
+from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.routing.selection.prefix_home import PromptPart
+from wallwell.serving.messages import AnswerHead, AttemptError, CallerRequest, Dispatch, Generation
 
 
 def event(number):
--- a/tests/unit/gateway/plays.py
+++ b/tests/unit/serving/plays.py
@@ -1,6 +1,6 @@
 """Requests on the pipeline in virtual time, and what back ends do with them."""
 
-from tests.unit.gateway.fakes import (
+from tests.unit.serving.fakes import (
     FakeClient,
     FakeReply,
     Script,
@@ -11,8 +11,8 @@
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind
-from wallwell.gateway.pipeline import RequestPipeline
-from wallwell.routing.outcome import TransportEvent as T
+from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.serving.pipeline import RequestPipeline
 
 OK = Script(chunks=(b"ok",))
 SHED = Script(fails=T.BACKEND_OVERLOADED)
--- a/tests/unit/gateway/test_cache_planning.py
+++ b/tests/unit/serving/test_cache_planning.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import (
+from tests.unit.serving.fakes import (
     FakeClient,
     FakeReply,
     Script,
@@ -18,11 +18,11 @@
 from wallwell.clock import boot_time_s
 from wallwell.deployment.backends import LoadInProgress
 from wallwell.deployment.routes import RouteKind, Service
-from wallwell.gateway.cache_planning import MIN_FETCH_TOKENS
-from wallwell.gateway.pipeline import RequestPipeline
-from wallwell.routing.first_piece import Delays
-from wallwell.routing.kept_cache import CacheEntry, CachePage, CachePosition, KeptCache
-from wallwell.routing.prefix_home import placement_key
+from wallwell.routing.retry.first_token import Delays
+from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KeptCache
+from wallwell.routing.selection.prefix_home import placement_key
+from wallwell.serving.cache_planning import MIN_FETCH_TOKENS
+from wallwell.serving.pipeline import RequestPipeline
 
 STORE = "10.9.0.1:80"
 ROUTE = make_route(RouteKind.STREAM, attempts=1)
--- a/tests/unit/gateway/test_call_placement.py
+++ b/tests/unit/serving/test_call_placement.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import make_state
+from tests.unit.serving.fakes import make_state
 from tests.virtual_time import run_virtual
 from wallwell.deployment.backends import BackendRecord
 
--- a/tests/unit/gateway/test_event_stream.py
+++ b/tests/unit/serving/test_event_stream.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from wallwell.errors import StreamOrderError
-from wallwell.gateway.event_stream import MAX_EVENT_BYTES, StreamPosition, event_number, split_events
+from wallwell.serving.event_stream import MAX_EVENT_BYTES, StreamPosition, event_number, split_events
 
 
 def event(number, text="x"):
--- a/tests/unit/gateway/test_limited_requests.py
+++ b/tests/unit/serving/test_limited_requests.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import FakeClient, FakeReply, Script, make_request, make_route, make_state
+from tests.unit.serving.fakes import FakeClient, FakeReply, Script, make_request, make_route, make_state
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind, TenantAccess, TenantLimit
-from wallwell.gateway.pipeline import RequestPipeline
 from wallwell.outcomes import Outcome
-from wallwell.routing.outcome import TransportEvent as T
+from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.serving.pipeline import RequestPipeline
 
 LIMIT = TenantLimit(rate_per_s=1_000, burst=1_000, counts_tokens=True, plain_tokens=200)
 OK = Script(chunks=(b"ok",))
--- a/tests/unit/gateway/test_liveness.py
+++ b/tests/unit/serving/test_liveness.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import (
+from tests.unit.serving.fakes import (
     FakeClient,
     FakeReply,
     Script,
@@ -17,9 +17,9 @@
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind
-from wallwell.gateway.liveness import Liveness
-from wallwell.gateway.pipeline import RequestPipeline
 from wallwell.outcomes import Outcome
+from wallwell.serving.liveness import Liveness
+from wallwell.serving.pipeline import RequestPipeline
 
 RESUMABLE = make_route(RouteKind.STREAM, resumable=True, attempts=2)
 ONCE = make_route(RouteKind.STREAM, attempts=1)
--- a/tests/unit/gateway/test_overload_refusals.py
+++ b/tests/unit/serving/test_overload_refusals.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import (
+from tests.unit.serving.fakes import (
     FakeClient,
     FakeReply,
     Script,
@@ -14,9 +14,9 @@
 )
 from tests.virtual_time import run_virtual
 from wallwell.deployment.routes import RouteKind
-from wallwell.gateway.pipeline import RequestPipeline
 from wallwell.outcomes import Outcome
-from wallwell.routing.outcome import TransportEvent as T
+from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.serving.pipeline import RequestPipeline
 
 STREAM = make_route(RouteKind.STREAM, resumable=True, rank=0)
 OK = Script(chunks=(event(1),), stream=True)
--- a/tests/unit/gateway/test_pipeline.py
+++ b/tests/unit/serving/test_pipeline.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import (
+from tests.unit.serving.fakes import (
     FakeClient,
     FakeReply,
     Script,
@@ -16,7 +16,7 @@
     make_route,
     make_state,
 )
-from tests.unit.gateway.plays import (
+from tests.unit.serving.plays import (
     CUT,
     ERROR,
     FOREIGN,
@@ -33,10 +33,10 @@
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind, TenantAccess, WeightedService
-from wallwell.gateway.pipeline import RequestPipeline
 from wallwell.outcomes import Outcome
-from wallwell.routing.outcome import TransportEvent as T
-from wallwell.routing.return_time import ShortestAnswer
+from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.routing.retry.retry_after import ShortestAnswer
+from wallwell.serving.pipeline import RequestPipeline
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/gateway/test_pipeline_generations.py
+++ b/tests/unit/serving/test_pipeline_generations.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import (
+from tests.unit.serving.fakes import (
     FakeClient,
     FakeReply,
     Script,
@@ -14,7 +14,7 @@
     make_route,
     make_state,
 )
-from tests.unit.gateway.plays import (
+from tests.unit.serving.plays import (
     ERROR,
     MISDIRECTED,
     OK,
@@ -28,12 +28,12 @@
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind, TenantAccess
-from wallwell.gateway.exchange import CallerGoneError
-from wallwell.gateway.pipeline import RequestPipeline
 from wallwell.outcomes import Outcome
-from wallwell.routing.outcome import TransportEvent as T
-from wallwell.routing.prefix_home import request_load
-from wallwell.routing.reading_pace import DEFAULT_S, SMOOTHING
+from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.routing.selection.prefill_rate import DEFAULT_S, SMOOTHING
+from wallwell.routing.selection.prefix_home import request_load
+from wallwell.serving.messages import CallerGoneError
+from wallwell.serving.pipeline import RequestPipeline
 
 RESUMABLE = make_route(RouteKind.STREAM, resumable=True, attempts=2)
 ONCE = make_route(RouteKind.STREAM, attempts=1)
--- a/tests/unit/gateway/test_regions.py
+++ b/tests/unit/serving/test_regions.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import (
+from tests.unit.serving.fakes import (
     FakeClient,
     FakeReply,
     Script,
@@ -21,18 +21,18 @@
 from wallwell.clock import boot_time_s
 from wallwell.cluster.upstream import UpstreamOrder
 from wallwell.deployment.backends import BackendRecord
-from wallwell.deployment.places import Places
 from wallwell.deployment.routes import RouteKind, Service
-from wallwell.gateway.backend_choice import BackendChoice
-from wallwell.gateway.counters import FleetCounters
-from wallwell.gateway.exchange_state import Exchange
-from wallwell.gateway.fleet_metrics import render
-from wallwell.gateway.kept_cache_watch import KeptCacheWatch
-from wallwell.gateway.pipeline import RequestPipeline
+from wallwell.deployment.topology import Places
+from wallwell.node.kv_store_watch import KeptCacheWatch
+from wallwell.node.metrics import render
 from wallwell.placement.weights_roll import divide
-from wallwell.routing.kept_cache import CacheEntry, CachePage, CachePosition, KeptCache
-from wallwell.routing.outcome import AttemptLog
-from wallwell.routing.prefix_home import PromptPart
+from wallwell.routing.retry.attempt_outcome import AttemptLog
+from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KeptCache
+from wallwell.routing.selection.prefix_home import PromptPart
+from wallwell.serving.backend_choice import BackendChoice
+from wallwell.serving.counters import FleetCounters
+from wallwell.serving.pipeline import RequestPipeline
+from wallwell.serving.request_state import Exchange
 
 MAP = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 STREAM = make_route(RouteKind.STREAM, attempts=1)
--- a/tests/unit/gateway/test_head_wait.py
+++ b/tests/unit/serving/test_response_timeout.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import (
+from tests.unit.serving.fakes import (
     FakeClient,
     FakeReply,
     Script,
@@ -17,8 +17,8 @@
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind
-from wallwell.gateway.pipeline import RequestPipeline
-from wallwell.routing.first_piece import Delays
+from wallwell.routing.retry.first_token import Delays
+from wallwell.serving.pipeline import RequestPipeline
 
 STREAMING = Script(chunks=(10.0, b"late"), head_after_s=0.01)
 
--- a/tests/unit/gateway/test_rollout_requests.py
+++ b/tests/unit/serving/test_rollout_requests.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import (
+from tests.unit.serving.fakes import (
     FakeClient,
     FakeReply,
     Script,
@@ -14,16 +14,16 @@
     make_route,
     make_state,
 )
-from tests.unit.gateway.plays import ERROR, OK, RESET, SAFE, SHED
+from tests.unit.serving.plays import ERROR, OK, RESET, SAFE, SHED
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import RouteKind
-from wallwell.gateway.exchange import Generation
-from wallwell.gateway.pipeline import RequestPipeline
 from wallwell.rollout.model import Phase, RolloutOrder, RolloutRecord, delay_bucket
-from wallwell.routing.outcome import TransportEvent as T
-from wallwell.routing.prefix_home import PromptPart, engine_pool
+from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.routing.selection.prefix_home import PromptPart, engine_pool
+from wallwell.serving.messages import Generation
+from wallwell.serving.pipeline import RequestPipeline
 
 STREAM = make_route(RouteKind.STREAM, resumable=True, rank=0)
 PIECES = Script(chunks=(event(1), 0.2, event(2), 0.4, event(3)), stream=True, head_after_s=0.3)
--- a/tests/unit/gateway/test_split_shares.py
+++ b/tests/unit/serving/test_split_shares.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import FakeClient, FakeReply, Script, make_request, make_route, make_state
+from tests.unit.serving.fakes import FakeClient, FakeReply, Script, make_request, make_route, make_state
 from tests.virtual_time import run_virtual
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import RouteKind, WeightedService
-from wallwell.gateway.pipeline import RequestPipeline
-from wallwell.routing.outcome import TransportEvent as T
+from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.serving.pipeline import RequestPipeline
 
 NODES = 64
 OK = Script(chunks=(b"ok",))
--- a/tests/unit/gateway/test_zone_cut.py
+++ b/tests/unit/serving/test_zone_cut.py
@@ -6,16 +6,16 @@
 
 import pytest
 
-from tests.unit.gateway.fakes import FakeClient, FakeReply, Script, make_request, make_route, make_state
+from tests.unit.serving.fakes import FakeClient, FakeReply, Script, make_request, make_route, make_state
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.cluster.upstream import Member, UpstreamOrder
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import RouteKind
-from wallwell.gateway.exchange import AttemptError
-from wallwell.gateway.liveness import Liveness
-from wallwell.gateway.pipeline import RequestPipeline
-from wallwell.routing.outcome import TransportEvent
+from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.serving.liveness import Liveness
+from wallwell.serving.messages import AttemptError
+from wallwell.serving.pipeline import RequestPipeline
 
 CONNECT_S, CHECK_S, WORK_S = 0.25, 0.12, 0.02
 CUT_FROM_S, CUT_S = 2.0, 6.0
--- a/tests/unit/cluster/test_claims.py
+++ b/tests/unit/standalone/cluster/test_claims.py
@@ -8,8 +8,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from tests.faulty_table import DELAYED, LOST_AFTER, LOST_BEFORE, OK, FaultyTable
-from wallwell.cluster.claims import ClaimResult, ClaimTable
 from wallwell.errors import ClaimUnavailableError, KeyReusedError
+from wallwell.standalone.cluster.claims import ClaimResult, ClaimTable
 
 FAULTS = [OK, LOST_BEFORE, LOST_AFTER, DELAYED]
 
--- a/tests/unit/cluster/test_crash_notices.py
+++ b/tests/unit/standalone/cluster/test_crash_notices.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from tests.unit.cluster.test_network import LOSSY, all_know_their_region, make_network
+from tests.unit.standalone.cluster.test_network import LOSSY, all_know_their_region, make_network
 from tests.virtual_network import LinkFaults
-from wallwell.cluster.crash_notices import LONGEST_PAUSE_S, MAX_TOLD, TOLD_FOR_S, CrashNotices
-from wallwell.cluster.messages import CrashNotice
-from wallwell.cluster.node import ClusterNode
+from wallwell.standalone.cluster.crash_notices import LONGEST_PAUSE_S, MAX_TOLD, TOLD_FOR_S, CrashNotices
+from wallwell.standalone.cluster.messages import CrashNotice
+from wallwell.standalone.cluster.node import ClusterNode
 
 
 def listening(network):
--- a/tests/unit/cluster/test_network.py
+++ b/tests/unit/standalone/cluster/test_network.py
@@ -6,10 +6,10 @@
 import pytest
 
 from tests.virtual_network import LinkFaults, VirtualNetwork
-from wallwell.cluster.messages import MAX_DATAGRAM_BYTES, EngineNews, MemberStatus
-from wallwell.cluster.node import ClusterNode, NodeIdentity
-from wallwell.config.schema import FileKey, Kind, TenantSpec
-from wallwell.config.store import ConfigDelta, FileRevision
+from wallwell.standalone.cluster.messages import MAX_DATAGRAM_BYTES, EngineNews, MemberStatus
+from wallwell.standalone.cluster.node import ClusterNode, NodeIdentity
+from wallwell.standalone.config.schema import FileKey, Kind, TenantSpec
+from wallwell.standalone.config.store import ConfigDelta, FileRevision
 
 
 def node_identity(number, regions):
--- a/tests/unit/config/test_commit_and_store.py
+++ b/tests/unit/standalone/config/test_commit_and_store.py
@@ -7,15 +7,15 @@
 from hypothesis import strategies as st
 
 from tests.faulty_table import DELAYED, LOST_AFTER, LOST_BEFORE, OK, FaultyTable
-from wallwell.config.commit import ApplyRequest, ConfigCommitter
-from wallwell.config.schema import FileKey, Kind
-from wallwell.config.store import ConfigDelta, ConfigStore, FileRevision
 from wallwell.errors import (
     ConfigConflictError,
     ConfigInvalidError,
     ConfigNotFoundError,
     ConfigUnavailableError,
 )
+from wallwell.standalone.config.commit import ApplyRequest, ConfigCommitter
+from wallwell.standalone.config.schema import FileKey, Kind
+from wallwell.standalone.config.store import ConfigDelta, ConfigStore, FileRevision
 
 ZONE = "kind: zone\nname: a\nspec:\n  region: {region}\n"
 POOL = """kind: engine_pool
--- a/tests/unit/config/test_settings_without_effect.py
+++ b/tests/unit/standalone/config/test_settings_without_effect.py
@@ -3,9 +3,9 @@
 import pytest
 from loguru import logger
 
-from wallwell.config.parse import parse_file
 from wallwell.events import Event
-from wallwell.gateway.operators_app import warn_of_settings_without_effect
+from wallwell.standalone.config.parse import parse_file
+from wallwell.standalone.operators_app import warn_of_settings_without_effect
 
 PRIORITY = "kind: priority\nname: p\nspec:\n  rank: 1\n"
 MODEL = "kind: model\nname: m\nspec:\n  weights_version: a\n"
--- a/tests/unit/placement/test_reconcile.py
+++ b/tests/unit/standalone/placement/test_reconcile.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from wallwell.cluster.messages import EngineNews
-from wallwell.config.schema import ModelSpec
-from wallwell.placement.reconcile import engines_to_use, next_loads
+from wallwell.standalone.cluster.messages import EngineNews
+from wallwell.standalone.config.schema import ModelSpec
+from wallwell.standalone.placement.reconcile import engines_to_use, next_loads
 
 NAMES = ["e1", "e2", "e3", "e4", "e5", "e6"]
 
--- a/tests/unit/routing/test_directory.py
+++ b/tests/unit/standalone/routing/test_directory.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from wallwell.routing.blocks import CHECKPOINT_STRIDE, CacheKey, checkpoint_depths, hash_chain
-from wallwell.routing.directory import EngineIncarnation, PrefixDirectory
+from wallwell.standalone.routing.blocks import CHECKPOINT_STRIDE, CacheKey, checkpoint_depths, hash_chain
+from wallwell.standalone.routing.directory import EngineIncarnation, PrefixDirectory
 
 SECRET = b"secret-of-the-cluster"
 PROMPT = bytes(range(256)) * 40
--- a/tests/unit/routing/test_policy_and_admission.py
+++ b/tests/unit/standalone/routing/test_policy_and_admission.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from wallwell.config.schema import Objective
-from wallwell.routing.admission import WaitCalibration, retry_after_s
-from wallwell.routing.blocks import checkpoint_depths
-from wallwell.routing.directory import EngineIncarnation, HeldPrefix
-from wallwell.routing.load import EngineLoad, LoadReport
-from wallwell.routing.policy import Candidate, Choice, ExpectedFirstToken, RoutingRequest
-from wallwell.routing.selector import EngineSelector, EngineView
+from wallwell.standalone.config.schema import Objective
+from wallwell.standalone.routing.admission import WaitCalibration, retry_after_s
+from wallwell.standalone.routing.blocks import checkpoint_depths
+from wallwell.standalone.routing.directory import EngineIncarnation, HeldPrefix
+from wallwell.standalone.routing.load import EngineLoad, LoadReport
+from wallwell.standalone.routing.policy import Candidate, Choice, ExpectedFirstToken, RoutingRequest
+from wallwell.standalone.routing.selector import EngineSelector, EngineView
 
 RATE = 16_000.0
 
--- a/tests/unit/routing/test_retry_and_load.py
+++ b/tests/unit/standalone/routing/test_retry_and_load.py
@@ -2,8 +2,8 @@
 
 import random
 
-from wallwell.routing.load import EngineLoad, LoadReport
-from wallwell.routing.retry import CircuitBreaker, RetryBudget, full_jitter_delay_s
+from wallwell.standalone.routing.load import EngineLoad, LoadReport
+from wallwell.standalone.routing.retry import CircuitBreaker, RetryBudget, full_jitter_delay_s
 
 
 def test_retries_stay_a_fraction_of_requests():
--- a/tests/unit/routing/test_table.py
+++ b/tests/unit/standalone/routing/test_table.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wallwell.routing.table import CompactTable
+from wallwell.standalone.routing.table import CompactTable
 
 # Few distinct low bits force long probe runs and wrap-around.
 KEYS = st.one_of(st.integers(1, 40), st.integers(0, 3).map(lambda n: (n << 40) | 255), st.integers(1, 2**64 - 1))
--- a/tests/unit/gateway/test_crash_memory.py
+++ b/tests/unit/standalone/test_crash_memory.py
@@ -7,14 +7,14 @@
 from tests.suspects import suspected_contents
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
-from wallwell.cluster.crash_notices import CrashNotices
-from wallwell.cluster.messages import CrashNotice
 from wallwell.errors import RequestQuarantinedError
-from wallwell.gateway import crash_memory
-from wallwell.gateway.crash_memory import SAME_CRASH_S, SECOND_LOOK_S, CrashMemory
 from wallwell.outcomes import Outcome
-from wallwell.routing.outcome import TransportEvent as T
-from wallwell.routing.quarantine import CRASHES_TO_QUARANTINE
+from wallwell.routing.admission.quarantine import CRASHES_TO_QUARANTINE
+from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.standalone import crash_memory
+from wallwell.standalone.cluster.crash_notices import CrashNotices
+from wallwell.standalone.cluster.messages import CrashNotice
+from wallwell.standalone.crash_memory import SAME_CRASH_S, SECOND_LOOK_S, CrashMemory
 
 REFUSED, TAKEN = True, False
 
--- a/tests/unit/backends/test_http_connection.py
+++ b/tests/unit/test_http_connection.py
@@ -14,7 +14,7 @@
 import pytest
 import uvloop
 
-from wallwell.backends.http_connection import (
+from wallwell.http_connection import (
     ConnectFailedError,
     ConnectionBrokenError,
     ConnectionPool,
--- a/tests/unit/test_socket_options.py
+++ b/tests/unit/test_socket_options.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from wallwell.backends.http_connection import ConnectionPool
 from wallwell.cluster.peer_link import PeerLink
 from wallwell.errors import PeerUnavailableError
+from wallwell.http_connection import ConnectionPool
 from wallwell.socket_options import PROBE_AFTER_S, PROBES
 
 
--- a/tests/unit/test_suspended_machine.py
+++ b/tests/unit/test_suspended_machine.py
@@ -14,8 +14,7 @@
 import pytest
 
 from tests.faulty_table import FaultyTable
-from tests.unit.backends.test_http_connection import REQUEST, ScriptedServer, answer
-from tests.unit.gateway.fakes import (
+from tests.unit.serving.fakes import (
     FakeClient,
     FakeReply,
     Script,
@@ -25,19 +24,20 @@
     make_route,
     make_state,
 )
+from tests.unit.test_http_connection import REQUEST, ScriptedServer, answer
 from tests.virtual_time import run_virtual, suspend_machine
-from wallwell.backends.http_connection import DEFAULT_IDLE_S, ConnectionPool
 from wallwell.clock import TICK_S, SuspensionWatch, boot_time_s, bounded
 from wallwell.cluster.lease_turn import LeaseTurn
 from wallwell.cluster.leases import LeaseKeeper
 from wallwell.deployment.freshness import Freshness, StoreClock
 from wallwell.deployment.routes import RouteKind
-from wallwell.gateway.loop_lag import LoopLag
-from wallwell.gateway.pipeline import RequestPipeline
+from wallwell.http_connection import DEFAULT_IDLE_S, ConnectionPool
 from wallwell.late_loop import is_done_within
+from wallwell.node.loop_lag import LoopLag
 from wallwell.outcomes import Outcome
 from wallwell.platform.stop_deadline import StopTimer
-from wallwell.routing.outcome import TransportEvent as T
+from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.serving.pipeline import RequestPipeline
 
 AWAY_S = 5.0
 UNSAFE = make_route(RouteKind.UNSAFE, attempts=1, timeout_s=8.0)
@@ -204,7 +204,7 @@
             pool = ConnectionPool("X-Id", 1.0, 1.0)
             await pool.fetch(server.address, REQUEST, 5.0)
             later_s = boot_time_s() + DEFAULT_IDLE_S + 0.1
-            monkeypatch.setattr("wallwell.backends.http_connection.boot_time_s", lambda: later_s)
+            monkeypatch.setattr("wallwell.http_connection.boot_time_s", lambda: later_s)
             await pool.fetch(server.address, REQUEST, 5.0)
             pool.close()
             return server.connections
--- a/tests/virtual_network.py
+++ b/tests/virtual_network.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from wallwell.cluster.codec import LineCodec
-from wallwell.cluster.messages import Action, FetchConfig, Send
-from wallwell.cluster.node import ClusterNode
-from wallwell.cluster.transport import FetchRevisions
+from wallwell.standalone.cluster.codec import LineCodec
+from wallwell.standalone.cluster.messages import Action, FetchConfig, Send
+from wallwell.standalone.cluster.node import ClusterNode
+from wallwell.standalone.cluster.transport import FetchRevisions
 
 TICK_INTERVAL_S = 0.1
 EPOCH_MS = 1_700_000_000_000
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -23,41 +23,23 @@
 from prometheus_client import CollectorRegistry, generate_latest
 
 import wallwell
-from wallwell.api.openai_format import ChatBody, CompletionBody, parse_generation, whole_answer
-from wallwell.backends import engine_protocol
-from wallwell.backends.engine_client import EngineClient, GenerationCall, GenerationHead
-from wallwell.backends.service_client import ServiceCall, ServiceClient
 from wallwell.catalogue import errors_page, events_page
 from wallwell.cli.main import build_parser
-from wallwell.cluster import messages
-from wallwell.cluster.claims import ClaimBody, ClaimTable
-from wallwell.cluster.codec import LineCodec
 from wallwell.cluster.leases import LeaseBody
-from wallwell.cluster.load_exchange import OthersLoad, ZoneLoad
-from wallwell.cluster.region_exchange import RegionReply, RegionSum
-from wallwell.cluster.region_exchange import _pack as pack_region_sum
-from wallwell.cluster.region_exchange import _unpack as unpack_region_sum
+from wallwell.cluster.load_reporter import OthersLoad, ZoneLoad
+from wallwell.cluster.region_load_reporter import RegionReply, RegionSum
+from wallwell.cluster.region_load_reporter import _pack as pack_region_sum
+from wallwell.cluster.region_load_reporter import _unpack as unpack_region_sum
 from wallwell.cluster.relay import RelayedRow, RowsReply
 from wallwell.cluster.relay import _reply as reply_with_rows
 from wallwell.cluster.relay import _unpack as unpack_rows
-from wallwell.cluster.transport import FetchRevisions
 from wallwell.cluster.upstream import Member
-from wallwell.config.commit import ApplyAnswer, ApplyRequest, ConfigCommitter, HeadBody
-from wallwell.config.parse import check_references, parse_file
-from wallwell.config.schema import SPEC_TYPES
-from wallwell.config.store import ConfigDelta, ConfigStore, FileRevision
 from wallwell.deployment.backends import BackendRecord
 from wallwell.errors import RequestError, SettingsError, WallwellError, all_error_types
 from wallwell.events import Event
-from wallwell.gateway import caller as own_callers
-from wallwell.gateway import operators_app
-from wallwell.gateway.callers_app import CallersApp
-from wallwell.gateway.counters import FleetCounters
-from wallwell.gateway.exchange import AttemptError, CachePlan, CallerRequest, Dispatch
-from wallwell.gateway.fleet_metrics import FleetCollector
-from wallwell.gateway.kept_cache_watch import CacheReply
-from wallwell.gateway.metrics import NodeMetrics
 from wallwell.log_writer import JsonSink, LogWriter
+from wallwell.node.kv_store_watch import CacheReply
+from wallwell.node.metrics import FleetCollector
 from wallwell.outcomes import Outcome
 from wallwell.placement.weights_roll import EngineReport, LoadOrder, LoadTask
 from wallwell.placement.weights_roll_driver import Progress
@@ -72,13 +54,31 @@
 from wallwell.rollout.model import Phase, RolloutRecord
 from wallwell.rollout.reports import CountsTaken
 from wallwell.rollout.store import StoredRollout
-from wallwell.routing.blocks import CacheKey, hash_chain
-from wallwell.routing.kept_cache import CachePage, CachePosition
+from wallwell.routing.admission.request_content import content_digest
 from wallwell.routing.rendezvous import key_of, owner
-from wallwell.routing.request_content import content_digest
-from wallwell.settings import NodeSettings, load_settings, parse_settings
+from wallwell.routing.selection.kv_store import CachePage, CachePosition
+from wallwell.serving.counters import FleetCounters
+from wallwell.serving.messages import AttemptError, CachePlan, CallerRequest, Dispatch
+from wallwell.standalone import operators_app
+from wallwell.standalone.backends import engine_protocol
+from wallwell.standalone.backends.engine_client import EngineClient, GenerationCall, GenerationHead
+from wallwell.standalone.backends.service_client import ServiceCall, ServiceClient
+from wallwell.standalone.callers import caller as own_callers
+from wallwell.standalone.callers.app import CallersApp
+from wallwell.standalone.callers.openai_format import ChatBody, CompletionBody, parse_generation, whole_answer
+from wallwell.standalone.cluster import messages
+from wallwell.standalone.cluster.claims import ClaimBody, ClaimTable
+from wallwell.standalone.cluster.codec import LineCodec
+from wallwell.standalone.cluster.transport import FetchRevisions
+from wallwell.standalone.config.commit import ApplyAnswer, ApplyRequest, ConfigCommitter, HeadBody
+from wallwell.standalone.config.parse import check_references, parse_file
+from wallwell.standalone.config.schema import SPEC_TYPES
+from wallwell.standalone.config.store import ConfigDelta, ConfigStore, FileRevision
+from wallwell.standalone.machines import Machine
+from wallwell.standalone.metrics import NodeMetrics
+from wallwell.standalone.routing.blocks import CacheKey, hash_chain
+from wallwell.standalone.settings import NodeSettings, load_settings, parse_settings
 from wallwell.storage.feed import FeedPage, FeedRow, FollowedPage
-from wallwell.storage.machines import Machine
 from wallwell.storage.table import Commit, Row, Scan, Transaction
 
 SOURCE = Path(wallwell.__file__).parent
