--- a/src/wallwell/cluster/crash_reports.py
+++ b/src/wallwell/cluster/crash_reports.py
@@ -19,7 +19,7 @@
 """Crashes in one message, some 2 KB; the newest first, since those of a request that goes on matter most."""
 
 
-class ToldCrashes:
+class CrashReports:
     """One node's part. Times are on its clock."""
 
     def __init__(self, own: Callable[[], Sequence[Crash]], listener: Callable[[Crash], None]) -> None:
--- a/src/wallwell/cluster/fleet_load.py
+++ b/src/wallwell/cluster/fleet_load.py
@@ -8,7 +8,7 @@
 from wallwell.cluster.load_reports import Load
 from wallwell.deployment.backends import BackendRegistry
 from wallwell.routing.admission.tenant_limits import FleetLimits
-from wallwell.routing.retry.first_token import Delays, FirstPieces
+from wallwell.routing.retry.first_token import Delays, FirstTokenDelays
 
 
 @dataclass
@@ -17,7 +17,7 @@
 
     backends: BackendRegistry = field(default_factory=BackendRegistry)
     demand: FleetDemand = field(default_factory=FleetDemand)
-    first_pieces: FirstPieces = field(default_factory=FirstPieces)
+    first_token_delays: FirstTokenDelays = field(default_factory=FirstTokenDelays)
     limits: FleetLimits = field(default_factory=FleetLimits)
 
     def own(self, now_s: float) -> Load:
@@ -25,7 +25,7 @@
         return Load(
             requests=self.backends.own_loads(),
             generations=self.demand.own.count(now_s),
-            delays=self.first_pieces.own(now_s),
+            delays=self.first_token_delays.own(now_s),
             asked=self.limits.asked(now_s),
             nodes=1,
         )
@@ -34,12 +34,12 @@
         """Take what all other nodes have told; ``nodes`` is the size of the fleet, 0 if it is not known."""
         self.backends.learn_peer_loads(others.requests)
         self.demand.peers_generations = others.generations
-        self.first_pieces.peers = others.delays
+        self.first_token_delays.peers = others.delays
         self.limits.learn_fleet(others.asked, others.nodes, nodes)
 
     def forget(self, nodes: int) -> None:
         """Other nodes have not been heard for too long."""
         self.backends.forget_peer_loads()
         self.demand.peers_generations = None
-        self.first_pieces.peers = Delays()
+        self.first_token_delays.peers = Delays()
         self.limits.forget_fleet(nodes)
--- a/src/wallwell/cluster/lease_turn.py
+++ b/src/wallwell/cluster/lease_turn.py
@@ -11,7 +11,7 @@
 from wallwell.routing.rendezvous import key_of, rendezvous_score
 from wallwell.storage.feed import FeedRow
 
-RENEW_PART = 0.4
+RENEW_FRACTION = 0.4
 """Part of the time that one renewal is trusted for after which the next one is made."""
 CANDIDATE_DELAY_S = 0.7
 """How long the last holder is waited for before others try."""
@@ -51,7 +51,7 @@
 
     async def hold(self, now_s: float) -> bool:
         """Acquire or renew the lease if it is this node's turn, and return whether it is held."""
-        if self.is_held() and now_s - self._renewed_at_s < self._valid_s * RENEW_PART:
+        if self.is_held() and now_s - self._renewed_at_s < self._valid_s * RENEW_FRACTION:
             return True
         if not self.is_held() and (self._draining or now_s < self._candidate_at_s()):
             return False
--- a/src/wallwell/cluster/load_reporter.py
+++ b/src/wallwell/cluster/load_reporter.py
@@ -11,11 +11,11 @@
 import msgspec
 
 from wallwell.clock import boot_time_s
-from wallwell.cluster.crash_reports import Crash, ToldCrashes
+from wallwell.cluster.crash_reports import Crash, CrashReports
 from wallwell.cluster.fleet_load import FleetLoad
 from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load, LoadReports, sum_loads
 from wallwell.cluster.peer_link import PeerLinks, PeerMessage
-from wallwell.cluster.region_load_reporter import RegionExchange, RegionSum, RelayTotals
+from wallwell.cluster.region_load_reporter import RegionLoadReporter, RegionSum, RelayTotals
 from wallwell.cluster.region_traffic import RegionTraffic
 from wallwell.cluster.upstream import UpstreamOrder
 from wallwell.errors import PeerUnavailableError
@@ -66,7 +66,7 @@
     crashes: tuple[Crash, ...] = ()
 
 
-class LoadExchange:
+class LoadReporter:
     """One node's part: reports upwards as a member, or exchanges sums with its like if members report to it."""
 
     def __init__(
@@ -75,10 +75,10 @@
         load: FleetLoad,
         order: UpstreamOrder,
         traffic: RegionTraffic | None = None,
-        crashes: ToldCrashes | None = None,
+        crashes: CrashReports | None = None,
     ) -> None:
         self._node = node
-        self._crashes = crashes or ToldCrashes(tuple, lambda crash: None)
+        self._crashes = crashes or CrashReports(tuple, lambda crash: None)
         self._load = load
         self._order = order
         self._members = LoadReports()
@@ -86,7 +86,7 @@
         self._regions = LoadReports()
         self._totals: dict[str, tuple[RelayTotals, float]] = {}
         """What other relays of the region told last, and when."""
-        self.between_regions = RegionExchange(
+        self.between_regions = RegionLoadReporter(
             order, self._region_sum, self._take_region, self._forget_region, traffic or RegionTraffic()
         )
         self._links = PeerLinks()
--- a/src/wallwell/cluster/region_load_reporter.py
+++ b/src/wallwell/cluster/region_load_reporter.py
@@ -61,7 +61,7 @@
     packed: bytes = b""
 
 
-class RegionExchange:
+class RegionLoadReporter:
     """One node's part in the exchange between regions."""
 
     def __init__(
--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from wallwell.deployment.topology import ONE_REGION, Places
+from wallwell.deployment.topology import ONE_REGION, Topology
 from wallwell.routing.rendezvous import key_of, rendezvous_score
 
 MEMBERS_PER_RELAY = 40
@@ -58,7 +58,7 @@
     node: str
     zone: str
     members: Mapping[str, Member] = field(default_factory=dict)
-    places: Places = ONE_REGION
+    places: Topology = ONE_REGION
     _health: dict[str, PeerHealth] = field(default_factory=dict)
 
     def candidates(self, now_s: float) -> list[tuple[str, str]]:
--- a/src/wallwell/deployment/routes.py
+++ b/src/wallwell/deployment/routes.py
@@ -85,11 +85,11 @@
     plain_tokens: int = 1
     """What a request without a token count of its own costs."""
 
-    def cost(self, told_tokens: int | None) -> int:
-        """Return what a request costs; ``told_tokens`` is its prompt and its largest output."""
+    def cost(self, declared_tokens: int | None) -> int:
+        """Return what a request costs; ``declared_tokens`` is its prompt and its largest output."""
         if not self.counts_tokens:
             return 1
-        return self.plain_tokens if told_tokens is None else told_tokens
+        return self.plain_tokens if declared_tokens is None else declared_tokens
 
 
 @dataclass(frozen=True)
--- a/src/wallwell/deployment/topology.py
+++ b/src/wallwell/deployment/topology.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True)
-class Places:
+class Topology:
     """Where a node stands, and which region each zone belongs to.
 
     ``region`` is the node's own, empty if it is to be read from the map. A zone that the map does not name counts
@@ -65,5 +65,5 @@
         return zone == self.zone or zone in self.region_of_zone
 
 
-ONE_REGION = Places("")
+ONE_REGION = Topology("")
 """No map: every zone is near."""
--- a/src/wallwell/deployment/weights.py
+++ b/src/wallwell/deployment/weights.py
@@ -4,6 +4,9 @@
 
 from dataclasses import dataclass, field
 
+OVERDUE_FRACTION = 0.85
+"""Fraction of the allowance after which an engine on older weights gets no new generation but its order."""
+
 
 @dataclass(frozen=True)
 class NamedVersion:
--- a/src/wallwell/node/crash_watch.py
+++ b/src/wallwell/node/crash_watch.py
@@ -20,7 +20,7 @@
 from wallwell.deployment.backends import Backend, BackendRecord
 from wallwell.errors import PlatformUnavailableError, TableConflictError
 from wallwell.events import Event, emit
-from wallwell.node.state import FleetState
+from wallwell.node.state import NodeState
 from wallwell.routing.rendezvous import key_of, owner
 from wallwell.storage.feed import FeedRow
 from wallwell.storage.table import Put, TableService, Transaction
@@ -61,7 +61,7 @@
     """One node's part: looks, counts, writes, and removes what counts no longer."""
 
     def __init__(
-        self, state: FleetState, check: CrashCheck, table: TableService, members: Callable[[], Iterable[str]]
+        self, state: NodeState, check: CrashCheck, table: TableService, members: Callable[[], Iterable[str]]
     ) -> None:
         """``members`` names the nodes that share the removal of old rows."""
         self._state = state
--- a/src/wallwell/node/kv_store_watch.py
+++ b/src/wallwell/node/kv_store_watch.py
@@ -13,8 +13,8 @@
 from wallwell.cluster.upstream import UpstreamOrder
 from wallwell.errors import CacheEventsRefusedError, CacheStoreSilentError, PeerUnavailableError
 from wallwell.events import Event, emit
-from wallwell.node.state import FleetState
-from wallwell.routing.selection.kv_store import CachePage, CachePosition, KeptCache
+from wallwell.node.state import NodeState
+from wallwell.routing.selection.kv_store import CachePage, CachePosition, KvStoreContents
 
 WAIT_S = 0.8
 """How long a call is held open until there is an event."""
@@ -57,10 +57,10 @@
     reachable: bool = True
 
 
-class KeptCacheWatch:
+class KvStoreWatch:
     """Keeps a copy of each configured store's content and answers peers from it."""
 
-    def __init__(self, state: FleetState, source: CacheEventSource, order: UpstreamOrder) -> None:
+    def __init__(self, state: NodeState, source: CacheEventSource, order: UpstreamOrder) -> None:
         self._state = state
         self._source = source
         self._order = order
@@ -86,11 +86,11 @@
         wanted = {each.kv_store_address for each in config.kv_stores} if config is not None else set()
         for address in self._followers.keys() - wanted:
             self._followers.pop(address).cancel()
-            self._state.kept_caches.pop(address, None)
+            self._state.kv_store_contents.pop(address, None)
         for address in wanted:
             running = self._followers.get(address)
             if running is None or running.done():
-                self._state.kept_caches.setdefault(address, KeptCache())
+                self._state.kv_store_contents.setdefault(address, KvStoreContents())
                 self._followers[address] = asyncio.create_task(self._follow(address))
 
     async def _follow(self, address: str) -> None:
@@ -100,7 +100,7 @@
 
     async def step(self, address: str) -> bool:
         """Take one page of a store's events; returns False if nobody told any."""
-        cache = self._state.kept_caches[address]
+        cache = self._state.kv_store_contents[address]
         page = None
         candidates = self._order.candidates(boot_time_s())
         if candidates:
@@ -114,7 +114,7 @@
         self._advanced = asyncio.Event()
         return True
 
-    async def _from_peer(self, name: str, peer: str, address: str, cache: KeptCache) -> CachePage | None:
+    async def _from_peer(self, name: str, peer: str, address: str, cache: KvStoreContents) -> CachePage | None:
         wants_all = cache.has_gaps and self._may_list(address)
         position = CachePosition() if wants_all else cache.position
         request = CacheRequest(address, position, WAIT_S)
@@ -129,7 +129,7 @@
             cache.reachable = reply.reachable
         return reply.page
 
-    async def _from_store(self, address: str, cache: KeptCache) -> CachePage | None:
+    async def _from_store(self, address: str, cache: KvStoreContents) -> CachePage | None:
         try:
             if cache.has_gaps and self._may_list(address):
                 page = await self._source.listing(address)
@@ -157,7 +157,7 @@
 
     async def answer(self, request: CacheRequest) -> CacheReply:
         """Answer a peer from the copy, once there is something new or the agreed wait is over."""
-        cache = self._state.kept_caches.get(request.address)
+        cache = self._state.kv_store_contents.get(request.address)
         if cache is None or not cache.known:
             return CacheReply()
         give_up_s = boot_time_s() + request.wait_s
--- a/src/wallwell/node/metrics.py
+++ b/src/wallwell/node/metrics.py
@@ -8,7 +8,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, HistogramMetricFamily, Metric
 
 from wallwell.clock import boot_time_s
-from wallwell.node.state import FleetState
+from wallwell.node.state import NodeState
 from wallwell.serving.counters import LATENCY_BOUNDS_S, FleetCounters, LatencyHistogram
 
 MAX_TENANTS_SHOWN = 20
@@ -18,7 +18,7 @@
 class FleetCollector:
     """Turns a node's numbers into metrics at the moment they are collected."""
 
-    def __init__(self, counters: FleetCounters, state: FleetState) -> None:
+    def __init__(self, counters: FleetCounters, state: NodeState) -> None:
         self._counters = counters
         self._state = state
 
@@ -37,7 +37,7 @@
         yield requests
         yield _counter("wallwell_refusals", "Own errors by code.", "code", counters.refusals)
         yield _counter("wallwell_attempts", "Attempts by result.", "result", counters.attempts)
-        yield _histogram("wallwell_first_piece_seconds", "Time to the first piece.", counters.first_piece)
+        yield _histogram("wallwell_first_piece_seconds", "Time to the first piece.", counters.first_token)
         yield _histogram("wallwell_answer_seconds", "Time to the whole answer.", counters.whole_answer)
         yield _histogram("wallwell_largest_gap_seconds", "Largest pause of a stream.", counters.largest_gap)
 
@@ -130,7 +130,7 @@
     return family
 
 
-def render(counters: FleetCounters, state: FleetState) -> bytes:
+def render(counters: FleetCounters, state: NodeState) -> bytes:
     """Return the text exposition of one node."""
     registry = CollectorRegistry()
     registry.register(FleetCollector(counters, state))
--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -9,21 +9,21 @@
 from typing import Any, Protocol
 
 from wallwell.clock import SuspensionWatch, boot_time_s
-from wallwell.cluster.crash_reports import ToldCrashes
-from wallwell.cluster.load_reporter import LoadExchange, MemberLoad, ZoneLoad
+from wallwell.cluster.crash_reports import CrashReports
+from wallwell.cluster.load_reporter import LoadReporter, MemberLoad, ZoneLoad
 from wallwell.cluster.peer_link import PeerServer
 from wallwell.cluster.region_load_reporter import RegionLoad
 from wallwell.cluster.relay import RelayedRows, RowsRequest, answer_from
 from wallwell.cluster.upstream import Member, UpstreamOrder
 from wallwell.deployment.freshness import StoreClock
-from wallwell.deployment.topology import Places
+from wallwell.deployment.topology import Topology
 from wallwell.events import Event, emit
 from wallwell.http_connection import ConnectionPool
 from wallwell.node.crash_watch import CrashCheck, CrashWatch
-from wallwell.node.kv_store_watch import CacheRequest, KeptCacheWatch
+from wallwell.node.kv_store_watch import CacheRequest, KvStoreWatch
 from wallwell.node.loop_lag import TICK_S, LoopLag
 from wallwell.node.rows import BackendRows, MemberRows, NodeSources, OperatorRows
-from wallwell.node.state import FleetBounds, FleetState
+from wallwell.node.state import FleetBounds, NodeState
 from wallwell.placement.weights_roll_driver import EngineControl, WeightsRollDriver
 from wallwell.rollout.driver import RolloutDriver
 from wallwell.rollout.planner import RolloutPlanner
@@ -44,7 +44,7 @@
 NOTICE_S = 2.6
 """How long a stopping node still takes requests, until every balancer has seen that it is not ready."""
 DRAIN_TICK_S = 0.05
-STOP_RESERVE_PART = 0.125
+STOP_RESERVE_FRACTION = 0.125
 """Part of the grace period kept for closing; what still runs in the last sixth may be cut (the users' rules)."""
 
 
@@ -67,11 +67,11 @@
         pool: ConnectionPool,
         seed: int | None = None,
         link_mbps: float = 0.0,
-        places: Places | None = None,
+        places: Topology | None = None,
     ) -> None:
         rng = random.Random(seed if seed is not None else f"{node}/{time.time_ns()}")
-        places = places or Places(zone)
-        self.state = FleetState(node, zone, bounds, rng, started_s=boot_time_s(), places=places)
+        places = places or Topology(zone)
+        self.state = NodeState(node, zone, bounds, rng, started_s=boot_time_s(), places=places)
         self.draining = False
         self.in_flight = 0
         self.lag = LoopLag()
@@ -104,16 +104,16 @@
             self._follower("backends", sources.backends, self._listing.apply, BACKENDS_WAIT_S, BACKENDS_PAUSE_S),
             self._follower("own", sources.own, self._members.apply, OWN_WAIT_S, OWN_PAUSE_S),
         )
-        told = ToldCrashes(self._crashes.unwritten, self._crashes.on_told)
-        self._exchange = LoadExchange(node, self.state.load, self._order, self.state.region_traffic, told)
-        self._kept_caches = KeptCacheWatch(self.state, sources.cache_events, self._order)
+        told = CrashReports(self._crashes.unwritten, self._crashes.on_told)
+        self._exchange = LoadReporter(node, self.state.load, self._order, self.state.region_traffic, told)
+        self._kv_store_watch = KvStoreWatch(self.state, sources.cache_events, self._order)
         self._peers = PeerServer(
             {
                 RowsRequest: answer_from(self._relayed),
                 MemberLoad: self._exchange.on_member,
                 ZoneLoad: self._exchange.on_zone,
                 RegionLoad: self._exchange.between_regions.on_region,
-                CacheRequest: self._kept_caches.answer,
+                CacheRequest: self._kv_store_watch.answer,
                 CountsReport: self._reporter.on_report,
             }
         )
@@ -138,7 +138,7 @@
     def start(self) -> None:
         """Start following the store."""
         loops: list[Callable[[], Coroutine[Any, Any, None]]] = [each.run for each in self._followers]
-        loops += [self._weights_roll.run, self._exchange.run, self._kept_caches.run, self._liveness.run]
+        loops += [self._weights_roll.run, self._exchange.run, self._kv_store_watch.run, self._liveness.run]
         loops += [self._housekeeping, self._watch_lag, self._crashes.run]
         if self.state.places.has_regions:
             loops.append(self._exchange.between_regions.run)
@@ -213,7 +213,7 @@
         self._weights_roll.drain()
         self._rollouts.drain()
         self._peers.close()
-        end_s = boot_time_s() + grace_s * (1.0 - STOP_RESERVE_PART)
+        end_s = boot_time_s() + grace_s * (1.0 - STOP_RESERVE_FRACTION)
         await asyncio.sleep(min(NOTICE_S, grace_s / 2))
         await close_listener()
         while self.in_flight and boot_time_s() < end_s:
@@ -227,7 +227,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         self._peers.close()
         self._exchange.close()
-        self._kept_caches.close()
+        self._kv_store_watch.close()
         self._reporter.close()
         for rows in self._relayed.values():
             rows.close()
--- a/src/wallwell/node/rows.py
+++ b/src/wallwell/node/rows.py
@@ -16,7 +16,7 @@
 from wallwell.events import Event, emit
 from wallwell.http_connection import ConnectionPool
 from wallwell.node.kv_store_watch import CacheEventSource
-from wallwell.node.state import FleetState
+from wallwell.node.state import NodeState
 from wallwell.rollout.model import RolloutOrder
 from wallwell.rollout.store import RolloutStore
 from wallwell.storage.feed import FeedRow, FollowedPage, RowSource
@@ -55,7 +55,7 @@
 class OperatorRows:
     """Applies the operators' configuration and the weights versions they name."""
 
-    def __init__(self, state: FleetState, sources: NodeSources) -> None:
+    def __init__(self, state: NodeState, sources: NodeSources) -> None:
         self._state = state
         self._sources = sources
 
@@ -118,7 +118,7 @@
     is missing then goes on getting requests for ``LAPSE_GRACE_S`` from the return.
     """
 
-    def __init__(self, state: FleetState, sources: NodeSources, pool: ConnectionPool) -> None:
+    def __init__(self, state: NodeState, sources: NodeSources, pool: ConnectionPool) -> None:
         self._state = state
         self._decode = sources.decode_backend
         self._pool = pool
@@ -192,7 +192,7 @@
     """Knows the other nodes from this product's own rows, and makes this node known to them."""
 
     def __init__(
-        self, state: FleetState, table: TableService, order: UpstreamOrder, listeners: Sequence[OwnRowListener]
+        self, state: NodeState, table: TableService, order: UpstreamOrder, listeners: Sequence[OwnRowListener]
     ) -> None:
         """``listeners`` get the rows that are not members'."""
         self._state = state
--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -12,25 +12,24 @@
 from wallwell.deployment.backends import Backend, BackendRegistry
 from wallwell.deployment.freshness import Freshness
 from wallwell.deployment.routes import DeploymentConfig, Service
-from wallwell.deployment.topology import ONE_REGION, Distance, Places
-from wallwell.deployment.weights import WeightsTargets
+from wallwell.deployment.topology import ONE_REGION, Distance, Topology
+from wallwell.deployment.weights import OVERDUE_FRACTION, WeightsTargets
 from wallwell.events import Event, emit
-from wallwell.placement.weights_roll import OVERDUE_PART
 from wallwell.rollout.model import RolloutBounds
 from wallwell.rollout.records import RolloutBook
 from wallwell.routing.admission.overload import GenerationTime
 from wallwell.routing.admission.quarantine import Quarantine
 from wallwell.routing.health.zone_suspicion import ZoneSuspicion
 from wallwell.routing.rendezvous import owner
-from wallwell.routing.retry.first_token import FirstPieces
+from wallwell.routing.retry.first_token import FirstTokenDelays
 from wallwell.routing.retry.retry_after import ShortestAnswer
 from wallwell.routing.retry.retry_budget import FleetRetryBudget
-from wallwell.routing.selection.kv_store import KeptCache
-from wallwell.routing.selection.prefill_rate import ReadingPace
+from wallwell.routing.selection.kv_store import KvStoreContents
+from wallwell.routing.selection.prefill_rate import PrefillRate
 from wallwell.routing.selection.split import WeightedSplit
 from wallwell.serving.messages import Generation
 
-LAST_PART = 0.93
+LAST_FRACTION = 0.93
 """Part of the allowance up to which older weights are used if no engine has newer ones."""
 BEGIN_MARGIN_S = 0.25
 """How much before the end of the allowance a generation on older weights has to have begun."""
@@ -41,7 +40,7 @@
 FREE_PART_OF_REGION = 0.25
 """Part of a region's places that has to be free for its calls to stay there. What the fleet sends while loads grow
 old (0.1 to 0.2 s) takes a few; beyond that a call waits longer than the way there and back takes (40 ms)."""
-START_PART = 0.8
+START_FRACTION = 0.8
 """Part of the time given to a started machine after which estimated ages count."""
 
 
@@ -65,7 +64,7 @@
 
 
 @dataclass
-class FleetState:
+class NodeState:
     """One node's state. Owners of its parts change them; the pipeline reads and counts."""
 
     node: str
@@ -79,13 +78,13 @@
     freshness: Freshness = field(default_factory=Freshness)
     split: WeightedSplit = field(default_factory=WeightedSplit)
     members: set[str] = field(default_factory=set)
-    pace: ReadingPace = field(default_factory=ReadingPace)
+    pace: PrefillRate = field(default_factory=PrefillRate)
     generation_time: GenerationTime = field(default_factory=GenerationTime)
     call_time: GenerationTime = field(default_factory=lambda: GenerationTime(DEFAULT_CALL_S))
     """How long calls take from their sending to their end."""
     shortest_answers: dict[str, ShortestAnswer] = field(default_factory=dict)
     """By route."""
-    kept_caches: dict[str, KeptCache] = field(default_factory=dict)
+    kv_store_contents: dict[str, KvStoreContents] = field(default_factory=dict)
     """What the stores of kept KV cache hold, by address."""
     _budgets: dict[str, FleetRetryBudget] = field(default_factory=dict)
     zones: ZoneSuspicion = field(init=False)
@@ -95,7 +94,7 @@
     split_offset: float = 0.0
     started_s: float = float("-inf")
     """When this node started, on its own clock."""
-    places: Places = ONE_REGION
+    places: Topology = ONE_REGION
     """Which zones are near; without a map of regions all of them are of one."""
     region_traffic: RegionTraffic = field(default_factory=RegionTraffic)
     quarantine: Quarantine = field(default_factory=Quarantine)
@@ -117,9 +116,9 @@
         return self.load.demand
 
     @property
-    def first_pieces(self) -> FirstPieces:
+    def first_token_delays(self) -> FirstTokenDelays:
         """How soon answers begin."""
-        return self.load.first_pieces
+        return self.load.first_token_delays
 
     @property
     def node_count(self) -> int:
@@ -169,9 +168,9 @@
         """Return this node's repeats left, by service."""
         return {service: budget.left(now_s, self.node_count) for service, budget in self._budgets.items()}
 
-    def on_hung(self, backend: Backend, now_s: float) -> None:
+    def on_connect_timeout(self, backend: Backend, now_s: float) -> None:
         """A connection to a back end neither came up nor was refused."""
-        if self.zones.on_hung(backend, self.backends.all(), now_s):
+        if self.zones.on_connect_timeout(backend, self.backends.all(), now_s):
             emit(Event.ZONE_SUSPECTED, zone=backend.record.zone)
 
     def on_sign_of_life(self, backend: Backend, now_s: float) -> None:
@@ -204,7 +203,7 @@
 
         It may be as old as any: it has to be due by the time that bounds hold for this node.
         """
-        return now_s - (self.bounds.version_s * OVERDUE_PART - self.bounds.contact_s * START_PART)
+        return now_s - (self.bounds.version_s * OVERDUE_FRACTION - self.bounds.contact_s * START_FRACTION)
 
     def usable_of(self, listed: Sequence[Backend], generation: Generation | None, now_s: float) -> list[Backend]:
         """Those that may get a request now, without those that are only a last resort if there are others."""
@@ -214,10 +213,10 @@
             usable = [each for each in listed if not each.is_leaving(now_s)]
         if generation is None:
             return usable
-        current = self._on_due_weights(usable, generation.model, OVERDUE_PART, now_s)
+        current = self._on_due_weights(usable, generation.model, OVERDUE_FRACTION, now_s)
         if not current:
             # Better the last moments of older weights than no engine at all; the begin is bounded by the pipeline.
-            current = self._on_due_weights(usable, generation.model, LAST_PART, now_s)
+            current = self._on_due_weights(usable, generation.model, LAST_FRACTION, now_s)
         return [each for each in current if not each.is_loading(now_s)] or current
 
     def _on_due_weights(self, usable: Sequence[Backend], model: str, part: float, now_s: float) -> list[Backend]:
--- a/src/wallwell/placement/weights_roll.py
+++ b/src/wallwell/placement/weights_roll.py
@@ -13,19 +13,17 @@
 from dataclasses import dataclass, field
 
 from wallwell.deployment.backends import Backend
-from wallwell.deployment.topology import ONE_REGION, Places
-from wallwell.deployment.weights import NamedVersion, WeightsTargets
+from wallwell.deployment.topology import ONE_REGION, Topology
+from wallwell.deployment.weights import OVERDUE_FRACTION, NamedVersion, WeightsTargets
 from wallwell.placement.weights_roll_timing import RollCircumstances, hold_s
 from wallwell.routing.selection.prefix_home import CHUNK_TOKENS, regional_pools
 
-HOLD_PART = 0.52
+HOLD_FRACTION = 0.52
 """Part of the allowance for which a weights roll waits at most."""
 CONCURRENT_SHARE = 0.4
 """Share of each pool under order at the same time."""
 SERVING_SHARE = 0.5
 """Share of all engines that go on serving during a weights roll; crashed ones do not count as serving."""
-OVERDUE_PART = 0.85
-"""Part of the allowance after which an engine on older weights gets no new generation, and so its order at once."""
 RETRY_S = 0.8
 
 
@@ -73,7 +71,7 @@
     version: int
 
 
-def divide(engines: Sequence[Backend], places: Places = ONE_REGION) -> tuple[list[Backend], list[Backend]]:
+def divide(engines: Sequence[Backend], places: Topology = ONE_REGION) -> tuple[list[Backend], list[Backend]]:
     """Return the pools for short and long prompts, each in the order in which its engines are reloaded."""
     short = regional_pools(engines, 0, places)
     long = [engine for engine in regional_pools(engines, CHUNK_TOKENS + 1, places) if engine not in short]
@@ -93,7 +91,7 @@
     allowance_s: float
     generations_per_s: Callable[[float], float] = lambda now_s: 0.0
     """Generations a second of all nodes at a time."""
-    places: Places = ONE_REGION
+    places: Topology = ONE_REGION
     _under_way: set[str] = field(default_factory=set)
     _holds: dict[tuple[str, int], float] = field(default_factory=dict)
     """Holds worked out at ``_holds_at_s`` by model and missing version; engines that lack the same share one."""
@@ -129,7 +127,7 @@
         lacking = [each for each in engines if each.believed_version(model) < newest]
         serving = all(each.is_open(now_s) for each in engines if not each.is_leaving(now_s))
         circumstances = RollCircumstances(self.generations_per_s(now_s), len(lacking), serving)
-        longest_s = self.allowance_s * HOLD_PART
+        longest_s = self.allowance_s * HOLD_FRACTION
         return hold_s(self.targets.named(model), missing, circumstances, longest_s, now_s)
 
     def next_tasks(self, engines: Sequence[Backend], now_s: float) -> list[LoadTask]:
@@ -166,7 +164,7 @@
     def _is_overdue(self, engine: Backend, model: str, now_s: float) -> bool:
         """Whether the engine gets no new generation any more, so that nothing is lost by its order."""
         missing = self.targets.oldest_missing(model, engine.believed_version(model))
-        return missing is not None and now_s - missing.known_since_s >= self.allowance_s * OVERDUE_PART
+        return missing is not None and now_s - missing.known_since_s >= self.allowance_s * OVERDUE_FRACTION
 
     def finish(self, task: LoadTask, done: bool, now_s: float) -> None:
         """A load has ended, or its order could not be carried out and is to be tried again."""
--- a/src/wallwell/placement/weights_roll_driver.py
+++ b/src/wallwell/placement/weights_roll_driver.py
@@ -15,7 +15,7 @@
 from wallwell.deployment.freshness import StoreClock
 from wallwell.errors import LeaseLostError, PlatformUnavailableError, TableConflictError
 from wallwell.events import Event, emit
-from wallwell.node.state import FleetState
+from wallwell.node.state import NodeState
 from wallwell.placement.weights_roll import EngineReport, LoadOrder, LoadTask, OrderReply, WeightsRollPlanner
 from wallwell.storage.feed import FeedRow
 from wallwell.storage.table import Put, TableService, Transaction
@@ -23,7 +23,7 @@
 LEASE_NAME = "weights"
 PROGRESS_PREFIX = "weights/"
 TICK_S = 0.15
-VALID_PART = 0.4
+VALID_FRACTION = 0.4
 """Part of the lease's time for which a holder trusts one renewal."""
 REPORT_INTERVAL_S = 0.3
 LOAD_TIMEOUT_S = 6.0
@@ -72,7 +72,7 @@
 class WeightsRollDriver:
     """One node's part in weights rolls; at most one node acts at a time."""
 
-    def __init__(self, state: FleetState, table: TableService, control: EngineControl, clock: StoreClock) -> None:
+    def __init__(self, state: NodeState, table: TableService, control: EngineControl, clock: StoreClock) -> None:
         self._state = state
         self._table = table
         self._control = control
@@ -83,7 +83,7 @@
             lambda now_s: state.demand.per_s(now_s, state.node_count),
             state.places,
         )
-        self._valid_s = state.bounds.lease_s * VALID_PART
+        self._valid_s = state.bounds.lease_s * VALID_FRACTION
         self._lease = LeaseKeeper(LEASE_NAME, state.node, self._valid_s, table, guard_s=state.bounds.lease_s)
         self._turn = LeaseTurn(LEASE_NAME, state.node, self._lease, self._valid_s, lambda: state.members)
         self._loading: dict[str, LoadTask] = {}
--- a/src/wallwell/platform/callers.py
+++ b/src/wallwell/platform/callers.py
@@ -222,7 +222,7 @@
             allowance_s=_milliseconds(allowance),
             arrived_s=arrived_s,
             generation=_generation(headers),
-            told_tokens=_told_tokens(headers.get(names.TOKEN_USAGE, "")),
+            declared_tokens=_told_tokens(headers.get(names.TOKEN_USAGE, "")),
         )
 
 
--- a/src/wallwell/platform/settings.py
+++ b/src/wallwell/platform/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from wallwell.deployment.topology import Places
+from wallwell.deployment.topology import Topology
 from wallwell.errors import SettingsError
 from wallwell.node.state import FleetBounds
 from wallwell.platform.names import SETTINGS_VARIABLE
@@ -72,9 +72,9 @@
         """Return the ports on which peers may be served; none if the settings leave none free."""
         return range(self.port_range[0], self.port_range[-1] + 1) if self.ip and self.port_range else range(0)
 
-    def places(self) -> Places:
+    def places(self) -> Topology:
         """Return how far zones are from the node."""
-        return Places(self.zone, self.zones, self.region)
+        return Topology(self.zone, self.zones, self.region)
 
     def fleet_bounds(self) -> FleetBounds:
         """Return the bounds in the product's units."""
--- a/src/wallwell/platform/workers.py
+++ b/src/wallwell/platform/workers.py
@@ -8,7 +8,7 @@
 from aiohttp.http_parser import RawResponseMessage
 
 from wallwell.deployment.backends import BackendRecord
-from wallwell.deployment.topology import ONE_REGION, Distance, Places
+from wallwell.deployment.topology import ONE_REGION, Distance, Topology
 from wallwell.http_connection import (
     BackendConnection,
     ConnectFailedError,
@@ -69,7 +69,7 @@
 class WorkerClient:
     """Sends requests, orders and report calls to workers."""
 
-    def __init__(self, places: Places = ONE_REGION) -> None:
+    def __init__(self, places: Topology = ONE_REGION) -> None:
         self._places = places
         self.pool = ConnectionPool(names.REQUEST_ID, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
 
--- a/src/wallwell/rollout/driver.py
+++ b/src/wallwell/rollout/driver.py
@@ -14,7 +14,7 @@
 from wallwell.deployment.freshness import StoreClock
 from wallwell.errors import PlatformUnavailableError, TableConflictError
 from wallwell.events import Event, emit
-from wallwell.node.state import FleetState
+from wallwell.node.state import NodeState
 from wallwell.rollout.model import Capacity, Phase, RolloutCounts, RolloutDecision, RolloutRecord
 from wallwell.rollout.records import bar_replaced, opening_record
 from wallwell.rollout.reporter import report_interval_s
@@ -24,7 +24,7 @@
 from wallwell.storage.table import TableService
 
 TICK_S = 0.15
-VALID_PART = 0.5
+VALID_FRACTION = 0.5
 """Part of ``lease_s`` for which a holder trusts one renewal. A dead one is followed after that and a candidate's
 delay; no guard is needed beside it, since every write has the lease's row as a condition."""
 CHECKPOINT_S = 1.0
@@ -64,7 +64,7 @@
 
     def __init__(
         self,
-        state: FleetState,
+        state: NodeState,
         table: TableService,
         store: RolloutStore,
         planner: Planner,
@@ -77,7 +77,7 @@
         self._planner = planner
         self._counts = counts
         self._clock = clock
-        self._valid_s = state.bounds.lease_s * VALID_PART
+        self._valid_s = state.bounds.lease_s * VALID_FRACTION
         self._lease = LeaseKeeper(LEASE_NAME, state.node, self._valid_s, table)
         self._turn = LeaseTurn(LEASE_NAME, state.node, self._lease, self._valid_s, lambda: state.members)
         self._held: dict[str, _Held] = {}
--- a/src/wallwell/rollout/evidence.py
+++ b/src/wallwell/rollout/evidence.py
@@ -16,7 +16,7 @@
     MEASURES,
     SLOW_SLACK,
     SLOWNESS,
-    USUAL_PART,
+    USUAL_FRACTION,
     Measure,
     Verdict,
     count_bad,
@@ -181,7 +181,7 @@
         if not measure.field:
             return 0
         key: Key = (route, False, "")
-        usual = self._newest.quantile(key, measure.field, USUAL_PART)
+        usual = self._newest.quantile(key, measure.field, USUAL_FRACTION)
         if usual is None:
             return None
         bucket = usual + measure.factor_buckets
--- a/src/wallwell/rollout/exposure.py
+++ b/src/wallwell/rollout/exposure.py
@@ -11,15 +11,15 @@
 
 from wallwell.rollout.model import RolloutBounds
 
-CANARY_PART = 0.5
+CANARY_FRACTION = 0.5
 """Part of the bound that the canary spends where answers are few."""
 CANARY_PART_OF_MANY = 0.25
 CANARY_ENOUGH = 600.0
 """Requests beyond which the canary spends only :data:`CANARY_PART_OF_MANY`: 400 answers show failures of 5 in 100.
 What it leaves makes the switch longer, so that more of what is under way on the current side ends by itself."""
-SPENT_PART = 0.8
+SPENT_FRACTION = 0.8
 """Part of the bound that is planned to be spent; the rest is for bursts and for counts that lag."""
-LAST_PART = 0.95
+LAST_FRACTION = 0.95
 """Part of the bound that the last decision before the deadline may plan with: little is left to go otherwise."""
 LAST_DECISION_S = 0.4
 """Time before the deadline at which the next decision would come too late."""
@@ -31,7 +31,7 @@
 """How long a burst is remembered."""
 LARGEST_RATE_FACTOR = 3.0
 """What a rate may lie above the mean since the order; more is taken for counts that came late to a new holder."""
-LEAST_PART = 0.2
+LEAST_FRACTION = 0.2
 """Part of ``exposure_share`` that a canary gets also when its part is spent: what turns bad late shows by it."""
 LARGEST_SHARE = 0.3
 """Most that a canary gets of the requests before the deadline: its share follows a burst after counts and row."""
@@ -112,7 +112,7 @@
     coming += DEVIATIONS * math.sqrt(coming)
     bound = bounds.exposure_share * (traffic.total + traffic.low_rate * left_s) + bounds.exposure_requests
     spent = traffic.target + share * traffic.high_rate * COUNT_LAG_S
-    fits = spent + coming <= (LAST_PART if left_s <= LAST_DECISION_S else SPENT_PART) * bound
+    fits = spent + coming <= (LAST_FRACTION if left_s <= LAST_DECISION_S else SPENT_FRACTION) * bound
     next_share = _canary_share(bounds, traffic, left_s, bound, spent)
     return Exposure(bound, spent, coming, _steady(share, next_share), fits and left_s <= LONGEST_SWITCH_S)
 
@@ -120,13 +120,13 @@
 def _canary_share(bounds: RolloutBounds, traffic: Traffic, left_s: float, bound: float, spent: float) -> float:
     """Return the share that spends the canary's part of the bound until the deadline."""
     if traffic.total == 0:
-        return CANARY_PART * bounds.exposure_share
-    if spent >= SPENT_PART * bound:
+        return CANARY_FRACTION * bounds.exposure_share
+    if spent >= SPENT_FRACTION * bound:
         return 0.0
-    part = min(CANARY_PART * bound, max(CANARY_PART_OF_MANY * bound, CANARY_ENOUGH))
+    part = min(CANARY_FRACTION * bound, max(CANARY_PART_OF_MANY * bound, CANARY_ENOUGH))
     left = max(part - spent, 0.0)
     expected = max(traffic.high_rate * left_s, 1.0)
-    least = LEAST_PART * bounds.exposure_share
+    least = LEAST_FRACTION * bounds.exposure_share
     return min(max(left / expected, least), LARGEST_SHARE)
 
 
--- a/src/wallwell/rollout/measures.py
+++ b/src/wallwell/rollout/measures.py
@@ -7,7 +7,7 @@
 
 from wallwell.rollout.totals import Key, Totals
 
-USUAL_PART = 0.9
+USUAL_FRACTION = 0.9
 """Part of the current side's answers that is called usual; answers beyond theirs by a factor are late."""
 SLOW_SLACK_FACTOR = 1.25
 SLOW_SLACK = 0.01
--- a/src/wallwell/rollout/planner.py
+++ b/src/wallwell/rollout/planner.py
@@ -36,7 +36,7 @@
 With the lags of counts and row it leaves half a second of the five within which a bad version must be stopped."""
 CANARY_BACKENDS = 3
 """Target back ends from which the canary begins: fewer do not tell a sick machine from a bad version."""
-CANARY_WAIT_PART = 0.2
+CANARY_WAIT_FRACTION = 0.2
 """Part of the duration for which the canary waits for them."""
 ANSWERS_TO_SWITCH = 16
 ANSWERS_TO_COMPLETE = 20
@@ -213,7 +213,7 @@
     """Whether the canary waits until enough target back ends share it."""
     if view.record.phase is not Phase.CANARY or view.capacity.target_backends >= CANARY_BACKENDS:
         return False
-    return view.since_s < CANARY_WAIT_PART * view.record.duration_s
+    return view.since_s < CANARY_WAIT_FRACTION * view.record.duration_s
 
 
 def _canary(view: _View) -> tuple[Phase, str]:
--- a/src/wallwell/rollout/records.py
+++ b/src/wallwell/rollout/records.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from wallwell.rollout.model import Phase, RolloutBounds, RolloutOrder, RolloutRecord
-from wallwell.rollout.sides import UNHEARD_PART, ServiceSides
+from wallwell.rollout.sides import UNHEARD_FRACTION, ServiceSides
 from wallwell.rollout.tally import RolloutTally
 
 UNKNOWN_HOLD_S = 2.0
@@ -132,7 +132,7 @@
             self.active.pop(service, None)
             return
         heard_s = max(heard_s, before.heard_s if before is not None else heard_s)
-        unheard_after_s = self.bounds.rollback_s * UNHEARD_PART
+        unheard_after_s = self.bounds.rollback_s * UNHEARD_FRACTION
         self.active[service] = ServiceSides(service, record, held, heard_s, unheard_after_s)
         if record is None or record.phase.is_final:
             self.tally.end(service)
--- a/src/wallwell/rollout/sides.py
+++ b/src/wallwell/rollout/sides.py
@@ -13,7 +13,7 @@
 
 MIN_CANARY_BACKENDS = 3
 """Target back ends that carry the canary, if there are as many: they tell a sick machine from a bad version."""
-UNHEARD_PART = 0.5
+UNHEARD_FRACTION = 0.5
 """Part of ``rollback_s`` for which a record counts that is not written again.
 
 The rest is for what has gone before: counts on their way, the decision, and the record's way to every node."""
@@ -114,7 +114,7 @@
             target = [] if sides.current else sides.target
         return [target, sides.current] if prefers_target else [sides.current, target]
 
-    def taking(self, listed: Sequence[Backend], now_s: float) -> list[Backend]:
+    def eligible_backends(self, listed: Sequence[Backend], now_s: float) -> list[Backend]:
         """Return the back ends that new requests are meant for."""
         record, sides = self.record, self.sides(listed, now_s)
         if _is_last_resort(sides, now_s):
--- a/src/wallwell/routing/admission/overload.py
+++ b/src/wallwell/routing/admission/overload.py
@@ -29,7 +29,7 @@
 DEFAULT_GENERATION_S = 1.5
 """Time of a generation until some have been observed."""
 SMOOTHING = 0.05
-SHORTEST_RETURN_PART = 0.5
+SHORTEST_RETURN_FRACTION = 0.5
 """Part of a generation's time after which the first places are free again."""
 RETURN_SPREAD = (0.75, 1.75)
 """Multiples of the expected time over which callers' returns are spread, so that they do not come at once."""
@@ -56,7 +56,7 @@
     return min(1.0, max(0.0, (occupancy.per_slot - begin) / (REFUSE_ALL - BEGIN_REFUSING)))
 
 
-def return_after_s(occupancy: Occupancy, rank: int, generation_s: float, rng: random.Random) -> float:
+def retry_after_s(occupancy: Occupancy, rank: int, generation_s: float, rng: random.Random) -> float:
     """Return when a refused caller can expect to be served.
 
     The load beyond the threshold is served in as many generations' time as it is larger, by slot. Callers are
@@ -64,7 +64,7 @@
     """
     excess = max(0.0, occupancy.per_slot - BEGIN_REFUSING)
     order = 1.0 + RETURN_ORDER * _rank_steps(rank)
-    return generation_s * order * (SHORTEST_RETURN_PART + excess) * rng.uniform(*RETURN_SPREAD)
+    return generation_s * order * (SHORTEST_RETURN_FRACTION + excess) * rng.uniform(*RETURN_SPREAD)
 
 
 def _rank_steps(rank: int) -> int:
--- a/src/wallwell/routing/admission/tenant_limits.py
+++ b/src/wallwell/routing/admission/tenant_limits.py
@@ -218,11 +218,11 @@
         wait_s = waiting / rate_per_s * self._rng.uniform(1.0, 1.0 + RETURN_SPREAD)
         return min(LONGEST_WAIT_S, max(SHORTEST_WAIT_S, wait_s))
 
-    def give_back(self, admitted: Admitted) -> None:
+    def refund(self, admitted: Admitted) -> None:
         """A request has not run."""
         self._spend(admitted.tenant, -admitted.tokens)
 
-    def charge_again(self, admitted: Admitted) -> None:
+    def charge_retry(self, admitted: Admitted) -> None:
         """A request that may have run is sent to another back end."""
         self._spend(admitted.tenant, admitted.tokens)
 
--- a/src/wallwell/routing/health/zone_suspicion.py
+++ b/src/wallwell/routing/health/zone_suspicion.py
@@ -15,12 +15,12 @@
 
 from wallwell.deployment.backends import Backend
 
-HUNG_TO_ASK = 2
+TIMEOUTS_TO_PROBE = 2
 """Back ends of a zone that hung one after the other, from which another of it is asked."""
-HUNG_TO_SUSPECT = 3
+TIMEOUTS_TO_SUSPECT = 3
 """The same, from which the whole zone is suspected; three that crash at once without power look alike, but then
 others of their zone answer, which ends it at once."""
-HUNG_WINDOW_S = 2.0
+TIMEOUT_WINDOW_S = 2.0
 """Time between the first and the last of them; a node with few requests tries one in some hundred milliseconds."""
 ASK_AGAIN_S = 0.5
 """Time between two questions to a zone: how late its return is noticed, against connections that cannot come up."""
@@ -38,9 +38,9 @@
     suspected: bool = False
     asked_s: float = float("-inf")
 
-    def recently_hung(self, now_s: float) -> dict[str, float]:
+    def recent_timeouts(self, now_s: float) -> dict[str, float]:
         """Return those that hung within the window."""
-        return {each: at_s for each, at_s in self.hung.items() if now_s - at_s < HUNG_WINDOW_S}
+        return {each: at_s for each, at_s in self.hung.items() if now_s - at_s < TIMEOUT_WINDOW_S}
 
 
 class ZoneSuspicion:
@@ -53,15 +53,15 @@
         self.on_return: Callable[[str], None] = lambda zone: None
         """Called with a zone that was suspected and has answered."""
 
-    def on_hung(self, backend: Backend, listed: Iterable[Backend], now_s: float) -> bool:
+    def on_connect_timeout(self, backend: Backend, listed: Iterable[Backend], now_s: float) -> bool:
         """A connection to a back end hung; returns True if its zone is now suspected and was not before."""
         name = backend.record.zone
         if not name:
             return False  # Back ends that name no zone need have none in common.
         zone = self._zones.setdefault(name, _Zone())
-        zone.hung = zone.recently_hung(now_s)
+        zone.hung = zone.recent_timeouts(now_s)
         zone.hung[backend.incarnation] = now_s
-        if not zone.suspected and len(zone.hung) < HUNG_TO_SUSPECT:
+        if not zone.suspected and len(zone.hung) < TIMEOUTS_TO_SUSPECT:
             return False
         is_new = not zone.suspected
         zone.suspected = True
@@ -92,7 +92,7 @@
         for name, zone in due.items():
             of_zone = [each for each in listed if each.record.zone == name and not each.is_leaving(now_s)]
             # Whether others are cut off as well is told by one that has not hung; those that have may be dead.
-            recent = zone.recently_hung(now_s)
+            recent = zone.recent_timeouts(now_s)
             others = [each for each in of_zone if each.incarnation not in recent]
             candidates = others or (of_zone if zone.suspected else [])
             if candidates:
@@ -103,4 +103,4 @@
     def _is_due(self, zone: _Zone, now_s: float) -> bool:
         if now_s - zone.asked_s < ASK_AGAIN_S:
             return False
-        return zone.suspected or len(zone.recently_hung(now_s)) >= HUNG_TO_ASK
+        return zone.suspected or len(zone.recent_timeouts(now_s)) >= TIMEOUTS_TO_PROBE
--- a/src/wallwell/routing/retry/first_token.py
+++ b/src/wallwell/routing/retry/first_token.py
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class FirstPieces:
+class FirstTokenDelays:
     """Delays of generations, of this node and of all others. Times are on this node's clock."""
 
     peers: Delays = field(default_factory=Delays)
--- a/src/wallwell/routing/retry/retry_after.py
+++ b/src/wallwell/routing/retry/retry_after.py
@@ -1,9 +1,9 @@
 """When a refused caller is told to come back, by the cause of the refusal. Pure.
 
-A caller comes back once or a few times, on a new connection and so mostly at another node. It honours a wait up to
-``HONOURED_PART`` of its remaining time and comes back then, whatever it was told. A caller that is refused again
-costs more than a late answer, so the wait is the time in which the cause has probably ended where it holds for
-other nodes as well, and next to nothing where it holds for this node alone.
+A caller comes back once or a few times, on a new connection and so mostly at another node. It honours a wait up
+to ``HONOURED_FRACTION`` of its remaining time and comes back then, whatever it was told. A caller that is refused
+again costs more than a late answer, so the wait is the time in which the cause has probably ended where it holds
+for other nodes as well, and next to nothing where it holds for this node alone.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 import random
 from dataclasses import dataclass
 
-HONOURED_PART = 1 / 3
+HONOURED_FRACTION = 1 / 3
 """Part of its remaining time up to which a caller waits (the users' protocol); longer waits are cut to it."""
 SHORTEST_S = 0.01
 """Shortest wait that is told: a refused caller must not come back faster than its connection is made."""
 ELSEWHERE_S = 0.04
 """Wait where any other node can be expected to serve: only long enough that callers of one node do not arrive there
 in one moment."""
-FLEET_SILENCE_PART = 0.5
+FLEET_SILENCE_FRACTION = 0.5
 """Part of a silence of the store so far for which it is expected to last on: of outages seen in the middle, as many
 have ended after half of their age again as have not."""
 LONGEST_SILENCE_S = 2.0
@@ -31,16 +31,16 @@
 """Part of the longest wait a caller honours over which those are spread who would have to wait longer."""
 MARGIN_S = 0.005
 """Added to the end of a suspension, so that a caller does not come just before it."""
-FREE_PART = 0.5
+FREE_FRACTION = 0.5
 """Part of a request's usual time after which places of a full service are free again."""
-ANSWER_PART = 0.5
+ANSWER_FRACTION = 0.5
 """Part of the shortest answer seen that a request must have left to be sent; half, since loads and sizes differ."""
 TRIED_ONE_IN = 20
 """One in so many requests with less time is sent all the same. Otherwise a node whose first answers were slow would
 refuse short ones for its life, since it learns from what it sends only."""
 
 
-class ReturnCause(enum.Enum):
+class RefusalCause(enum.Enum):
     """Why a request was refused before it ran."""
 
     NO_CONFIGURATION = "no configuration"
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class ReturnKnowledge:
+class RefusalCircumstances:
     """What a node knows when it refuses. Times in seconds."""
 
     remaining_s: float
@@ -69,12 +69,12 @@
     """Usual time of a request of this kind at its back end."""
 
 
-def return_after_s(cause: ReturnCause, known: ReturnKnowledge, rng: random.Random) -> float:
+def retry_after_s(cause: RefusalCause, known: RefusalCircumstances, rng: random.Random) -> float:
     """Return the wait to tell; 0 if there is nothing to come back for in the caller's time."""
-    if cause is ReturnCause.OUT_OF_TIME:
+    if cause is RefusalCause.OUT_OF_TIME:
         return 0.0
-    longest_s = max(SHORTEST_S, known.remaining_s * HONOURED_PART)
-    if cause is ReturnCause.SUSPENDED:
+    longest_s = max(SHORTEST_S, known.remaining_s * HONOURED_FRACTION)
+    if cause is RefusalCause.SUSPENDED:
         # The end of the suspension is known, so the spread begins there.
         low_s = known.open_in_s + MARGIN_S
         wait_s = low_s + rng.uniform(0.0, ELSEWHERE_S)
@@ -85,17 +85,17 @@
     return max(SHORTEST_S, wait_s)
 
 
-def _expected_s(cause: ReturnCause, known: ReturnKnowledge) -> float:
+def _expected_s(cause: RefusalCause, known: RefusalCircumstances) -> float:
     """Return the time in which the cause has probably ended for the caller."""
     match cause:
-        case ReturnCause.NO_CONFIGURATION | ReturnCause.STALE_CONFIGURATION:
+        case RefusalCause.NO_CONFIGURATION | RefusalCause.STALE_CONFIGURATION:
             if not known.hears_fleet:
                 return ELSEWHERE_S
-            return max(ELSEWHERE_S, min(LONGEST_SILENCE_S, FLEET_SILENCE_PART * known.store_silence_s))
-        case ReturnCause.NONE_LISTED | ReturnCause.WEIGHTS_TOO_OLD:
+            return max(ELSEWHERE_S, min(LONGEST_SILENCE_S, FLEET_SILENCE_FRACTION * known.store_silence_s))
+        case RefusalCause.NONE_LISTED | RefusalCause.WEIGHTS_TOO_OLD:
             return NONE_LISTED_S
-        case ReturnCause.REFUSED:
-            return max(ELSEWHERE_S, FREE_PART * known.service_s)
+        case RefusalCause.REFUSED:
+            return max(ELSEWHERE_S, FREE_FRACTION * known.service_s)
         case _:
             # Repeats of this node are used up; a caller's own return is a new request, and no repeat.
             return ELSEWHERE_S
@@ -124,4 +124,4 @@
 
     def least_left_s(self, floor_s: float) -> float:
         """Return what a request must have left of its time to be sent; ``floor_s`` at least."""
-        return floor_s if self.seconds == float("inf") else max(floor_s, ANSWER_PART * self.seconds)
+        return floor_s if self.seconds == float("inf") else max(floor_s, ANSWER_FRACTION * self.seconds)
--- a/src/wallwell/routing/selection/kv_store.py
+++ b/src/wallwell/routing/selection/kv_store.py
@@ -53,7 +53,7 @@
     part: str
 
 
-class KeptCache:
+class KvStoreContents:
     """One store's parts as far as its events have told."""
 
     def __init__(self) -> None:
--- a/src/wallwell/routing/selection/prefill_rate.py
+++ b/src/wallwell/routing/selection/prefill_rate.py
@@ -11,7 +11,7 @@
 
 
 @dataclass
-class ReadingPace:
+class PrefillRate:
     """Seconds from sending to the first piece, by unit of an engine's load with the prompt's own."""
 
     seconds_per_unit: float = DEFAULT_S
--- a/src/wallwell/routing/selection/prefix_home.py
+++ b/src/wallwell/routing/selection/prefix_home.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from wallwell.deployment.backends import Backend
-from wallwell.deployment.topology import Places
+from wallwell.deployment.topology import Topology
 from wallwell.routing.rendezvous import key_of, rendezvous_score
 
 CHUNK_TOKENS = 4096
@@ -63,7 +63,7 @@
     return ordered[count:] if is_long(prompt_tokens) else ordered[:count]
 
 
-def regional_pools(engines: Sequence[Backend], prompt_tokens: int, places: Places) -> list[Backend]:
+def regional_pools(engines: Sequence[Backend], prompt_tokens: int, places: Topology) -> list[Backend]:
     """Return the engines of all regions meant for a prompt of this length; each region's are divided by themselves.
 
     Regions take turns in the list, so that any first part of it is spread over them.
@@ -99,7 +99,7 @@
     return next((engine for engine in ordered if loads[engine.incarnation] < bound), ordered[0])
 
 
-def find_room(
+def find_headroom(
     tiers: Sequence[Sequence[Backend]], key: int, nodes: int, room: float = math.inf, slots_part: float = 1.0
 ) -> Backend | None:
     """Return an engine of the first tier in which enough have room; None if no tier has.
@@ -119,10 +119,10 @@
     tiers: Sequence[Sequence[Backend]], key: int, nodes: int, room: float = math.inf
 ) -> Backend | None:
     """Return an engine of the first tier in which enough have room; one of the last tier by the key if none has."""
-    return find_room(tiers, key, nodes, room) or choose_engine(tiers[-1], key, nodes)
+    return find_headroom(tiers, key, nodes, room) or choose_engine(tiers[-1], key, nodes)
 
 
-def leaves_region(near: Sequence[Backend], far: Sequence[Backend], key: int, nodes: int = 1) -> bool:
+def prefers_other_region(near: Sequence[Backend], far: Sequence[Backend], key: int, nodes: int = 1) -> bool:
     """Whether a prompt goes to another region though its own is preferred, where neither has room.
 
     The part of the keys that leave grows with the difference of mean loads, so that loads that are known late do
--- a/src/wallwell/serving/request_state.py
+++ b/src/wallwell/serving/active_request.py
@@ -30,16 +30,16 @@
     """Load of its back end then, its own among it."""
     run_first_s: float | None = None
     """When the first piece of the current attempt came."""
-    run_pieces: int = 0
+    run_events: int = 0
 
     def on_sent(self, now_s: float, load: int) -> None:
         """Note that an attempt is sent."""
         self.sent_s = self.attempt_s = now_s
         self.load_when_sent = load
         self.run_first_s = None
-        self.run_pieces = 0
+        self.run_events = 0
 
-    def on_piece(self, now_s: float) -> None:
+    def on_token(self, now_s: float) -> None:
         """Note that a piece was passed on."""
         if self.first_s is None:
             self.first_s = now_s
@@ -47,12 +47,12 @@
             self.max_gap_s = max(self.max_gap_s, now_s - self.last_s)
         if self.run_first_s is None:
             self.run_first_s = now_s
-        self.run_pieces += 1
+        self.run_events += 1
         self.last_s = now_s
 
 
 @dataclass
-class Exchange:
+class ActiveRequest:
     """One caller's request on its way through the pipeline. Times are on this node's clock."""
 
     request: CallerRequest
--- a/src/wallwell/serving/admission.py
+++ b/src/wallwell/serving/admission.py
@@ -12,27 +12,27 @@
     UnauthenticatedError,
     UnknownResourceError,
 )
-from wallwell.node.state import FleetState
+from wallwell.node.state import NodeState
 from wallwell.routing.admission.tenant_limits import Admitted, OverLimit
 from wallwell.routing.retry.attempt_outcome import AttemptLog
-from wallwell.routing.retry.retry_after import ReturnCause
+from wallwell.routing.retry.retry_after import RefusalCause
+from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.messages import CallerReply, CallerRequest
-from wallwell.serving.request_state import Exchange
-from wallwell.serving.retry_after import ReturnTimes
+from wallwell.serving.retry_after import RetryAfter
 
 
 class Admission:
     """Decides on requests by the configuration in force and how recently it was confirmed."""
 
-    def __init__(self, state: FleetState) -> None:
+    def __init__(self, state: NodeState) -> None:
         self._state = state
-        self._returns = ReturnTimes(state)
+        self._retry_after = RetryAfter(state)
 
-    def admit(self, request: CallerRequest, reply: CallerReply) -> Exchange:
+    def admit(self, request: CallerRequest, reply: CallerReply) -> ActiveRequest:
         """Find route, tenant and service. Raises :class:`RequestError`."""
         config = self._state.config
         if config is None:
-            wait_ms = self._returns.of_arrival(ReturnCause.NO_CONFIGURATION, request)
+            wait_ms = self._retry_after.of_arrival(RefusalCause.NO_CONFIGURATION, request)
             raise NotReadyError("no configuration yet", retry_after_ms=wait_ms)
         fresh = self._state.is_fresh(request.arrived_s)
         route = config.find_route(request.host, request.path)
@@ -50,7 +50,7 @@
         self._state.budget_of(service).on_request(boot_time_s())
         if request.generation is not None:
             self._state.demand.own.add(boot_time_s())
-        return Exchange(
+        return ActiveRequest(
             request=request,
             reply=reply,
             route=route,
@@ -74,14 +74,14 @@
         return tenant
 
     def _stale_error(self, request: CallerRequest, detail: str) -> StaleConfigurationError:
-        wait_ms = self._returns.of_arrival(ReturnCause.STALE_CONFIGURATION, request)
+        wait_ms = self._retry_after.of_arrival(RefusalCause.STALE_CONFIGURATION, request)
         return StaleConfigurationError(detail, retry_after_ms=wait_ms)
 
     def _take_of_limit(self, request: CallerRequest, tenant: TenantAccess | None) -> Admitted | None:
         """Take a request's tokens of its tenant's limit. Raises :class:`RateLimitedError`."""
         if tenant is None or tenant.limit is None:
             return None
-        cost = tenant.limit.cost(request.told_tokens)
+        cost = tenant.limit.cost(request.declared_tokens)
         taken = self._state.load.limits.admit(tenant.name, cost, boot_time_s())
         if isinstance(taken, OverLimit):
             detail = f"the limit of {tenant.name} is used up"
--- a/src/wallwell/serving/cache_planning.py
+++ b/src/wallwell/serving/cache_planning.py
@@ -5,10 +5,10 @@
 from wallwell.deployment.backends import Backend
 from wallwell.deployment.routes import Service
 from wallwell.deployment.topology import Distance
-from wallwell.node.state import FleetState
+from wallwell.node.state import NodeState
 from wallwell.routing.selection.prefix_home import shared_parts
+from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.messages import CachePlan, Generation
-from wallwell.serving.request_state import Exchange
 
 SAVE_FRESHNESS_S = 2.0
 """Age of the store's last word beyond which a weights roll may be under way that this node does not know of."""
@@ -32,22 +32,22 @@
     change weights (see ``SETTLE_S`` of the weights roll), nor on the word of a node that may not know of it.
     """
 
-    def __init__(self, state: FleetState) -> None:
+    def __init__(self, state: NodeState) -> None:
         self._state = state
 
-    def plan(self, exchange: Exchange, backend: Backend, now_s: float) -> CachePlan:
+    def plan(self, active: ActiveRequest, backend: Backend, now_s: float) -> CachePlan:
         """Return the plan of an attempt at an engine."""
-        generation = exchange.request.generation
+        generation = active.request.generation
         assert generation is not None
         version = backend.believed_version(generation.model)
-        scope = _scope(exchange, generation.model, version)
-        store = self._state.kv_store_address(exchange.placement, backend.record.zone) if version else ""
+        scope = _scope(active, generation.model, version)
+        store = self._state.kv_store_address(active.placement, backend.record.zone) if version else ""
         if not store or self._is_unreachable(store):
             return CachePlan(scope)
         fetch_from = ""
         if self._is_worth_fetching(generation, now_s):
             fetch_from = self._best_source(store, scope, generation, backend.record.zone)
-        save_to = store if self._may_save(exchange, backend, store, scope, now_s) else ""
+        save_to = store if self._may_save(active, backend, store, scope, now_s) else ""
         return CachePlan(scope, fetch_from, save_to)
 
     def _best_source(self, home: str, scope: str, generation: Generation, engine_zone: str) -> str:
@@ -62,7 +62,7 @@
         saved = {}
         for store in self._state.kv_stores():
             address = store.kv_store_address
-            kept = self._state.kept_caches.get(address)
+            kept = self._state.kv_store_contents.get(address)
             if kept is not None and kept.known and kept.reachable:
                 saved[address] = kept.kept_tokens(scope, parts) * self._near_part(engine_zone, store)
         if home not in saved:
@@ -78,28 +78,28 @@
         """Whether moving the shared parts is quicker than reading them; moves queue while the fleet is behind."""
         if sum(part.tokens for part in shared_parts(generation.parts)) >= MIN_FETCH_TOKENS:
             return True
-        return not self._state.first_pieces.is_fleet_behind(now_s)
+        return not self._state.first_token_delays.is_fleet_behind(now_s)
 
     def _is_unreachable(self, store: str) -> bool:
-        kept = self._state.kept_caches.get(store)
+        kept = self._state.kv_store_contents.get(store)
         return kept is not None and not kept.reachable
 
-    def _may_save(self, exchange: Exchange, backend: Backend, store: str, scope: str, now_s: float) -> bool:
-        generation = exchange.request.generation
+    def _may_save(self, active: ActiveRequest, backend: Backend, store: str, scope: str, now_s: float) -> bool:
+        generation = active.request.generation
         assert generation is not None
         if backend.is_about_to_load(now_s):
             return False
         if now_s - self._state.freshness.confirmed_at_s > SAVE_FRESHNESS_S:
             return False
-        kept = self._state.kept_caches.get(store)
+        kept = self._state.kv_store_contents.get(store)
         if kept is None or not kept.known:
             return True
         return kept.begin_save(scope, generation.parts, now_s)
 
 
-def _scope(exchange: Exchange, model: str, version: int) -> str:
+def _scope(active: ActiveRequest, model: str, version: int) -> str:
     """Return the name under which parts are kept: by weights, and by tenant for those that share with nobody."""
     scope = f"{model}:{version}"
-    if exchange.tenant is not None and exchange.tenant.isolated:
-        scope += f":{exchange.tenant.name}"
+    if active.tenant is not None and active.tenant.isolated:
+        scope += f":{active.tenant.name}"
     return scope
--- a/src/wallwell/serving/counters.py
+++ b/src/wallwell/serving/counters.py
@@ -32,7 +32,7 @@
     """By error code."""
     attempts: Counter[str] = field(default_factory=Counter)
     """By what became of the attempt."""
-    first_piece: dict[str, LatencyHistogram] = field(default_factory=dict)
+    first_token: dict[str, LatencyHistogram] = field(default_factory=dict)
     whole_answer: dict[str, LatencyHistogram] = field(default_factory=dict)
     largest_gap: dict[str, LatencyHistogram] = field(default_factory=dict)
 
@@ -40,7 +40,7 @@
         """A request got a back end's whole answer; ``gap_s`` is the largest pause of a stream."""
         self.requests[(kind, "answered")] += 1
         self.attempts["answered"] += 1
-        self.first_piece.setdefault(kind, LatencyHistogram()).observe(first_s)
+        self.first_token.setdefault(kind, LatencyHistogram()).observe(first_s)
         self.whole_answer.setdefault(kind, LatencyHistogram()).observe(total_s)
         if gap_s is not None:
             self.largest_gap.setdefault(kind, LatencyHistogram()).observe(gap_s)
--- a/src/wallwell/serving/liveness.py
+++ b/src/wallwell/serving/liveness.py
@@ -11,7 +11,7 @@
 from wallwell.clock import boot_time_s
 from wallwell.deployment.backends import Backend, BackendRecord
 from wallwell.events import Event, emit
-from wallwell.node.state import FleetState
+from wallwell.node.state import NodeState
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.messages import AttemptError
 
@@ -29,7 +29,7 @@
 class Liveness:
     """Asks back ends that are silent for long while requests are under way there whether they live."""
 
-    def __init__(self, state: FleetState, check: ReachabilityCheck) -> None:
+    def __init__(self, state: NodeState, check: ReachabilityCheck) -> None:
         self._state = state
         self._check = check
         self._repeatable: dict[str, set[asyncio.Timeout]] = {}
@@ -57,7 +57,7 @@
         if await self._check.is_reachable(backend.record):
             self._state.on_sign_of_life(backend, boot_time_s())
         else:
-            self._state.on_hung(backend, boot_time_s())
+            self._state.on_connect_timeout(backend, boot_time_s())
 
     async def _ask(self, backend: Backend) -> None:
         asked_s = boot_time_s()
@@ -65,7 +65,7 @@
             return
         now_s = boot_time_s()
         backend.on_failure(now_s, unreachable=True)
-        self._state.on_hung(backend, now_s)
+        self._state.on_connect_timeout(backend, now_s)
         emit(
             Event.BACKEND_SILENT,
             backend=backend.incarnation,
--- a/src/wallwell/serving/messages.py
+++ b/src/wallwell/serving/messages.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from wallwell.deployment.backends import BackendRecord
+from wallwell.deployment.backends import Backend, BackendRecord
 from wallwell.errors import RequestError
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.routing.selection.prefix_home import PromptPart
@@ -50,7 +50,7 @@
     """How long the caller waits, from its arrival here."""
     arrived_s: float
     generation: Generation | None = None
-    told_tokens: int | None = None
+    declared_tokens: int | None = None
     """Tokens of the prompt and of the largest output together, None if the caller does not say."""
 
     @property
@@ -142,6 +142,18 @@
         ...
 
 
+class CrashObserver(Protocol):
+    """Takes what attempts show of crashed back ends."""
+
+    def on_broken_run(self, content: str, backend: Backend) -> None:
+        """The connection of a run of this content ended before its answer was whole."""
+        ...
+
+    def on_answered(self, content: str) -> None:
+        """A request of this content was answered with success."""
+        ...
+
+
 class CallerReply(Protocol):
     """The answer to one caller. Exactly one of the ways to end it is used."""
 
@@ -186,8 +198,8 @@
     tried: set[str] = field(default_factory=set)
     runs: int = 0
     arrivals: int = 0
-    paid_repeats: int = 0
+    prepaid_retries: int = 0
     """Repeats drawn from the budget before the attempt that they follow was given up."""
-    hung_zones: set[str] = field(default_factory=set)
+    unresponsive_zones: set[str] = field(default_factory=set)
     """Zones into which a connection of this request hung."""
     details: list[str] = field(default_factory=list)
--- a/src/wallwell/serving/response_timeout.py
+++ b/src/wallwell/serving/response_timeout.py
@@ -7,11 +7,11 @@
 from wallwell.clock import boot_time_s
 from wallwell.deployment.backends import Backend
 from wallwell.late_loop import is_done_within
-from wallwell.node.state import FleetState
+from wallwell.node.state import NodeState
 from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.messages import AttemptError, BackendAnswer, BackendClient, Dispatch
-from wallwell.serving.request_state import Exchange
-from wallwell.serving.version_choice import offer
+from wallwell.serving.version_choice import candidates_for
 
 FIRST_BYTE_PATIENCE = 0.6
 """Part of the objective after which a silent back end is given up, if the request may be repeated."""
@@ -20,27 +20,27 @@
 MIN_REMAINING_S = 0.02
 
 
-class HeadWait:
+class ResponseWait:
     """Waits for the heads of answers."""
 
-    def __init__(self, state: FleetState, client: BackendClient) -> None:
+    def __init__(self, state: NodeState, client: BackendClient) -> None:
         self._state = state
         self._client = client
 
-    async def await_head(self, exchange: Exchange, backend: Backend, dispatch: Dispatch) -> BackendAnswer:
+    async def await_response(self, active: ActiveRequest, backend: Backend, dispatch: Dispatch) -> BackendAnswer:
         """Wait for the head as long as that is better than asking another back end."""
-        silence_s = self._silence_s(exchange)
-        begin_within_s = self._begin_within_s(exchange, backend)
+        silence_s = self._silence_s(active)
+        begin_within_s = self._begin_within_s(active, backend)
         sending = asyncio.create_task(self._send(dispatch))
         try:
             if silence_s is not None and (begin_within_s is None or silence_s < begin_within_s):
                 is_silent = not await is_done_within(sending, silence_s)
                 # A repeat is paid for before the attempt is given up; a late answer is better than none.
-                if is_silent and self._is_repeat_better(exchange):
+                if is_silent and self._is_retry_better(active):
                     await _withdraw(sending)
                     raise _silence(dispatch)
             if not sending.done() and begin_within_s is not None:
-                begin_within_s = self._begin_within_s(exchange, backend) or MIN_REMAINING_S
+                begin_within_s = self._begin_within_s(active, backend) or MIN_REMAINING_S
                 if not await is_done_within(sending, begin_within_s):
                     raise AttemptError(TransportEvent.ANSWER_TIMEOUT, "its weights are too old to begin")
             return await sending
@@ -51,49 +51,49 @@
     async def _send(self, dispatch: Dispatch) -> BackendAnswer:
         return await self._client.send(dispatch)
 
-    def _is_repeat_better(self, exchange: Exchange) -> bool:
+    def _is_retry_better(self, active: ActiveRequest) -> bool:
         """Whether to leave a silent back end, paying for the repeat.
 
         Not while all engines are behind: another one would read the prompt from its start behind others, and what
         this one has read or queued would be lost.
         """
-        if exchange.request.generation is not None and self._state.first_pieces.is_fleet_behind(boot_time_s()):
+        if active.request.generation is not None and self._state.first_token_delays.is_fleet_behind(boot_time_s()):
             return False
-        return self._pay_for_repeat(exchange)
+        return self._prepay_retry(active)
 
-    def _pay_for_repeat(self, exchange: Exchange) -> bool:
+    def _prepay_retry(self, active: ActiveRequest) -> bool:
         """Draw on the budget for the attempt that follows a silence; False if it is used up."""
-        if not self._state.budget_of(exchange.service).try_retry(boot_time_s(), self._state.node_count):
+        if not self._state.budget_of(active.service).try_retry(boot_time_s(), self._state.node_count):
             return False
-        exchange.history.paid_repeats += 1
+        active.history.prepaid_retries += 1
         return True
 
-    def _begin_within_s(self, exchange: Exchange, backend: Backend) -> float | None:
+    def _begin_within_s(self, active: ActiveRequest, backend: Backend) -> float | None:
         """Return within what time the engine must begin, because its weights will then be too old."""
-        generation = exchange.request.generation
+        generation = active.request.generation
         if generation is None:
             return None
         left_s = self._state.begin_by_s(backend, generation.model) - boot_time_s()
-        return max(MIN_REMAINING_S, left_s) if left_s < exchange.remaining_s() else None
+        return max(MIN_REMAINING_S, left_s) if left_s < active.remaining_s() else None
 
-    def _silence_s(self, exchange: Exchange) -> float | None:
+    def _silence_s(self, active: ActiveRequest) -> float | None:
         """Return after what silence another back end is asked, None if none may be."""
-        if not exchange.route.repeatable or exchange.history.runs + 1 >= exchange.route.max_attempts:
+        if not active.route.repeatable or active.history.runs + 1 >= active.route.max_attempts:
             return None
-        if not self.has_alternative(exchange):
+        if not self.has_alternative(active):
             return None
-        patience_s = exchange.route.objective_s * FIRST_BYTE_PATIENCE
-        generation = exchange.request.generation
+        patience_s = active.route.objective_s * FIRST_BYTE_PATIENCE
+        generation = active.request.generation
         if generation is not None:
             reading_s = generation.prompt_tokens / SLOWEST_PREFILL_TOKENS_PER_S
-            patience_s = max(exchange.route.objective_s, patience_s + reading_s)
-        return min(exchange.remaining_s() * 0.6, patience_s)
+            patience_s = max(active.route.objective_s, patience_s + reading_s)
+        return min(active.remaining_s() * 0.6, patience_s)
 
-    def has_alternative(self, exchange: Exchange) -> bool:
+    def has_alternative(self, active: ActiveRequest) -> bool:
         now_s = boot_time_s()
-        usable = offer(self._state, exchange, now_s).usable
-        untried = any(each.incarnation not in exchange.history.tried for each in usable)
-        return untried and self._state.budget_of(exchange.service).left(now_s, self._state.node_count) >= 1.0
+        usable = candidates_for(self._state, active, now_s).usable
+        untried = any(each.incarnation not in active.history.tried for each in usable)
+        return untried and self._state.budget_of(active.service).left(now_s, self._state.node_count) >= 1.0
 
 
 def _silence(dispatch: Dispatch) -> AttemptError:
--- a/src/wallwell/serving/retry_after.py
+++ b/src/wallwell/serving/retry_after.py
@@ -3,44 +3,44 @@
 from __future__ import annotations
 
 from wallwell.clock import boot_time_s
-from wallwell.node.state import FleetState
-from wallwell.routing.retry.retry_after import ReturnCause, ReturnKnowledge, return_after_s
+from wallwell.node.state import NodeState
+from wallwell.routing.retry.retry_after import RefusalCause, RefusalCircumstances, retry_after_s
+from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.messages import CallerRequest
-from wallwell.serving.request_state import Exchange
 
 ASSUMED_ALLOWANCE_S = 3.0
 """Time of a caller who does not tell it, where no route is known that would; a short one of those in use."""
 
 
-class ReturnTimes:
+class RetryAfter:
     """Waits by cause, from one node's state."""
 
-    def __init__(self, state: FleetState) -> None:
+    def __init__(self, state: NodeState) -> None:
         self._state = state
 
-    def of_arrival(self, cause: ReturnCause, request: CallerRequest) -> int:
+    def of_arrival(self, cause: RefusalCause, request: CallerRequest) -> int:
         """Return the wait of a request that has no route yet, in milliseconds."""
         now_s = boot_time_s()
         allowance_s = ASSUMED_ALLOWANCE_S if request.allowance_s is None else request.allowance_s
         remaining_s = request.arrived_s + allowance_s - now_s
-        return self._after_ms(cause, ReturnKnowledge(remaining_s, self._silence_s(now_s), self._hears_fleet()))
+        return self._after_ms(cause, RefusalCircumstances(remaining_s, self._silence_s(now_s), self._hears_fleet()))
 
-    def of_exchange(self, cause: ReturnCause, exchange: Exchange) -> int:
+    def of_request(self, cause: RefusalCause, active: ActiveRequest) -> int:
         """Return the wait of an admitted request, in milliseconds; 0 if none is worth its while."""
         state = self._state
         now_s = boot_time_s()
-        service_time = state.call_time if exchange.request.generation is None else state.generation_time
-        knowledge = ReturnKnowledge(
-            remaining_s=exchange.remaining_s(),
+        service_time = state.call_time if active.request.generation is None else state.generation_time
+        knowledge = RefusalCircumstances(
+            remaining_s=active.remaining_s(),
             store_silence_s=self._silence_s(now_s),
             hears_fleet=self._hears_fleet(),
-            open_in_s=self._open_in_s(exchange.service, now_s),
+            open_in_s=self._open_in_s(active.service, now_s),
             service_s=service_time.seconds,
         )
         return self._after_ms(cause, knowledge)
 
-    def _after_ms(self, cause: ReturnCause, knowledge: ReturnKnowledge) -> int:
-        return round(return_after_s(cause, knowledge, self._state.rng) * 1000)
+    def _after_ms(self, cause: RefusalCause, knowledge: RefusalCircumstances) -> int:
+        return round(retry_after_s(cause, knowledge, self._state.rng) * 1000)
 
     def _silence_s(self, now_s: float) -> float:
         """Return for how long the store has said nothing; the node's whole life if it never did."""
--- a/src/wallwell/serving/version_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -9,15 +9,15 @@
 from typing import NamedTuple
 
 from wallwell.deployment.backends import Backend
-from wallwell.node.state import FleetState
+from wallwell.node.state import NodeState
 from wallwell.rollout.sides import ServiceSides
 from wallwell.rollout.tally import CountedAttempt
 from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.messages import AttemptError
-from wallwell.serving.request_state import Exchange
 
 
-class Offer(NamedTuple):
+class Candidates(NamedTuple):
     """Back ends for the next attempt of a request."""
 
     listed: Sequence[Backend]
@@ -25,23 +25,23 @@
     usable: list[Backend]
 
 
-def offer(state: FleetState, exchange: Exchange, now_s: float) -> Offer:
+def candidates_for(state: NodeState, active: ActiveRequest, now_s: float) -> Candidates:
     """Return the back ends among which the next attempt's is chosen."""
-    listed = state.backends.of_service(exchange.service)
-    generation = exchange.request.generation
-    sides = state.rollouts.active.get(exchange.service)
+    listed = state.backends.of_service(active.service)
+    generation = active.request.generation
+    sides = state.rollouts.active.get(active.service)
     if sides is None:
-        return Offer(listed, state.usable_of(listed, generation, now_s))
-    if exchange.prefers_target is None:
-        exchange.prefers_target = sides.draws_target(state.rng, now_s)
-    tiers = sides.tiers(listed, exchange.prefers_target and _may_prefer_target(sides, now_s), now_s)
+        return Candidates(listed, state.usable_of(listed, generation, now_s))
+    if active.prefers_target is None:
+        active.prefers_target = sides.draws_target(state.rng, now_s)
+    tiers = sides.tiers(listed, active.prefers_target and _may_prefer_target(sides, now_s), now_s)
     for tier in tiers:
         if any(each.is_open(now_s) for each in tier):
             usable = state.usable_of(tier, generation, now_s)
             if usable:
-                return Offer(tier, usable)
+                return Candidates(tier, usable)
     # Every back end is suspended or on old weights: the last resort of the side that the request belongs to.
-    offers = [Offer(tier, state.usable_of(tier, generation, now_s)) for tier in tiers]
+    offers = [Candidates(tier, state.usable_of(tier, generation, now_s)) for tier in tiers]
     return next((each for each in offers if each.usable), offers[0])
 
 
@@ -51,37 +51,37 @@
     return record is not None and (record.phase.is_final or sides.is_heard(now_s))
 
 
-def taking(state: FleetState, service: str, now_s: float) -> Sequence[Backend]:
+def eligible_backends(state: NodeState, service: str, now_s: float) -> Sequence[Backend]:
     """Return the back ends that new requests of a service are meant for."""
     listed = state.backends.of_service(service)
     sides = state.rollouts.active.get(service)
-    return listed if sides is None else sides.taking(listed, now_s)
+    return listed if sides is None else sides.eligible_backends(listed, now_s)
 
 
-def begin_attempt(state: FleetState, exchange: Exchange, backend: Backend, now_s: float) -> CountedAttempt | None:
+def begin_attempt(state: NodeState, active: ActiveRequest, backend: Backend, now_s: float) -> CountedAttempt | None:
     """Count an attempt that is sent while a rollout is on; a repeat after it goes to the current version."""
-    sides = state.rollouts.active.get(exchange.service)
+    sides = state.rollouts.active.get(active.service)
     if sides is None:
         return None
     is_target = sides.is_target(backend)
     if is_target:
-        exchange.prefers_target = False
-    tally = state.rollouts.tally.by_service.get(exchange.service)
+        active.prefers_target = False
+    tally = state.rollouts.tally.by_service.get(active.service)
     if tally is None:
         return None
     tally.on_sent(is_target)
-    counts = tally.of(exchange.route.name, is_target, backend.incarnation)
+    counts = tally.of(active.route.name, is_target, backend.incarnation)
     return CountedAttempt(counts, now_s, now_s >= backend.slow_until_s)
 
 
 def end_attempt(
-    attempt: CountedAttempt, exchange: Exchange, status: int, failure: BaseException | None, now_s: float
+    attempt: CountedAttempt, active: ActiveRequest, status: int, failure: BaseException | None, now_s: float
 ) -> None:
     """Count how an attempt ended."""
-    timing = exchange.timing
+    timing = active.timing
     if failure is None:
         first_s = timing.run_first_s
-        attempt.on_whole(status, now_s if first_s is None else first_s, timing.last_s, timing.run_pieces)
+        attempt.on_whole(status, now_s if first_s is None else first_s, timing.last_s, timing.run_events)
     elif isinstance(failure, TimeoutError) or _is_silence(failure):
         attempt.on_given_up(timing.run_first_s, now_s)
     else:
--- a/src/wallwell/soak/promises_fleet.py
+++ b/src/wallwell/soak/promises_fleet.py
@@ -27,7 +27,7 @@
 LEAST_LEFT = 4
 BACK_SLACK_S = 0.25
 """Time after the first effect of a configuration in which an older one may still be seen at the same node."""
-GRACE_PART = 5 / 6
+GRACE_FRACTION = 5 / 6
 DEADLINE_SLACK_S = 0.02
 """How much before its deadline an answer may end because of it: clocks are read at both ends, and timers round."""
 LIMIT_WINDOW_S = 4.0
@@ -91,7 +91,7 @@
             if not sent.at_s < exited_s or not stop.at_s < answer.at_s:
                 continue
             began = history.began.get(sent.request, ())
-            if not began or any(each.would_end_s > stop.at_s + GRACE_S * GRACE_PART for each in began):
+            if not began or any(each.would_end_s > stop.at_s + GRACE_S * GRACE_FRACTION for each in began):
                 continue
             if not history.calm(sent.at_s, answer.at_s, besides=stop):
                 continue
--- a/src/wallwell/standalone/callers/context.py
+++ b/src/wallwell/standalone/callers/context.py
@@ -30,7 +30,7 @@
 
 @dataclass
 class NodeContext:
-    """One node's objects, wired together by ``gateway.router_node``."""
+    """One node's objects, wired together by ``standalone.router_node``."""
 
     settings: NodeSettings
     rng: random.Random
--- a/tests/platform/test_reachability.py
+++ b/tests/platform/test_reachability.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wallwell.deployment.backends import BackendRecord
-from wallwell.deployment.topology import Places
+from wallwell.deployment.topology import Topology
 from wallwell.http_connection import ConnectFailedError
 from wallwell.platform.workers import FAR_REACHABLE_TIMEOUT_S, REACHABLE_TIMEOUT_S, WorkerClient
 
@@ -75,7 +75,7 @@
     [("z", REACHABLE_TIMEOUT_S), ("far", FAR_REACHABLE_TIMEOUT_S), ("new", REACHABLE_TIMEOUT_S)],
 )
 def test_a_machine_of_another_region_is_given_the_time_of_the_way(run_async, monkeypatch, zone, timeout_s):
-    client = WorkerClient(Places("z", {"z": "east", "far": "west"}))
+    client = WorkerClient(Topology("z", {"z": "east", "far": "west"}))
     waited = []
 
     async def open_resting(address, limit_s):
--- a/tests/unit/cluster/relay_network.py
+++ b/tests/unit/cluster/relay_network.py
@@ -9,7 +9,7 @@
 from wallwell.cluster.relay import RelayedRows
 from wallwell.cluster.upstream import Member, UpstreamOrder
 from wallwell.deployment.freshness import StoreClock
-from wallwell.deployment.topology import Places
+from wallwell.deployment.topology import Topology
 from wallwell.errors import PeerUnavailableError, PlatformUnavailableError
 from wallwell.storage.feed import RowFollower
 
@@ -126,7 +126,7 @@
         self.alive = True
         self.store = StoreOfNode(network.store)
         zone = network.members[name].zone
-        self.order = UpstreamOrder(name, zone, network.members, Places(zone, network.regions))
+        self.order = UpstreamOrder(name, zone, network.members, Topology(zone, network.regions))
         self.rng = random.Random(name)
         self._network = network
         self._start()
--- a/tests/unit/cluster/test_load_reporter.py
+++ b/tests/unit/cluster/test_load_reporter.py
@@ -6,13 +6,13 @@
 
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
-from wallwell.cluster.crash_reports import HEARD_S, MAX_TOLD, ToldCrashes
+from wallwell.cluster.crash_reports import HEARD_S, MAX_TOLD, CrashReports
 from wallwell.cluster.demand import RATE_WINDOW_S
 from wallwell.cluster.fleet_load import FleetLoad
 from wallwell.cluster.load_reporter import (
     INTERVAL_S,
     THIN_LINK_INTERVAL_S,
-    LoadExchange,
+    LoadReporter,
     MemberLoad,
     ZoneLoad,
 )
@@ -36,8 +36,8 @@
             self.backends.upsert(BackendRecord(engine, "s", f"{engine}:1", zone, 16))
         self.unwritten = []
         self.heard = set()
-        told = ToldCrashes(lambda: self.unwritten, self.heard.add)
-        self.exchange = LoadExchange(name, self.load, self.order, crashes=told)
+        told = CrashReports(lambda: self.unwritten, self.heard.add)
+        self.exchange = LoadReporter(name, self.load, self.order, crashes=told)
         self.server = PeerServer({MemberLoad: self.exchange.on_member, ZoneLoad: self.exchange.on_zone})
 
     def put_load(self, engine, load):
@@ -106,11 +106,11 @@
 @pytest.mark.parametrize("zones", ["a", "aaaa", "abc", "aaabbc"])
 def test_everyone_knows_whether_answers_begin_late(with_nodes, zones):
     async def scenario(nodes):
-        before = [node.load.first_pieces.is_fleet_behind(boot_time_s()) for node in nodes]
+        before = [node.load.first_token_delays.is_fleet_behind(boot_time_s()) for node in nodes]
         for _ in range(MIN_ANSWERS):
-            nodes[-1].load.first_pieces.observe(2.0, 0.8, boot_time_s())
+            nodes[-1].load.first_token_delays.observe(2.0, 0.8, boot_time_s())
         await exchange(nodes)
-        return before, [node.load.first_pieces.is_fleet_behind(boot_time_s()) for node in nodes]
+        return before, [node.load.first_token_delays.is_fleet_behind(boot_time_s()) for node in nodes]
 
     assert with_nodes(zones, scenario) == ([False] * len(zones), [True] * len(zones))
 
@@ -189,7 +189,7 @@
     if relay_mbps is not None:
         # The node that stands first in its zone has the fastest link.
         order.members["n0"] = Member("a", "10.0.0.2:1", relay_mbps)
-    exchange = LoadExchange("n1", FleetLoad(), order)
+    exchange = LoadReporter("n1", FleetLoad(), order)
     assert relay_mbps == 0.0 or (not order.in_zone(0.0)) == (relay_mbps is None)
     assert exchange._interval_s(0.0) == interval_s
 
@@ -198,7 +198,7 @@
 def test_relays_of_many_zones_tell_each_other_less_often(zones, interval_s):
     order = UpstreamOrder("n0", "a")
     order.members = {f"n{index}": Member(zone, f"10.0.0.{index}:1", 100.0) for index, zone in enumerate(zones)}
-    assert LoadExchange("n0", FleetLoad(), order)._interval_s(0.0) == pytest.approx(interval_s)
+    assert LoadReporter("n0", FleetLoad(), order)._interval_s(0.0) == pytest.approx(interval_s)
 
 
 def test_a_relay_that_asks_is_asked_again_at_once(with_nodes):
@@ -217,7 +217,7 @@
 
 def test_totals_of_relays_that_are_gone_are_not_remembered():
     async def work():
-        exchange = LoadExchange("n1", FleetLoad(), UpstreamOrder("n1", "z1"))
+        exchange = LoadReporter("n1", FleetLoad(), UpstreamOrder("n1", "z1"))
         for number in range(100):
             await exchange.on_zone(ZoneLoad(f"relay-{number}", Load(nodes=1), 1, {"t": number}))
             await asyncio.sleep(2 * REPORT_LIFETIME_S)
@@ -241,7 +241,7 @@
 
 def test_a_crash_is_told_on_for_a_while_only_once_it_is_written():
     heard = []
-    told = ToldCrashes(tuple, heard.append)
+    told = CrashReports(tuple, heard.append)
     told.hear_member([("c", "e0")], 10.0)
     told.hear_relay([("d", "e1")], 10.0)
     assert told.for_relays(10.0) == (("c", "e0"),)
@@ -251,7 +251,7 @@
 
 
 def test_relays_do_not_keep_a_crash_alive_between_them():
-    relays = [ToldCrashes(tuple, lambda crash: None) for _ in range(2)]
+    relays = [CrashReports(tuple, lambda crash: None) for _ in range(2)]
     relays[0].hear_member([("c", "e0")], 0.0)
     for step in range(100):
         now_s = 0.1 * step
@@ -262,7 +262,7 @@
 
 def test_crashes_in_a_message_are_bounded_and_own_ones_go_first():
     own = [(f"c{number}", "e0") for number in range(MAX_TOLD - 1)]
-    told = ToldCrashes(lambda: own, lambda crash: None)
+    told = CrashReports(lambda: own, lambda crash: None)
     told.hear_member([("m1", "e0"), ("m2", "e0")], 0.0)
     assert told.for_members(0.0) == (*own, ("m1", "e0"))
     assert told.for_relay() == tuple(own)
--- a/tests/unit/cluster/test_region_load_reporter.py
+++ b/tests/unit/cluster/test_region_load_reporter.py
@@ -10,7 +10,7 @@
 from wallwell.clock import boot_time_s
 from wallwell.cluster import region_load_reporter as region_exchange
 from wallwell.cluster.fleet_load import FleetLoad
-from wallwell.cluster.load_reporter import LoadExchange, MemberLoad, ZoneLoad
+from wallwell.cluster.load_reporter import LoadReporter, MemberLoad, ZoneLoad
 from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load
 from wallwell.cluster.peer_link import CONNECT_TIMEOUT_S, PeerLinks
 from wallwell.cluster.region_load_reporter import REGION_INTERVAL_S, RegionLoad, RegionSum
@@ -18,7 +18,7 @@
 from wallwell.cluster.upstream import Member, PeerHealth, UpstreamOrder
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import TenantLimit
-from wallwell.deployment.topology import Places
+from wallwell.deployment.topology import Topology
 from wallwell.errors import PeerUnavailableError
 from wallwell.events import Event
 
@@ -66,12 +66,12 @@
 class Node:
     def __init__(self, network, name, zone):
         self.name, self.zone, self.region, self.alive = name, zone, MAP[zone], True
-        self.order = UpstreamOrder(name, zone, network.members, Places(zone, MAP))
+        self.order = UpstreamOrder(name, zone, network.members, Topology(zone, MAP))
         self.load = FleetLoad()
         self.load.backends.upsert(BackendRecord("e", "s", "e:1", zone, 48)).load = 1
         self.load.limits.set_limits({"t": LIMIT})
         self.traffic = RegionTraffic()
-        self.exchange = exchange = LoadExchange(name, self.load, self.order, self.traffic)
+        self.exchange = exchange = LoadReporter(name, self.load, self.order, self.traffic)
         exchange._links = VirtualLinks(network, self)
         exchange.between_regions._links = VirtualLinks(network, self)
         self.handlers = {
--- a/tests/unit/cluster/test_upstream.py
+++ b/tests/unit/cluster/test_upstream.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from wallwell.cluster.upstream import MAX_PAUSE_S, MEMBERS_PER_RELAY, Member, UpstreamOrder
-from wallwell.deployment.topology import Places
+from wallwell.deployment.topology import Topology
 
 
 def fleet(count, zones=1):
@@ -107,7 +107,7 @@
 
 def regional_orders(members, regions=REGIONS):
     return {
-        name: UpstreamOrder(name, member.zone, members, Places(member.zone, regions))
+        name: UpstreamOrder(name, member.zone, members, Topology(member.zone, regions))
         for name, member in members.items()
     }
 
@@ -131,7 +131,7 @@
         zone = members[name].zone
         known = {each: members[each] for each in rng.sample(names, rng.randint(1, count))}
         regions = {each: REGIONS[each] for each in REGIONS if each == zone or rng.random() < 0.9}
-        order = UpstreamOrder(name, zone, {**known, name: members[name]}, Places(zone, regions))
+        order = UpstreamOrder(name, zone, {**known, name: members[name]}, Topology(zone, regions))
         for failed in rng.sample(names, rng.randint(0, count)):
             order.on_failure(failed, 0.0)
         follows[name] = [peer for peer, _ in order.candidates(1.0)]
--- a/tests/unit/deployment/test_topology.py
+++ b/tests/unit/deployment/test_topology.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from wallwell.deployment.topology import Distance, Places
+from wallwell.deployment.topology import Distance, Topology
 
 MAP = {"a1": "a", "a2": "a", "b1": "b"}
-PLACES = Places("a1", MAP, "a")
+PLACES = Topology("a1", MAP, "a")
 
 
 @pytest.mark.parametrize(
@@ -23,7 +23,9 @@
     assert PLACES.is_own_region(zone) == (distance is not Distance.OTHER_REGION)
 
 
-@pytest.mark.parametrize("places", [Places("z1"), Places("z1", {}, "r"), Places("z1", {"z1": "r", "z2": "r"}, "r")])
+@pytest.mark.parametrize(
+    "places", [Topology("z1"), Topology("z1", {}, "r"), Topology("z1", {"z1": "r", "z2": "r"}, "r")]
+)
 def test_one_region_has_no_other(places):
     assert not places.has_regions
     assert places.between("z1", "z2") is Distance.SAME_REGION
@@ -31,11 +33,11 @@
 
 
 def test_the_own_region_is_read_from_the_map_if_it_is_not_given():
-    places = Places("a1", MAP)
+    places = Topology("a1", MAP)
     assert (places.own_region, places.has_regions) == ("a", True)
     assert places.between("a2", "b1") is Distance.OTHER_REGION
 
 
 def test_a_zone_that_is_not_named_is_near_to_zones_of_each_region():
     assert [PLACES.between(zone, "new") for zone in MAP] == [Distance.SAME_REGION] * 3
-    assert Places("new", MAP, "b").between("new", "a1") is Distance.OTHER_REGION
+    assert Topology("new", MAP, "b").between("new", "a1") is Distance.OTHER_REGION
--- a/tests/unit/node/test_backend_rows.py
+++ b/tests/unit/node/test_backend_rows.py
@@ -12,7 +12,7 @@
 from wallwell.http_connection import ConnectionPool
 from wallwell.node import rows as fleet_rows
 from wallwell.node.rows import LAPSE_GRACE_S, BackendRows
-from wallwell.serving.version_choice import taking
+from wallwell.serving.version_choice import eligible_backends
 from wallwell.storage.feed import FeedPage, FeedRow, FollowedPage
 
 AWAY_S = 5.0
@@ -190,7 +190,7 @@
                 await followed.pass_time(step)
             now_s = boot_time_s()
             followed.state.rollouts.release_held(now_s)
-            seen.append(sorted(each.incarnation for each in taking(followed.state, "svc", now_s)))
+            seen.append(sorted(each.incarnation for each in eligible_backends(followed.state, "svc", now_s)))
         return seen
 
     return run_virtual(work())
--- a/tests/unit/node/test_fleet_recovery.py
+++ b/tests/unit/node/test_fleet_recovery.py
@@ -18,13 +18,13 @@
 from wallwell.cluster.load_reports import sum_loads
 from wallwell.deployment.backends import Backend, BackendRecord
 from wallwell.deployment.routes import DeploymentConfig, RouteKind
-from wallwell.deployment.topology import Distance, Places
-from wallwell.node.state import FleetBounds, FleetState
+from wallwell.deployment.topology import Distance, Topology
+from wallwell.node.state import FleetBounds, NodeState
 from wallwell.routing.retry.attempt_outcome import AttemptLog
 from wallwell.routing.selection.prefix_home import PromptPart, request_load
+from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.backend_choice import BackendChoice
 from wallwell.serving.messages import Generation
-from wallwell.serving.request_state import Exchange
 
 NODES, ENGINES, ZONES = 24, 59, 7
 GUIDE_TOKENS, CASE_TOKENS, CASES = 2_520, 3_780, 1_266
@@ -116,8 +116,8 @@
         self.nodes = [self._node(index) for index in range(NODES)]
 
     def _node(self, index):
-        state = FleetState(f"n{index}", f"z{index % ZONES}", FleetBounds(), random.Random(self.rng.random()))
-        state.places = Places(state.zone, self.regions)
+        state = NodeState(f"n{index}", f"z{index % ZONES}", FleetBounds(), random.Random(self.rng.random()))
+        state.places = Topology(state.zone, self.regions)
         state.apply_config(DeploymentConfig(1, (ROUTE,)))
         for engine in range(ENGINES):
             state.backends.upsert(
@@ -168,10 +168,10 @@
         state.freshness.confirm(now_s)
         generation = Generation("m", sent.parts, None)
         request = make_request(generation=generation)
-        exchange = Exchange(request, None, ROUTE, None, "svc", now_s + 5.0, AttemptLog(repeatable=True))
+        active = ActiveRequest(request, None, ROUTE, None, "svc", now_s + 5.0, AttemptLog(repeatable=True))
         usable = state.usable_of(state.backends.of_service("svc"), generation, now_s)
         candidates = [each for each in usable if each is not sent.backend]
-        sent.backend = backend = BackendChoice(state).choose(exchange, candidates)
+        sent.backend = backend = BackendChoice(state).choose(active, candidates)
         sent.load = request_load(generation.prompt_tokens)
         backend.load += sent.load
         load_when_sent = backend.fleet_load(NODES)
@@ -195,9 +195,9 @@
 
     def _end_patience(self, sent, now_s):
         state = sent.state
-        if sent.has_begun or state.first_pieces.is_fleet_behind(now_s):
+        if sent.has_begun or state.first_token_delays.is_fleet_behind(now_s):
             return
-        state.first_pieces.on_given_up(now_s)
+        state.first_token_delays.on_given_up(now_s)
         sent.backend.load -= sent.load
         sent.attempt += 1
         self._send(sent, now_s)
@@ -206,7 +206,7 @@
         sent.has_begun = True
         sent.backend.load -= sent.load
         sent.state.pace.observe(load_when_sent, now_s - sent_s)
-        sent.state.first_pieces.observe(now_s - sent_s, OBJECTIVE_S, now_s)
+        sent.state.first_token_delays.observe(now_s - sent_s, OBJECTIVE_S, now_s)
         self.results.append((sent.arrived_s, now_s - sent.arrived_s))
 
     def _report(self, now_s):
@@ -229,7 +229,7 @@
 class Sent:
     """A prompt on its way."""
 
-    state: FleetState
+    state: NodeState
     parts: tuple
     arrived_s: float
     backend: Backend | None = None
--- a/tests/unit/node/test_kv_store_watch.py
+++ b/tests/unit/node/test_kv_store_watch.py
@@ -10,8 +10,8 @@
 from wallwell.cluster.upstream import Member, UpstreamOrder
 from wallwell.deployment.routes import Service
 from wallwell.errors import CacheEventsRefusedError, CacheStoreSilentError
-from wallwell.node.kv_store_watch import CacheRequest, KeptCacheWatch
-from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KeptCache
+from wallwell.node.kv_store_watch import CacheRequest, KvStoreWatch
+from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
 from wallwell.routing.selection.prefix_home import PromptPart
 
 ADDRESS = "10.9.0.1:80"
@@ -60,14 +60,14 @@
         self.state = make_state()
         services = (Service("kv", kv_store_address=ADDRESS),)
         self.state.apply_config(dataclasses.replace(self.state.config, version=2, services=services))
-        self.state.kept_caches[ADDRESS] = KeptCache()
+        self.state.kv_store_contents[ADDRESS] = KvStoreContents()
         self.order = UpstreamOrder(name, "z")
-        self.watch = KeptCacheWatch(self.state, store, self.order)
+        self.watch = KvStoreWatch(self.state, store, self.order)
         self.server = PeerServer({CacheRequest: self.watch.answer})
 
     @property
     def cache(self):
-        return self.state.kept_caches[ADDRESS]
+        return self.state.kv_store_contents[ADDRESS]
 
     def holds(self, part):
         return self.cache.holds("s", (PromptPart(part, 100),))
@@ -201,7 +201,7 @@
             while not node.holds("a"):
                 await asyncio.sleep(0.01)
             node.state.apply_config(dataclasses.replace(node.state.config, version=3, services=()))
-            while node.state.kept_caches:
+            while node.state.kv_store_contents:
                 await asyncio.sleep(0.01)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
@@ -218,7 +218,7 @@
         addresses = [ADDRESS, "10.9.0.2:80", "10.9.0.3:80"]
         for address in addresses:
             for node in (relay, member):
-                node.state.kept_caches.setdefault(address, KeptCache())
+                node.state.kv_store_contents.setdefault(address, KvStoreContents())
             await relay.watch.step(address)
         calls = store.calls
         for _ in range(3):
--- a/tests/unit/placement/test_weights_roll.py
+++ b/tests/unit/placement/test_weights_roll.py
@@ -3,12 +3,12 @@
 import pytest
 
 from wallwell.deployment.backends import Backend, BackendRecord
-from wallwell.deployment.weights import WeightsTargets
-from wallwell.placement.weights_roll import HOLD_PART, OVERDUE_PART, RETRY_S, WeightsRollPlanner, divide
+from wallwell.deployment.weights import OVERDUE_FRACTION, WeightsTargets
+from wallwell.placement.weights_roll import HOLD_FRACTION, RETRY_S, WeightsRollPlanner, divide
 from wallwell.placement.weights_roll_timing import SOONEST_S
 
 ALLOWANCE_S = 8.0
-DUE_S = ALLOWANCE_S * HOLD_PART
+DUE_S = ALLOWANCE_S * HOLD_FRACTION
 
 
 def engines(count, version=1):
@@ -102,7 +102,7 @@
 def test_an_engine_that_gets_nothing_new_any_more_is_ordered_at_once():
     plan, listed = planner((2, 0.0)), engines(9)
     assert len(plan.next_tasks(listed, DUE_S)) == 3
-    assert len(plan.next_tasks(listed, ALLOWANCE_S * OVERDUE_PART)) == 6
+    assert len(plan.next_tasks(listed, ALLOWANCE_S * OVERDUE_FRACTION)) == 6
 
 
 def test_crashed_engines_leave_less_to_be_loaded_at_once():
--- a/tests/unit/placement/test_weights_roll_driver.py
+++ b/tests/unit/placement/test_weights_roll_driver.py
@@ -12,7 +12,7 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.freshness import StoreClock
 from wallwell.errors import PlatformUnavailableError
-from wallwell.node.state import FleetBounds, FleetState
+from wallwell.node.state import FleetBounds, NodeState
 from wallwell.placement.weights_roll import EngineReport, OrderReply
 from wallwell.placement.weights_roll_driver import WeightsRollDriver
 from wallwell.rollout.model import Phase, RolloutRecord
@@ -71,7 +71,7 @@
         self.engines = {f"i-{index}": Engine() for index in range(engines)}
         self.states, self.drivers, self.tasks = [], [], []
         for index in range(nodes):
-            state = FleetState(f"n{index}", "z", FleetBounds(lease_s=LEASE_S), random.Random(index))
+            state = NodeState(f"n{index}", "z", FleetBounds(lease_s=LEASE_S), random.Random(index))
             state.members = {f"n{each}" for each in range(nodes)}
             for incarnation in self.engines:
                 state.backends.upsert(
@@ -243,7 +243,7 @@
         await asyncio.sleep(3.0)
         fleet.name(3)
         await asyncio.sleep(4.0)
-        late = FleetState("late", "z", FleetBounds(lease_s=LEASE_S), random.Random(9))
+        late = NodeState("late", "z", FleetBounds(lease_s=LEASE_S), random.Random(9))
         late.weights.name("m", 4, boot_time_s(), estimated=True)
         driver = WeightsRollDriver(late, fleet.table, Control(fleet.engines, "late"), StoreClock())
         for row in (await fleet.table.scan("", 0)).rows:
--- a/tests/unit/rollout/fleet.py
+++ b/tests/unit/rollout/fleet.py
@@ -14,7 +14,7 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.freshness import StoreClock
 from wallwell.emulator.platform_server import TableModel
-from wallwell.node.state import FleetBounds, FleetState
+from wallwell.node.state import FleetBounds, NodeState
 from wallwell.rollout.driver import RolloutDriver
 from wallwell.rollout.model import Phase, RolloutDecision, RolloutOrder, RolloutRecord
 from wallwell.rollout.reporter import REPORT_INTERVAL_S
@@ -87,7 +87,7 @@
     """One node's part."""
 
     def __init__(self, fleet, name, seed):
-        self.state = FleetState(name, "z", FleetBounds(lease_s=3.0), random.Random(seed))
+        self.state = NodeState(name, "z", FleetBounds(lease_s=3.0), random.Random(seed))
         self.state.members = set(fleet.names)
         self.lease_table = FaultyTable(fleet.model)
         self.table = FaultyTable(fleet.model)
--- a/tests/unit/rollout/test_driver.py
+++ b/tests/unit/rollout/test_driver.py
@@ -123,7 +123,9 @@
         first_gets = {
             each.record.software
             for node in fleet.nodes
-            for each in node.book.active["svc"].taking(node.state.backends.of_service("svc"), boot_time_s())
+            for each in node.book.active["svc"].eligible_backends(
+                node.state.backends.of_service("svc"), boot_time_s()
+            )
         }
         await fleet.until(lambda: fleet.record().target_version == "v3")
         status = fleet.status()
@@ -163,7 +165,9 @@
     async def scenario(fleet):
         fleet.order("v1", duration_s=10.0)
         await fleet.until_phase(Phase.COMPLETE)
-        return fleet.status(), len(fleet.nodes[0].book.active["svc"].taking(backends(fleet), boot_time_s()))
+        return fleet.status(), len(
+            fleet.nodes[0].book.active["svc"].eligible_backends(backends(fleet), boot_time_s())
+        )
 
     assert play(scenario, versions=("v1",), make_planner=real_planner) == ("complete v1", 4)
 
@@ -176,7 +180,9 @@
     async def scenario(fleet):
         fleet.order("v2", duration_s=10.0)
         await fleet.until_phase(Phase.ROLLED_BACK)
-        return fleet.status(), len(fleet.nodes[0].book.active["svc"].taking(backends(fleet), boot_time_s()))
+        return fleet.status(), len(
+            fleet.nodes[0].book.active["svc"].eligible_backends(backends(fleet), boot_time_s())
+        )
 
     assert play(scenario, versions=("v1",), make_planner=real_planner) == ("rolled_back v2", 4)
 
--- a/tests/unit/rollout/test_exposure.py
+++ b/tests/unit/rollout/test_exposure.py
@@ -4,7 +4,7 @@
 
 from wallwell.rollout.exposure import (
     LARGEST_SHARE,
-    LAST_PART,
+    LAST_FRACTION,
     OVERDUE_SHARE,
     Traffic,
     TrafficLog,
@@ -57,7 +57,7 @@
     exposure = plan_exposure(BOUNDS, traffic(rate, since_s, target), left_s, 0.05)
     assert exposure.switch_fits is fits
     if fits and left_s > 0:
-        assert exposure.spent + exposure.coming <= LAST_PART * exposure.bound
+        assert exposure.spent + exposure.coming <= LAST_FRACTION * exposure.bound
 
 
 def test_a_burst_delays_the_switch_and_a_fall_does_not_hasten_it():
--- a/tests/unit/rollout/test_planner.py
+++ b/tests/unit/rollout/test_planner.py
@@ -5,7 +5,7 @@
 
 from wallwell.rollout.model import AnswerCounts, Capacity, Phase, RolloutBounds, RolloutCounts, RolloutRecord
 from wallwell.rollout.planner import (
-    CANARY_WAIT_PART,
+    CANARY_WAIT_FRACTION,
     COMPLETE_MARGIN_S,
     DRAIN_S,
     PERSISTENCE_S,
@@ -120,8 +120,8 @@
     ("backends", "at_s", "waits"),
     [
         (0, 1.0, True),
-        (2, CANARY_WAIT_PART * DURATION_S - 0.1, True),
-        (2, CANARY_WAIT_PART * DURATION_S, False),
+        (2, CANARY_WAIT_FRACTION * DURATION_S - 0.1, True),
+        (2, CANARY_WAIT_FRACTION * DURATION_S, False),
         (3, 1.0, False),
     ],
 )
--- a/tests/unit/rollout/test_sides.py
+++ b/tests/unit/rollout/test_sides.py
@@ -102,8 +102,8 @@
 def test_a_barred_or_held_version_gets_nothing():
     others = [backend("a", "v0"), backend("b", "v3")]
     service = sides(Phase.COMPLETE, barred=("v0",), held={"v3": NOW_S + 1})
-    assert names(service.taking([*others, *NEW], NOW_S)) == names(NEW)
-    assert names(service.taking([*others, *NEW], NOW_S + 1)) == names([others[1], *NEW])
+    assert names(service.eligible_backends([*others, *NEW], NOW_S)) == names(NEW)
+    assert names(service.eligible_backends([*others, *NEW], NOW_S + 1)) == names([others[1], *NEW])
 
 
 def test_a_version_listed_later_without_an_order_is_used_beside_a_complete_one():
@@ -123,7 +123,7 @@
     ],
 )
 def test_load_is_counted_of_the_back_ends_that_take_requests(phase, share, heard_s, expected):
-    assert len(sides(phase, share, heard_s).taking([*OLD, *NEW], NOW_S)) == expected
+    assert len(sides(phase, share, heard_s).eligible_backends([*OLD, *NEW], NOW_S)) == expected
 
 
 def unnamed(known, held_until_s=NOW_S + 2.0):
@@ -136,7 +136,7 @@
 def test_back_ends_of_an_unnamed_version_are_used_at_once_if_no_other_stays(end):
     last = backend("old-0", "v1")
     service, listed = unnamed([] if end == "none" else [last])
-    assert names(service.taking(listed, NOW_S)) == ({"next-0"} if end == "none" else {"old-0"})
+    assert names(service.eligible_backends(listed, NOW_S)) == ({"next-0"} if end == "none" else {"old-0"})
     match end:
         case "draining":
             last.record = replace(last.record, draining=True)
@@ -146,7 +146,7 @@
             last.superseded = True
         case "gone":
             last.gone = True
-    assert names(service.taking(listed, NOW_S)) == {"next-0"}
+    assert names(service.eligible_backends(listed, NOW_S)) == {"next-0"}
     assert "next-0" in names(service.tiers(listed, False, NOW_S)[-1])
 
 
@@ -154,7 +154,7 @@
     last = backend("old-0", "v1")
     last.suspended_until_s = NOW_S + 60.0
     service, listed = unnamed([last])
-    assert names(service.taking(listed, NOW_S)) == {"old-0"}
+    assert names(service.eligible_backends(listed, NOW_S)) == {"old-0"}
     assert [names(tier) for tier in service.tiers(listed, False, NOW_S)] == [{"old-0"}]
 
 
@@ -162,7 +162,7 @@
 def test_after_a_rollout_an_unnamed_version_is_used_at_once_if_no_other_stays(phase):
     service = sides(phase, barred=("v1",), held={"v9": NOW_S + 2.0})
     listed = [OLD[0], backend("next-0", "v9")]
-    assert names(service.taking(listed, NOW_S)) == {"next-0"}
+    assert names(service.eligible_backends(listed, NOW_S)) == {"next-0"}
     assert names(service.tiers(listed, True, NOW_S)[-1]) == {"next-0"}
 
 
--- a/tests/unit/routing/admission/limit_fleet.py
+++ b/tests/unit/routing/admission/limit_fleet.py
@@ -25,7 +25,7 @@
 WINDOW_S = 8.0
 OVERAGE = 0.1
 SLACK_TOKENS = 110_000
-USUAL_PART = 1 / 1.8
+USUAL_FRACTION = 1 / 1.8
 """Part of its limit that a tenant usually asks for."""
 
 
@@ -110,7 +110,7 @@
         node = self.pick(now_s)
         admitted = node.limits.admit(TENANT, tokens, now_s)
         self.sent.append((now_s, tokens, isinstance(admitted, Admitted)))
-        per_s = self.limit.rate_per_s * USUAL_PART * self.factor(now_s) / 3_600
+        per_s = self.limit.rate_per_s * USUAL_FRACTION * self.factor(now_s) / 3_600
         self.at(now_s + self.rng.expovariate(per_s), self._arrive)
 
     # --- what nodes tell each other --------------------------------------------------------------------
--- a/tests/unit/routing/admission/test_overload.py
+++ b/tests/unit/routing/admission/test_overload.py
@@ -12,7 +12,7 @@
     GenerationTime,
     Occupancy,
     refused_part,
-    return_after_s,
+    retry_after_s,
 )
 
 RAMP = REFUSE_ALL - BEGIN_REFUSING
@@ -43,7 +43,7 @@
 def returns(rank, per_slot, generation_s=2.0):
     rng = random.Random(1)
     occupancy = Occupancy(round(per_slot * 1_000), 1_000)
-    return sorted(return_after_s(occupancy, rank, generation_s, rng) for _ in range(200))
+    return sorted(retry_after_s(occupancy, rank, generation_s, rng) for _ in range(200))
 
 
 def test_callers_return_later_the_more_is_under_way_and_not_all_at_once():
--- a/tests/unit/routing/admission/test_request_content.py
+++ b/tests/unit/routing/admission/test_request_content.py
@@ -6,7 +6,7 @@
 from wallwell.deployment.routes import TenantAccess
 from wallwell.routing.admission.request_content import content_digest
 from wallwell.routing.retry.attempt_outcome import AttemptLog
-from wallwell.serving.request_state import Exchange
+from wallwell.serving.active_request import ActiveRequest
 
 BASE = {"host": "h", "target": "/p?q=1", "caller": "t", "body": b"body"}
 
@@ -26,7 +26,7 @@
     def content(**changes):
         request = dataclasses.replace(make_request(body=b"body"), **changes)
         tenant = TenantAccess("t", ("key", "key2"))
-        return Exchange(request, FakeReply(), make_route(), tenant, "svc", 0.0, AttemptLog(True)).content
+        return ActiveRequest(request, FakeReply(), make_route(), tenant, "svc", 0.0, AttemptLog(True)).content
 
     again = {"request_id": "r-2", "allowance_s": 1.0, "credential": "key2", "headers": (("Last-Event-Id", "3"),)}
     assert content() == content(**again) != content(body=b"other")
--- a/tests/unit/routing/admission/test_tenant_limits.py
+++ b/tests/unit/routing/admission/test_tenant_limits.py
@@ -216,13 +216,13 @@
     limits = filled(SMALL)
     admitted = limits.admit(TENANT, 10_000, 100.0)
     before = limits.levels(100.0)[TENANT]
-    limits.give_back(admitted)
+    limits.refund(admitted)
     assert (before, limits.levels(100.0)) == (19_000, {})
 
 
 def test_a_repeat_of_what_may_have_run_counts_again():
     limits = filled(SMALL)
-    limits.charge_again(limits.admit(TENANT, 10_000, 100.0))
+    limits.charge_retry(limits.admit(TENANT, 10_000, 100.0))
     assert limits.levels(100.0)[TENANT] == 9_000
 
 
@@ -351,10 +351,10 @@
     limits = filled(LARGE)
     limits.take_relay("near", 1, {TENANT: 0}, now_s=100.0)
     limits.take_relay("far", 1, {TENANT: 0}, now_s=100.0, is_near=False)
-    limits.charge_again(Admitted(TENANT, 1_000))
+    limits.charge_retry(Admitted(TENANT, 1_000))
     limits.on_region_heard("west")
     before = limits.levels(100.0)[TENANT]
-    limits.charge_again(Admitted(TENANT, 500))
+    limits.charge_retry(Admitted(TENANT, 500))
     limits.take_member({TENANT: 300}, now_s=100.0)
     limits.take_relay("near", 1, {TENANT: 200}, now_s=100.0)
     limits.take_relay("far", 1, {TENANT: 70}, now_s=100.0, is_near=False)
--- a/tests/unit/routing/health/test_zone_suspicion.py
+++ b/tests/unit/routing/health/test_zone_suspicion.py
@@ -8,8 +8,8 @@
 from wallwell.routing.health.zone_suspicion import (
     ASK_AGAIN_S,
     HOLD_S,
-    HUNG_WINDOW_S,
     RETURN_SPREAD_S,
+    TIMEOUT_WINDOW_S,
     ZoneSuspicion,
 )
 
@@ -31,7 +31,7 @@
         return next(each for each in self.listed if each.incarnation == name)
 
     def hang(self, *names, at_s=10.0):
-        return [self.suspicion.on_hung(self.named(name), self.listed, at_s) for name in names]
+        return [self.suspicion.on_connect_timeout(self.named(name), self.listed, at_s) for name in names]
 
     def answer(self, name, at_s=10.0):
         return self.suspicion.on_answer(self.named(name), self.listed, at_s)
@@ -71,7 +71,7 @@
 def test_those_that_hung_long_ago_do_not_count():
     zones = Zones()
     zones.hang("a0", "a1")
-    assert zones.hang("a2", at_s=10.0 + HUNG_WINDOW_S) == [False]
+    assert zones.hang("a2", at_s=10.0 + TIMEOUT_WINDOW_S) == [False]
 
 
 def test_another_one_is_asked_before_the_zone_is_suspected_and_one_at_a_time_after():
--- a/tests/unit/routing/retry/test_first_token.py
+++ b/tests/unit/routing/retry/test_first_token.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from wallwell.routing.retry.first_token import DELAY_WINDOW_S, MIN_ANSWERS, Delays, FirstPieces, sum_delays
+from wallwell.routing.retry.first_token import DELAY_WINDOW_S, MIN_ANSWERS, Delays, FirstTokenDelays, sum_delays
 
 
 def observed(*delays_s):
-    pieces = FirstPieces()
+    pieces = FirstTokenDelays()
     for delay_s in delays_s:
         pieces.observe(delay_s, 0.8, 10.0)
     return pieces
--- a/tests/unit/routing/retry/test_retry_after.py
+++ b/tests/unit/routing/retry/test_retry_after.py
@@ -5,21 +5,21 @@
 import pytest
 
 from wallwell.routing.retry.retry_after import (
-    ANSWER_PART,
+    ANSWER_FRACTION,
     CUT_SPREAD,
     ELSEWHERE_S,
-    FREE_PART,
-    HONOURED_PART,
+    FREE_FRACTION,
+    HONOURED_FRACTION,
     LONGEST_SILENCE_S,
     MARGIN_S,
     NONE_LISTED_S,
     SHORTEST_S,
     SPREAD,
     TRIED_ONE_IN,
-    ReturnCause,
-    ReturnKnowledge,
+    RefusalCause,
+    RefusalCircumstances,
     ShortestAnswer,
-    return_after_s,
+    retry_after_s,
 )
 
 LONG_S = 30.0
@@ -28,15 +28,15 @@
 
 def waits(cause, draws=400, **known):
     rng = random.Random(3)
-    knowledge = ReturnKnowledge(known.pop("remaining_s", LONG_S), **known)
-    return [return_after_s(cause, knowledge, rng) for _ in range(draws)]
+    knowledge = RefusalCircumstances(known.pop("remaining_s", LONG_S), **known)
+    return [retry_after_s(cause, knowledge, rng) for _ in range(draws)]
 
 
 def around(expected_s):
     return expected_s * SPREAD[0], expected_s * SPREAD[1]
 
 
-C = ReturnCause
+C = RefusalCause
 
 
 @pytest.mark.parametrize(
@@ -54,7 +54,7 @@
         (C.WEIGHTS_TOO_OLD, {}, around(NONE_LISTED_S)),
         (C.SUSPENDED, {"open_in_s": 0.4}, (0.4 + MARGIN_S, 0.4 + MARGIN_S + ELSEWHERE_S)),
         (C.SUSPENDED, {"open_in_s": 0.0}, (SHORTEST_S, MARGIN_S + ELSEWHERE_S)),
-        (C.REFUSED, {"service_s": 1.2}, around(FREE_PART * 1.2)),
+        (C.REFUSED, {"service_s": 1.2}, around(FREE_FRACTION * 1.2)),
         (C.REFUSED, {"service_s": 0.02}, around(ELSEWHERE_S)),
         (C.BUDGET_USED, {"service_s": 9.0, "open_in_s": 9.0}, around(ELSEWHERE_S)),
     ],
@@ -67,21 +67,21 @@
 
 
 @pytest.mark.parametrize("remaining_s", [0.06, 0.663, 4.47])
-@pytest.mark.parametrize("cause", [each for each in ReturnCause if each is not ReturnCause.OUT_OF_TIME])
+@pytest.mark.parametrize("cause", [each for each in RefusalCause if each is not RefusalCause.OUT_OF_TIME])
 def test_no_wait_is_longer_than_callers_honour_and_cut_ones_are_still_spread(cause, remaining_s):
     """All callers that would wait longer would otherwise come back at one part of their time."""
     known = {"store_silence_s": 60.0, "hears_fleet": True, "open_in_s": 60.0, "service_s": 60.0}
     seen = waits(cause, remaining_s=remaining_s, **known)
-    longest_s = remaining_s * HONOURED_PART
+    longest_s = remaining_s * HONOURED_FRACTION
     assert min(seen) >= SHORTEST_S
     assert max(seen) <= longest_s + 1e-9
     uncut_s = (SPREAD[1] - SPREAD[0]) * NONE_LISTED_S
-    if cause is not ReturnCause.BUDGET_USED:
+    if cause is not RefusalCause.BUDGET_USED:
         assert max(seen) - min(seen) > 0.8 * min(CUT_SPREAD * longest_s, longest_s - SHORTEST_S, uncut_s)
 
 
 def test_there_is_nothing_to_come_back_for_without_time():
-    assert set(waits(ReturnCause.OUT_OF_TIME, service_s=1.0, open_in_s=1.0)) == {0.0}
+    assert set(waits(RefusalCause.OUT_OF_TIME, service_s=1.0, open_in_s=1.0)) == {0.0}
 
 
 def test_a_request_needs_part_of_the_shortest_answer_seen():
@@ -89,7 +89,7 @@
     assert shortest.least_left_s(0.02) == 0.02
     for seconds in (0.9, 0.4, 0.6):
         shortest.observe(seconds)
-    assert shortest.least_left_s(0.02) == pytest.approx(ANSWER_PART * 0.4)
+    assert shortest.least_left_s(0.02) == pytest.approx(ANSWER_FRACTION * 0.4)
     assert shortest.least_left_s(1.0) == 1.0
 
 
--- a/tests/unit/routing/selection/test_kv_store.py
+++ b/tests/unit/routing/selection/test_kv_store.py
@@ -11,7 +11,7 @@
     CacheEntry,
     CachePage,
     CachePosition,
-    KeptCache,
+    KvStoreContents,
 )
 from wallwell.routing.selection.prefix_home import PromptPart
 
@@ -27,7 +27,7 @@
 
 
 def cache(*entries, last=10):
-    kept = KeptCache()
+    kept = KvStoreContents()
     kept.take(page(*((last, *each) for each in entries), last=last, whole=True))
     return kept
 
@@ -114,7 +114,7 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_a_peer_that_asks_now_and_then_has_the_same(seed):
     rng = random.Random(seed)
-    first, peer, number = cache(), KeptCache(), 10
+    first, peer, number = cache(), KvStoreContents(), 10
     for _ in range(rng.choice((50, MAX_JOURNAL + 50))):
         number += 1
         first.take(page((number, "s", f"p{rng.randrange(9)}", rng.choice((0, 100)))))
@@ -146,7 +146,7 @@
     ],
 )
 def test_what_is_kept_of_a_prompt_counts_from_its_beginning(entries, tokens):
-    kept = KeptCache()
+    kept = KvStoreContents()
     kept.take(page(*((1, "s", part, kept_now) for part, kept_now in entries), last=1, whole=True))
     parts = (PromptPart("a", 100), PromptPart("b", 200))
     assert (kept.kept_tokens("s", parts), kept.kept_tokens("other", parts)) == (tokens, 0)
--- a/tests/unit/routing/selection/test_prefill_rate.py
+++ b/tests/unit/routing/selection/test_prefill_rate.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from wallwell.routing.selection.prefill_rate import DEFAULT_S, ReadingPace
+from wallwell.routing.selection.prefill_rate import DEFAULT_S, PrefillRate
 
 
 @pytest.mark.parametrize("seconds_per_unit", [0.02, 0.08, 0.3])
 def test_the_pace_is_learned_whatever_the_load(seconds_per_unit):
-    pace = ReadingPace()
+    pace = PrefillRate()
     for index in range(100):
         load = 3 + index % 12
         pace.observe(load, load * seconds_per_unit)
@@ -16,7 +16,7 @@
 
 
 def test_one_observation_changes_little_and_none_makes_room_for_everything():
-    pace = ReadingPace()
+    pace = PrefillRate()
     pace.observe(3, 30.0)
     assert pace.seconds_per_unit < 20 * DEFAULT_S
     for _ in range(100):
--- a/tests/unit/serving/fakes.py
+++ b/tests/unit/serving/fakes.py
@@ -10,7 +10,7 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import DeploymentConfig, Route, RouteKind, TenantAccess, WeightedService
 from wallwell.errors import RequestError
-from wallwell.node.state import FleetBounds, FleetState
+from wallwell.node.state import FleetBounds, NodeState
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.routing.selection.prefix_home import PromptPart
 from wallwell.serving.messages import AnswerHead, AttemptError, CallerRequest, Dispatch, Generation
@@ -136,7 +136,7 @@
 
 
 def make_state(route=None, backends=3, versions=None, tenants=None, **bounds):
-    state = FleetState("n1", "z1", FleetBounds(**bounds), random.Random(7))
+    state = NodeState("n1", "z1", FleetBounds(**bounds), random.Random(7))
     tenants = (TenantAccess("t", ("key",)),) if tenants is None else tenants
     state.apply_config(DeploymentConfig(1, (route or make_route(),), tenants=tenants))
     for index in range(backends):
--- a/tests/unit/serving/test_cache_planning.py
+++ b/tests/unit/serving/test_cache_planning.py
@@ -19,7 +19,7 @@
 from wallwell.deployment.backends import LoadInProgress
 from wallwell.deployment.routes import RouteKind, Service
 from wallwell.routing.retry.first_token import Delays
-from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KeptCache
+from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
 from wallwell.routing.selection.prefix_home import placement_key
 from wallwell.serving.cache_planning import MIN_FETCH_TOKENS
 from wallwell.serving.pipeline import RequestPipeline
@@ -29,7 +29,7 @@
 
 
 def cache_of(*parts):
-    kept = KeptCache()
+    kept = KvStoreContents()
     kept.take(CachePage(CachePosition(1, 1), tuple(CacheEntry(1, "m:1", each, 2000) for each in parts), whole=True))
     return kept
 
@@ -52,8 +52,8 @@
 
 def known(*parts, reachable=True):
     def prepare(fleet):
-        fleet.kept_caches[STORE] = cache_of(*parts)
-        fleet.kept_caches[STORE].reachable = reachable
+        fleet.kv_store_contents[STORE] = cache_of(*parts)
+        fleet.kv_store_contents[STORE].reachable = reachable
 
     return prepare
 
@@ -87,7 +87,7 @@
         fleet = make_state(ROUTE, versions={"m": 1})
         services = (Service("kv", kv_store_address=STORE),)
         fleet.apply_config(dataclasses.replace(fleet.config, version=2, services=services))
-        fleet.kept_caches[STORE] = cache_of()
+        fleet.kv_store_contents[STORE] = cache_of()
         client = FakeClient(Script(chunks=(event(1),), stream=True))
         for _ in range(3):
             await RequestPipeline(fleet, client).serve(make_request(generation=make_generation()), FakeReply())
@@ -98,7 +98,7 @@
 
 def behind(fleet):
     known("shared")(fleet)
-    fleet.first_pieces.peers = Delays(100, 60)
+    fleet.first_token_delays.peers = Delays(100, 60)
 
 
 @pytest.mark.parametrize(
@@ -127,8 +127,11 @@
         placement = placement_key(make_generation(2000).parts, "")
         home = fleet.kv_store_address(placement)
         other = OTHER_STORE if home == STORE else STORE
-        fleet.kept_caches[home], fleet.kept_caches[other] = cache_of(*home_parts), cache_of(*other_parts)
-        fleet.kept_caches[other].reachable = other_reachable
+        fleet.kv_store_contents[home], fleet.kv_store_contents[other] = (
+            cache_of(*home_parts),
+            cache_of(*other_parts),
+        )
+        fleet.kv_store_contents[other].reachable = other_reachable
         fleet.home = home
 
     return prepare
--- a/tests/unit/serving/test_limited_requests.py
+++ b/tests/unit/serving/test_limited_requests.py
@@ -18,7 +18,7 @@
 RESET = Script(fails=T.RESET_AFTER_SEND)
 
 
-def play(scripts, told_tokens=None, requests=1, route=None):
+def play(scripts, declared_tokens=None, requests=1, route=None):
     """Serve requests of a lone node with a full bucket; return the replies and what is left of the limit."""
 
     async def work():
@@ -30,14 +30,14 @@
         pipeline = RequestPipeline(state, FakeClient(*scripts))
         replies = [FakeReply() for _ in range(requests)]
         for reply in replies:
-            await pipeline.serve(dataclasses.replace(make_request(), told_tokens=told_tokens), reply)
+            await pipeline.serve(dataclasses.replace(make_request(), declared_tokens=declared_tokens), reply)
         return replies, state.load.limits.levels(now_s).get("t", LIMIT.burst)
 
     return run_virtual(work())
 
 
 @pytest.mark.parametrize(
-    ("scripts", "told_tokens", "left"),
+    ("scripts", "declared_tokens", "left"),
     [
         ((OK,), 700, 300),
         ((OK,), None, 800),
@@ -50,8 +50,8 @@
         ((RESET, RESET), 300, 400),
     ],
 )
-def test_what_a_request_takes_of_the_limit(scripts, told_tokens, left):
-    _, level = play(scripts, told_tokens)
+def test_what_a_request_takes_of_the_limit(scripts, declared_tokens, left):
+    _, level = play(scripts, declared_tokens)
     assert level == left
 
 
@@ -70,8 +70,8 @@
 
 
 @pytest.mark.parametrize(
-    ("limit", "told_tokens", "cost"),
+    ("limit", "declared_tokens", "cost"),
     [(LIMIT, 1_540, 1_540), (LIMIT, None, 200), (TenantLimit(5, 5), 1_540, 1), (TenantLimit(5, 5), None, 1)],
 )
-def test_cost_of_a_request(limit, told_tokens, cost):
-    assert limit.cost(told_tokens) == cost
+def test_cost_of_a_request(limit, declared_tokens, cost):
+    assert limit.cost(declared_tokens) == cost
--- a/tests/unit/serving/test_regions.py
+++ b/tests/unit/serving/test_regions.py
@@ -22,17 +22,17 @@
 from wallwell.cluster.upstream import UpstreamOrder
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import RouteKind, Service
-from wallwell.deployment.topology import Places
-from wallwell.node.kv_store_watch import KeptCacheWatch
+from wallwell.deployment.topology import Topology
+from wallwell.node.kv_store_watch import KvStoreWatch
 from wallwell.node.metrics import render
 from wallwell.placement.weights_roll import divide
 from wallwell.routing.retry.attempt_outcome import AttemptLog
-from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KeptCache
+from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
 from wallwell.routing.selection.prefix_home import PromptPart
+from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.backend_choice import BackendChoice
 from wallwell.serving.counters import FleetCounters
 from wallwell.serving.pipeline import RequestPipeline
-from wallwell.serving.request_state import Exchange
 
 MAP = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 STREAM = make_route(RouteKind.STREAM, attempts=1)
@@ -44,7 +44,7 @@
 def fleet_state(node_zone, engine_zones, store_zones=STORE_ZONES):
     """Return a node's state with an engine in each listed zone."""
     state = make_state(STREAM, backends=0)
-    state.zone, state.places = node_zone, Places(node_zone, MAP)
+    state.zone, state.places = node_zone, Topology(node_zone, MAP)
     services = tuple(Service(zone, kv_store_address=STORES[zone], zone=zone) for zone in store_zones)
     state.apply_config(dataclasses.replace(state.config, version=2, services=services))
     for index, zone in enumerate(engine_zones):
@@ -70,7 +70,7 @@
 
 
 def kept(*parts, tokens=2000):
-    cache = KeptCache()
+    cache = KvStoreContents()
     entries = tuple(CacheEntry(1, "m:1", part, tokens) for part in parts)
     cache.take(CachePage(CachePosition(1, 1), entries, whole=True))
     return cache
@@ -97,7 +97,7 @@
 
     def prepare(state):
         for address in STORES.values():
-            state.kept_caches[address] = kept("known")
+            state.kv_store_contents[address] = kept("known")
 
     known, lacking = cache_plans("a1", engine_zone, ["known", "lacking"], prepare)
     assert known.save_to == ""
@@ -119,9 +119,9 @@
 
     def prepare(state):
         for address in STORES.values():
-            state.kept_caches[address] = kept()
-        state.kept_caches[STORES["a1"]] = kept("shared", tokens=tokens_near)
-        state.kept_caches[STORES[source_zone]] = kept("shared")
+            state.kv_store_contents[address] = kept()
+        state.kv_store_contents[STORES["a1"]] = kept("shared", tokens=tokens_near)
+        state.kv_store_contents[STORES[source_zone]] = kept("shared")
 
     (plan,) = cache_plans("a1", "a1", ["shared"], prepare)
     assert plan.fetch_from == STORES["a1" if from_near else source_zone]
@@ -129,7 +129,7 @@
 
 def test_without_a_map_the_stores_of_all_zones_are_used():
     def forget_regions(state):
-        state.places = Places("a1")
+        state.places = Topology("a1")
 
     plans = cache_plans("a1", "a1", PROMPTS, forget_regions)
     assert {plan.save_to for plan in plans} == set(STORES.values())
@@ -157,7 +157,7 @@
         source = CountingSource()
         state = fleet_state("b1", [])
         state.rng = random.Random(1)
-        watch = KeptCacheWatch(state, source, UpstreamOrder("n1", "b1"))
+        watch = KvStoreWatch(state, source, UpstreamOrder("n1", "b1"))
         running = asyncio.create_task(watch.run())
         await asyncio.sleep(3.0)
         running.cancel()
@@ -171,7 +171,7 @@
     """Return the exchange of a generation with a shared part of this name."""
     parts = (PromptPart(prompt, tokens), PromptPart("own", own))
     request = make_request(generation=dataclasses.replace(make_generation(), parts=parts))
-    return Exchange(request, None, STREAM, None, "svc", 1e9, AttemptLog(repeatable=True))
+    return ActiveRequest(request, None, STREAM, None, "svc", 1e9, AttemptLog(repeatable=True))
 
 
 ENGINE_ZONES = ("a1", "a2", "b1", "b2") * 3
@@ -194,8 +194,8 @@
         choice = BackendChoice(state)
         chosen = Counter()
         for number in range(prompts):
-            exchange = exchange_of(f"p{number}", shared, tokens - shared)
-            chosen[MAP[choice.choose(exchange, candidates).record.zone]] += 1
+            active = exchange_of(f"p{number}", shared, tokens - shared)
+            chosen[MAP[choice.choose(active, candidates).record.zone]] += 1
         return chosen
 
     return run_virtual(work())
--- a/tests/unit/serving/test_response_timeout.py
+++ b/tests/unit/serving/test_response_timeout.py
@@ -54,7 +54,7 @@
 
     async def work():
         state = make_state(make_route(RouteKind.STREAM, resumable=True))
-        state.first_pieces.peers = peers
+        state.first_token_delays.peers = peers
         client = FakeClient(
             Script(chunks=(event(1),), head_after_s=1.5, stream=True), Script(chunks=(event(1),), stream=True)
         )
@@ -72,7 +72,7 @@
             Script(chunks=(event(1),), head_after_s=1.5, stream=True), Script(chunks=(event(1),), stream=True)
         )
         await RequestPipeline(state, client).serve(make_request(generation=make_generation()), FakeReply())
-        return state.first_pieces.own(boot_time_s())
+        return state.first_token_delays.own(boot_time_s())
 
     delays = run_virtual(work())
     assert delays == Delays(2, 1)
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -738,7 +738,7 @@
             "target": request.target,
             "credential": request.credential,
             "allowance_s": request.allowance_s,
-            "told_tokens": request.told_tokens,
+            "told_tokens": request.declared_tokens,
             "model": generation.model if generation else None,
             "parts": [[part.identity, part.tokens] for part in generation.parts] if generation else [],
             "resume_after": generation.resume_after if generation else None,
