--- a/src/wallwell/node/crash_watch.py
+++ b/src/wallwell/node/crash_watch.py
@@ -17,10 +17,11 @@
 from wallwell.clock import boot_time_s, bounded
 from wallwell.cluster.crash_count import count_crash
 from wallwell.cluster.crash_reports import Crash
-from wallwell.deployment.backends import Backend, BackendRecord
+from wallwell.deployment.backends import BackendRecord
 from wallwell.errors import PlatformUnavailableError, TableConflictError
 from wallwell.events import Event, emit
 from wallwell.node.state import NodeState
+from wallwell.routing.health.backend import Backend
 from wallwell.routing.rendezvous import key_of, owner
 from wallwell.storage.feed import FeedRow
 from wallwell.storage.table import Put, TableService, Transaction
--- a/src/wallwell/node/rows.py
+++ b/src/wallwell/node/rows.py
@@ -10,7 +10,7 @@
 
 from wallwell.clock import boot_time_s
 from wallwell.cluster.upstream import Member, UpstreamOrder
-from wallwell.deployment.backends import Backend, BackendRecord
+from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import DeploymentConfig
 from wallwell.errors import PlatformUnavailableError, TableConflictError
 from wallwell.events import Event, emit
@@ -19,6 +19,7 @@
 from wallwell.node.state import NodeState
 from wallwell.rollout.model import RolloutOrder
 from wallwell.rollout.store import RolloutStore
+from wallwell.routing.health.backend import Backend
 from wallwell.storage.feed import FeedRow, FollowedPage, RowSource
 from wallwell.storage.table import Condition, Put, TableService, Transaction
 
--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -9,7 +9,6 @@
 from wallwell.cluster.demand import FleetDemand
 from wallwell.cluster.fleet_load import FleetLoad
 from wallwell.cluster.region_traffic import RegionTraffic
-from wallwell.deployment.backends import Backend, BackendRegistry
 from wallwell.deployment.freshness import Freshness
 from wallwell.deployment.routes import DeploymentConfig, Service
 from wallwell.deployment.topology import ONE_REGION, Distance, Topology
@@ -19,6 +18,8 @@
 from wallwell.rollout.records import RolloutBook
 from wallwell.routing.admission.overload import GenerationTime
 from wallwell.routing.admission.quarantine import Quarantine
+from wallwell.routing.health.backend import Backend
+from wallwell.routing.health.backend_registry import BackendRegistry
 from wallwell.routing.health.zone_suspicion import ZoneSuspicion
 from wallwell.routing.rendezvous import owner
 from wallwell.routing.retry.first_token import FirstTokenDelays
--- a/src/wallwell/placement/weights_roll.py
+++ b/src/wallwell/placement/weights_roll.py
@@ -12,10 +12,10 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from wallwell.deployment.backends import Backend
 from wallwell.deployment.topology import ONE_REGION, Topology
 from wallwell.deployment.weights import OVERDUE_FRACTION, NamedVersion, WeightsTargets
 from wallwell.placement.weights_roll_timing import RollCircumstances, hold_s
+from wallwell.routing.health.backend import Backend
 from wallwell.routing.selection.prefix_home import CHUNK_TOKENS, regional_pools
 
 HOLD_FRACTION = 0.52
--- a/src/wallwell/placement/weights_roll_driver.py
+++ b/src/wallwell/placement/weights_roll_driver.py
@@ -11,12 +11,13 @@
 from wallwell.clock import boot_time_s, bounded
 from wallwell.cluster.lease_turn import LeaseTurn
 from wallwell.cluster.leases import LeaseKeeper
-from wallwell.deployment.backends import Backend, BackendRecord, LoadInProgress
+from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.freshness import StoreClock
 from wallwell.errors import LeaseLostError, PlatformUnavailableError, TableConflictError
 from wallwell.events import Event, emit
 from wallwell.node.state import NodeState
 from wallwell.placement.weights_roll import EngineReport, LoadOrder, LoadTask, OrderReply, WeightsRollPlanner
+from wallwell.routing.health.backend import Backend, LoadInProgress
 from wallwell.storage.feed import FeedRow
 from wallwell.storage.table import Put, TableService, Transaction
 
--- a/src/wallwell/rollout/sides.py
+++ b/src/wallwell/rollout/sides.py
@@ -7,8 +7,8 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from wallwell.deployment.backends import Backend
 from wallwell.rollout.model import Phase, RolloutRecord
+from wallwell.routing.health.backend import Backend
 from wallwell.routing.rendezvous import key_of, rendezvous_score
 
 MIN_CANARY_BACKENDS = 3
--- /dev/null
+++ b/src/wallwell/routing/health/backend_registry.py
@@ -0,0 +1,144 @@
+"""The back ends of every service by incarnation, reconciled with the rows of the store. Pure."""
+
+from __future__ import annotations
+
+import bisect
+from collections.abc import Iterable, Mapping
+
+from wallwell.deployment.backends import BackendRecord
+from wallwell.routing.health.backend import Backend
+
+MAX_SUPERSEDED_KNOWN = 1000
+"""Superseded incarnations remembered; entries of ended ones stay for seconds only."""
+
+
+class BackendRegistry:
+    """Back ends by incarnation, reconciled with the rows of the store."""
+
+    def __init__(self) -> None:
+        self._superseded: dict[str, None] = {}
+        """Superseded incarnations in the order of their ends; their entries may lapse and come back."""
+        self._by_incarnation: dict[str, Backend] = {}
+        self._by_service: dict[str, list[Backend]] = {}
+        self._by_address: dict[str, list[Backend]] = {}
+
+    def __len__(self) -> int:
+        return len(self._by_incarnation)
+
+    def get(self, incarnation: str) -> Backend | None:
+        """Return a listed back end."""
+        return self._by_incarnation.get(incarnation)
+
+    def all(self) -> Iterable[Backend]:
+        """Every listed back end."""
+        return self._by_incarnation.values()
+
+    def of_service(self, service: str) -> list[Backend]:
+        """Listed back ends of a service, in the order of their identities."""
+        return self._by_service.get(service, [])
+
+    def own_loads(self) -> dict[str, int]:
+        """This node's requests under way by back end, without the idle ones."""
+        return {incarnation: each.load for incarnation, each in self._by_incarnation.items() if each.load}
+
+    def learn_peer_loads(self, loads: Mapping[str, int]) -> None:
+        """Take what all other nodes have under way."""
+        for incarnation, backend in self._by_incarnation.items():
+            backend.peers_load = loads.get(incarnation, 0)
+
+    def forget_peer_loads(self) -> None:
+        """Other nodes have not been heard for too long."""
+        for backend in self._by_incarnation.values():
+            backend.peers_load = None
+
+    def upsert(self, record: BackendRecord) -> Backend:
+        """Take a new or changed entry; observations of the same incarnation are kept."""
+        backend = self._by_incarnation.get(record.incarnation)
+        if backend is None:
+            backend = Backend(record, superseded=record.incarnation in self._superseded)
+            if not backend.superseded:
+                self._supersede_at(record.address)
+            self._add(backend)
+        elif not record.versions:
+            record = BackendRecord(**{**record.__dict__, "versions": backend.record.versions})
+        if record.versions != backend.record.versions or not backend.versions:
+            backend.versions = dict(record.versions)
+        if (record.service, record.address) != (backend.record.service, backend.record.address):
+            self._drop(backend)
+            backend.record = record
+            self._add(backend)
+        backend.record = record
+        backend.lapses_at_s = None
+        return backend
+
+    def _supersede_at(self, address: str) -> None:
+        """A new incarnation is listed at an address: those listed there before have ended.
+
+        The entry of one that crashed stays for some heartbeats, and requests for it are refused by its successor.
+        """
+        for each in self._by_address.get(address, ()):
+            if not each.superseded:
+                each.superseded = True
+                self._superseded[each.incarnation] = None
+        while len(self._superseded) > MAX_SUPERSEDED_KNOWN:
+            del self._superseded[next(iter(self._superseded))]
+
+    def _restore_at(self, address: str) -> None:
+        """An entry went: if only superseded ones are left at its address, they have not ended after all.
+
+        A node that starts knows the order of two incarnations only by when their entries were written.
+        """
+        left = self._by_address.get(address, [])
+        if all(each.superseded for each in left):
+            for each in left:
+                each.superseded = False
+                self._superseded.pop(each.incarnation, None)
+
+    def lapse(self, incarnation: str, at_s: float) -> None:
+        """The entry is missing, but may come back until ``at_s``; the first such time counts."""
+        backend = self._by_incarnation.get(incarnation)
+        if backend is not None and backend.lapses_at_s is None:
+            backend.lapses_at_s = at_s
+
+    def remove_lapsed(self, now_s: float) -> list[Backend]:
+        """Remove and return the back ends whose entries have not come back."""
+        lapsed = [
+            each
+            for each in self._by_incarnation.values()
+            if each.lapses_at_s is not None and now_s >= each.lapses_at_s
+        ]
+        for each in lapsed:
+            self.remove(each.incarnation)
+        return lapsed
+
+    def remove(self, incarnation: str) -> None:
+        """The entry is gone: the back end gets nothing new."""
+        backend = self._by_incarnation.get(incarnation)
+        if backend is not None:
+            self._drop(backend)
+            backend.gone = True
+            self._restore_at(backend.record.address)
+
+    def unnamed(self, incarnations: set[str]) -> list[Backend]:
+        """Return the back ends that a whole listing does not name."""
+        return [each for known, each in self._by_incarnation.items() if known not in incarnations]
+
+    # --- indices, kept up with each change: entries change with every heartbeat of a back end that starts ---------
+
+    def _add(self, backend: Backend) -> None:
+        self._by_incarnation[backend.incarnation] = backend
+        bisect.insort(self._by_service.setdefault(backend.record.service, []), backend, key=_identity)
+        self._by_address.setdefault(backend.record.address, []).append(backend)
+
+    def _drop(self, backend: Backend) -> None:
+        del self._by_incarnation[backend.incarnation]
+        for index, key in ((self._by_service, backend.record.service), (self._by_address, backend.record.address)):
+            left = [each for each in index[key] if each is not backend]
+            if left:
+                index[key] = left
+            else:
+                del index[key]
+
+
+def _identity(backend: Backend) -> str:
+    return backend.incarnation
--- a/src/wallwell/routing/health/zone_suspicion.py
+++ b/src/wallwell/routing/health/zone_suspicion.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from wallwell.deployment.backends import Backend
+from wallwell.routing.health.backend import Backend
 
 TIMEOUTS_TO_PROBE = 2
 """Back ends of a zone that hung one after the other, from which another of it is asked."""
--- a/src/wallwell/routing/selection/prefix_home.py
+++ b/src/wallwell/routing/selection/prefix_home.py
@@ -13,8 +13,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from wallwell.deployment.backends import Backend
 from wallwell.deployment.topology import Topology
+from wallwell.routing.health.backend import Backend
 from wallwell.routing.rendezvous import key_of, rendezvous_score
 
 CHUNK_TOKENS = 4096
--- a/src/wallwell/serving/backend_choice.py
+++ b/src/wallwell/serving/backend_choice.py
@@ -5,10 +5,10 @@
 import math
 from collections.abc import Sequence
 
-from wallwell.deployment.backends import Backend
 from wallwell.errors import OverloadedError
 from wallwell.node.state import NodeState
 from wallwell.routing.admission.overload import Occupancy, refused_part, retry_after_s
+from wallwell.routing.health.backend import Backend
 from wallwell.routing.rendezvous import rendezvous_score
 from wallwell.routing.retry.retry_after import ShortestAnswer
 from wallwell.routing.selection.prefix_home import (
--- a/src/wallwell/serving/cache_planning.py
+++ b/src/wallwell/serving/cache_planning.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from wallwell.deployment.backends import Backend
 from wallwell.deployment.routes import Service
 from wallwell.deployment.topology import Distance
 from wallwell.node.state import NodeState
+from wallwell.routing.health.backend import Backend
 from wallwell.routing.selection.prefix_home import shared_parts
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.messages import CachePlan, Generation
--- a/src/wallwell/serving/liveness.py
+++ b/src/wallwell/serving/liveness.py
@@ -9,9 +9,10 @@
 
 from wallwell.background import BackgroundTasks
 from wallwell.clock import boot_time_s
-from wallwell.deployment.backends import Backend, BackendRecord
+from wallwell.deployment.backends import BackendRecord
 from wallwell.events import Event, emit
 from wallwell.node.state import NodeState
+from wallwell.routing.health.backend import Backend
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.messages import AttemptError
 
--- a/src/wallwell/serving/messages.py
+++ b/src/wallwell/serving/messages.py
@@ -10,8 +10,9 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from wallwell.deployment.backends import Backend, BackendRecord
+from wallwell.deployment.backends import BackendRecord
 from wallwell.errors import RequestError
+from wallwell.routing.health.backend import Backend
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.routing.selection.prefix_home import PromptPart
 
--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -9,7 +9,6 @@
 from contextlib import AbstractAsyncContextManager, aclosing, nullcontext
 
 from wallwell.clock import boot_time_s, bounded
-from wallwell.deployment.backends import Backend
 from wallwell.deployment.routes import RouteKind
 from wallwell.deployment.topology import Distance
 from wallwell.errors import (
@@ -19,6 +18,7 @@
 from wallwell.events import Event, emit
 from wallwell.node.state import NodeState
 from wallwell.outcomes import Outcome
+from wallwell.routing.health.backend import Backend
 from wallwell.routing.retry.attempt_outcome import REFUSED_BY_BACKEND, TransportEvent
 from wallwell.routing.retry.retry_after import RefusalCause
 from wallwell.routing.selection.prefix_home import request_load
--- a/src/wallwell/serving/response_timeout.py
+++ b/src/wallwell/serving/response_timeout.py
@@ -5,9 +5,9 @@
 import asyncio
 
 from wallwell.clock import boot_time_s
-from wallwell.deployment.backends import Backend
 from wallwell.late_loop import is_done_within
 from wallwell.node.state import NodeState
+from wallwell.routing.health.backend import Backend
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.messages import AttemptError, BackendAnswer, BackendClient, Dispatch
--- a/src/wallwell/serving/version_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -8,10 +8,10 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from wallwell.deployment.backends import Backend
 from wallwell.node.state import NodeState
 from wallwell.rollout.sides import ServiceSides
 from wallwell.rollout.tally import CountedAttempt
+from wallwell.routing.health.backend import Backend
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.messages import AttemptError
--- a/tests/unit/node/test_fleet_recovery.py
+++ b/tests/unit/node/test_fleet_recovery.py
@@ -16,10 +16,11 @@
 
 from tests.unit.serving.fakes import make_request, make_route
 from wallwell.cluster.load_reports import sum_loads
-from wallwell.deployment.backends import Backend, BackendRecord
+from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import DeploymentConfig, RouteKind
 from wallwell.deployment.topology import Distance, Topology
 from wallwell.node.state import FleetBounds, NodeState
+from wallwell.routing.health.backend import Backend
 from wallwell.routing.retry.attempt_outcome import AttemptLog
 from wallwell.routing.selection.prefix_home import PromptPart, request_load
 from wallwell.serving.active_request import ActiveRequest
--- a/tests/unit/placement/test_weights_roll.py
+++ b/tests/unit/placement/test_weights_roll.py
@@ -2,10 +2,11 @@
 
 import pytest
 
-from wallwell.deployment.backends import Backend, BackendRecord
+from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.weights import OVERDUE_FRACTION, WeightsTargets
 from wallwell.placement.weights_roll import HOLD_FRACTION, RETRY_S, WeightsRollPlanner, divide
 from wallwell.placement.weights_roll_timing import SOONEST_S
+from wallwell.routing.health.backend import Backend
 
 ALLOWANCE_S = 8.0
 DUE_S = ALLOWANCE_S * HOLD_FRACTION
--- a/tests/unit/rollout/test_sides.py
+++ b/tests/unit/rollout/test_sides.py
@@ -5,9 +5,10 @@
 
 import pytest
 
-from wallwell.deployment.backends import Backend, BackendRecord
+from wallwell.deployment.backends import BackendRecord
 from wallwell.rollout.model import Phase, RolloutRecord
 from wallwell.rollout.sides import ServiceSides, canary_backends
+from wallwell.routing.health.backend import Backend
 
 NOW_S = 100.0
 
--- a/tests/unit/deployment/test_backends.py
+++ b/tests/unit/routing/health/test_backend_registry.py
@@ -4,16 +4,10 @@
 
 import pytest
 
-from wallwell.deployment import backends
-from wallwell.deployment.backends import (
-    FIRST_SUSPENSION_S,
-    MAX_SUPERSEDED_KNOWN,
-    MAX_SUSPENSION_S,
-    Backend,
-    BackendRecord,
-    BackendRegistry,
-    LoadInProgress,
-)
+from wallwell.deployment.backends import BackendRecord
+from wallwell.routing.health import backend_registry
+from wallwell.routing.health.backend import FIRST_SUSPENSION_S, MAX_SUSPENSION_S, Backend, LoadInProgress
+from wallwell.routing.health.backend_registry import MAX_SUPERSEDED_KNOWN, BackendRegistry
 
 
 def record(incarnation="i-1", service="s", draining=False, address="", **versions):
@@ -154,7 +148,7 @@
     for record in records:
         registry.upsert(record)
     compared = []
-    monkeypatch.setattr(backends, "_identity", lambda backend: compared.append(1) or backend.incarnation)
+    monkeypatch.setattr(backend_registry, "_identity", lambda backend: compared.append(1) or backend.incarnation)
     for record in records:
         registry.upsert(dataclasses.replace(record, draining=True))
     assert not compared
--- a/tests/unit/routing/health/test_zone_suspicion.py
+++ b/tests/unit/routing/health/test_zone_suspicion.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from wallwell.deployment.backends import Backend, BackendRecord
+from wallwell.deployment.backends import BackendRecord
+from wallwell.routing.health.backend import Backend
 from wallwell.routing.health.zone_suspicion import (
     ASK_AGAIN_S,
     HOLD_S,
--- a/tests/unit/routing/selection/test_prefix_home.py
+++ b/tests/unit/routing/selection/test_prefix_home.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from wallwell.deployment.backends import Backend, BackendRecord
+from wallwell.deployment.backends import BackendRecord
+from wallwell.routing.health.backend import Backend
 from wallwell.routing.selection.prefix_home import (
     CHUNK_TOKENS,
     PromptPart,
--- a/tests/unit/serving/test_cache_planning.py
+++ b/tests/unit/serving/test_cache_planning.py
@@ -16,8 +16,8 @@
 )
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
-from wallwell.deployment.backends import LoadInProgress
 from wallwell.deployment.routes import RouteKind, Service
+from wallwell.routing.health.backend import LoadInProgress
 from wallwell.routing.retry.first_token import Delays
 from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
 from wallwell.routing.selection.prefix_home import placement_key
--- a/tests/unit/test_import_layers.py
+++ b/tests/unit/test_import_layers.py
@@ -29,7 +29,7 @@
 
 ALLOWED: dict[str, set[str]] = {
     "routing": {"deployment", "errors", "outcomes"},
-    "deployment": {"routing"},
+    "deployment": set(),
     "storage": COMMON | {"deployment"},
     "cluster": COMMON | {"deployment", "routing", "storage"},
     "node.state": COMMON | {"cluster", "deployment", "placement", "rollout", "routing", "serving"},
