--- a/src/wallwell/deployment/backends.py
+++ b/src/wallwell/deployment/backends.py
@@ -1,4 +1,8 @@
-"""The back ends as the store lists them. Pure."""
+"""What the store's listing says of a back end. Pure.
+
+Decoded from the store's rows in ``platform/``; what a node observes of the same back end is in
+:mod:`wallwell.routing.health.backend`.
+"""
 
 from __future__ import annotations
 
@@ -23,4 +27,4 @@
     versions: Mapping[str, int] = field(default_factory=dict)
     software: str = ""
     slow_for_s: float = field(default=0.0, compare=False)
-    """Falls with each heartbeat; a back end is not logged as changed for that."""
+    """Seconds. Falls with each heartbeat, and so is left out when entries are compared to log a change."""
--- a/src/wallwell/routing/health/backend.py
+++ b/src/wallwell/routing/health/backend.py
@@ -1,24 +1,24 @@
-"""What this node has observed of a listed back end. Pure."""
+"""What this node has observed of one listed back end, and what follows for sending it requests. Pure.
+
+Owns the observations: requests in flight, failures, suspension, weights versions believed to be in place, silence.
+Relies on :mod:`.suspension` for how long a failure suspends, and on :mod:`.silence` for when it is probed. The
+selection of back ends reads it; the pipeline and the watches of a node write to it. Times are on this node's clock.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field, replace
 
 from wallwell.deployment.backends import BackendRecord
+from wallwell.routing.health import suspension
 from wallwell.routing.health.silence import Silence
 
-FIRST_SUSPENSION_S = 0.6
-MAX_SUSPENSION_S = 4.0
-FAILURES_TO_SUSPEND = 2
-ANSWERING_S = 1.5
-"""How long an answer shows that a back end works."""
-
 
 @dataclass(frozen=True)
 class LoadInProgress:
-    """Weights to be loaded, believed until the version is seen in place or ``until_s`` has passed.
+    """Weights that an engine is to load, expected until the version is in place or ``until_s`` has passed.
 
-    The engine takes requests until ``from_s``, when its order is given.
+    The engine takes requests until ``from_s``, when it receives the order.
     """
 
     model: str
@@ -31,15 +31,15 @@
 class Backend:
     """A listed back end and this node's own observations of it. Times are on this node's clock.
 
-    Compared by identity: each choice of an engine looks some thousand times whether one is in a list.
+    Compared by identity: each choice of an engine tests some thousand times whether one is in a list.
     """
 
     record: BackendRecord
     in_flight: int = 0
     load: int = 0
-    """This node's requests under way, long prompts counted several times."""
+    """This node's requests in flight, long prompts counted several times."""
     peers_load: int | None = None
-    """The same of all other nodes as they told lately; None if they are not heard."""
+    """The same of all other nodes by their recent reports; None without such reports."""
     consecutive_failures: int = 0
     suspended_until_s: float = 0.0
     last_success_s: float = float("-inf")
@@ -52,7 +52,7 @@
     superseded: bool = False
     """Whether a later incarnation has been listed at its address, so that this one has ended."""
     lapses_at_s: float | None = None
-    """When it counts as gone unless it is listed again; None if it is listed."""
+    """When it counts as gone unless it is listed again; None while it is listed."""
     silence: Silence = field(default_factory=Silence)
 
     @property
@@ -61,7 +61,7 @@
         return self.record.incarnation
 
     def fleet_load(self, nodes: int = 1) -> int:
-        """Return the requests of all nodes under way; unheard nodes are taken to send as much as this one."""
+        """Return the requests of all nodes in flight; without reports each is taken to send as much as this one."""
         return self.load * nodes if self.peers_load is None else self.load + self.peers_load
 
     def is_open(self, now_s: float) -> bool:
@@ -74,11 +74,11 @@
         return self.gone or self.superseded or self.record.draining or has_lapsed
 
     def is_loading(self, now_s: float) -> bool:
-        """Whether an order to load weights is believed to be under way."""
+        """Whether it is believed to be loading weights by an order."""
         return self.loading is not None and now_s >= self.loading.from_s and self.is_about_to_load(now_s)
 
     def expect_load(self, load: LoadInProgress, now_s: float) -> None:
-        """Believe in a load to come; word of the same one again does not put its beginning off."""
+        """Expect a load; another announcement of the same one does not delay its beginning."""
         known = self.loading
         if (
             known is not None
@@ -89,38 +89,41 @@
         self.loading = load
 
     def is_about_to_load(self, now_s: float) -> bool:
-        """Whether an order to load weights is believed to be under way or to come at any moment."""
+        """Whether an order to load weights is believed to be carried out or to come at any moment."""
         load = self.loading
         return load is not None and now_s < load.until_s and self.believed_version(load.model) < load.version
 
     def on_success(self, now_s: float) -> None:
-        """The back end answered."""
+        """Note an answer: failures before it count no more."""
         self.consecutive_failures = 0
         self.last_success_s = now_s
 
     def is_answering(self, now_s: float) -> bool:
-        """Whether it has answered this node lately, so that a silence means that it is busy."""
-        return now_s - self.last_success_s < ANSWERING_S
+        """Whether it has answered this node recently, so that a silence means that it is busy."""
+        return suspension.answered_recently(self.last_success_s, now_s)
 
     def on_failure(self, now_s: float, unreachable: bool) -> bool:
-        """Note a failure; returns True if the back end is now suspended.
-
-        An unreachable back end is suspended at once, with a pause that doubles; another one after consecutive
-        failures only, since some of its requests still succeed.
-        """
+        """Note a failure; returns True if the back end is now suspended, see :mod:`.suspension`."""
         self.consecutive_failures += 1
-        threshold = 1 if unreachable else FAILURES_TO_SUSPEND
-        if self.consecutive_failures < threshold:
+        until_s = suspension.suspended_until_s(self.consecutive_failures, unreachable, now_s)
+        if until_s is None:
             return False
-        doublings = min(self.consecutive_failures - threshold, 6)
-        pause_s = min(MAX_SUSPENSION_S, FIRST_SUSPENSION_S * (1 << doublings))
-        self.suspended_until_s = now_s + pause_s
+        self.suspended_until_s = until_s
         return True
 
+    def suspend_at_least_until(self, until_s: float) -> None:
+        """Send it nothing before ``until_s``; a longer suspension stays."""
+        self.suspended_until_s = max(self.suspended_until_s, until_s)
+
+    def forgive_failures(self, return_s: float) -> None:
+        """Forget its failures and end its suspension at ``return_s`` at the latest."""
+        self.consecutive_failures = 0
+        self.suspended_until_s = min(self.suspended_until_s, return_s)
+
     def believed_version(self, model: str) -> int:
         """Weights version to expect; 0 if nothing is known of the model."""
         return self.versions.get(model, 0)
 
     def learn_version(self, model: str, version: int) -> None:
-        """Take a version that the back end itself has told."""
+        """Take a version that the back end itself has reported."""
         self.versions[model] = version
--- a/src/wallwell/routing/health/backend_registry.py
+++ b/src/wallwell/routing/health/backend_registry.py
@@ -1,4 +1,9 @@
-"""The back ends of every service by incarnation, reconciled with the rows of the store. Pure."""
+"""The back ends of every service by incarnation, reconciled with the rows of the store. Pure.
+
+Owns which incarnations are listed, superseded or lapsed; what was observed of each is in :mod:`.backend`. Relies on
+rows being applied in the order of the store, by ``node/rows.py``. A back end whose entry is missing stays for some
+time, since entries go and return with a single missed heartbeat.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +14,7 @@
 from wallwell.routing.health.backend import Backend
 
 MAX_SUPERSEDED_KNOWN = 1000
-"""Superseded incarnations remembered; entries of ended ones stay for seconds only."""
+"""Superseded incarnations remembered. Entries of ended ones stay for seconds, in which far fewer end."""
 
 
 class BackendRegistry:
@@ -17,7 +22,7 @@
 
     def __init__(self) -> None:
         self._superseded: dict[str, None] = {}
-        """Superseded incarnations in the order of their ends; their entries may lapse and come back."""
+        """Superseded incarnations in the order of their ends; their entries may lapse and be listed again."""
         self._by_incarnation: dict[str, Backend] = {}
         self._by_service: dict[str, list[Backend]] = {}
         self._by_address: dict[str, list[Backend]] = {}
@@ -38,16 +43,16 @@
         return self._by_service.get(service, [])
 
     def own_loads(self) -> dict[str, int]:
-        """This node's requests under way by back end, without the idle ones."""
+        """This node's requests in flight by back end, without the idle ones."""
         return {incarnation: each.load for incarnation, each in self._by_incarnation.items() if each.load}
 
     def learn_peer_loads(self, loads: Mapping[str, int]) -> None:
-        """Take what all other nodes have under way."""
+        """Take what all other nodes have in flight; a back end that they do not name has nothing."""
         for incarnation, backend in self._by_incarnation.items():
             backend.peers_load = loads.get(incarnation, 0)
 
     def forget_peer_loads(self) -> None:
-        """Other nodes have not been heard for too long."""
+        """Drop the loads of other nodes: their last report is too old."""
         for backend in self._by_incarnation.values():
             backend.peers_load = None
 
@@ -95,13 +100,13 @@
                 self._superseded.pop(each.incarnation, None)
 
     def lapse(self, incarnation: str, at_s: float) -> None:
-        """The entry is missing, but may come back until ``at_s``; the first such time counts."""
+        """The entry is missing, but may be listed again until ``at_s``; the first such time counts."""
         backend = self._by_incarnation.get(incarnation)
         if backend is not None and backend.lapses_at_s is None:
             backend.lapses_at_s = at_s
 
     def remove_lapsed(self, now_s: float) -> list[Backend]:
-        """Remove and return the back ends whose entries have not come back."""
+        """Remove and return the back ends whose entries were not listed again in time."""
         lapsed = [
             each
             for each in self._by_incarnation.values()
--- a/tests/unit/routing/health/test_backend_registry.py
+++ b/tests/unit/routing/health/test_backend_registry.py
@@ -6,8 +6,9 @@
 
 from wallwell.deployment.backends import BackendRecord
 from wallwell.routing.health import backend_registry
-from wallwell.routing.health.backend import FIRST_SUSPENSION_S, MAX_SUSPENSION_S, Backend, LoadInProgress
+from wallwell.routing.health.backend import Backend, LoadInProgress
 from wallwell.routing.health.backend_registry import MAX_SUPERSEDED_KNOWN, BackendRegistry
+from wallwell.routing.health.suspension import FIRST_PAUSE_S, MAX_PAUSE_S
 
 
 def record(incarnation="i-1", service="s", draining=False, address="", **versions):
@@ -60,11 +61,11 @@
 def test_an_unreachable_back_end_is_suspended_at_once_and_for_longer_each_time():
     backend = Backend(record())
     assert backend.on_failure(10.0, unreachable=True)
-    assert not backend.is_open(10.0 + FIRST_SUSPENSION_S / 2)
-    assert backend.is_open(10.0 + FIRST_SUSPENSION_S)
+    assert not backend.is_open(10.0 + FIRST_PAUSE_S / 2)
+    assert backend.is_open(10.0 + FIRST_PAUSE_S)
     for _ in range(20):
         backend.on_failure(20.0, unreachable=True)
-    assert backend.suspended_until_s == 20.0 + MAX_SUSPENSION_S
+    assert backend.suspended_until_s == 20.0 + MAX_PAUSE_S
 
 
 def test_single_failures_do_not_suspend_a_back_end_that_still_answers():
--- a/tests/unit/routing/health/test_suspension.py
+++ b/tests/unit/routing/health/test_suspension.py
@@ -1,29 +1,45 @@
 """For how long a back end is left out after failures."""
 
+import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wallwell.deployment.backends import BackendRecord
-from wallwell.routing.health.backend import Backend
-from wallwell.routing.health.suspension import answered_recently, suspended_until_s
-
-RECORD = BackendRecord("i-1", "s", "a:1", "z", 4)
-STEPS = st.lists(st.tuples(st.sampled_from(["success", "failed", "unreachable"]), st.floats(0.0, 8.0)), max_size=40)
-
-
-@given(STEPS)
-def test_decisions_equal_those_of_the_back_end_over_any_sequence_of_events(steps):
-    backend = Backend(RECORD)
-    failures, until_s, success_s, now_s = 0, 0.0, float("-inf"), 100.0
-    for event, waited_s in steps:
-        now_s += waited_s
-        assert answered_recently(success_s, now_s) == backend.is_answering(now_s)
-        if event == "success":
-            backend.on_success(now_s)
-            failures, success_s = 0, now_s
-            continue
-        failures += 1
-        decided_s = suspended_until_s(failures, event == "unreachable", now_s)
-        assert backend.on_failure(now_s, unreachable=event == "unreachable") == (decided_s is not None)
-        until_s = until_s if decided_s is None else decided_s
-        assert backend.suspended_until_s == until_s
+from wallwell.routing.health.suspension import (
+    ANSWERING_S,
+    FIRST_PAUSE_S,
+    MAX_PAUSE_S,
+    answered_recently,
+    suspended_until_s,
+)
+
+
+@pytest.mark.parametrize(
+    ("failures", "unreachable", "pause_s"),
+    [
+        (1, True, 0.6),
+        (2, True, 1.2),
+        (3, True, 2.4),
+        (4, True, 4.0),
+        (40, True, 4.0),
+        (1, False, None),
+        (2, False, 0.6),
+        (3, False, 1.2),
+        (5, False, 4.0),
+    ],
+)
+def test_pauses_double_up_to_their_bound(failures, unreachable, pause_s):
+    until_s = suspended_until_s(failures, unreachable, now_s=0.0)
+    assert until_s == (None if pause_s is None else pytest.approx(pause_s))
+
+
+@given(st.integers(1, 10_000), st.booleans(), st.floats(0.0, 1e6))
+def test_a_pause_is_bounded_and_never_shorter_after_more_failures(failures, unreachable, now_s):
+    until_s, later_s = (suspended_until_s(count, unreachable, now_s) for count in (failures, failures + 1))
+    if until_s is not None:
+        assert now_s + FIRST_PAUSE_S <= until_s <= later_s <= now_s + MAX_PAUSE_S
+
+
+def test_an_answer_counts_for_a_while():
+    assert answered_recently(10.0, 10.0 + ANSWERING_S - 0.01)
+    assert not answered_recently(10.0, 10.0 + ANSWERING_S)
+    assert not answered_recently(float("-inf"), 10.0)
