--- a/tests/unit/routing/health/test_silence.py
+++ b/tests/unit/routing/health/test_silence.py
@@ -9,6 +9,7 @@
     MIN_LONG_SILENCE_S,
     PROBE_INTERVAL_S,
     Silence,
+    long_silence_s,
 )
 
 
@@ -54,3 +55,11 @@
     assert not silence.begin_probe_if_due(now_s + 60.1)
     silence.on_heard(now_s + 60.05)
     assert silence.usual_s(now_s + 60.05) == pytest.approx(0.05)
+
+
+@pytest.mark.parametrize(
+    ("usual_s", "expected_s"),
+    [(None, 1.0), (0.0, 0.18), (0.1, 0.18), (0.2, 0.3), (0.5, 0.75), (0.7, 1.0), (30.0, 1.0)],
+)
+def test_a_long_silence_follows_the_usual_one_between_two_bounds(usual_s, expected_s):
+    assert long_silence_s(usual_s) == pytest.approx(expected_s)
--- a/tests/unit/routing/health/test_zone_suspicion.py
+++ b/tests/unit/routing/health/test_zone_suspicion.py
@@ -3,6 +3,8 @@
 import random
 
 import pytest
+from hypothesis import given
+from hypothesis import strategies as st
 
 from wallwell.deployment.backends import BackendRecord
 from wallwell.routing.health.backend import Backend
@@ -137,3 +139,28 @@
         zones.time_out("a0", "a1", "a2")
         (probed,) = zones.probe(10.0 + PROBE_INTERVAL_S)
         assert probed in ("a3", "a4")
+
+
+EVENTS = st.sampled_from(["time out", "time out", "answer", "probe"])
+
+
+@given(st.integers(0, 99), st.lists(st.tuples(EVENTS, st.integers(0, 9), st.floats(0.0, 1.0)), max_size=60))
+def test_probes_of_a_zone_keep_their_distance_and_a_sign_of_life_ends_every_suspension(seed, events):
+    zones = Zones()
+    zones.suspicion = ZoneSuspicion(random.Random(seed))
+    probed_s = {"a": float("-inf"), "b": float("-inf")}
+    now_s = 10.0
+    for event, index, waited_s in events:
+        now_s += waited_s
+        name = (A + B)[index]
+        if event == "time out":
+            zones.time_out(name, at_s=now_s)
+        elif event == "answer":
+            zones.answer(name, at_s=now_s)
+            own = [each for each in zones.listed if each.record.zone == name[0]]
+            assert all(each.is_open(now_s + RETURN_SPREAD_S) for each in own)
+            probed_s[name[0]] = float("-inf")
+        else:
+            for probed in zones.probe(now_s):
+                assert now_s - probed_s[probed[0]] >= PROBE_INTERVAL_S
+                probed_s[probed[0]] = now_s
