--- a/src/wallwell/cluster/load_reporter.py
+++ b/src/wallwell/cluster/load_reporter.py
@@ -8,14 +8,13 @@
 
 import asyncio
 
-import msgspec
-
 from wallwell.clock import boot_time_s
-from wallwell.cluster.crash_reports import Crash, CrashReports
+from wallwell.cluster.crash_reports import CrashReports
 from wallwell.cluster.fleet_load import FleetLoad
+from wallwell.cluster.load_messages import MemberLoad, OthersLoad, RegionSum, RelayTotals, ZoneLoad
 from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load, LoadReports, sum_loads
-from wallwell.cluster.peer_link import PeerLinks, PeerMessage
-from wallwell.cluster.region_load_reporter import RegionLoadReporter, RegionSum, RelayTotals
+from wallwell.cluster.peer_link import PeerLinks
+from wallwell.cluster.region_load_reporter import RegionLoadReporter
 from wallwell.cluster.region_traffic import RegionTraffic
 from wallwell.cluster.upstream import UpstreamOrder
 from wallwell.errors import PeerUnavailableError
@@ -34,38 +33,6 @@
 """Time within which a peer of the region answers, 1 ms away: what its processor or a thin link may take."""
 
 
-class MemberLoad(PeerMessage, frozen=True, omit_defaults=True):
-    """A member's own load, and what it spent of tenants' limits since its last report."""
-
-    node: str
-    load: Load
-    spent: dict[str, int] = {}
-    crashes: tuple[Crash, ...] = ()
-
-
-class OthersLoad(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Answer to :class:`MemberLoad`: the load of all other nodes, and what is left of limits that are not full."""
-
-    load: Load
-    levels: dict[str, int] = {}
-    crashes: tuple[Crash, ...] = ()
-
-
-class ZoneLoad(PeerMessage, frozen=True, omit_defaults=True):
-    """The load of a node and the members that report to it, and all that was spent through it in its life.
-
-    Answered with the same of the other node. ``regions`` has the sums of other regions that the asker has heard
-    since its last word.
-    """
-
-    node: str
-    load: Load
-    life: int = 0
-    spent_totals: dict[str, int] = {}
-    regions: tuple[RegionSum, ...] = ()
-    crashes: tuple[Crash, ...] = ()
-
-
 class LoadReporter:
     """One node's part: reports upwards as a member, or exchanges sums with its like if members report to it."""
 
--- /dev/null
+++ b/src/wallwell/cluster/peer_health.py
@@ -0,0 +1,46 @@
+"""Which peers are passed over for a while since they did not answer. Pure."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+FIRST_PAUSE_S = 2.0
+"""Seconds of the first pause. Chosen, not measured: longer than the 1.3 s in which a peer that does not answer is
+found, so that less than half of the time goes into asking it."""
+MAX_PAUSE_S = 16.0
+"""Bound of the pauses in seconds: how late a peer that works again is asked. Chosen, not measured."""
+MAX_DOUBLINGS = 4
+"""Bound of the exponent, so that it stays small however long failures go on; three reach ``MAX_PAUSE_S``."""
+
+
+@dataclass
+class PeerHealth:
+    """Failures of one peer in a row, and until when it is passed over."""
+
+    failures: int = 0
+    until_s: float = float("-inf")
+
+
+@dataclass
+class PeersHealth:
+    """Failures of all peers that did not answer when they were asked last."""
+
+    _by_name: dict[str, PeerHealth] = field(default_factory=dict)
+
+    def is_working(self, name: str, now_s: float) -> bool:
+        """Whether a peer may be asked."""
+        health = self._by_name.get(name)
+        return health is None or now_s >= health.until_s
+
+    def on_failure(self, name: str, now_s: float) -> None:
+        """Pass a peer over for a while; a failure of another call made at the same time does not count again."""
+        health = self._by_name.setdefault(name, PeerHealth())
+        if now_s < health.until_s:
+            return
+        health.failures += 1
+        doublings = min(health.failures - 1, MAX_DOUBLINGS)
+        health.until_s = now_s + min(MAX_PAUSE_S, FIRST_PAUSE_S * (1 << doublings))
+
+    def on_success(self, name: str) -> None:
+        """A peer answered, or may have come back: its failures are forgotten."""
+        self._by_name.pop(name, None)
--- a/src/wallwell/cluster/region_load_reporter.py
+++ b/src/wallwell/cluster/region_load_reporter.py
@@ -9,14 +9,18 @@
 from __future__ import annotations
 
 import asyncio
-import zlib
 from collections.abc import Callable
 
-import msgspec
-
 from wallwell.clock import boot_time_s
-from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load
-from wallwell.cluster.peer_link import PeerLinks, PeerMessage
+from wallwell.cluster.load_messages import (
+    RegionLoad,
+    RegionReply,
+    RegionSum,
+    pack_region_sum,
+    unpack_region_sum,
+)
+from wallwell.cluster.load_reports import REPORT_LIFETIME_S
+from wallwell.cluster.peer_link import PeerLinks
 from wallwell.cluster.region_traffic import RegionTraffic
 from wallwell.cluster.upstream import UpstreamOrder
 from wallwell.errors import PeerUnavailableError
@@ -30,35 +34,6 @@
 """Time without word of the other region after which the next node in the order speaks: two exchanges and a little.
 
 The third in the order is heard 1.45 s after the first was, before loads of the other region are forgotten."""
-PACK_LEVEL = 6
-
-
-class RelayTotals(msgspec.Struct, frozen=True, array_like=True):
-    """All that was spent of limits through one relay in one of its lives, by tenant."""
-
-    relay: str
-    life: int
-    spent: dict[str, int]
-
-
-class RegionSum(msgspec.Struct, frozen=True):
-    """What the nodes of a region have under way, and what was spent through each of its relays."""
-
-    region: str
-    load: Load
-    relays: tuple[RelayTotals, ...] = ()
-
-
-class RegionLoad(PeerMessage, frozen=True):
-    """A :class:`RegionSum` as compressed JSON; answered with that of the other region."""
-
-    packed: bytes
-
-
-class RegionReply(msgspec.Struct, frozen=True):
-    """Answer to :class:`RegionLoad`; empty if the node relays for nobody and so does not know its region."""
-
-    packed: bytes = b""
 
 
 class RegionLoadReporter:
@@ -106,7 +81,7 @@
         if own is None:
             self._links.keep(set())
             return
-        message = RegionLoad(_pack(own))
+        message = RegionLoad(pack_region_sum(own))
         await asyncio.gather(*(self._ask_region(region, message) for region in regions))
         # The last nodes of a region may have gone while they were asked.
         left = [region for region in regions if self._order.speakers_of(region)]
@@ -145,7 +120,7 @@
         """Return what a node knows of its region, None if nothing. Raises :class:`PeerUnavailableError`."""
         reply = await self._links.to(name, address).ask(message, RegionReply, REGION_ANSWER_TIMEOUT_S)
         self._traffic.add("loads", len(message.packed) + len(reply.packed))
-        return _unpack(reply.packed, address) if reply.packed else None
+        return unpack_region_sum(reply.packed, address) if reply.packed else None
 
     def _hear(self, heard: RegionSum) -> None:
         """Take a sum from the other region, to be passed on."""
@@ -181,10 +156,10 @@
         if own is None:
             return RegionReply()
         try:
-            self._hear(_unpack(message.packed, "the asking node"))
+            self._hear(unpack_region_sum(message.packed, "the asking node"))
         except PeerUnavailableError as error:
             raise ValueError(str(error)) from error
-        reply = RegionReply(_pack(own))
+        reply = RegionReply(pack_region_sum(own))
         self._traffic.add("loads", len(message.packed) + len(reply.packed))
         return reply
 
@@ -201,15 +176,3 @@
     def close(self) -> None:
         """Close the connections to peers."""
         self._links.keep(set())
-
-
-def _pack(region_sum: RegionSum) -> bytes:
-    return zlib.compress(msgspec.json.encode(region_sum), PACK_LEVEL)
-
-
-def _unpack(packed: bytes, sender: str) -> RegionSum:
-    """Return a sum. Raises :class:`PeerUnavailableError` if it cannot be read."""
-    try:
-        return msgspec.json.decode(zlib.decompress(packed), type=RegionSum)
-    except (zlib.error, msgspec.MsgspecError) as error:
-        raise PeerUnavailableError(f"{sender}: {type(error).__name__}") from error
--- a/src/wallwell/cluster/relay.py
+++ b/src/wallwell/cluster/relay.py
@@ -7,63 +7,28 @@
 from __future__ import annotations
 
 import asyncio
-import functools
-import zlib
 from collections.abc import Awaitable, Callable, Mapping
 
-import msgspec
-
 from wallwell.clock import boot_time_s, bounded
-from wallwell.cluster.peer_link import PeerLinks, PeerMessage
+from wallwell.cluster.peer_link import PeerLinks
+from wallwell.cluster.row_messages import RowsReply, RowsRequest, reply_with_rows, unpack_rows
 from wallwell.cluster.upstream import UpstreamOrder
 from wallwell.deployment.freshness import StoreClock
 from wallwell.errors import HistoryLostError, PeerUnavailableError
 from wallwell.events import Event, emit
-from wallwell.storage.feed import FeedPage, FeedRow, RowSource
+from wallwell.storage.feed import FeedPage, RowSource
 from wallwell.storage.replica import RowReplica
 
 ANSWER_MARGIN_S = 0.5
 """How much longer than the agreed wait a peer's answer is waited for."""
 STALE_MARGIN_S = 0.7
 """How much older than the store's own wait a word of the store may be and still be passed on."""
-PACK_BYTES = 2048
-"""Size from which rows are compressed: a relay sends a change once for each member, and its link may be thin."""
 OTHER_ZONE_WAIT_S = 0.25
 """How long a relay of another zone is asked to hold a request, since its word passes one node more from there."""
 MAX_PEERS_ASKED = 2
 """Peers asked in one reading before the store is."""
 
 
-class RowsRequest(PeerMessage, frozen=True):
-    """Ask for rows of a table: every row if ``after`` is None, else what changed after that version."""
-
-    table: str
-    wait_s: float
-    after: int | None = None
-
-
-class RelayedRow(msgspec.Struct, frozen=True, array_like=True):
-    """A row between peers; ``value`` is None if it was deleted."""
-
-    key: str
-    value: str | None
-    version: int
-
-
-class RowsReply(msgspec.Struct, frozen=True):
-    """Answer to :class:`RowsRequest`. One of ``stale`` and ``history_lost`` may be set; there are no rows then.
-
-    ``packed`` holds the rows instead of ``rows`` where they are large: compressed JSON.
-    """
-
-    version: int = -1
-    store_s: float = 0.0
-    rows: tuple[RelayedRow, ...] = ()
-    packed: bytes = b""
-    stale: bool = False
-    history_lost: bool = False
-
-
 class RelayedRows:
     """A table's rows from a peer that follows the store, or from the store itself; see :class:`RowSource`."""
 
@@ -134,7 +99,7 @@
             raise PeerUnavailableError(f"{address}: its word of the store is old")
         if reply.history_lost:
             raise HistoryLostError("the peer does not know these changes")
-        return FeedPage(_unpack(reply, address), reply.version, reply.store_s, relayed=True)
+        return FeedPage(unpack_rows(reply, address), reply.version, reply.store_s, relayed=True)
 
     def _take(self, page: FeedPage, whole: bool) -> FeedPage:
         self.replica.take(page, whole)
@@ -150,11 +115,11 @@
             return RowsReply(stale=True)
         try:
             if request.after is None:
-                return _reply(self.replica.everything())
+                return reply_with_rows(self.replica.everything())
             await self._wait_for_change(request.after, request.wait_s)
             if self._is_stale():
                 return RowsReply(stale=True)
-            return _reply(self.replica.after(request.after))
+            return reply_with_rows(self.replica.after(request.after))
         except HistoryLostError:
             return RowsReply(history_lost=True)
 
@@ -180,32 +145,6 @@
         self.links.keep(set())
 
 
-@functools.lru_cache(maxsize=8)
-def _pack(rows: tuple[FeedRow, ...]) -> tuple[tuple[RelayedRow, ...], bytes]:
-    """Return rows as they are sent, plain or compressed; most members ask for the same ones."""
-    plain = tuple(
-        RelayedRow(row.key, None if row.value is None else row.value.decode(), row.version) for row in rows
-    )
-    encoded = msgspec.json.encode(plain)
-    return (plain, b"") if len(encoded) < PACK_BYTES else ((), zlib.compress(encoded))
-
-
-def _unpack(reply: RowsReply, address: str) -> tuple[FeedRow, ...]:
-    """Return the rows of a reply. Raises :class:`PeerUnavailableError` if they cannot be read."""
-    try:
-        rows = reply.rows
-        if reply.packed:
-            rows = msgspec.json.decode(zlib.decompress(reply.packed), type=tuple[RelayedRow, ...])
-    except (zlib.error, msgspec.MsgspecError) as error:
-        raise PeerUnavailableError(f"{address}: {type(error).__name__}") from error
-    return tuple(FeedRow(row.key, None if row.value is None else row.value.encode(), row.version) for row in rows)
-
-
-def _reply(page: FeedPage) -> RowsReply:
-    rows, packed = _pack(page.rows)
-    return RowsReply(page.version, page.store_s, rows, packed)
-
-
 def answer_from(tables: Mapping[str, RelayedRows]) -> Callable[[RowsRequest], Awaitable[RowsReply]]:
     """Return the handler of peers' requests for rows. An unknown table raises KeyError."""
 
--- /dev/null
+++ b/src/wallwell/cluster/row_messages.py
@@ -0,0 +1,71 @@
+"""Rows of the store as nodes pass them on to each other: request, reply, and their compression."""
+
+from __future__ import annotations
+
+import functools
+import zlib
+
+import msgspec
+
+from wallwell.cluster.peer_link import PeerMessage
+from wallwell.errors import PeerUnavailableError
+from wallwell.storage.feed import FeedPage, FeedRow
+
+PACK_BYTES = 2048
+"""Size from which rows are compressed: a relay sends a change once for each member, and its link may be thin."""
+
+
+class RowsRequest(PeerMessage, frozen=True):
+    """Ask for rows of a table: every row if ``after`` is None, else what changed after that version."""
+
+    table: str
+    wait_s: float
+    after: int | None = None
+
+
+class RelayedRow(msgspec.Struct, frozen=True, array_like=True):
+    """A row between peers; ``value`` is None if it was deleted."""
+
+    key: str
+    value: str | None
+    version: int
+
+
+class RowsReply(msgspec.Struct, frozen=True):
+    """Answer to :class:`RowsRequest`. One of ``stale`` and ``history_lost`` may be set; there are no rows then.
+
+    ``packed`` holds the rows instead of ``rows`` where they are large: compressed JSON.
+    """
+
+    version: int = -1
+    store_s: float = 0.0
+    rows: tuple[RelayedRow, ...] = ()
+    packed: bytes = b""
+    stale: bool = False
+    history_lost: bool = False
+
+
+@functools.lru_cache(maxsize=8)
+def _pack(rows: tuple[FeedRow, ...]) -> tuple[tuple[RelayedRow, ...], bytes]:
+    """Return rows as they are sent, plain or compressed; most members ask for the same ones."""
+    plain = tuple(
+        RelayedRow(row.key, None if row.value is None else row.value.decode(), row.version) for row in rows
+    )
+    encoded = msgspec.json.encode(plain)
+    return (plain, b"") if len(encoded) < PACK_BYTES else ((), zlib.compress(encoded))
+
+
+def unpack_rows(reply: RowsReply, address: str) -> tuple[FeedRow, ...]:
+    """Return the rows of a reply. Raises :class:`PeerUnavailableError` if they cannot be read."""
+    try:
+        rows = reply.rows
+        if reply.packed:
+            rows = msgspec.json.decode(zlib.decompress(reply.packed), type=tuple[RelayedRow, ...])
+    except (zlib.error, msgspec.MsgspecError) as error:
+        raise PeerUnavailableError(f"{address}: {type(error).__name__}") from error
+    return tuple(FeedRow(row.key, None if row.value is None else row.value.encode(), row.version) for row in rows)
+
+
+def reply_with_rows(page: FeedPage) -> RowsReply:
+    rows, packed = _pack(page.rows)
+    return RowsReply(page.version, page.store_s, rows, packed)
--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -17,6 +17,7 @@
 
 import msgspec
 
+from wallwell.cluster.peer_health import PeersHealth
 from wallwell.deployment.topology import ONE_REGION, Topology
 from wallwell.routing.rendezvous import key_of, rendezvous_score
 
@@ -31,8 +32,6 @@
 """Members of each zone, by the number of its relays, that may speak for their region to another one: with three
 zones nine nodes have to be gone at once before nobody does."""
 _ZONES_KEY = key_of("zones")
-FIRST_PAUSE_S = 2.0
-MAX_PAUSE_S = 16.0
 
 
 class Member(msgspec.Struct, frozen=True):
@@ -43,14 +42,6 @@
     link_mbps: float = 0.0
 
 
-@dataclass
-class PeerHealth:
-    """Failures of one peer in a row, and until when it is passed over."""
-
-    failures: int = 0
-    until_s: float = float("-inf")
-
-
 @dataclass
 class UpstreamOrder:
     """One node's choice among its peers."""
@@ -59,7 +50,7 @@
     zone: str
     members: Mapping[str, Member] = field(default_factory=dict)
     places: Topology = ONE_REGION
-    _health: dict[str, PeerHealth] = field(default_factory=dict)
+    health: PeersHealth = field(default_factory=PeersHealth)
 
     def candidates(self, now_s: float) -> list[tuple[str, str]]:
         """Return names and addresses of the peers to follow, best first; empty if the store is to be followed."""
@@ -105,7 +96,7 @@
             return []
         ordered, relays = self._order_of(self.zone, same_zone)
         before = ordered[: ordered.index(self.node)]
-        working = [name for name in before if self._is_working(name, now_s)][:relays]
+        working = [name for name in before if self.health.is_working(name, now_s)][:relays]
         if len(working) < relays:
             return []
         working.sort(key=lambda name: rendezvous_score(name, key_of(self.node)))
@@ -119,7 +110,7 @@
     def _relays_of(self, zone: str, now_s: float) -> list[tuple[str, str]]:
         """Return names and addresses of the working nodes that stand first in a zone, this node among them."""
         ordered, relays = self._order_of(zone, self._reachable_in(zone))
-        working = [name for name in ordered if name == self.node or self._is_working(name, now_s)][:relays]
+        working = [name for name in ordered if name == self.node or self.health.is_working(name, now_s)][:relays]
         return [(name, self.members[name].relay) for name in working]
 
     def other_regions(self) -> list[str]:
@@ -142,7 +133,7 @@
     def speaking_place(self, now_s: float) -> int | None:
         """Return this node's place among those of its region that may speak and work; None if it may not speak."""
         names = [name for name, _ in self.speakers_of(self.places.own_region)]
-        working = [name for name in names if name == self.node or self._is_working(name, now_s)]
+        working = [name for name in names if name == self.node or self.health.is_working(name, now_s)]
         return working.index(self.node) if self.node in working else None
 
     def _reachable_in(self, zone: str) -> list[str]:
@@ -157,27 +148,19 @@
         )
         return ordered, -(-len(names) // MEMBERS_PER_RELAY)
 
-    def _is_working(self, name: str, now_s: float) -> bool:
-        health = self._health.get(name)
-        return health is None or now_s >= health.until_s
-
     def on_failure(self, name: str, now_s: float) -> None:
-        """A peer did not answer or has no recent word of the store: pass it over for a while."""
-        health = self._health.setdefault(name, PeerHealth())
-        if now_s < health.until_s:
-            return  # Another call that was under way at the same time.
-        health.failures += 1
-        health.until_s = now_s + min(MAX_PAUSE_S, FIRST_PAUSE_S * (1 << min(health.failures - 1, 4)))
+        """A peer did not answer or its copy of the store is old: pass it over for a while."""
+        self.health.on_failure(name, now_s)
 
     def on_zone_returned(self, zone: str) -> None:
-        """Another zone answers again: its nodes are asked at once, and not after their pauses of 2 to 16 s."""
+        """Another zone answers again: its nodes are asked at once, and not after their pauses."""
         for name, member in self.members.items():
             if member.zone == zone:
-                self._health.pop(name, None)
+                self.health.on_success(name)
 
     def on_success(self, name: str) -> None:
         """A peer answered."""
-        self._health.pop(name, None)
+        self.health.on_success(name)
 
 
 def _zone_rank(zone: str) -> tuple[int, str]:
--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -10,10 +10,11 @@
 
 from wallwell.clock import SuspensionWatch, boot_time_s
 from wallwell.cluster.crash_reports import CrashReports
-from wallwell.cluster.load_reporter import LoadReporter, MemberLoad, ZoneLoad
+from wallwell.cluster.load_messages import MemberLoad, RegionLoad, ZoneLoad
+from wallwell.cluster.load_reporter import LoadReporter
 from wallwell.cluster.peer_link import PeerServer
-from wallwell.cluster.region_load_reporter import RegionLoad
-from wallwell.cluster.relay import RelayedRows, RowsRequest, answer_from
+from wallwell.cluster.relay import RelayedRows, answer_from
+from wallwell.cluster.row_messages import RowsRequest
 from wallwell.cluster.upstream import Member, UpstreamOrder
 from wallwell.deployment.freshness import StoreClock
 from wallwell.deployment.topology import Topology
--- a/tests/unit/cluster/test_load_reporter.py
+++ b/tests/unit/cluster/test_load_reporter.py
@@ -9,13 +9,8 @@
 from wallwell.cluster.crash_reports import HEARD_S, MAX_TOLD, CrashReports
 from wallwell.cluster.demand import RATE_WINDOW_S
 from wallwell.cluster.fleet_load import FleetLoad
-from wallwell.cluster.load_reporter import (
-    INTERVAL_S,
-    THIN_LINK_INTERVAL_S,
-    LoadReporter,
-    MemberLoad,
-    ZoneLoad,
-)
+from wallwell.cluster.load_messages import MemberLoad, ZoneLoad
+from wallwell.cluster.load_reporter import INTERVAL_S, THIN_LINK_INTERVAL_S, LoadReporter
 from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load
 from wallwell.cluster.peer_link import PeerServer
 from wallwell.cluster.upstream import Member, UpstreamOrder
--- a/tests/unit/cluster/test_region_load_reporter.py
+++ b/tests/unit/cluster/test_region_load_reporter.py
@@ -10,12 +10,14 @@
 from wallwell.clock import boot_time_s
 from wallwell.cluster import region_load_reporter as region_exchange
 from wallwell.cluster.fleet_load import FleetLoad
-from wallwell.cluster.load_reporter import LoadReporter, MemberLoad, ZoneLoad
+from wallwell.cluster.load_messages import MemberLoad, RegionLoad, RegionSum, RelayTotals, ZoneLoad, pack_region_sum
+from wallwell.cluster.load_reporter import LoadReporter
 from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load
+from wallwell.cluster.peer_health import PeerHealth
 from wallwell.cluster.peer_link import CONNECT_TIMEOUT_S, PeerLinks
-from wallwell.cluster.region_load_reporter import REGION_INTERVAL_S, RegionLoad, RegionSum
+from wallwell.cluster.region_load_reporter import REGION_INTERVAL_S
 from wallwell.cluster.region_traffic import RegionTraffic
-from wallwell.cluster.upstream import Member, PeerHealth, UpstreamOrder
+from wallwell.cluster.upstream import Member, UpstreamOrder
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import TenantLimit
 from wallwell.deployment.topology import Topology
@@ -122,7 +124,7 @@
         """End a node; its region notices by the rows that come from it no more."""
         node.kill()
         for each in self.of(node.region):
-            each.order._health[node.name] = PeerHealth(1, float("inf"))
+            each.order.health._by_name[node.name] = PeerHealth(1, float("inf"))
 
     async def until(self, holds, limit_s=5.0):
         started_s = now()
@@ -280,14 +282,14 @@
         nodes=205,
     )
     relays = tuple(
-        region_exchange.RelayTotals(
+        RelayTotals(
             f"front-zone-{zone}",
             zone * 99_991,
             {f"tenant-{each}": 7_777_777 * zone + each * 31 for each in range(tenants)},
         )
         for zone in range(zones)
     )
-    message = RegionLoad(region_exchange._pack(RegionSum("region-a", load, relays)))
+    message = RegionLoad(pack_region_sum(RegionSum("region-a", load, relays)))
     assert len(msgspec.json.encode(message)) < limit_bytes
 
 
--- a/tests/unit/cluster/test_relay.py
+++ b/tests/unit/cluster/test_relay.py
@@ -11,7 +11,8 @@
 from tests.unit.storage.memory_rows import MemoryRows, Mirror
 from wallwell.clock import boot_time_s
 from wallwell.cluster.peer_link import PeerServer
-from wallwell.cluster.relay import RelayedRows, RowsReply, RowsRequest, _reply, _unpack, answer_from
+from wallwell.cluster.relay import RelayedRows, answer_from
+from wallwell.cluster.row_messages import RowsReply, RowsRequest, reply_with_rows, unpack_rows
 from wallwell.cluster.upstream import Member, UpstreamOrder
 from wallwell.deployment.freshness import StoreClock
 from wallwell.errors import PeerUnavailableError, PlatformUnavailableError
@@ -172,7 +173,7 @@
         store.write("big", value)
         await until(lambda: all(node.mirror.rows.get("big") == value for node in nodes))
         page = nodes[0].rows.replica.after(store.version - 1)
-        return len(msgspec.json.encode(_reply(page)))
+        return len(msgspec.json.encode(reply_with_rows(page)))
 
     assert with_nodes(scenario) < len(value) / 3
 
@@ -180,7 +181,7 @@
 @pytest.mark.parametrize("packed", [b"nonsense", zlib.compress(b"nonsense"), zlib.compress(b'{"a":1}')])
 def test_rows_that_cannot_be_unpacked_count_as_no_answer(packed):
     with pytest.raises(PeerUnavailableError):
-        _unpack(RowsReply(version=1, packed=packed), "10.0.0.1:1")
+        unpack_rows(RowsReply(version=1, packed=packed), "10.0.0.1:1")
 
 
 def test_nonsense_from_a_peer_ends_its_connection(with_nodes):
--- a/tests/unit/cluster/test_upstream.py
+++ b/tests/unit/cluster/test_upstream.py
@@ -6,7 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from wallwell.cluster.upstream import MAX_PAUSE_S, MEMBERS_PER_RELAY, Member, UpstreamOrder
+from wallwell.cluster.peer_health import MAX_PAUSE_S
+from wallwell.cluster.upstream import MEMBERS_PER_RELAY, Member, UpstreamOrder
 from wallwell.deployment.topology import Topology
 
 
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -26,13 +26,15 @@
 from wallwell.catalogue import errors_page, events_page
 from wallwell.cli.main import build_parser
 from wallwell.cluster.leases import LeaseBody
-from wallwell.cluster.load_reporter import OthersLoad, ZoneLoad
-from wallwell.cluster.region_load_reporter import RegionReply, RegionSum
-from wallwell.cluster.region_load_reporter import _pack as pack_region_sum
-from wallwell.cluster.region_load_reporter import _unpack as unpack_region_sum
-from wallwell.cluster.relay import RelayedRow, RowsReply
-from wallwell.cluster.relay import _reply as reply_with_rows
-from wallwell.cluster.relay import _unpack as unpack_rows
+from wallwell.cluster.load_messages import (
+    OthersLoad,
+    RegionReply,
+    RegionSum,
+    ZoneLoad,
+    pack_region_sum,
+    unpack_region_sum,
+)
+from wallwell.cluster.row_messages import RelayedRow, RowsReply, reply_with_rows, unpack_rows
 from wallwell.cluster.upstream import Member
 from wallwell.deployment.backends import BackendRecord
 from wallwell.errors import RequestError, SettingsError, WallwellError, all_error_types
