--- /dev/null
+++ b/tests/unit/routing/health/test_suspension.py
@@ -0,0 +1,45 @@
+"""For how long a back end is left out after failures."""
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from wallwell.routing.health.suspension import (
+    ANSWERING_S,
+    FIRST_PAUSE_S,
+    MAX_PAUSE_S,
+    answered_recently,
+    suspended_until_s,
+)
+
+
+@pytest.mark.parametrize(
+    ("failures", "unreachable", "pause_s"),
+    [
+        (1, True, 0.6),
+        (2, True, 1.2),
+        (3, True, 2.4),
+        (4, True, 4.0),
+        (40, True, 4.0),
+        (1, False, None),
+        (2, False, 0.6),
+        (3, False, 1.2),
+        (5, False, 4.0),
+    ],
+)
+def test_pauses_double_up_to_their_bound(failures, unreachable, pause_s):
+    until_s = suspended_until_s(failures, unreachable, now_s=0.0)
+    assert until_s == (None if pause_s is None else pytest.approx(pause_s))
+
+
+@given(st.integers(1, 10_000), st.booleans(), st.floats(0.0, 1e6))
+def test_a_pause_is_bounded_and_never_shorter_after_more_failures(failures, unreachable, now_s):
+    until_s, later_s = (suspended_until_s(count, unreachable, now_s) for count in (failures, failures + 1))
+    if until_s is not None:
+        assert now_s + FIRST_PAUSE_S <= until_s <= later_s <= now_s + MAX_PAUSE_S
+
+
+def test_an_answer_counts_for_a_while():
+    assert answered_recently(10.0, 10.0 + ANSWERING_S - 0.01)
+    assert not answered_recently(10.0, 10.0 + ANSWERING_S)
+    assert not answered_recently(float("-inf"), 10.0)
