--- /dev/null
+++ b/src/wallwell/routing/selection/candidates.py
@@ -0,0 +1,122 @@
+"""Which back ends may get the next attempt of a request. Pure.
+
+Inputs are the listed back ends with what this node observed of each, the weights versions that operators have
+named, and the zones into which this request's connections timed out. Three rules apply, each with a last resort, so
+that a request that could be served somewhere is not refused:
+
+1. Back ends that leave (draining, gone, superseded) get nothing. Suspended ones get nothing while another is open.
+2. Generations go to engines that have every weights version that was named long enough ago
+   (``OVERDUE_FRACTION`` of the operators' bound, ``LAST_RESORT_FRACTION`` if no engine has them), and to engines
+   that are loading weights only if no other one is left.
+3. Zones into which a connection of the same request timed out are left out while other zones are left.
+
+``serving/version_choice.py`` reads the node's state for it, and says which side of a rollout is meant;
+``engine_choice`` and ``call_choice`` pick one of the result.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Sequence
+from typing import NamedTuple
+
+from wallwell.deployment.backends import Backend
+from wallwell.deployment.weights import OVERDUE_FRACTION, WeightsTargets
+
+LAST_RESORT_FRACTION = 0.93
+"""Fraction of the operators' bound up to which older weights are used if no engine has newer ones.
+
+Chosen, not measured: of the default bound of 8 s it leaves 0.56 s, some twice ``BEGIN_MARGIN_S``."""
+BEGIN_MARGIN_S = 0.25
+"""Seconds before the end of the operators' bound by which a generation on older weights has to have begun.
+
+Chosen, not measured: a request begins some time after it was sent, and nodes learn names at different times."""
+
+
+class Candidates(NamedTuple):
+    """Back ends for the next attempt of a request."""
+
+    listed: Sequence[Backend]
+    """All that may carry requests of its kind, from which engines' pools are formed."""
+    usable: list[Backend]
+
+
+class WeightsRequirement(NamedTuple):
+    """Which weights a generation's engine must have."""
+
+    targets: WeightsTargets
+    model: str
+    allowance_s: float
+    """Seconds after its naming for which a version may be missing on an engine that gets generations."""
+
+
+def usable_backends(
+    listed: Sequence[Backend], requirement: WeightsRequirement | None, now_s: float
+) -> list[Backend]:
+    """Return those of the listed that may get a request now, last resorts only if there are no others.
+
+    ``requirement`` is None for calls, which need no weights.
+    """
+    usable = [each for each in listed if each.is_open(now_s)]
+    if not usable:
+        # Every back end is suspended: one that may have recovered is better than none.
+        usable = [each for each in listed if not each.is_leaving(now_s)]
+    if requirement is None:
+        return usable
+    current = _on_due_weights(usable, requirement, OVERDUE_FRACTION, now_s)
+    if not current:
+        # Better the last moments of older weights than no engine at all; ``begin_by_s`` bounds when it begins.
+        current = _on_due_weights(usable, requirement, LAST_RESORT_FRACTION, now_s)
+    return [each for each in current if not each.is_loading(now_s)] or current
+
+
+def candidates_of_tiers(
+    tiers: Sequence[Sequence[Backend]], requirement: WeightsRequirement | None, now_s: float
+) -> Candidates:
+    """Return the candidates of the first tier that can serve the request; there is at least one tier.
+
+    A tier is a group of back ends that a rollout prefers to the later ones. Those without any open back end are
+    passed over first; if that leaves none, the first that has a last resort is taken.
+    """
+    for tier in tiers:
+        if any(each.is_open(now_s) for each in tier):
+            usable = usable_backends(tier, requirement, now_s)
+            if usable:
+                return Candidates(tier, usable)
+    # Every back end is suspended or on old weights: the last resort of the side that the request belongs to.
+    by_tier = [Candidates(tier, usable_backends(tier, requirement, now_s)) for tier in tiers]
+    return next((each for each in by_tier if each.usable), by_tier[0])
+
+
+def begin_by_s(backend: Backend, requirement: WeightsRequirement) -> float:
+    """Return until when a generation may begin at a back end on the weights it is believed to have.
+
+    The time is on this node's clock, infinity if the weights are the newest.
+    """
+    allowance_s = requirement.allowance_s - BEGIN_MARGIN_S
+    believed = backend.believed_version(requirement.model)
+    return requirement.targets.begin_by_s(requirement.model, believed, allowance_s)
+
+
+def without_unresponsive_zones(
+    candidates: Sequence[Backend], unresponsive_zones: Collection[str], own_zone: str
+) -> Sequence[Backend]:
+    """Leave out the zones into which this request's connections timed out; then the node's own zone goes first.
+
+    Each such connection costs the request 0.25 s, and nothing is less likely to be cut off than the own zone.
+    """
+    if not unresponsive_zones:
+        return candidates
+    responsive = [each for each in candidates if each.record.zone not in unresponsive_zones]
+    in_own_zone = [each for each in responsive if each.record.zone == own_zone]
+    return in_own_zone or responsive or candidates
+
+
+def _on_due_weights(
+    usable: Sequence[Backend], requirement: WeightsRequirement, fraction: float, now_s: float
+) -> list[Backend]:
+    """Return the engines with every version that was named at least this fraction of the allowance ago."""
+    model = requirement.model
+    newest_in_place = max((each.believed_version(model) for each in usable), default=0)
+    due_after_s = requirement.allowance_s * fraction
+    minimum = requirement.targets.minimum_version(model, now_s, due_after_s, newest_in_place)
+    return [each for each in usable if each.believed_version(model) >= minimum]
