--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -27,12 +27,7 @@
 from wallwell.routing.selection.kv_store import KvStoreContents
 from wallwell.routing.selection.prefill_rate import PrefillRate
 from wallwell.routing.selection.split import WeightedSplit
-from wallwell.serving.messages import Generation
 
-LAST_FRACTION = 0.93
-"""Part of the allowance up to which older weights are used if no engine has newer ones."""
-BEGIN_MARGIN_S = 0.25
-"""How much before the end of the allowance a generation on older weights has to have begun."""
 MIN_FREE_PLACES = 0.25
 """What a full back end counts as free, so that one is chosen if all are full."""
 DEFAULT_CALL_S = 0.05
@@ -205,31 +200,6 @@
         """
         return now_s - (self.bounds.version_s * OVERDUE_FRACTION - self.bounds.contact_s * START_FRACTION)
 
-    def usable_of(self, listed: Sequence[Backend], generation: Generation | None, now_s: float) -> list[Backend]:
-        """Those that may get a request now, without those that are only a last resort if there are others."""
-        usable = [each for each in listed if each.is_open(now_s)]
-        if not usable:
-            # Every back end is suspended: one that may have recovered is better than none.
-            usable = [each for each in listed if not each.is_leaving(now_s)]
-        if generation is None:
-            return usable
-        current = self._on_due_weights(usable, generation.model, OVERDUE_FRACTION, now_s)
-        if not current:
-            # Better the last moments of older weights than no engine at all; the begin is bounded by the pipeline.
-            current = self._on_due_weights(usable, generation.model, LAST_FRACTION, now_s)
-        return [each for each in current if not each.is_loading(now_s)] or current
-
-    def _on_due_weights(self, usable: Sequence[Backend], model: str, part: float, now_s: float) -> list[Backend]:
-        """Engines with every version that has been named for this part of the allowance."""
-        in_place = max((each.believed_version(model) for each in usable), default=0)
-        minimum = self.weights.minimum_version(model, now_s, self.bounds.version_s * part, in_place)
-        return [each for each in usable if each.believed_version(model) >= minimum]
-
-    def begin_by_s(self, backend: Backend, model: str) -> float:
-        """Return until when a generation may begin at a back end on the weights it is believed to have."""
-        allowance_s = self.bounds.version_s - BEGIN_MARGIN_S
-        return self.weights.begin_by_s(model, backend.believed_version(model), allowance_s)
-
     def least_loaded(self, candidates: Sequence[Backend]) -> Backend:
         """Return a back end for a call: one of the own zone with places free, else one by its free places.
 
--- a/src/wallwell/serving/backend_choice.py
+++ b/src/wallwell/serving/backend_choice.py
@@ -97,18 +97,6 @@
         pace = self._state.pace
         return pace.room(objective_s), pace.room(max(0.0, objective_s - REGION_WAY_S))
 
-    def without_unresponsive_zones(self, active: ActiveRequest, candidates: Sequence[Backend]) -> Sequence[Backend]:
-        """Leave out the zones into which this request's connections hung; then the own zone goes first.
-
-        Each such connection costs the request 0.25 s, and nothing is less likely to be cut off than the own zone.
-        """
-        hung = active.history.unresponsive_zones
-        if not hung:
-            return candidates
-        apart = [each for each in candidates if each.record.zone not in hung]
-        near = [each for each in apart if each.record.zone == self._state.zone]
-        return near or apart or candidates
-
     def refuse_if_overloaded(self, active: ActiveRequest, now_s: float) -> None:
         """Refuse a part of new generations while engines have too much to do. Raises :class:`OverloadedError`.
 
--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -21,6 +21,7 @@
 from wallwell.outcomes import Outcome
 from wallwell.routing.retry.attempt_outcome import REFUSED_BY_BACKEND, TransportEvent
 from wallwell.routing.retry.retry_after import RefusalCause
+from wallwell.routing.selection.candidates import without_unresponsive_zones
 from wallwell.routing.selection.prefix_home import request_load
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.admission import Admission
@@ -188,7 +189,10 @@
         if not candidates:
             raise self._errors.none_usable(active, now_s)
         self._choice.refuse_if_overloaded(active, now_s)
-        return self._choice.choose(active, self._choice.without_unresponsive_zones(active, candidates), listed)
+        unresponsive = active.history.unresponsive_zones
+        return self._choice.choose(
+            active, without_unresponsive_zones(candidates, unresponsive, self._state.zone), listed
+        )
 
     def _is_too_late(self, active: ActiveRequest) -> bool:
         """Whether too little time is left for an attempt; a run that goes on has less to do than a whole one."""
--- a/src/wallwell/serving/response_timeout.py
+++ b/src/wallwell/serving/response_timeout.py
@@ -11,7 +11,7 @@
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.messages import AttemptError, BackendAnswer, BackendClient, Dispatch
-from wallwell.serving.version_choice import candidates_for
+from wallwell.serving.version_choice import begin_by_s, candidates_for
 
 FIRST_BYTE_PATIENCE = 0.6
 """Part of the objective after which a silent back end is given up, if the request may be repeated."""
@@ -73,7 +73,7 @@
         generation = active.request.generation
         if generation is None:
             return None
-        left_s = self._state.begin_by_s(backend, generation.model) - boot_time_s()
+        left_s = begin_by_s(self._state, backend, generation.model) - boot_time_s()
         return max(MIN_REMAINING_S, left_s) if left_s < active.remaining_s() else None
 
     def _silence_s(self, active: ActiveRequest) -> float | None:
--- a/src/wallwell/serving/version_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -1,48 +1,52 @@
-"""Which side of a rollout a request goes to, and what is counted of its attempts. No I/O.
+"""Which back ends may get a request, by what this node knows, and what is counted of its attempts. No I/O.
 
-A service without a rollout costs one look-up here.
+This is the adapter between the node's state and the decisions: ``routing/selection/candidates.py`` says which back
+ends may get a request, ``rollout/sides.py`` which side of a rollout a request is drawn for, once for all its
+attempts (``ActiveRequest.prefers_target``). Attempts are counted for the node that holds the rollout's lease, which
+compares the versions by them. A service without a rollout costs one look-up here.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import NamedTuple
 
 from wallwell.deployment.backends import Backend
 from wallwell.node.state import NodeState
 from wallwell.rollout.sides import ServiceSides
 from wallwell.rollout.tally import CountedAttempt
 from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.routing.selection import candidates
+from wallwell.routing.selection.candidates import (
+    Candidates,
+    WeightsRequirement,
+    candidates_of_tiers,
+    usable_backends,
+)
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.messages import AttemptError
 
 
-class Candidates(NamedTuple):
-    """Back ends for the next attempt of a request."""
-
-    listed: Sequence[Backend]
-    """All that may carry requests of its kind, from which engines' pools are formed."""
-    usable: list[Backend]
-
-
 def candidates_for(state: NodeState, active: ActiveRequest, now_s: float) -> Candidates:
     """Return the back ends among which the next attempt's is chosen."""
     listed = state.backends.of_service(active.service)
     generation = active.request.generation
+    requirement = None if generation is None else _weights_requirement(state, generation.model)
     sides = state.rollouts.active.get(active.service)
     if sides is None:
-        return Candidates(listed, state.usable_of(listed, generation, now_s))
+        return Candidates(listed, usable_backends(listed, requirement, now_s))
     if active.prefers_target is None:
         active.prefers_target = sides.draws_target(state.rng, now_s)
-    tiers = sides.tiers(listed, active.prefers_target and _may_prefer_target(sides, now_s), now_s)
-    for tier in tiers:
-        if any(each.is_open(now_s) for each in tier):
-            usable = state.usable_of(tier, generation, now_s)
-            if usable:
-                return Candidates(tier, usable)
-    # Every back end is suspended or on old weights: the last resort of the side that the request belongs to.
-    offers = [Candidates(tier, state.usable_of(tier, generation, now_s)) for tier in tiers]
-    return next((each for each in offers if each.usable), offers[0])
+    prefers_target = active.prefers_target and _may_prefer_target(sides, now_s)
+    return candidates_of_tiers(sides.tiers(listed, prefers_target, now_s), requirement, now_s)
+
+
+def begin_by_s(state: NodeState, backend: Backend, model: str) -> float:
+    """Return until when a generation may begin at a back end on the weights it is believed to have."""
+    return candidates.begin_by_s(backend, _weights_requirement(state, model))
+
+
+def _weights_requirement(state: NodeState, model: str) -> WeightsRequirement:
+    return WeightsRequirement(state.weights, model, state.bounds.version_s)
 
 
 def _may_prefer_target(sides: ServiceSides, now_s: float) -> bool:
@@ -59,7 +63,7 @@
 
 
 def begin_attempt(state: NodeState, active: ActiveRequest, backend: Backend, now_s: float) -> CountedAttempt | None:
-    """Count an attempt that is sent while a rollout is on; a repeat after it goes to the current version."""
+    """Count an attempt that is sent during a rollout; a retry after it goes to the current version."""
     sides = state.rollouts.active.get(active.service)
     if sides is None:
         return None
--- a/tests/unit/node/test_fleet_recovery.py
+++ b/tests/unit/node/test_fleet_recovery.py
@@ -25,6 +25,7 @@
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.backend_choice import BackendChoice
 from wallwell.serving.messages import Generation
+from wallwell.serving.version_choice import candidates_for
 
 NODES, ENGINES, ZONES = 24, 59, 7
 GUIDE_TOKENS, CASE_TOKENS, CASES = 2_520, 3_780, 1_266
@@ -169,7 +170,7 @@
         generation = Generation("m", sent.parts, None)
         request = make_request(generation=generation)
         active = ActiveRequest(request, None, ROUTE, None, "svc", now_s + 5.0, AttemptLog(repeatable=True))
-        usable = state.usable_of(state.backends.of_service("svc"), generation, now_s)
+        usable = candidates_for(state, active, now_s).usable
         candidates = [each for each in usable if each is not sent.backend]
         sent.backend = backend = BackendChoice(state).choose(active, candidates)
         sent.load = request_load(generation.prompt_tokens)
--- a/tests/unit/routing/selection/test_candidates.py
+++ b/tests/unit/routing/selection/test_candidates.py
@@ -1,68 +1,152 @@
-"""Which back ends may get a request: the pure module beside the methods that it replaces."""
+"""Which back ends may get a request, and what is left as a last resort."""
 
-import random
-from types import SimpleNamespace
+import dataclasses
 
+import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
 from tests.unit.routing.selection.drawn_fleet import MODEL, NOW_S, ZONES, backends, weights_targets
-from wallwell.node.state import FleetBounds, NodeState
+from wallwell.deployment.backends import Backend, BackendRecord, LoadInProgress
+from wallwell.deployment.weights import OVERDUE_FRACTION, WeightsTargets
 from wallwell.routing.selection.candidates import (
+    BEGIN_MARGIN_S,
+    LAST_RESORT_FRACTION,
     WeightsRequirement,
     begin_by_s,
     candidates_of_tiers,
     usable_backends,
     without_unresponsive_zones,
 )
-from wallwell.serving.backend_choice import BackendChoice
-from wallwell.serving.version_choice import candidates_for
 
+ALLOWANCE_S = 8.0
 
-def state_with(targets, zone="z1"):
-    state = NodeState("n1", zone, FleetBounds(version_s=8.0), random.Random(1))
-    state.weights = targets
-    return state
 
+def engine(name, version=1, zone="z1", **observed):
+    backend = Backend(BackendRecord(name, "svc", f"{name}:80", zone, 8, versions={MODEL: version}), **observed)
+    backend.versions = {MODEL: version}
+    return backend
 
-GENERATIONS = st.sampled_from([None, SimpleNamespace(model=MODEL)])
 
+def requirement(named_s=None, version=2):
+    """Return what generations need ``named_s`` seconds after a version's naming."""
+    targets = WeightsTargets()
+    if named_s is not None:
+        targets.name(MODEL, version, NOW_S - named_s)
+    return WeightsRequirement(targets, MODEL, ALLOWANCE_S)
 
-def requirement_of(state, generation):
-    if generation is None:
-        return None
-    return WeightsRequirement(state.weights, generation.model, state.bounds.version_s)
 
+def names(found):
+    return [each.incarnation for each in found]
 
-@given(backends(), weights_targets(), GENERATIONS)
-def test_the_same_are_usable(listed, targets, generation):
-    state = state_with(targets)
-    new = usable_backends(listed, requirement_of(state, generation), NOW_S)
-    assert new == state.usable_of(listed, generation, NOW_S)
 
+def draining(name):
+    backend = engine(name)
+    backend.record = dataclasses.replace(backend.record, draining=True)
+    return backend
 
-@given(st.lists(backends(max_size=5), min_size=1, max_size=3), weights_targets(), GENERATIONS)
-def test_the_same_tier_is_taken(tiers, targets, generation):
-    state = state_with(targets)
-    sides = SimpleNamespace(tiers=lambda *_: tiers, record=None)
-    state.rollouts = SimpleNamespace(active={"svc": sides})
-    active = SimpleNamespace(service="svc", request=SimpleNamespace(generation=generation), prefers_target=False)
-    new = candidates_of_tiers(tiers, requirement_of(state, generation), NOW_S)
-    assert tuple(new) == tuple(candidates_for(state, active, NOW_S))
+
+OPEN, SUSPENDED = engine("open"), engine("suspended", suspended_until_s=NOW_S + 1)
+LEAVING = (
+    engine("gone", gone=True),
+    engine("superseded", superseded=True),
+    engine("lapsed", lapses_at_s=NOW_S),
+    draining("draining"),
+)
+
+
+@pytest.mark.parametrize(
+    ("listed", "usable"),
+    [
+        ((OPEN, SUSPENDED, *LEAVING), ["open"]),
+        ((SUSPENDED, *LEAVING), ["suspended"]),
+        (LEAVING, []),
+        ((), []),
+    ],
+    ids=["open", "suspended as last resort", "leaving never", "none"],
+)
+@pytest.mark.parametrize("is_generation", [False, True])
+def test_suspended_back_ends_are_the_last_resort_and_leaving_ones_get_nothing(listed, usable, is_generation):
+    assert names(usable_backends(listed, requirement() if is_generation else None, NOW_S)) == usable
+
+
+OLD, NEW = engine("old", 1), engine("new", 2)
+LOADING = engine("loading", 1, loading=LoadInProgress(MODEL, 2, NOW_S + 1))
+OVERDUE_S = ALLOWANCE_S * OVERDUE_FRACTION + 0.001
+LAST_RESORT_S = ALLOWANCE_S * LAST_RESORT_FRACTION + 0.001
+
+
+@pytest.mark.parametrize(
+    ("listed", "named_s", "usable"),
+    [
+        ((OLD, NEW), OVERDUE_S - 0.1, ["old", "new"]),
+        ((OLD, NEW), OVERDUE_S, ["new"]),
+        ((OLD,), OVERDUE_S, ["old"]),
+        ((OLD,), LAST_RESORT_S - 0.1, ["old"]),
+        ((OLD,), LAST_RESORT_S, []),
+        ((OLD, LOADING), 1.0, ["old"]),
+        ((LOADING,), 1.0, ["loading"]),
+    ],
+    ids=["not due", "due", "last resort", "last moment", "too old", "loading", "loading only"],
+)
+def test_generations_go_to_engines_on_due_weights(listed, named_s, usable):
+    assert names(usable_backends(listed, requirement(named_s), NOW_S)) == usable
 
 
-@given(backends(min_size=1), weights_targets())
-def test_the_same_time_to_begin(listed, targets):
-    state = state_with(targets)
-    requirement = WeightsRequirement(targets, MODEL, 8.0)
-    for backend in listed:
-        assert begin_by_s(backend, requirement) == state.begin_by_s(backend, MODEL)
+def test_calls_need_no_weights():
+    assert names(usable_backends((OLD, NEW, LOADING), None, NOW_S)) == ["old", "new", "loading"]
 
 
-@given(backends(), st.sets(st.sampled_from(ZONES)), st.sampled_from(ZONES))
-def test_the_same_zones_are_left_out(listed, unresponsive, own_zone):
-    choice = BackendChoice(state_with(None, own_zone))
-    active = SimpleNamespace(history=SimpleNamespace(unresponsive_zones=unresponsive))
-    assert without_unresponsive_zones(listed, unresponsive, own_zone) == choice.without_unresponsive_zones(
-        active, listed
-    )
+@pytest.mark.parametrize(
+    ("tiers", "listed", "usable"),
+    [
+        (([OPEN], [NEW]), ["open"], ["open"]),
+        (([SUSPENDED], [NEW]), ["new"], ["new"]),
+        (([], [SUSPENDED]), ["suspended"], ["suspended"]),
+        (([*LEAVING], [SUSPENDED]), ["suspended"], ["suspended"]),
+        (([SUSPENDED], []), ["suspended"], ["suspended"]),
+        (([], [*LEAVING]), [], []),
+    ],
+    ids=["first", "first is suspended", "first is empty", "first leaves", "second is empty", "nothing left"],
+)
+def test_the_first_tier_that_can_serve_is_taken(tiers, listed, usable):
+    found = candidates_of_tiers(tiers, None, NOW_S)
+    assert (names(found.listed), names(found.usable)) == (listed, usable)
+
+
+def test_a_generation_on_older_weights_begins_before_their_allowance_ends():
+    needed = requirement(named_s=1.0)
+    assert begin_by_s(OLD, needed) == NOW_S - 1.0 + ALLOWANCE_S - BEGIN_MARGIN_S
+    assert begin_by_s(NEW, needed) == float("inf")
+
+
+@pytest.mark.parametrize(
+    ("unresponsive", "left"),
+    [
+        (set(), ["a", "b", "c"]),
+        ({"z2"}, ["a"]),
+        ({"z1"}, ["b", "c"]),
+        ({"z1", "z2"}, ["c"]),
+        ({"z1", "z2", "z3"}, ["a", "b", "c"]),
+    ],
+)
+def test_unresponsive_zones_are_left_out_and_the_own_zone_goes_first(unresponsive, left):
+    listed = [engine("a", zone="z1"), engine("b", zone="z2"), engine("c", zone="z3")]
+    assert names(without_unresponsive_zones(listed, unresponsive, "z1")) == left
+
+
+@given(backends(), weights_targets(), st.booleans())
+def test_what_is_usable_is_listed_and_stays(listed, targets, is_generation):
+    needed = WeightsRequirement(targets, MODEL, ALLOWANCE_S) if is_generation else None
+    usable = usable_backends(listed, needed, NOW_S)
+    assert usable == [each for each in listed if each in usable]
+    assert not any(each.is_leaving(NOW_S) for each in usable)
+    if any(each.is_open(NOW_S) for each in listed):
+        assert all(each.is_open(NOW_S) for each in usable)
+    if not is_generation:
+        assert bool(usable) == any(not each.is_leaving(NOW_S) for each in listed)
+
+
+@given(backends(min_size=1), st.sets(st.sampled_from(ZONES)), st.sampled_from(ZONES))
+def test_leaving_zones_out_never_leaves_nothing(listed, unresponsive, own_zone):
+    assert without_unresponsive_zones(listed, unresponsive, own_zone)
