--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -71,7 +71,7 @@
     ) -> None:
         rng = random.Random(seed if seed is not None else f"{node}/{time.time_ns()}")
         places = places or Topology(zone)
-        self.state = NodeState(node, zone, bounds, rng, started_s=boot_time_s(), places=places)
+        self.state = NodeState(node, zone, bounds, rng, started_s=boot_time_s(), topology=places)
         self.draining = False
         self.in_flight = 0
         self.lag = LoopLag()
@@ -140,7 +140,7 @@
         loops: list[Callable[[], Coroutine[Any, Any, None]]] = [each.run for each in self._followers]
         loops += [self._weights_roll.run, self._exchange.run, self._kv_store_watch.run, self._liveness.run]
         loops += [self._housekeeping, self._watch_lag, self._crashes.run]
-        if self.state.places.has_regions:
+        if self.state.topology.has_regions:
             loops.append(self._exchange.between_regions.run)
         loops += [self._rollouts.run, self._reporter.run]
         self._tasks = [asyncio.create_task(self._supervise(loop)) for loop in loops]
--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Sequence
 from dataclasses import dataclass, field
 
 from wallwell.cluster.demand import FleetDemand
@@ -11,8 +10,8 @@
 from wallwell.cluster.region_traffic import RegionTraffic
 from wallwell.deployment.backends import Backend, BackendRegistry
 from wallwell.deployment.freshness import Freshness
-from wallwell.deployment.routes import DeploymentConfig, Service
-from wallwell.deployment.topology import ONE_REGION, Distance, Topology
+from wallwell.deployment.routes import DeploymentConfig
+from wallwell.deployment.topology import ONE_REGION, Topology
 from wallwell.deployment.weights import OVERDUE_FRACTION, WeightsTargets
 from wallwell.events import Event, emit
 from wallwell.rollout.model import RolloutBounds
@@ -20,21 +19,16 @@
 from wallwell.routing.admission.overload import GenerationTime
 from wallwell.routing.admission.quarantine import Quarantine
 from wallwell.routing.health.zone_suspicion import ZoneSuspicion
-from wallwell.routing.rendezvous import owner
 from wallwell.routing.retry.first_token import FirstTokenDelays
 from wallwell.routing.retry.retry_after import ShortestAnswer
 from wallwell.routing.retry.retry_budget import FleetRetryBudget
 from wallwell.routing.selection.kv_store import KvStoreContents
+from wallwell.routing.selection.kv_store_choice import KvStores
 from wallwell.routing.selection.prefill_rate import PrefillRate
 from wallwell.routing.selection.split import WeightedSplit
 
-MIN_FREE_PLACES = 0.25
-"""What a full back end counts as free, so that one is chosen if all are full."""
 DEFAULT_CALL_S = 0.05
 """Time of a call until some have been observed."""
-FREE_PART_OF_REGION = 0.25
-"""Part of a region's places that has to be free for its calls to stay there. What the fleet sends while loads grow
-old (0.1 to 0.2 s) takes a few; beyond that a call waits longer than the way there and back takes (40 ms)."""
 START_FRACTION = 0.8
 """Part of the time given to a started machine after which estimated ages count."""
 
@@ -73,7 +67,7 @@
     freshness: Freshness = field(default_factory=Freshness)
     split: WeightedSplit = field(default_factory=WeightedSplit)
     members: set[str] = field(default_factory=set)
-    pace: PrefillRate = field(default_factory=PrefillRate)
+    prefill_rate: PrefillRate = field(default_factory=PrefillRate)
     generation_time: GenerationTime = field(default_factory=GenerationTime)
     call_time: GenerationTime = field(default_factory=lambda: GenerationTime(DEFAULT_CALL_S))
     """How long calls take from their sending to their end."""
@@ -89,7 +83,7 @@
     split_offset: float = 0.0
     started_s: float = float("-inf")
     """When this node started, on its own clock."""
-    places: Topology = ONE_REGION
+    topology: Topology = ONE_REGION
     """Which zones are near; without a map of regions all of them are of one."""
     region_traffic: RegionTraffic = field(default_factory=RegionTraffic)
     quarantine: Quarantine = field(default_factory=Quarantine)
@@ -173,25 +167,11 @@
         if self.zones.on_answer(backend, self.backends.all(), now_s):
             emit(Event.ZONE_RETURNED, zone=backend.record.zone)
 
-    def kv_stores(self) -> Sequence[Service]:
-        """Return all stores of kept KV cache."""
-        return () if self.config is None else self.config.kv_stores
-
-    def kv_stores_near(self, engine_zone: str) -> list[Service]:
-        """Return the stores of kept KV cache in the region of an engine; all of them without regions."""
-        between = self.places.between
-        return [
-            store for store in self.kv_stores() if between(engine_zone, store.zone) is not Distance.OTHER_REGION
-        ]
-
-    def kv_store_address(self, placement: int, engine_zone: str = "") -> str:
-        """Return the store of kept KV cache for prompts placed by a key, empty if there is none.
-
-        Every node takes the same one for the same prompts and region, so that what one engine saved another one
-        finds. It stands in the region of the engine that reads the prompt, whichever node sends it there.
-        """
-        addresses = [store.kv_store_address for store in self.kv_stores_near(engine_zone)]
-        return owner(addresses, placement) if addresses else ""
+    @property
+    def kv_stores(self) -> KvStores:
+        """The KV stores in the configuration, with what each is known to hold."""
+        listed = () if self.config is None else self.config.kv_stores
+        return KvStores(listed, self.kv_store_contents, self.topology)
 
     def estimated_naming_s(self, now_s: float) -> float:
         """Return since when a weights version found at the start is taken to be named.
@@ -200,34 +180,6 @@
         """
         return now_s - (self.bounds.version_s * OVERDUE_FRACTION - self.bounds.contact_s * START_FRACTION)
 
-    def least_loaded(self, candidates: Sequence[Backend]) -> Backend:
-        """Return a back end for a call: one of the own zone with places free, else one by its free places.
-
-        Where there are regions, those of the own one are preferred while they have places free.
-
-        Loads of other nodes are some hundred milliseconds old. If every node took the least loaded back end, all
-        would take the same one in that time; so the choice is random, weighed by what is free.
-        """
-        nodes = self.node_count
-        near = [each for each in candidates if each.record.zone == self.zone and self._is_half_free(each, nodes)]
-        if near:
-            return min(near, key=lambda each: (each.fleet_load(nodes), self.rng.random()))
-        candidates = self._with_places_in_region(candidates, nodes)
-        free = [max(MIN_FREE_PLACES, each.record.slots - each.fleet_load(nodes)) for each in candidates]
-        return self.rng.choices(candidates, [places * places for places in free])[0]
-
-    def _with_places_in_region(self, candidates: Sequence[Backend], nodes: int) -> Sequence[Backend]:
-        """Return the candidates of the own region if enough of its places are free, else all."""
-        if not self.places.has_regions:
-            return candidates
-        own = [each for each in candidates if self.places.is_own_region(each.record.zone)]
-        free = sum(max(0, each.record.slots - each.fleet_load(nodes)) for each in own)
-        is_enough = bool(own) and free >= FREE_PART_OF_REGION * sum(each.record.slots for each in own)
-        return own if is_enough else candidates
-
-    def _is_half_free(self, backend: Backend, nodes: int) -> bool:
-        return 2 * backend.fleet_load(nodes) < backend.record.slots
-
     def on_version_refused(self, backend: Backend, model: str, told: int) -> None:
         """A back end refused the expected weights version: believe what it told, else the newest named."""
         if told:
--- a/src/wallwell/placement/weights_roll_driver.py
+++ b/src/wallwell/placement/weights_roll_driver.py
@@ -81,7 +81,7 @@
             state.weights,
             state.bounds.version_s,
             lambda now_s: state.demand.per_s(now_s, state.node_count),
-            state.places,
+            state.topology,
         )
         self._valid_s = state.bounds.lease_s * VALID_FRACTION
         self._lease = LeaseKeeper(LEASE_NAME, state.node, self._valid_s, table, guard_s=state.bounds.lease_s)
--- a/src/wallwell/serving/backend_choice.py
+++ b/src/wallwell/serving/backend_choice.py
@@ -1,40 +1,28 @@
-"""Which back end gets the next attempt of a request. No I/O."""
+"""Which back end gets the next attempt of a request, and what is learnt from how it went. No I/O.
+
+This is the adapter between the node's state and the decisions in ``routing/selection/`` (``call_choice``,
+``engine_choice``) and ``routing/admission/overload.py``. It raises the refusals that they decide on. It changes the
+node's averages of how long answers take, which nothing else writes.
+"""
 
 from __future__ import annotations
 
-import math
 from collections.abc import Sequence
 
 from wallwell.deployment.backends import Backend
 from wallwell.errors import OverloadedError
 from wallwell.node.state import NodeState
 from wallwell.routing.admission.overload import Occupancy, refused_part, retry_after_s
-from wallwell.routing.rendezvous import rendezvous_score
 from wallwell.routing.retry.retry_after import ShortestAnswer
-from wallwell.routing.selection.prefix_home import (
-    choose_engine,
-    choose_from_tiers,
-    find_headroom,
-    is_long,
-    prefers_other_region,
-    regional_pools,
-    shared_parts,
-)
+from wallwell.routing.selection.call_choice import choose_for_call
+from wallwell.routing.selection.engine_choice import FleetView, Prompt, choose_for_generation
+from wallwell.routing.selection.prefix_home import is_long, shared_parts
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.version_choice import eligible_backends
 
-REGION_WAY_S = 0.04
-"""What the way to an engine of another region and back adds to a first piece: twice 20 ms (the users' figure)."""
-SHARED_TOKENS_WORTH_THE_WAY = 1024
-"""Shared tokens from which a prompt has one home in all regions. It parts short prompts (some 200 shared tokens)
-from long ones (6,300, which take 67 ms to read at 94 tokens a ms, where the way and back takes 40 ms)."""
-FAR_SLOTS_FRACTION = 0.75
-"""Part of another region's slots that this one's prompts may fill: the rest is left to its own prompts, since its
-loads are told here some times a second only."""
-
 
 class BackendChoice:
-    """Chooses among usable back ends: calls by places free, generations by their shared prefix."""
+    """Asks the decisions of ``routing/`` for one attempt at a time, and learns from how attempts went."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
@@ -49,53 +37,17 @@
         state = self._state
         generation = active.request.generation
         if generation is None:
-            return state.least_loaded(candidates)
-        listed = state.backends.of_service(active.service) if listed is None else listed
-        pool = regional_pools(listed, generation.prompt_tokens, state.places)
-        near, far = self._by_region(candidates, self._home_region(active, pool))
-        key, nodes = active.placement, state.node_count
-        # A long prompt that would wait beyond its objective in its pool rather lengthens the gaps of short ones.
-        room, far_room = self._headroom_limits(active.route.objective_s, is_long(generation.prompt_tokens))
-        if near and far:
-            chosen = (
-                find_headroom(_tiers(near, pool), key, nodes, room)
-                or find_headroom(_tiers(far, pool), key, nodes, far_room, FAR_SLOTS_FRACTION)
-                or choose_engine(far if prefers_other_region(near, far, key, nodes) else near, key, nodes)
-            )
-        else:
-            chosen = choose_from_tiers(_tiers(near or far, pool), key, nodes, room if near else far_room)
-        assert chosen is not None
-        return chosen
-
-    def _by_region(self, candidates: Sequence[Backend], region: str) -> tuple[Sequence[Backend], Sequence[Backend]]:
-        """Return the candidates of a region and those of others; all count as near without regions."""
-        places = self._state.places
-        if not places.has_regions:
-            return candidates, ()
-        near = [each for each in candidates if places.region_of(each.record.zone) == region]
-        return near, [each for each in candidates if places.region_of(each.record.zone) != region]
-
-    def _home_region(self, active: ActiveRequest, pool: Sequence[Backend]) -> str:
-        """Return the region in which a prompt is to be read: the node's, or that of its home if much is shared.
-
-        Reading much again takes longer than the way to the other region and back, and the stores of one region need
-        not hold what all callers share.
-        """
-        places = self._state.places
-        generation = active.request.generation
-        assert generation is not None
-        shared_tokens = sum(part.tokens for part in shared_parts(generation.parts))
-        if shared_tokens < SHARED_TOKENS_WORTH_THE_WAY or not pool:
-            return places.own_region
-        home = max(pool, key=lambda engine: rendezvous_score(engine.incarnation, active.placement))
-        return places.region_of(home.record.zone)
-
-    def _headroom_limits(self, objective_s: float, is_long_prompt: bool) -> tuple[float, float]:
-        """Return up to which load engines of this region and of others still begin a prompt in time."""
-        if not is_long_prompt:
-            return math.inf, math.inf
-        pace = self._state.pace
-        return pace.load_limit(objective_s), pace.load_limit(max(0.0, objective_s - REGION_WAY_S))
+            return choose_for_call(candidates, state.node_count, state.zone, state.topology, state.rng)
+        if listed is None:
+            listed = state.backends.of_service(active.service)
+        prompt = Prompt(
+            key=active.placement,
+            tokens=generation.prompt_tokens,
+            shared_tokens=sum(part.tokens for part in shared_parts(generation.parts)),
+            objective_s=active.route.objective_s,
+        )
+        fleet = FleetView(state.node_count, state.topology, state.prefill_rate)
+        return choose_for_generation(prompt, candidates, listed, fleet)
 
     def refuse_if_overloaded(self, active: ActiveRequest, now_s: float) -> None:
         """Refuse a part of new generations while engines have too much to do. Raises :class:`OverloadedError`.
@@ -126,7 +78,7 @@
             state.shortest_answers.setdefault(active.route.name, ShortestAnswer()).observe(took_s)
 
     def learn_first_token(self, active: ActiveRequest, now_s: float) -> None:
-        """A piece of the current run came: learn from the first one."""
+        """A token of the current attempt came: learn from the first one."""
         timing = active.timing
         generation = active.request.generation
         if timing.sent_s is None or generation is None:
@@ -134,18 +86,12 @@
         delay_s = now_s - timing.sent_s
         self._state.first_token_delays.observe(delay_s, active.route.objective_s, now_s)
         if is_long(generation.prompt_tokens):
-            self._state.pace.observe(timing.load_when_sent, delay_s)
+            self._state.prefill_rate.observe(timing.load_when_sent, delay_s)
         timing.sent_s = None
 
     def learn_silence(self, active: ActiveRequest, now_s: float) -> None:
-        """The current run was given up before its first piece."""
+        """The current attempt was given up before its first token."""
         timing = active.timing
         if timing.sent_s is not None and active.request.generation is not None:
             self._state.first_token_delays.on_given_up(now_s)
             timing.sent_s = None
-
-
-def _tiers(engines: Sequence[Backend], pool: Sequence[Backend]) -> tuple[Sequence[Backend], Sequence[Backend]]:
-    """Return the engines that are meant for a prompt's length, and all of them."""
-    meant = set(pool)
-    return [each for each in engines if each in meant], engines
--- a/tests/unit/node/test_fleet_recovery.py
+++ b/tests/unit/node/test_fleet_recovery.py
@@ -118,7 +118,7 @@
 
     def _node(self, index):
         state = NodeState(f"n{index}", f"z{index % ZONES}", FleetBounds(), random.Random(self.rng.random()))
-        state.places = Topology(state.zone, self.regions)
+        state.topology = Topology(state.zone, self.regions)
         state.apply_config(DeploymentConfig(1, (ROUTE,)))
         for engine in range(ENGINES):
             state.backends.upsert(
@@ -181,9 +181,9 @@
         def begin(at_s):
             self._begin(sent, load_when_sent, now_s, at_s)
 
-        places = state.places
-        is_far = places.distance(backend.record.zone) is Distance.OTHER_REGION
-        self.to_region.append((sent.parts[:-1], places.region_of(backend.record.zone)))
+        topology = state.topology
+        is_far = topology.distance(backend.record.zone) is Distance.OTHER_REGION
+        self.to_region.append((sent.parts[:-1], topology.region_of(backend.record.zone)))
         engine = self.engines[backend.incarnation]
         if is_far:
             self.at(
@@ -206,7 +206,7 @@
     def _begin(self, sent, load_when_sent, sent_s, now_s):
         sent.has_begun = True
         sent.backend.load -= sent.load
-        sent.state.pace.observe(load_when_sent, now_s - sent_s)
+        sent.state.prefill_rate.observe(load_when_sent, now_s - sent_s)
         sent.state.first_token_delays.observe(now_s - sent_s, OBJECTIVE_S, now_s)
         self.results.append((sent.arrived_s, now_s - sent.arrived_s))
 
@@ -215,10 +215,10 @@
         before, previous, self.told = self.told_before, self.told, [state.load.own(now_s) for state in self.nodes]
         self.told_before = previous
         for index, state in enumerate(self.nodes):
-            region = state.places.own_region
+            region = state.topology.own_region
             others = []
             for other, node in enumerate(self.nodes):
-                told = previous if node.places.own_region == region else before
+                told = previous if node.topology.own_region == region else before
                 if other != index and told:
                     others.append(told[other])
             if others:
--- a/tests/unit/routing/selection/test_prefix_home.py
+++ b/tests/unit/routing/selection/test_prefix_home.py
@@ -1,6 +1,4 @@
-"""Every node places a shared prefix on the same engine, short prompts apart from long ones."""
-
-from collections import Counter
+"""Prompts with the same shared parts have the same home, short prompts other engines than long ones."""
 
 import pytest
 
@@ -8,8 +6,6 @@
 from wallwell.routing.selection.prefix_home import (
     CHUNK_TOKENS,
     PromptPart,
-    choose_engine,
-    choose_from_tiers,
     engine_pool,
     placement_key,
     request_load,
@@ -30,32 +26,6 @@
     assert placement_key(parts("a", "b", "own"), "") != placement_key(parts("a", "b", "own"), "tenant")
 
 
-def test_the_order_of_the_list_does_not_matter():
-    listed = engines(6)
-    key = placement_key(parts("a", "b", "own"), "")
-    assert choose_engine(listed, key) is choose_engine(listed[::-1], key)
-
-
-def test_losing_an_engine_moves_only_its_own_prefixes():
-    listed = engines(6)
-    keys = [placement_key(parts(f"p{index}", "own"), "") for index in range(200)]
-    before = [choose_engine(listed, key) for key in keys]
-    after = [choose_engine(listed[1:], key) for key in keys]
-    assert all(new is old for old, new in zip(before, after, strict=True) if old is not listed[0])
-
-
-def test_a_loaded_home_is_passed_over_for_the_next_in_order():
-    listed = engines(4)
-    key = placement_key(parts("hot", "own"), "")
-    home = choose_engine(listed, key)
-    home.load = 40
-    second = choose_engine(listed, key)
-    assert second is not home
-    second.load = 41
-    home.load = 0
-    assert choose_engine(listed, key) is home
-
-
 @pytest.mark.parametrize(("count", "short"), [(1, 1), (2, 2), (3, 1), (6, 2), (9, 3)])
 def test_pools_are_apart_and_cover_every_engine(count, short):
     listed = engines(count)
@@ -66,86 +36,6 @@
     assert count < 3 or not for_short & for_long
 
 
-def test_no_engine_gives_no_choice():
-    assert choose_engine([], 1) is None
-
-
-def test_requests_overflow_to_the_next_tier_when_the_first_is_full():
-    """Found by a hunt: 109 short prompts of 2 s went to the one engine of their pool while others stood idle."""
-    first, second = engines(4)[:1], engines(4)[1:]
-    assert choose_from_tiers((first, second), 1, nodes=7) is first[0]
-    first[0].load = first[0].record.slots // 7 + 1
-    assert choose_from_tiers((first, second), 1, nodes=7) in second
-
-
-@pytest.mark.parametrize("idle", [0, 1, 3, 10])
-def test_prompts_that_fit_nowhere_spread_over_the_engines(idle):
-    """Found on a deployment of 59 engines: 23 prompts in 0.4 s went to the one engine that looked idle."""
-    listed = engines(59)
-    for number, engine in enumerate(listed):
-        engine.peers_load = 70 + number % 7 if number >= idle else 1
-    chosen = Counter(choose_from_tiers((listed[20:], listed), key, nodes=195).incarnation for key in range(300))
-    assert max(chosen.values()) <= 20
-
-
-def test_an_engine_with_far_more_than_the_others_gets_nothing_even_if_all_are_full():
-    listed = engines(9)
-    for engine in listed:
-        engine.peers_load = 70
-    listed[4].peers_load = 140
-    chosen = {choose_from_tiers((listed,), key, nodes=3).incarnation for key in range(200)}
-    assert chosen == {each.incarnation for each in listed} - {"i-4"}
-
-
-def test_without_engines_there_is_no_choice():
-    assert choose_from_tiers(((), ()), 1, nodes=1) is None
-
-
 @pytest.mark.parametrize(("tokens", "load"), [(0, 1), (CHUNK_TOKENS - 1, 1), (CHUNK_TOKENS, 2), (40_000, 10)])
 def test_long_prompts_count_several_times(tokens, load):
     assert request_load(tokens) == load
-
-
-def test_the_load_of_other_nodes_counts():
-    listed = engines(4)
-    for engine in listed:
-        engine.peers_load = 2
-    key = placement_key(parts("hot", "own"), "")
-    home = choose_from_tiers((listed,), key, nodes=79)
-    home.peers_load = 30
-    second = choose_from_tiers((listed,), key, nodes=79)
-    assert second is not home
-    home.peers_load = 3
-    assert choose_from_tiers((listed,), key, nodes=79) is home
-
-
-def test_a_prefix_stays_at_its_home_in_a_large_fleet_while_the_home_has_room():
-    """Found on a deployment of 79 nodes: one request of a node's own counted as 79 and moved the next one away."""
-    listed = engines(45)
-    for engine in listed:
-        engine.peers_load = 1
-    key = placement_key(parts("shared", "own"), "")
-    home = choose_from_tiers((listed,), key, nodes=79)
-    home.load = 1
-    assert choose_from_tiers((listed,), key, nodes=79) is home
-
-
-def test_a_long_prompt_goes_to_another_pool_rather_than_wait_beyond_its_objective():
-    listed = engines(6)
-    pool = engine_pool(listed, CHUNK_TOKENS + 1)
-    others = [each for each in listed if each not in pool]
-    for each in pool:
-        each.load = 10
-    for each in others:
-        each.load = 4
-    assert choose_from_tiers((pool, listed), 7, 1, room=9.0) in others
-    assert choose_from_tiers((pool, listed), 7, 1, room=11.0) in pool
-
-
-def test_without_room_anywhere_an_engine_within_the_load_bound_is_taken():
-    listed = engines(6)
-    for engine in listed:
-        engine.load = 20
-    listed[0].load = 50
-    chosen = {choose_from_tiers((listed[3:], listed), key, 1, room=9.0).incarnation for key in range(100)}
-    assert chosen == {f"i-{index}" for index in range(1, 6)}
--- a/tests/unit/serving/test_cache_planning.py
+++ b/tests/unit/serving/test_cache_planning.py
@@ -20,8 +20,8 @@
 from wallwell.deployment.routes import RouteKind, Service
 from wallwell.routing.retry.first_token import Delays
 from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
+from wallwell.routing.selection.kv_store_choice import MIN_FETCH_TOKENS, home_store
 from wallwell.routing.selection.prefix_home import placement_key
-from wallwell.serving.cache_planning import MIN_FETCH_TOKENS
 from wallwell.serving.pipeline import RequestPipeline
 
 STORE = "10.9.0.1:80"
@@ -125,7 +125,7 @@
         services = tuple(Service(each, kv_store_address=each) for each in (STORE, OTHER_STORE))
         fleet.apply_config(dataclasses.replace(fleet.config, version=3, services=services))
         placement = placement_key(make_generation(2000).parts, "")
-        home = fleet.kv_store_address(placement)
+        home = home_store(fleet.kv_stores, placement, "z1")
         other = OTHER_STORE if home == STORE else STORE
         fleet.kv_store_contents[home], fleet.kv_store_contents[other] = (
             cache_of(*home_parts),
--- a/tests/unit/serving/test_call_placement.py
+++ b/tests/unit/serving/test_call_placement.py
@@ -7,6 +7,7 @@
 from tests.unit.serving.fakes import make_state
 from tests.virtual_time import run_virtual
 from wallwell.deployment.backends import BackendRecord
+from wallwell.routing.selection.call_choice import choose_for_call
 
 SLOTS = 6
 PICKS = 600
@@ -23,7 +24,10 @@
             backend.peers_load = load
             backend.load = (own or {}).get(record.incarnation, 0)
         candidates = state.backends.of_service("svc")
-        return Counter(state.least_loaded(candidates).incarnation for _ in range(PICKS))
+        return Counter(
+            choose_for_call(candidates, state.node_count, state.zone, state.topology, state.rng).incarnation
+            for _ in range(PICKS)
+        )
 
     return run_virtual(work())
 
--- a/tests/unit/serving/test_pipeline_generations.py
+++ b/tests/unit/serving/test_pipeline_generations.py
@@ -208,7 +208,7 @@
     slow = stream(event(1), 1.0, event(2), head_after_s=2.0)
     play([slow], ONCE, generate(tokens=tokens), versions={"m": 1}, prepare=states.append)
     expected_s = DEFAULT_S + SMOOTHING * (2.0 / request_load(tokens + 10) - DEFAULT_S)
-    assert states[0].pace.seconds_per_unit == pytest.approx(expected_s if learns else DEFAULT_S, rel=0.01)
+    assert states[0].prefill_rate.seconds_per_unit == pytest.approx(expected_s if learns else DEFAULT_S, rel=0.01)
 
 
 # --- callers that have left ----------------------------------------------------------------------------
--- a/tests/unit/serving/test_regions.py
+++ b/tests/unit/serving/test_regions.py
@@ -27,6 +27,7 @@
 from wallwell.node.metrics import render
 from wallwell.placement.weights_roll import divide
 from wallwell.routing.retry.attempt_outcome import AttemptLog
+from wallwell.routing.selection.call_choice import choose_for_call
 from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
 from wallwell.routing.selection.prefix_home import PromptPart
 from wallwell.serving.active_request import ActiveRequest
@@ -44,7 +45,7 @@
 def fleet_state(node_zone, engine_zones, store_zones=STORE_ZONES):
     """Return a node's state with an engine in each listed zone."""
     state = make_state(STREAM, backends=0)
-    state.zone, state.places = node_zone, Topology(node_zone, MAP)
+    state.zone, state.topology = node_zone, Topology(node_zone, MAP)
     services = tuple(Service(zone, kv_store_address=STORES[zone], zone=zone) for zone in store_zones)
     state.apply_config(dataclasses.replace(state.config, version=2, services=services))
     for index, zone in enumerate(engine_zones):
@@ -129,7 +130,7 @@
 
 def test_without_a_map_the_stores_of_all_zones_are_used():
     def forget_regions(state):
-        state.places = Topology("a1")
+        state.topology = Topology("a1")
 
     plans = cache_plans("a1", "a1", PROMPTS, forget_regions)
     assert {plan.save_to for plan in plans} == set(STORES.values())
@@ -190,7 +191,7 @@
         for engine in state.backends.all():
             engine.peers_load = loads[MAP[engine.record.zone]]
         candidates = [each for each in state.backends.of_service("svc") if MAP[each.record.zone] not in without]
-        state.pace.seconds_per_unit = 0.095
+        state.prefill_rate.seconds_per_unit = 0.095
         choice = BackendChoice(state)
         chosen = Counter()
         for number in range(prompts):
@@ -303,7 +304,7 @@
 def test_each_region_has_engines_of_its_own_for_short_prompts():
     state = run_virtual(async_state())
     listed = state.backends.of_service("svc")
-    short, long = divide(listed, state.places)
+    short, long = divide(listed, state.topology)
     for region in ("a", "b"):
         assert sum(MAP[each.record.zone] == region for each in short) == 2
         assert sum(MAP[each.record.zone] == region for each in long) == 4
@@ -312,7 +313,7 @@
 def test_half_of_a_pool_is_half_of_each_region():
     """Engines are reloaded half a pool at a time: never all of a region's at once."""
     state = run_virtual(async_state())
-    for pool in divide(state.backends.of_service("svc"), state.places):
+    for pool in divide(state.backends.of_service("svc"), state.topology):
         first_half = pool[: len(pool) // 2]
         assert len({MAP[each.record.zone] for each in first_half}) == 2
 
@@ -333,7 +334,10 @@
             record = BackendRecord(f"b{index}", "calls", f"10.0.1.{index}:1", zone, CALL_SLOTS)
             state.backends.upsert(record).peers_load = load
         candidates = state.backends.of_service("calls")
-        return Counter(state.least_loaded(candidates).record.zone for _ in range(400))
+        return Counter(
+            choose_for_call(candidates, state.node_count, state.zone, state.topology, state.rng).record.zone
+            for _ in range(400)
+        )
 
     return run_virtual(work())
 
