--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -21,6 +21,7 @@
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.retry.attempt_outcome import REFUSED_BY_BACKEND, TransportEvent
 from wallwell.routing.retry.retry_after import RefusalCause
+from wallwell.routing.selection.candidates import without_unresponsive_zones
 from wallwell.routing.selection.prefix_home import request_load
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.admission import Admission
@@ -188,7 +189,10 @@
         if not candidates:
             raise self._errors.none_usable(active, now_s)
         self._choice.refuse_if_overloaded(active, now_s)
-        return self._choice.choose(active, self._choice.without_unresponsive_zones(active, candidates), listed)
+        unresponsive = active.history.unresponsive_zones
+        return self._choice.choose(
+            active, without_unresponsive_zones(candidates, unresponsive, self._state.zone), listed
+        )
 
     def _is_too_late(self, active: ActiveRequest) -> bool:
         """Whether too little time is left for an attempt; a run that goes on has less to do than a whole one."""
@@ -250,7 +254,7 @@
     async def _send(self, active: ActiveRequest, backend: Backend) -> BackendAnswer:
         dispatch = self._dispatch(active, backend)
         answer = await self._wait.await_response(active, backend, dispatch)
-        if self._state.places.distance(backend.record.zone) is Distance.OTHER_REGION:
+        if self._state.topology.distance(backend.record.zone) is Distance.OTHER_REGION:
             cause = active.route.kind.value
             self._state.region_traffic.add(cause, len(active.request.body))
             answer = CountedAnswer(answer, self._state.region_traffic, cause)
--- a/tests/unit/node/test_fleet_recovery.py
+++ b/tests/unit/node/test_fleet_recovery.py
@@ -26,6 +26,7 @@
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.backend_choice import BackendChoice
 from wallwell.serving.messages import Generation
+from wallwell.serving.version_choice import candidates_for
 
 NODES, ENGINES, ZONES = 24, 59, 7
 GUIDE_TOKENS, CASE_TOKENS, CASES = 2_520, 3_780, 1_266
@@ -118,7 +119,7 @@
 
     def _node(self, index):
         state = NodeState(f"n{index}", f"z{index % ZONES}", FleetBounds(), random.Random(self.rng.random()))
-        state.places = Topology(state.zone, self.regions)
+        state.topology = Topology(state.zone, self.regions)
         state.apply_config(DeploymentConfig(1, (ROUTE,)))
         for engine in range(ENGINES):
             state.backends.upsert(
@@ -170,7 +171,7 @@
         generation = Generation("m", sent.parts, None)
         request = make_request(generation=generation)
         active = ActiveRequest(request, None, ROUTE, None, "svc", now_s + 5.0, AttemptLog(repeatable=True))
-        usable = state.usable_of(state.backends.of_service("svc"), generation, now_s)
+        usable = candidates_for(state, active, now_s).usable
         candidates = [each for each in usable if each is not sent.backend]
         sent.backend = backend = BackendChoice(state).choose(active, candidates)
         sent.load = request_load(generation.prompt_tokens)
@@ -181,9 +182,9 @@
         def begin(at_s):
             self._begin(sent, load_when_sent, now_s, at_s)
 
-        places = state.places
-        is_far = places.distance(backend.record.zone) is Distance.OTHER_REGION
-        self.to_region.append((sent.parts[:-1], places.region_of(backend.record.zone)))
+        topology = state.topology
+        is_far = topology.distance(backend.record.zone) is Distance.OTHER_REGION
+        self.to_region.append((sent.parts[:-1], topology.region_of(backend.record.zone)))
         engine = self.engines[backend.incarnation]
         if is_far:
             self.at(
@@ -206,7 +207,7 @@
     def _begin(self, sent, load_when_sent, sent_s, now_s):
         sent.has_begun = True
         sent.backend.load -= sent.load
-        sent.state.pace.observe(load_when_sent, now_s - sent_s)
+        sent.state.prefill_rate.observe(load_when_sent, now_s - sent_s)
         sent.state.first_token_delays.observe(now_s - sent_s, OBJECTIVE_S, now_s)
         self.results.append((sent.arrived_s, now_s - sent.arrived_s))
 
@@ -215,10 +216,10 @@
         before, previous, self.told = self.told_before, self.told, [state.load.own(now_s) for state in self.nodes]
         self.told_before = previous
         for index, state in enumerate(self.nodes):
-            region = state.places.own_region
+            region = state.topology.own_region
             others = []
             for other, node in enumerate(self.nodes):
-                told = previous if node.places.own_region == region else before
+                told = previous if node.topology.own_region == region else before
                 if other != index and told:
                     others.append(told[other])
             if others:
