--- a/src/wallwell/cluster/lease_turn.py
+++ b/src/wallwell/cluster/lease_turn.py
@@ -1,4 +1,9 @@
-"""When a node tries for a lease and renews it, so that of many nodes with work to do one does it."""
+"""When a node tries for a lease and renews it, so that of many nodes with work to do one does it.
+
+Owns the time of each try: the last holder first, then the others in an order that every node works out alike, so
+that few calls to the store are spent on tries that cannot succeed. Relies on :mod:`.leases` for who holds the
+lease, and on a feed of the store's rows for who held it last.
+"""
 
 from __future__ import annotations
 
@@ -12,11 +17,12 @@
 from wallwell.storage.feed import FeedRow
 
 RENEW_FRACTION = 0.4
-"""Part of the time that one renewal is trusted for after which the next one is made."""
+"""Fraction of the time for which a renewal is trusted, after which the next one is made: a call that fails can be
+made again before that time is over."""
 CANDIDATE_DELAY_S = 0.7
-"""How long the last holder is waited for before others try."""
+"""Seconds for which others leave the lease to its last holder. Chosen, not measured: some calls to the store."""
 CANDIDATE_STEP_S = 0.35
-"""Time between the tries of two candidates, of which one call to the store each takes a small part."""
+"""Seconds between the tries of two candidates; the calls of a try take a small fraction of it."""
 
 
 class LeaseTurn:
@@ -27,7 +33,7 @@
     ) -> None:
         """``valid_s`` is how long one renewal is trusted; ``members`` names the nodes that may try."""
         self.holder = ""
-        """The last holder that a feed told of; empty if none."""
+        """The last holder by the feed of the store's rows; empty if none."""
         self._name = name
         self._node = node
         self._keeper = keeper
@@ -36,6 +42,8 @@
         self._due_since_s: float | None = None
         self._renewed_at_s = float("-inf")
         self._draining = False
+        self._unconfirmed = False
+        """Whether the store did not answer to the last try, so that an outage is logged once."""
 
     def observe(self, row: FeedRow, now_s: float) -> None:
         """Take a row of this product's own table; others than the lease's are left alone."""
@@ -58,8 +66,10 @@
         was_held = self.is_held()
         try:
             held = await self._keeper.try_acquire(now_s)
-        except PlatformUnavailableError:
+        except PlatformUnavailableError as error:
+            self._on_unconfirmed(error)
             return self.is_held()
+        self._unconfirmed = False
         if held is None:
             if was_held:
                 emit(Event.LEASE_LOST, lease=self._name)
@@ -74,9 +84,14 @@
         try:
             self._keeper.check(boot_time_s())
         except LeaseLostError:
-            return False
+            return False  # This is the question; that a held lease was lost is logged by ``hold``.
         return True
 
+    def _on_unconfirmed(self, error: PlatformUnavailableError) -> None:
+        if not self._unconfirmed:
+            emit(Event.LEASE_UNCONFIRMED, lease=self._name, held=self.is_held(), reason=error.detail)
+        self._unconfirmed = True
+
     def drain(self) -> None:
         """Keep what is held, and take no new lease."""
         self._draining = True
--- a/src/wallwell/cluster/leases.py
+++ b/src/wallwell/cluster/leases.py
@@ -1,4 +1,6 @@
-"""Leases in the table service with fencing tokens.
+"""Leases in the table service with fencing tokens, so that at most one node acts on a matter at a time.
+
+Owns one row for each lease. Relies on conditional writes of the table, and on clocks that measure spans alike.
 
 No clocks are compared between machines. The holder counts its lease from the moment *before* it sent the
 write; a challenger must see the same row version for a full time-to-live on its own clock before it may take
@@ -13,6 +15,7 @@
 import msgspec
 
 from wallwell.errors import LeaseLostError, PlatformUnavailableError, TableConflictError
+from wallwell.events import Event, emit
 from wallwell.storage.table import Condition, Put, Row, TableService, Transaction
 
 LEASE_PREFIX = "lease/"
@@ -106,7 +109,7 @@
         try:
             version = await self._table.transact(Transaction((condition,), (put,)))
         except TableConflictError:
-            self.held = None
+            self.held = None  # Another node was first; callers log the loss of a lease that they held.
             return None
         self.held = HeldLease(self._name, body.fence or version, version, now_s + self._ttl_s)
         return self.held
@@ -120,5 +123,5 @@
         put = Put(self._key, msgspec.json.encode(body).decode())
         try:
             await self._table.transact(Transaction((Condition(self._key, held.version),), (put,)))
-        except (TableConflictError, PlatformUnavailableError):
-            return
+        except (TableConflictError, PlatformUnavailableError) as error:
+            emit(Event.LEASE_NOT_RELEASED, lease=self._name, reason=f"{type(error).__name__}: {error}")
--- a/src/wallwell/cluster/peer_link.py
+++ b/src/wallwell/cluster/peer_link.py
@@ -1,4 +1,9 @@
-"""Requests between nodes: JSON lines over TCP by address, one request and one reply at a time on a connection."""
+"""Requests between nodes: JSON lines over TCP, one request and one reply at a time on a connection.
+
+For everything that nodes report to and ask of each other. Owns the connections, and which peers do not answer, so
+that each change of that is logged once. Relies on callers for whom to ask and how long to wait, and on
+:mod:`wallwell.socket_options` to end connections whose peer is silent.
+"""
 
 from __future__ import annotations
 
@@ -8,14 +13,23 @@
 
 import msgspec
 
-from wallwell.clock import bounded
+from wallwell.clock import boot_time_s, bounded
 from wallwell.errors import PeerUnavailableError
+from wallwell.events import Event, emit
 from wallwell.socket_options import end_when_silent
 
 MAX_LINE_BYTES = 16 * 1024 * 1024
+"""Bytes of the longest message, so that a peer that sends no end of line cannot fill the memory. Chosen, not
+measured: a whole table of rows is one message."""
 CONNECT_TIMEOUT_S = 0.3
+"""Seconds for a connection: several times the 40 ms there and back between two regions."""
 UNACKNOWLEDGED_S = 1.0
-"""Time after which a link ends whose peer acknowledges nothing; requests have shorter or similar time-outs."""
+"""Seconds after which a link ends whose peer acknowledges nothing; requests have shorter or similar time-outs."""
+REFUSALS_LOGGED_EVERY_S = 10.0
+"""Seconds between two log lines of refused requests, since a peer of another version connects again at once.
+Chosen, not measured."""
+MAX_SILENT_KNOWN = 1000
+"""Addresses remembered as silent. Nodes are replaced under new addresses, and the old ones never answer again."""
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
 Handler = Callable[[Any], Awaitable[msgspec.Struct]]
@@ -25,26 +39,53 @@
     """Base of requests between nodes; the class's name travels as ``type``."""
 
 
+class PeerAnswers:
+    """Which peers do not answer, by address, so that only changes are logged: requests go out 20 times a second."""
+
+    def __init__(self) -> None:
+        self._failing: dict[str, Event] = {}
+
+    def on_answer(self, address: str) -> None:
+        """A peer answered."""
+        if self._failing.pop(address, None) is not None:
+            emit(Event.PEER_ANSWERS, peer=address)
+
+    def on_failure(self, address: str, request: str, error: Exception) -> None:
+        """A peer did not answer, or its reply could not be decoded."""
+        is_unreadable = isinstance(error, msgspec.MsgspecError | UnicodeError)
+        event = Event.PEER_REPLY_UNREADABLE if is_unreadable else Event.PEER_SILENT
+        if self._failing.get(address) is event:
+            return
+        self._failing[address] = event
+        if len(self._failing) > MAX_SILENT_KNOWN:
+            del self._failing[next(iter(self._failing))]
+        emit(event, peer=address, request=request, reason=f"{type(error).__name__}: {error}")
+
+
 class PeerLink:
     """One connection to a peer, made when it is needed."""
 
-    def __init__(self, address: str) -> None:
+    def __init__(self, address: str, answers: PeerAnswers | None = None) -> None:
         self.address = address
+        self._answers = answers or PeerAnswers()
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def ask(self, request: PeerMessage, reply_type: type[Reply], timeout_s: float) -> Reply:
         """Return the peer's reply. Raises :class:`PeerUnavailableError`; the connection is then made anew."""
         try:
-            line = await self._exchange(msgspec.json.encode(request) + b"\n", timeout_s)
-            return msgspec.json.decode(line, type=reply_type)
+            line = await self._round_trip(msgspec.json.encode(request) + b"\n", timeout_s)
+            reply = msgspec.json.decode(line, type=reply_type)
         except (OSError, TimeoutError, EOFError, ValueError, msgspec.MsgspecError) as error:
             self.close()
+            self._answers.on_failure(self.address, type(request).__name__, error)
             raise PeerUnavailableError(f"{self.address}: {type(error).__name__}") from error
         except BaseException:
             self.close()
             raise
+        self._answers.on_answer(self.address)
+        return reply
 
-    async def _exchange(self, line: bytes, timeout_s: float) -> bytes:
+    async def _round_trip(self, line: bytes, timeout_s: float) -> bytes:
         if self._streams is None:
             host, _, port = self.address.rpartition(":")
             async with bounded(CONNECT_TIMEOUT_S):
@@ -67,6 +108,8 @@
 
     def __init__(self) -> None:
         self._links: dict[str, PeerLink] = {}
+        self._answers = PeerAnswers()
+        """Outlives the links: one that failed is often closed and made again."""
 
     def __len__(self) -> int:
         return len(self._links)
@@ -77,7 +120,7 @@
         if link is None or link.address != address:
             if link is not None:
                 link.close()
-            link = self._links[name] = PeerLink(address)
+            link = self._links[name] = PeerLink(address, self._answers)
         return link
 
     def keep(self, names: set[str]) -> None:
@@ -94,6 +137,9 @@
         self._decoder = msgspec.json.Decoder(_union(tuple(handlers)))
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
+        self._refusals = 0
+        """Requests refused since this was logged last."""
+        self._refusal_logged_s = float("-inf")
         self.address = ""
 
     async def start(self, host: str, port: int) -> None:
@@ -107,14 +153,27 @@
         self._connections.add(task)
         try:
             await self._answer_all(reader, writer)
-        except (OSError, ValueError, KeyError, msgspec.MsgspecError):
-            pass  # The peer is gone or speaks something else; it will connect again.
+        except OSError:
+            pass  # The peer is gone or out of reach; what it wanted is its own matter, and it logs that.
+        except (ValueError, KeyError, msgspec.MsgspecError) as error:
+            self._on_refusal(writer.get_extra_info("peername"), error)
         except asyncio.CancelledError:
             pass  # Closed below; the task ends here, and asyncio would log a cancelled one as an error.
         finally:
             self._connections.discard(task)
             writer.transport.abort()
 
+    def _on_refusal(self, peer: Any, error: Exception) -> None:
+        """Log a request that was refused; the peer sees a closed connection and connects again."""
+        self._refusals += 1
+        now_s = boot_time_s()
+        if now_s - self._refusal_logged_s < REFUSALS_LOGGED_EVERY_S:
+            return
+        reason = f"{type(error).__name__}: {error}"
+        emit(Event.PEER_REQUEST_REFUSED, peer=str(peer), reason=reason, refused=self._refusals)
+        self._refusal_logged_s = now_s
+        self._refusals = 0
+
     async def _answer_all(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             request = self._decoder.decode(line)
--- a/src/wallwell/events.py
+++ b/src/wallwell/events.py
@@ -43,6 +43,7 @@
     CRASHES_NOT_WRITTEN = (4005, "WARNING", "store did not take which requests crashed back ends; tried again")
     STORE_LOST = (4003, "WARNING", "store does not answer for these rows")
     STORE_REGAINED = (4004, "INFO", "store answers again for these rows")
+    FEED_RESTARTED = (4006, "INFO", "store has no changes since the version known here; every row is read again")
     SETTINGS_RELOADED = (1007, "INFO", "settings read again")
     TABLE_UNAVAILABLE = (4001, "WARNING", "table service is unavailable")
     MACHINE_LIST_UNAVAILABLE = (4002, "WARNING", "machine list is unavailable")
@@ -57,6 +58,16 @@
     RELAY_NOT_SERVED = (5009, "WARNING", "no port for peers; they follow the store")
     REGION_LOST = (5010, "WARNING", "nothing is heard of another region; its loads count no more")
     REGION_REGAINED = (5011, "INFO", "another region is heard again")
+    PEER_SILENT = (5012, "INFO", "peer does not answer; logged once until it does")
+    PEER_ANSWERS = (5013, "INFO", "peer answers again")
+    PEER_REPLY_UNREADABLE = (5014, "WARNING", "reply of a peer cannot be decoded; it counts as no answer")
+    PEER_REQUEST_REFUSED = (
+        5015,
+        "WARNING",
+        "request of a peer cannot be decoded or served; its connection is closed",
+    )
+    LEASE_UNCONFIRMED = (5016, "WARNING", "store did not answer for a lease; what is held ends with its time")
+    LEASE_NOT_RELEASED = (5017, "INFO", "lease was not released; others wait until its time is over")
     ENGINE_INCARNATION = (6001, "INFO", "engine has a new incarnation; its cache entries are dropped")
     ENGINE_EVENTS_GAP = (6002, "WARNING", "cache events were lost; resynchronising")
     ENGINE_UNREACHABLE = (6003, "WARNING", "engine cannot be reached")
--- a/src/wallwell/storage/feed.py
+++ b/src/wallwell/storage/feed.py
@@ -98,7 +98,8 @@
         while True:
             try:
                 await self.step()
-            except HistoryLostError:
+            except HistoryLostError as error:
+                emit(Event.FEED_RESTARTED, rows=self.name, version=self._version, reason=error.detail)
                 self._version = None
             except PlatformUnavailableError as error:
                 self._on_failure(error)
--- /dev/null
+++ b/tests/unit/cluster/test_peer_link.py
@@ -0,0 +1,101 @@
+"""Peers that do not answer, or not so that it can be decoded, are logged once until they do."""
+
+import asyncio
+
+import msgspec
+import pytest
+
+from wallwell.cluster import peer_link
+from wallwell.cluster.peer_link import REFUSALS_LOGGED_EVERY_S, PeerLinks, PeerMessage, PeerServer
+from wallwell.errors import PeerUnavailableError
+from wallwell.events import Event
+
+
+class Question(PeerMessage, frozen=True):
+    """A request of this test."""
+
+    number: int
+
+
+class Answer(msgspec.Struct, frozen=True):
+    """What is expected in answer."""
+
+    number: int
+
+
+class OtherAnswer(msgspec.Struct, frozen=True):
+    """What a peer of another version answers."""
+
+    text: str = "x"
+
+
+@pytest.fixture
+def logged(monkeypatch):
+    events = []
+    monkeypatch.setattr(peer_link, "emit", lambda event, **fields: events.append((event, fields)))
+    return events
+
+
+async def ask(links, address, times=3):
+    for _ in range(times):
+        try:
+            await links.to("n1", address).ask(Question(1), Answer, 1.0)
+        except PeerUnavailableError:
+            links.keep(set())
+
+
+def test_each_change_of_a_peer_is_logged_once_also_by_new_links(run_async, logged):
+    replies = [Answer(1)]
+
+    async def answer(question):
+        return replies[0]
+
+    async def work():
+        server, links = PeerServer({Question: answer}), PeerLinks()
+        await server.start("127.0.0.1", 0)
+        try:
+            await ask(links, server.address)
+            replies[0] = OtherAnswer()
+            await ask(links, server.address)
+            replies[0] = Answer(1)
+            await ask(links, server.address)
+        finally:
+            server.close()
+        await asyncio.sleep(0)
+        await ask(links, server.address)
+        return server.address
+
+    address = run_async(work())
+    assert [event for event, _ in logged] == [Event.PEER_REPLY_UNREADABLE, Event.PEER_ANSWERS, Event.PEER_SILENT]
+    assert {(fields["peer"], fields.get("request", "Question")) for _, fields in logged} == {(address, "Question")}
+
+
+def test_requests_that_cannot_be_decoded_are_logged_once_in_a_while_with_their_number(
+    run_async, logged, monkeypatch
+):
+    now_s = [100.0]
+    monkeypatch.setattr(peer_link, "boot_time_s", lambda: now_s[0])
+
+    async def send(address):
+        host, _, port = address.rpartition(":")
+        reader, writer = await asyncio.open_connection(host, int(port))
+        writer.write(b'{"type":"Unknown"}\n')
+        try:
+            assert await reader.read() == b""
+        except ConnectionResetError:
+            pass  # The server ends the connection, by whichever way its system takes.
+        writer.close()
+
+    async def work():
+        server = PeerServer({Question: None})
+        await server.start("127.0.0.1", 0)
+        for step_s in (0.0, 1.0, 1.0, REFUSALS_LOGGED_EVERY_S):
+            now_s[0] += step_s
+            await send(server.address)
+        server.close()
+
+    run_async(work())
+    assert [(event, fields["refused"]) for event, fields in logged] == [
+        (Event.PEER_REQUEST_REFUSED, 1),
+        (Event.PEER_REQUEST_REFUSED, 3),
+    ]
