--- a/src/wallwell/cluster/crash_reports.py
+++ b/src/wallwell/cluster/crash_reports.py
@@ -12,10 +12,10 @@
 
 Crash = tuple[str, str]
 """A request's content and the incarnation that ended under it."""
-HEARD_S = 2.0
+RELAYED_FOR_S = 2.0
 """How long what was heard is told on: many exchanges, some of which fail. Who saw a crash tells it until it is
 written."""
-MAX_TOLD = 32
+MAX_REPORTED = 32
 """Crashes in one message, some 2 KB; the newest first, since those of a request that goes on matter most."""
 
 
@@ -29,22 +29,22 @@
         self._from_members: dict[Crash, float] = {}
         self._from_relays: dict[Crash, float] = {}
 
-    def hear_member(self, crashes: Iterable[Crash], now_s: float) -> None:
+    def receive_from_member(self, crashes: Iterable[Crash], now_s: float) -> None:
         """Take what a member told this relay."""
-        self._hear(self._from_members, crashes, now_s)
+        self._receive(self._from_members, crashes, now_s)
 
-    def hear_relay(self, crashes: Iterable[Crash], now_s: float) -> None:
+    def receive_from_relay(self, crashes: Iterable[Crash], now_s: float) -> None:
         """Take what a relay told, this node's own or another one."""
-        self._hear(self._from_relays, crashes, now_s)
+        self._receive(self._from_relays, crashes, now_s)
 
-    def _hear(self, known: dict[Crash, float], crashes: Iterable[Crash], now_s: float) -> None:
+    def _receive(self, known: dict[Crash, float], crashes: Iterable[Crash], now_s: float) -> None:
         for crash in crashes:
             known[crash] = now_s
             self._listener(crash)
 
     def for_relay(self) -> tuple[Crash, ...]:
         """Return what a member tells its relay."""
-        return tuple(self._own()[:MAX_TOLD])
+        return tuple(self._own()[:MAX_REPORTED])
 
     def for_relays(self, now_s: float) -> tuple[Crash, ...]:
         """Return what a relay tells the others: nothing that it has from one of them, so that it ends."""
@@ -58,8 +58,8 @@
         told = dict.fromkeys(self._own())
         for known in sources:
             for crash, heard_s in list(known.items()):
-                if now_s - heard_s > HEARD_S:
+                if now_s - heard_s > RELAYED_FOR_S:
                     del known[crash]
                 else:
                     told[crash] = None
-        return tuple(told)[:MAX_TOLD]
+        return tuple(told)[:MAX_REPORTED]
--- a/src/wallwell/cluster/region_load_reporter.py
+++ b/src/wallwell/cluster/region_load_reporter.py
@@ -61,9 +61,9 @@
         """By region, the place in its order of the node that is asked."""
         now_s = boot_time_s()
         self._started_s = now_s
-        self._told_at_s: dict[str, float] = {}
+        self._passed_on_at_s: dict[str, float] = {}
         """When another node of this region last passed on the word of a region."""
-        self._heard: dict[str, tuple[RegionSum, float]] = {}
+        self._received: dict[str, tuple[RegionSum, float]] = {}
         """The last sum of each region that is in touch, and when it came."""
         self._lost: set[str] = set()
         self._fresh: dict[str, RegionSum] = {}
@@ -76,7 +76,7 @@
 
     async def step(self, now_s: float) -> None:
         """Exchange once with each region for which it is this node's turn."""
-        regions = [region for region in self._order.other_regions() if self.speaks_to(region, now_s)]
+        regions = [region for region in self._order.other_regions() if self.is_delegate_to(region, now_s)]
         own = self._own_sum() if regions else None
         if own is None:
             self._links.keep(set())
@@ -84,26 +84,26 @@
         message = RegionLoad(pack_region_sum(own))
         await asyncio.gather(*(self._ask_region(region, message) for region in regions))
         # The last nodes of a region may have gone while they were asked.
-        left = [region for region in regions if self._order.speakers_of(region)]
+        left = [region for region in regions if self._order.delegates_of(region)]
         self._links.keep({self._next_asked(region)[0] for region in left})
 
-    def speaks_to(self, region: str, now_s: float) -> bool:
+    def is_delegate_to(self, region: str, now_s: float) -> bool:
         """Whether it is this node that exchanges with a region now."""
-        own_region = self._order.places.own_region
+        own_region = self._order.topology.own_region
         if own_region > region:
             return False
-        place = self._order.speaking_place(now_s)
-        silent_s = now_s - self._told_at_s.get(region, self._started_s)
+        place = self._order.delegate_rank(now_s)
+        silent_s = now_s - self._passed_on_at_s.get(region, self._started_s)
         return place is not None and silent_s >= place * TAKE_OVER_S
 
     def _next_asked(self, region: str) -> tuple[str, str]:
-        speakers = self._order.speakers_of(region)
-        return speakers[self._asked.get(region, 0) % len(speakers)]
+        delegates = self._order.delegates_of(region)
+        return delegates[self._asked.get(region, 0) % len(delegates)]
 
     async def _ask_region(self, region: str, message: RegionLoad) -> None:
         """Ask nodes of a region by turns until one knows it, or one does not answer."""
-        for _ in self._order.speakers_of(region):
-            if not self._order.speakers_of(region):
+        for _ in self._order.delegates_of(region):
+            if not self._order.delegates_of(region):
                 return
             try:
                 heard = await self._ask(*self._next_asked(region), message)
@@ -112,7 +112,7 @@
                 self._asked[region] = self._asked.get(region, 0) + 1
                 return
             if heard is not None:
-                self._hear(heard)
+                self._receive(heard)
                 return
             self._asked[region] = self._asked.get(region, 0) + 1
 
@@ -122,30 +122,30 @@
         self._traffic.add("loads", len(message.packed) + len(reply.packed))
         return unpack_region_sum(reply.packed, address) if reply.packed else None
 
-    def _hear(self, heard: RegionSum) -> None:
+    def _receive(self, heard: RegionSum) -> None:
         """Take a sum from the other region, to be passed on."""
         self._fresh[heard.region] = heard
         self._note(heard)
 
     def _note(self, heard: RegionSum) -> None:
-        self._heard[heard.region] = (heard, boot_time_s())
+        self._received[heard.region] = (heard, boot_time_s())
         if heard.region in self._lost:
             self._lost.discard(heard.region)
             emit(Event.REGION_REGAINED, region=heard.region)
         self._take(heard)
 
-    def notice_silence(self, now_s: float) -> None:
+    def forget_silent_regions(self, now_s: float) -> None:
         """Forget the regions that were not heard for too long."""
-        for region, (last, at_s) in list(self._heard.items()):
+        for region, (last, at_s) in list(self._received.items()):
             if now_s - at_s >= REPORT_LIFETIME_S:
-                del self._heard[region]
+                del self._received[region]
                 self._lost.add(region)
                 emit(Event.REGION_LOST, region=region)
                 self._forget(last)
 
     def stand_down(self) -> None:
         """This node relays for nobody any more, and so hears of no region."""
-        self._heard.clear()
+        self._received.clear()
         self._lost.clear()
 
     # --- what peers say --------------------------------------------------------------------------------
@@ -156,7 +156,7 @@
         if own is None:
             return RegionReply()
         try:
-            self._hear(unpack_region_sum(message.packed, "the asking node"))
+            self._receive(unpack_region_sum(message.packed, "the asking node"))
         except PeerUnavailableError as error:
             raise ValueError(str(error)) from error
         reply = RegionReply(pack_region_sum(own))
@@ -165,7 +165,7 @@
 
     def on_passed_on(self, heard: RegionSum) -> None:
         """Another relay of this region has heard a sum."""
-        self._told_at_s[heard.region] = boot_time_s()
+        self._passed_on_at_s[heard.region] = boot_time_s()
         self._note(heard)
 
     def to_pass_on(self) -> tuple[RegionSum, ...]:
--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -28,7 +28,7 @@
 FOLLOWING_ZONES_OF_REGION = 1
 """The same for each of several regions. Rows cross the link between regions once for each region, and a call to the
 store costs 40 ms at least; the relays of the second zone stand by."""
-SPEAKER_TURNS = 3
+DELEGATES_PER_RELAY = 3
 """Members of each zone, by the number of its relays, that may speak for their region to another one: with three
 zones nine nodes have to be gone at once before nobody does."""
 _ZONES_KEY = key_of("zones")
@@ -49,7 +49,7 @@
     node: str
     zone: str
     members: Mapping[str, Member] = field(default_factory=dict)
-    places: Topology = ONE_REGION
+    topology: Topology = ONE_REGION
     health: PeersHealth = field(default_factory=PeersHealth)
 
     def candidates(self, now_s: float) -> list[tuple[str, str]]:
@@ -67,7 +67,7 @@
     def _of_earlier_zones(self, now_s: float) -> list[tuple[str, str]]:
         """Return the relays that this node follows for its zone."""
         earlier = [zone for zone in self._zones()[:FOLLOWING_ZONES] if _zone_rank(zone) < _zone_rank(self.zone)]
-        has_regions = self.places.has_regions
+        has_regions = self.topology.has_regions
         if len(earlier) < (FOLLOWING_ZONES_OF_REGION if has_regions else FOLLOWING_ZONES):
             return []
         relays = [found for zone in earlier for found in self._relays_of(zone, now_s)]
@@ -78,11 +78,11 @@
 
     def _zones(self) -> list[str]:
         """Return the zones of the own region in their order."""
-        return self._zones_of(self.places.own_region)
+        return self._zones_of(self.topology.own_region)
 
     def _zones_of(self, region: str) -> list[str]:
         zones = {member.zone for member in self.members.values() if member.relay}
-        return sorted((zone for zone in zones if self.places.region_of(zone) == region), key=_zone_rank)
+        return sorted((zone for zone in zones if self.topology.region_of(zone) == region), key=_zone_rank)
 
     def is_in_other_zone(self, name: str) -> bool:
         """Whether a peer stands in another zone."""
@@ -116,9 +116,9 @@
     def other_regions(self) -> list[str]:
         """Return the regions beside the own one that have members."""
         zones = {member.zone for member in self.members.values() if member.relay}
-        return sorted({self.places.region_of(zone) for zone in zones} - {self.places.own_region})
+        return sorted({self.topology.region_of(zone) for zone in zones} - {self.topology.own_region})
 
-    def speakers_of(self, region: str) -> list[tuple[str, str]]:
+    def delegates_of(self, region: str) -> list[tuple[str, str]]:
         """Return names and addresses of the nodes that may speak for a region, in the order in which they do.
 
         These are the relays of its zones, then those who take their places; which of them work is not known here.
@@ -126,13 +126,15 @@
         by_turn: list[tuple[int, str]] = []
         for zone in self._zones_of(region):
             ordered, relays = self._order_of(zone, self._reachable_in(zone))
-            by_turn += [(index // relays, name) for index, name in enumerate(ordered[: relays * SPEAKER_TURNS])]
+            by_turn += [
+                (index // relays, name) for index, name in enumerate(ordered[: relays * DELEGATES_PER_RELAY])
+            ]
         by_turn.sort(key=lambda entry: entry[0])
         return [(name, self.members[name].relay) for _, name in by_turn]
 
-    def speaking_place(self, now_s: float) -> int | None:
+    def delegate_rank(self, now_s: float) -> int | None:
         """Return this node's place among those of its region that may speak and work; None if it may not speak."""
-        names = [name for name, _ in self.speakers_of(self.places.own_region)]
+        names = [name for name, _ in self.delegates_of(self.topology.own_region)]
         working = [name for name in names if name == self.node or self.health.is_working(name, now_s)]
         return working.index(self.node) if self.node in working else None
 
--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -83,7 +83,7 @@
         self._pipeline = RequestPipeline(self.state, client, liveness=self._liveness, crashes=self._crashes)
         self._clock = StoreClock()
         self._weights_roll = WeightsRollDriver(self.state, sources.table, control, self._clock)
-        self._order = UpstreamOrder(node, zone, places=places)
+        self._order = UpstreamOrder(node, zone, topology=places)
         self.state.zones.on_return = self._order.on_zone_returned
         counts = FleetCounts()
         self._rollouts = RolloutDriver(
--- a/tests/unit/cluster/test_load_reporter.py
+++ b/tests/unit/cluster/test_load_reporter.py
@@ -6,7 +6,7 @@
 
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
-from wallwell.cluster.crash_reports import HEARD_S, MAX_TOLD, CrashReports
+from wallwell.cluster.crash_reports import MAX_REPORTED, RELAYED_FOR_S, CrashReports
 from wallwell.cluster.demand import RATE_WINDOW_S
 from wallwell.cluster.fleet_load import FleetLoad
 from wallwell.cluster.load_messages import MemberLoad, ZoneLoad
@@ -216,7 +216,7 @@
         for number in range(100):
             await exchange.on_zone(ZoneLoad(f"relay-{number}", Load(nodes=1), 1, {"t": number}))
             await asyncio.sleep(2 * REPORT_LIFETIME_S)
-        return len(exchange._totals)
+        return len(exchange._known._totals)
 
     assert run_virtual(work()) == 1
 
@@ -237,27 +237,27 @@
 def test_a_crash_is_told_on_for_a_while_only_once_it_is_written():
     heard = []
     told = CrashReports(tuple, heard.append)
-    told.hear_member([("c", "e0")], 10.0)
-    told.hear_relay([("d", "e1")], 10.0)
+    told.receive_from_member([("c", "e0")], 10.0)
+    told.receive_from_relay([("d", "e1")], 10.0)
     assert told.for_relays(10.0) == (("c", "e0"),)
-    assert set(told.for_members(10.0 + HEARD_S)) == {("c", "e0"), ("d", "e1")}
-    assert told.for_members(10.1 + HEARD_S) == told.for_relays(10.1 + HEARD_S) == ()
+    assert set(told.for_members(10.0 + RELAYED_FOR_S)) == {("c", "e0"), ("d", "e1")}
+    assert told.for_members(10.1 + RELAYED_FOR_S) == told.for_relays(10.1 + RELAYED_FOR_S) == ()
     assert heard == [("c", "e0"), ("d", "e1")]
 
 
 def test_relays_do_not_keep_a_crash_alive_between_them():
     relays = [CrashReports(tuple, lambda crash: None) for _ in range(2)]
-    relays[0].hear_member([("c", "e0")], 0.0)
+    relays[0].receive_from_member([("c", "e0")], 0.0)
     for step in range(100):
         now_s = 0.1 * step
-        relays[1].hear_relay(relays[0].for_relays(now_s), now_s)
-        relays[0].hear_relay(relays[1].for_relays(now_s), now_s)
+        relays[1].receive_from_relay(relays[0].for_relays(now_s), now_s)
+        relays[0].receive_from_relay(relays[1].for_relays(now_s), now_s)
     assert relays[0].for_members(10.0) == relays[1].for_members(10.0) == ()
 
 
 def test_crashes_in_a_message_are_bounded_and_own_ones_go_first():
-    own = [(f"c{number}", "e0") for number in range(MAX_TOLD - 1)]
+    own = [(f"c{number}", "e0") for number in range(MAX_REPORTED - 1)]
     told = CrashReports(lambda: own, lambda crash: None)
-    told.hear_member([("m1", "e0"), ("m2", "e0")], 0.0)
+    told.receive_from_member([("m1", "e0"), ("m2", "e0")], 0.0)
     assert told.for_members(0.0) == (*own, ("m1", "e0"))
     assert told.for_relay() == tuple(own)
--- a/tests/unit/cluster/test_region_load_reporter.py
+++ b/tests/unit/cluster/test_region_load_reporter.py
@@ -109,15 +109,15 @@
     def of(self, region):
         return [node for node in self.nodes.values() if node.region == region and node.alive]
 
-    def speakers(self):
+    def delegates(self):
         return [
             node
             for node in self.of("a")
-            if node.exchange._region_sum() and node.exchange.between_regions.speaks_to("b", now())
+            if node.exchange._region_sum() and node.exchange.between_regions.is_delegate_to("b", now())
         ]
 
     def relays_of(self, region):
-        names = [name for name, _ in self.of(region)[0].order.speakers_of(region)]
+        names = [name for name, _ in self.of(region)[0].order.delegates_of(region)]
         return [self.nodes[name] for name in names[:3]]
 
     def fail(self, node):
@@ -165,13 +165,13 @@
         await asyncio.sleep(3.0)
         network.messages.clear()
         await asyncio.sleep(10.0)
-        return dict(network.messages), len(network.speakers())
+        return dict(network.messages), len(network.delegates())
 
-    messages, speakers = run(scenario)
+    messages, delegates = run(scenario)
     far = {key: count for key, count in messages.items() if key[1]}
     assert set(far) == {("RegionLoad", True)}
     assert far["RegionLoad", True] <= 10.0 / REGION_INTERVAL_S + 1
-    assert speakers == 1
+    assert delegates == 1
 
 
 def test_a_change_is_known_everywhere_within_half_a_second():
@@ -332,7 +332,7 @@
 def test_a_region_whose_nodes_all_go_while_one_is_asked_is_asked_no_more(reply_is_lost):
     async def work():
         network = Network()
-        asker = network.speakers()[0]
+        asker = network.delegates()[0]
         between = asker.exchange.between_regions
         gone = [name for name, node in network.nodes.items() if node.region == "b"]
 
--- a/tests/unit/cluster/test_upstream.py
+++ b/tests/unit/cluster/test_upstream.py
@@ -195,12 +195,12 @@
 def test_nodes_of_a_region_speak_in_an_order_that_both_regions_know():
     members = fleet(24, zones=6)
     known = regional_orders(members)
-    speakers = {tuple(name for name, _ in order.speakers_of("east")) for order in known.values()}
-    assert len(speakers) == 1
-    (names,) = speakers
+    delegates = {tuple(name for name, _ in order.delegates_of("east")) for order in known.values()}
+    assert len(delegates) == 1
+    (names,) = delegates
     # A relay of each zone first, then those who take their places.
     assert len(names) == 9
     assert all(not known[name].in_zone(0.0) for name in names[:3])
-    assert [known[name].speaking_place(0.0) for name in names] == list(range(9))
+    assert [known[name].delegate_rank(0.0) for name in names] == list(range(9))
     known[names[1]].on_failure(names[0], 0.0)
-    assert known[names[1]].speaking_place(0.5) == 0
+    assert known[names[1]].delegate_rank(0.5) == 0
