--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -38,7 +38,7 @@
 _ZONES_KEY = key_of("zones")
 
 
-class Member(msgspec.Struct, frozen=True):
+class NodeRecord(msgspec.Struct, frozen=True):
     """A node as it registers itself. ``relay`` is ``IP:port`` for peers, empty if it serves none."""
 
     zone: str
@@ -52,7 +52,7 @@
 
     node: str
     zone: str
-    members: Mapping[str, Member] = field(default_factory=dict)
+    members: Mapping[str, NodeRecord] = field(default_factory=dict)
     topology: Topology = ONE_REGION
     health: PeersHealth = field(default_factory=PeersHealth)
 
--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -15,7 +15,7 @@
 from wallwell.cluster.peer_link import PeerServer
 from wallwell.cluster.relay import RelayedRows, answer_from
 from wallwell.cluster.row_messages import RowsRequest
-from wallwell.cluster.upstream import Member, UpstreamOrder
+from wallwell.cluster.upstream import NodeRecord, UpstreamOrder
 from wallwell.deployment.freshness import StoreClock
 from wallwell.deployment.topology import Topology
 from wallwell.events import Event, emit
@@ -168,7 +168,7 @@
         while not self._members.known:
             await asyncio.sleep(FIRST_REGISTRATION_TICK_S)
         while True:
-            await self._members.register(Member(self.state.zone, self._peers.address, self._link_mbps))
+            await self._members.register(NodeRecord(self.state.zone, self._peers.address, self._link_mbps))
             await asyncio.sleep(HOUSEKEEPING_S * self.state.rng.uniform(0.8, 1.2))
             self._pool.sweep(boot_time_s())
             self._listing.drop_lapsed(boot_time_s())
--- a/src/wallwell/node/rows.py
+++ b/src/wallwell/node/rows.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from wallwell.clock import boot_time_s
-from wallwell.cluster.upstream import Member, UpstreamOrder
+from wallwell.cluster.upstream import NodeRecord, UpstreamOrder
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import DeploymentConfig
 from wallwell.errors import PlatformUnavailableError, TableConflictError
@@ -223,7 +223,7 @@
         self._order.members = members
         self._state.members = set(members)
 
-    def _on_member(self, members: dict[str, Member], row: FeedRow) -> None:
+    def _on_member(self, members: dict[str, NodeRecord], row: FeedRow) -> None:
         name = row.key[len(MEMBER_PREFIX) :]
         if name == self._state.node:
             self._own_version = row.version if row.value is not None else 0
@@ -231,11 +231,11 @@
             members.pop(name, None)
             return
         try:
-            members[name] = msgspec.json.decode(row.value, type=Member)
+            members[name] = msgspec.json.decode(row.value, type=NodeRecord)
         except msgspec.MsgspecError:
-            members[name] = Member(zone="")
+            members[name] = NodeRecord(zone="")
 
-    async def register(self, own: Member) -> None:
+    async def register(self, own: NodeRecord) -> None:
         """Make this node count in the shares of the fleet's budgets and known to its peers, unless it is."""
         if self._own_version is None or self._order.members.get(self._state.node) == own:
             return
--- a/src/wallwell/rollout/reporter.py
+++ b/src/wallwell/rollout/reporter.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 
 from wallwell.cluster.peer_link import PeerLinks
-from wallwell.cluster.upstream import Member
+from wallwell.cluster.upstream import NodeRecord
 from wallwell.errors import PeerUnavailableError
 from wallwell.rollout.reports import CountsReport, CountsTaken, FleetCounts, TakenCounts
 from wallwell.rollout.tally import RolloutTally
@@ -36,7 +36,7 @@
         tally: RolloutTally,
         fleet: FleetCounts,
         holder: Callable[[], str],
-        members: Callable[[], Mapping[str, Member]],
+        members: Callable[[], Mapping[str, NodeRecord]],
     ) -> None:
         """``fleet`` is what this node decides by when it holds the lease, ``holder`` names who does."""
         self._node = node
--- a/tests/unit/cluster/relay_network.py
+++ b/tests/unit/cluster/relay_network.py
@@ -7,7 +7,7 @@
 from wallwell.clock import boot_time_s
 from wallwell.cluster.peer_link import PeerLinks
 from wallwell.cluster.relay import RelayedRows
-from wallwell.cluster.upstream import Member, UpstreamOrder
+from wallwell.cluster.upstream import NodeRecord, UpstreamOrder
 from wallwell.deployment.freshness import StoreClock
 from wallwell.deployment.topology import Topology
 from wallwell.errors import PeerUnavailableError, PlatformUnavailableError
@@ -176,7 +176,7 @@
         self.regions = regions or {}
         self.store = Store()
         self.store._now_s = lambda: boot_time_s() + STORE_OFFSET_S
-        self.members = {f"n{index}": Member(zone, f"n{index}:1") for index, zone in enumerate(zones)}
+        self.members = {f"n{index}": NodeRecord(zone, f"n{index}:1") for index, zone in enumerate(zones)}
         self.cut = set()
         self.nodes = {name: Node(self, name) for name in self.members}
 
--- a/tests/unit/cluster/test_load_reporter.py
+++ b/tests/unit/cluster/test_load_reporter.py
@@ -13,7 +13,7 @@
 from wallwell.cluster.load_reporter import INTERVAL_S, THIN_LINK_INTERVAL_S, LoadReporter
 from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load
 from wallwell.cluster.peer_link import PeerServer
-from wallwell.cluster.upstream import Member, UpstreamOrder
+from wallwell.cluster.upstream import NodeRecord, UpstreamOrder
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import TenantLimit
 from wallwell.routing.retry.first_token import MIN_ANSWERS
@@ -53,7 +53,7 @@
                 await node.server.start("127.0.0.1", 0)
                 node.put_load("e0", index)
                 node.put_load("e1", 1)
-            members = {node.name: Member(node.zone, node.server.address) for node in nodes}
+            members = {node.name: NodeRecord(node.zone, node.server.address) for node in nodes}
             for node in nodes:
                 node.order.members = members
             try:
@@ -180,10 +180,10 @@
 )
 def test_nodes_with_a_thin_link_are_told_less_often(own_mbps, relay_mbps, interval_s):
     order = UpstreamOrder("n1", "a")
-    order.members = {"n1": Member("a", "10.0.0.1:1", own_mbps)}
+    order.members = {"n1": NodeRecord("a", "10.0.0.1:1", own_mbps)}
     if relay_mbps is not None:
         # The node that stands first in its zone has the fastest link.
-        order.members["n0"] = Member("a", "10.0.0.2:1", relay_mbps)
+        order.members["n0"] = NodeRecord("a", "10.0.0.2:1", relay_mbps)
     exchange = LoadReporter("n1", FleetLoad(), order)
     assert relay_mbps == 0.0 or (not order.in_zone(0.0)) == (relay_mbps is None)
     assert exchange._interval_s(0.0) == interval_s
@@ -192,7 +192,7 @@
 @pytest.mark.parametrize(("zones", "interval_s"), [("a", INTERVAL_S), ("ab", INTERVAL_S), ("abcd", 3 * INTERVAL_S)])
 def test_relays_of_many_zones_tell_each_other_less_often(zones, interval_s):
     order = UpstreamOrder("n0", "a")
-    order.members = {f"n{index}": Member(zone, f"10.0.0.{index}:1", 100.0) for index, zone in enumerate(zones)}
+    order.members = {f"n{index}": NodeRecord(zone, f"10.0.0.{index}:1", 100.0) for index, zone in enumerate(zones)}
     assert LoadReporter("n0", FleetLoad(), order)._interval_s(0.0) == pytest.approx(interval_s)
 
 
--- a/tests/unit/cluster/test_region_load_reporter.py
+++ b/tests/unit/cluster/test_region_load_reporter.py
@@ -17,7 +17,7 @@
 from wallwell.cluster.peer_link import CONNECT_TIMEOUT_S, PeerLinks
 from wallwell.cluster.region_load_reporter import REGION_INTERVAL_S
 from wallwell.cluster.region_traffic import RegionTraffic
-from wallwell.cluster.upstream import Member, UpstreamOrder
+from wallwell.cluster.upstream import NodeRecord, UpstreamOrder
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import TenantLimit
 from wallwell.deployment.topology import Topology
@@ -96,7 +96,7 @@
 class Network:
     def __init__(self, per_zone=2):
         names = [(f"{zone}-n{index}", zone) for zone in MAP for index in range(per_zone)]
-        self.members = {name: Member(zone, f"{name}:1") for name, zone in names}
+        self.members = {name: NodeRecord(zone, f"{name}:1") for name, zone in names}
         self.is_cut = False
         self.without_link = set()
         """Nodes that reach nobody of the other region, and all of their own."""
@@ -318,9 +318,9 @@
         await asyncio.sleep(3.0)
         relay = network.relays_of("b")[0]
         other = next(node for node in network.of("b") if node.zone == relay.zone and node is not relay)
-        network.members[other.name] = Member(other.zone, f"{other.name}:1", link_mbps=500.0)
+        network.members[other.name] = NodeRecord(other.zone, f"{other.name}:1", link_mbps=500.0)
         await asyncio.sleep(5.0)
-        network.members[other.name] = Member(other.zone, f"{other.name}:1")
+        network.members[other.name] = NodeRecord(other.zone, f"{other.name}:1")
         await asyncio.sleep(2.0)
         return network.all_know(12)
 
--- a/tests/unit/cluster/test_relay.py
+++ b/tests/unit/cluster/test_relay.py
@@ -13,7 +13,7 @@
 from wallwell.cluster.peer_link import PeerServer
 from wallwell.cluster.relay import RelayedRows, answer_from
 from wallwell.cluster.row_messages import RowsReply, RowsRequest, reply_with_rows, unpack_rows
-from wallwell.cluster.upstream import Member, UpstreamOrder
+from wallwell.cluster.upstream import NodeRecord, UpstreamOrder
 from wallwell.deployment.freshness import StoreClock
 from wallwell.errors import PeerUnavailableError, PlatformUnavailableError
 from wallwell.storage.feed import RowFollower
@@ -88,7 +88,7 @@
             for node in nodes:
                 await node.start()
             await until(lambda: all(node.mirror.rows == {"a": b"1"} for node in nodes))
-            members = {node.name: Member("z", node.server.address) for node in nodes}
+            members = {node.name: NodeRecord("z", node.server.address) for node in nodes}
             for node in nodes:
                 node.order.members = members
             nodes.sort(key=lambda node: len(node.order.candidates(boot_time_s())))
--- a/tests/unit/cluster/test_upstream.py
+++ b/tests/unit/cluster/test_upstream.py
@@ -7,12 +7,12 @@
 from hypothesis import strategies as st
 
 from wallwell.cluster.peer_health import MAX_PAUSE_S
-from wallwell.cluster.upstream import MEMBERS_PER_RELAY, Member, UpstreamOrder
+from wallwell.cluster.upstream import MEMBERS_PER_RELAY, NodeRecord, UpstreamOrder
 from wallwell.deployment.topology import Topology
 
 
 def fleet(count, zones=1):
-    return {f"n{index}": Member(f"z{index % zones}", f"10.0.0.{index}:1") for index in range(count)}
+    return {f"n{index}": NodeRecord(f"z{index % zones}", f"10.0.0.{index}:1") for index in range(count)}
 
 
 def orders(members):
@@ -35,7 +35,7 @@
 def test_nobody_is_followed_in_a_circle_whatever_each_node_knows_and_believes(count, zones, seed):
     rng = random.Random(seed)
     members = {
-        name: Member(f"z{rng.randrange(zones)}", each.relay, rng.choice((10.0, 200.0)))
+        name: NodeRecord(f"z{rng.randrange(zones)}", each.relay, rng.choice((10.0, 200.0)))
         for name, each in fleet(count).items()
     }
     names = sorted(members)
@@ -76,7 +76,7 @@
 
 
 def test_a_node_that_peers_cannot_reach_or_that_is_not_registered_follows_the_store():
-    members = {**fleet(3), "silent": Member("z0", "")}
+    members = {**fleet(3), "silent": NodeRecord("z0", "")}
     assert UpstreamOrder("silent", "z0", members).candidates(0.0) == []
     assert UpstreamOrder("unknown", "z0", members).candidates(0.0) == []
 
@@ -84,7 +84,7 @@
 def test_the_nodes_with_the_fastest_links_relay():
     """Found on a deployment of 69 nodes: in a storm of configurations the relays' thin links stood still."""
     members = {
-        name: Member(each.zone, each.relay, 200.0 if name == "n7" else 10.0) for name, each in fleet(12).items()
+        name: NodeRecord(each.zone, each.relay, 200.0 if name == "n7" else 10.0) for name, each in fleet(12).items()
     }
     assert [name for name, order in orders(members).items() if not order.candidates(0.0)] == ["n7"]
 
--- a/tests/unit/node/test_kv_store_watch.py
+++ b/tests/unit/node/test_kv_store_watch.py
@@ -7,7 +7,7 @@
 
 from tests.unit.serving.fakes import make_state
 from wallwell.cluster.peer_link import PeerServer
-from wallwell.cluster.upstream import Member, UpstreamOrder
+from wallwell.cluster.upstream import NodeRecord, UpstreamOrder
 from wallwell.deployment.routes import Service
 from wallwell.errors import CacheEventsRefusedError, CacheStoreSilentError
 from wallwell.node.kv_store_watch import CacheRequest, KvStoreWatch
@@ -85,7 +85,7 @@
             nodes = [Node(f"n{index}", store) for index in range(2)]
             for node in nodes:
                 await node.server.start("127.0.0.1", 0)
-            members = {f"n{index}": Member("z", node.server.address) for index, node in enumerate(nodes)}
+            members = {f"n{index}": NodeRecord("z", node.server.address) for index, node in enumerate(nodes)}
             for node in nodes:
                 node.order.members = members
             nodes.sort(key=lambda node: len(node.order.candidates(0.0)))
--- a/tests/unit/rollout/test_tally_and_reports.py
+++ b/tests/unit/rollout/test_tally_and_reports.py
@@ -5,7 +5,7 @@
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.cluster.peer_link import PeerServer
-from wallwell.cluster.upstream import Member
+from wallwell.cluster.upstream import NodeRecord
 from wallwell.rollout.model import Phase, RolloutRecord, delay_bucket
 from wallwell.rollout.reporter import REPORT_INTERVAL_S, CountsReporter, report_interval_s
 from wallwell.rollout.reports import CountsReport, CountsTaken, FleetCounts
@@ -123,7 +123,7 @@
         holder, fleet = reporter("n1", "n1", {})
         server = PeerServer({CountsReport: holder.on_report})
         await server.start("127.0.0.1", 0)
-        sender, _ = reporter("n2", "n1", {"n1": Member("z", server.address)})
+        sender, _ = reporter("n2", "n1", {"n1": NodeRecord("z", server.address)})
         await sender.step()
         await holder.step()
         sender.close()
@@ -156,7 +156,7 @@
         holder = HolderStandIn()
         server = PeerServer({CountsReport: holder.on_report})
         await server.start("127.0.0.1", 0)
-        sender, _ = reporter("n2", "n1", {"n1": Member("z", server.address)})
+        sender, _ = reporter("n2", "n1", {"n1": NodeRecord("z", server.address)})
         counts = sender._tally.by_service["svc"]
         for name in ("a", "b", "c"):
             counts.of("r", True, name).answered = 1
@@ -189,7 +189,7 @@
 
 def test_a_holder_that_cannot_be_reached_costs_nothing_but_the_report(run_async):
     async def work():
-        sender, fleet = reporter("n2", "n1", {"n1": Member("z", "127.0.0.1:1")})
+        sender, fleet = reporter("n2", "n1", {"n1": NodeRecord("z", "127.0.0.1:1")})
         await sender.step()
         return fleet.total(RECORD).target_requests
 
@@ -198,7 +198,7 @@
 
 def test_nothing_is_kept_or_sent_while_no_rollout_is_on():
     async def work():
-        sender, fleet = reporter("n2", "n1", {"n1": Member("z", "127.0.0.1:1")}, counting=False)
+        sender, fleet = reporter("n2", "n1", {"n1": NodeRecord("z", "127.0.0.1:1")}, counting=False)
         started_s = boot_time_s()
         await sender.step()
         return fleet.total(RECORD).target_requests, boot_time_s() - started_s
--- a/tests/unit/serving/test_zone_cut.py
+++ b/tests/unit/serving/test_zone_cut.py
@@ -9,7 +9,7 @@
 from tests.unit.serving.fakes import FakeClient, FakeReply, Script, make_request, make_route, make_state
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
-from wallwell.cluster.upstream import Member, UpstreamOrder
+from wallwell.cluster.upstream import NodeRecord, UpstreamOrder
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import RouteKind
 from wallwell.routing.retry.attempt_outcome import TransportEvent
@@ -111,7 +111,7 @@
 
 def test_peers_of_a_zone_that_is_back_are_asked_at_once():
     """Their pause doubles up to 16 s, and without their word the loads of their zone are not known."""
-    order = UpstreamOrder("n1", "z1", {"n1": Member("z1", "n1:1"), "n2": Member("z2", "n2:1")})
+    order = UpstreamOrder("n1", "z1", {"n1": NodeRecord("z1", "n1:1"), "n2": NodeRecord("z2", "n2:1")})
     for now_s in (0.0, 3.0, 8.0):
         order.on_failure("n2", now_s)
     assert order.relays(9.0) == []
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -35,7 +35,7 @@
     unpack_region_sum,
 )
 from wallwell.cluster.row_messages import RelayedRow, RowsReply, reply_with_rows, unpack_rows
-from wallwell.cluster.upstream import Member
+from wallwell.cluster.upstream import NodeRecord
 from wallwell.deployment.backends import BackendRecord
 from wallwell.errors import RequestError, SettingsError, WallwellError, all_error_types
 from wallwell.events import Event
@@ -92,7 +92,7 @@
     "claim row": ClaimBody,
     "configuration head row": HeadBody,
     "configuration revision row": FileRevision,
-    "member row": Member,
+    "member row": NodeRecord,
     "weights progress row": Progress,
     "rollout record row": RolloutRecord,
     "rollout status row": rows.RolloutStatusRow,
@@ -541,7 +541,7 @@
 
 async def _write_member(node: Any, store: Any) -> None:
     node._members._own_version = 4
-    await node._members.register(Member("z1", "127.0.0.1:9", 30.0))
+    await node._members.register(NodeRecord("z1", "127.0.0.1:9", 30.0))
 
 
 async def _write_crash(node: Any, store: Any) -> None:
