--- a/src/wallwell/deployment/freshness.py
+++ b/src/wallwell/deployment/freshness.py
@@ -1,6 +1,9 @@
 """How recent this node's knowledge of the store is, without comparing machines' clocks. Pure.
 
-The store tells its own steady clock with each answer. An answer was made between the call's start and its arrival
+Owns the bounds of the offset between the store's clock and this node's, and the last confirmation of the
+configuration. Relies on steady clocks that also count the time in which a machine is suspended.
+
+The store sends its own steady clock with each answer. An answer was made between the call's start and its arrival
 here, so the store's clock plus an offset between two bounds is this node's clock. The bounds tighten over time;
 the lower one turns the store's time of an answer into the latest local time at which it certainly was current.
 """
@@ -10,7 +13,8 @@
 from dataclasses import dataclass
 
 DRIFT_PER_S = 200e-6
-"""Bound of the drift between two steady clocks; the bounds are relaxed by it."""
+"""Seconds by which two steady clocks drift apart in a second, at most; the bounds are relaxed by it. Chosen, not
+measured."""
 
 
 @dataclass
@@ -34,7 +38,7 @@
         """Return the local time at which an answer that a peer passed on was certainly current.
 
         The peer may have kept it for any time, so the call through it says nothing of the offset of the clocks;
-        what this node's own calls to the store have told must do. Minus infinity without any.
+        only this node's own calls to the store say something of that. Minus infinity without any.
         """
         return store_s + self._relaxed_lower_s(now_s)
 
--- a/src/wallwell/deployment/routes.py
+++ b/src/wallwell/deployment/routes.py
@@ -1,4 +1,8 @@
-"""Routes, services and tenants in force: typed, immutable, looked up by host, path and credential. Pure."""
+"""Routes, services and tenants in force: typed, immutable, looked up by host, path and credential. Pure.
+
+Owns one whole version of the operators' configuration. Relies on ``platform/`` to have decoded and checked the
+rows; a new version replaces the old one as a whole. Times are seconds.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +12,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route, and the form of its answers."""
+    """Whether requests of a route may be retried, and the form of its answers."""
 
     SAFE = "safe"
     """Calls that may run more than once."""
@@ -20,7 +24,7 @@
 
 @dataclass(frozen=True)
 class WeightedService:
-    """A service that gets ``weight`` parts of a route's requests."""
+    """A service that gets a share of a route's requests: ``weight`` by the sum of the weights."""
 
     service: str
     weight: float
@@ -43,8 +47,9 @@
     public: bool = False
     """Whether requests need no credential."""
     resumable: bool = False
-    """Whether a stream may be continued by another run."""
+    """Whether a stream that ended early may be continued by another run."""
     max_gap_s: float = 0.5
+    """Longest gap between two events of a stream that its objective allows; a stall is a multiple of it."""
 
     @property
     def repeatable(self) -> bool:
--- a/src/wallwell/deployment/topology.py
+++ b/src/wallwell/deployment/topology.py
@@ -1,6 +1,7 @@
 """How far zones are from each other: in the same region, or in another one behind a thin and long link. Pure.
 
-Without a map of zones to regions everything is one region.
+Owns the map of zones to regions from the node's settings; without one everything is one region. Read by the choice
+of back ends, the order of peers, and the choice of KV stores.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 
 @dataclass(frozen=True)
 class Topology:
-    """Where a node stands, and which region each zone belongs to.
+    """Where a node is, and which region each zone belongs to.
 
-    ``region`` is the node's own, empty if it is to be read from the map. A zone that the map does not name counts
-    as standing in the same region as any other.
+    ``region`` is the node's own, empty if it follows from the map. A zone that the map does not name counts
+    as being in the same region as any other.
     """
 
     zone: str
@@ -38,7 +39,7 @@
 
     @cached_property
     def has_regions(self) -> bool:
-        """Whether there is a region beside the own one."""
+        """Whether there is a region besides the own one."""
         return any(region != self.own_region for region in self.region_of_zone.values())
 
     def region_of(self, zone: str) -> str:
--- a/src/wallwell/deployment/weights.py
+++ b/src/wallwell/deployment/weights.py
@@ -1,18 +1,24 @@
-"""Weights versions the operators have named, and since when this node knows them. Pure."""
+"""Weights versions that operators have named, and since when this node knows them. Pure.
+
+Owns the named versions of each model. Relies on ``node/rows.py`` to pass each name on as its row arrives. Read by
+the choice of engines and by the weights roll: both decide by how long ago a version was named. Times are seconds
+on this node's clock.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 OVERDUE_FRACTION = 0.85
-"""Fraction of the allowance after which an engine on older weights gets no new generation but its order."""
+"""Fraction of the time allowed for a version, from which on an engine on older weights is overdue: it gets no new
+generation while others are on newer ones, and its order to load is due. Chosen, not measured."""
 
 
 @dataclass(frozen=True)
 class NamedVersion:
     """A weights version and the local time since when it counts as named.
 
-    ``estimated`` tells that the name was found when this node started, so that its age is only a guess.
+    ``estimated``: the name was found when this node started, so that its age is only a guess.
     """
 
     version: int
@@ -35,7 +41,8 @@
         return True
 
     def recall(self, model: str, version: int, since_s: float) -> None:
-        """Take a version's age as another node recorded it, instead of a guess; what was seen here goes first."""
+        """Take a version's age as another node recorded it, instead of a guess; what was seen here takes
+        precedence."""
         named = self._named.setdefault(model, [])
         known = next((each for each in named if each.version == version), None)
         if known is not None and not known.estimated:
--- a/src/wallwell/storage/__init__.py
+++ b/src/wallwell/storage/__init__.py
@@ -1,1 +1,2 @@
-"""The transactional store and the machine list: interfaces, and clients of the stand-ins' protocol."""
+"""The store as this product uses it: rows under conditions, a feed of their changes, and a copy that peers
+follow."""
--- a/src/wallwell/storage/feed.py
+++ b/src/wallwell/storage/feed.py
@@ -1,7 +1,10 @@
 """Following a set of rows: one whole reading, then every change in order, however often the store fails.
 
-The follower is the recovery of every kind of knowledge that lies in the store. It starts again with a whole
-reading when the store has forgotten its history, and never moves back to an older version.
+For every kind of knowledge that lies in the store: following again is how it recovers. The follower starts over
+with a whole reading when the store has forgotten its history, and never moves back to an older version.
+
+Owns the version that was reached, when it was confirmed, and the pauses after failures. Relies on a
+:class:`RowSource` for the calls, and on :class:`StoreClock` for how old an answer is.
 """
 
 from __future__ import annotations
@@ -18,7 +21,11 @@
 from wallwell.events import Event, emit
 
 MIN_RETRY_S = 0.08
+"""Seconds that the pauses between failed calls start from; they double with each failure. Chosen, not measured."""
 MAX_RETRY_S = 0.6
+"""Bound of these pauses in seconds: how late the return of the store is noticed. Chosen, not measured."""
+MAX_DOUBLINGS = 5
+"""Bound of the exponent, so that it stays small however long failures go on; three pass ``MAX_RETRY_S``."""
 
 
 @dataclass(frozen=True)
@@ -34,7 +41,7 @@
 class FeedPage:
     """Rows of one answer. ``store_s`` is the store's steady clock when the answer was made.
 
-    ``relayed`` tells that a peer passed it on, so that the call's own times say nothing of the store's clock.
+    ``relayed``: a peer passed it on, so that the times of the call say nothing of the store's clock.
     """
 
     rows: tuple[FeedRow, ...]
@@ -132,5 +139,6 @@
             emit(Event.STORE_LOST, rows=self.name, reason=error.detail)
 
     def _retry_delay_s(self) -> float:
-        cap_s = min(MAX_RETRY_S, MIN_RETRY_S * (1 << min(self._failures, 5)))
+        """Return a random pause, so that nodes that lost the store together do not all call it at once."""
+        cap_s = min(MAX_RETRY_S, MIN_RETRY_S * (1 << min(self._failures, MAX_DOUBLINGS)))
         return self._rng.uniform(cap_s / 2, cap_s)
--- a/src/wallwell/storage/replica.py
+++ b/src/wallwell/storage/replica.py
@@ -1,7 +1,8 @@
 """A node's copy of a set of rows, kept so that peers can follow it instead of the store. Pure.
 
-The copy answers the same two questions as the store: every row, and what changed after a version. It remembers
-deletions only since its last whole reading, and only so many; who asks for more has to read everything again.
+Answers the same two questions as the store: every row, and what changed after a version. Owns the rows, and the
+deletions since its last whole reading, of which it keeps a bounded number; a peer that asks for older changes has
+to read everything again. Relies on pages that arrive in the order of the store.
 """
 
 from __future__ import annotations
@@ -12,6 +13,8 @@
 from wallwell.storage.feed import FeedPage, FeedRow
 
 MAX_DELETIONS = 1000
+"""Deletions remembered. Chosen, not measured: a follower asks every second or so, and a peer that has missed more
+reads every row again, which costs one large answer."""
 
 
 class RowReplica:
@@ -30,7 +33,7 @@
         self._max_deletions = max_deletions
 
     def take(self, page: FeedPage, whole: bool) -> None:
-        """Apply a page; ``whole`` tells that it holds every row. An older whole page than the copy is refused."""
+        """Apply a page; ``whole``: it holds every row. An older whole page than the copy is refused."""
         if whole:
             if page.version < self.version:
                 return
--- a/src/wallwell/storage/table.py
+++ b/src/wallwell/storage/table.py
@@ -1,5 +1,8 @@
 """The platform's transactional table service: interface and HTTP client.
 
+For rows that nodes write under conditions: leases, claims, crashes. Owns no state. Relies on the service to commit
+a transaction whole or not at all.
+
 Rows are strings under string keys. Every committed transaction gets the next commit number, which becomes the
 version of the rows it wrote. Answers can be lost after the commit, so :class:`PlatformUnavailableError` means
 that the effect is unknown; callers resolve it by reading back a row that names their own attempt.
@@ -7,6 +10,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import Protocol
 
 import aiohttp
@@ -78,7 +82,7 @@
 
 
 class HttpTableService:
-    """Client of the table service over HTTP and JSON."""
+    """Client of the table service over HTTP and JSON; ``timeout_s`` bounds each call as a whole."""
 
     def __init__(self, base_url: str, session: aiohttp.ClientSession, timeout_s: float) -> None:
         self._base_url = base_url.rstrip("/")
@@ -86,6 +90,10 @@
         self._timeout = aiohttp.ClientTimeout(total=timeout_s)
 
     async def _call(self, method: str, path: str, body: bytes = b"", query: dict[str, str] | None = None) -> bytes:
+        """Return the body of an answer, empty if there is no such row.
+
+        Raises :class:`TableConflictError` or :class:`PlatformUnavailableError`.
+        """
         try:
             async with self._session.request(
                 method, self._base_url + path, data=body, params=query, timeout=self._timeout
@@ -93,11 +101,11 @@
                 payload = await response.read()
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             raise PlatformUnavailableError(f"table service: {type(error).__name__}") from error
-        if response.status == 409:
+        if response.status == HTTPStatus.CONFLICT:
             raise TableConflictError(payload.decode(errors="replace"))
-        if response.status not in (200, 404):
+        if response.status not in (HTTPStatus.OK, HTTPStatus.NOT_FOUND):
             raise PlatformUnavailableError(f"table service: status {response.status}")
-        return payload if response.status == 200 else b""
+        return payload if response.status == HTTPStatus.OK else b""
 
     async def transact(self, transaction: Transaction) -> int:
         """See :class:`TableService`."""
