--- a/src/wallwell/emulator/platform_server.py
+++ b/src/wallwell/emulator/platform_server.py
@@ -11,7 +11,8 @@
 from wallwell.emulator.faults import FaultControl
 from wallwell.standalone.machines import Machine, MachineState
 from wallwell.standalone.routing.limits import TokenBucket
-from wallwell.storage.table import Commit, Row, Scan, Transaction
+from wallwell.standalone.table_client import Commit
+from wallwell.storage.table import Row, Scan, Transaction
 
 
 class ConditionFailed(Exception):
--- a/src/wallwell/standalone/router_node.py
+++ b/src/wallwell/standalone/router_node.py
@@ -35,7 +35,7 @@
 from wallwell.standalone.routing.policy import POLICIES
 from wallwell.standalone.routing.selector import EngineSelector
 from wallwell.standalone.settings import Listener, NodeSettings
-from wallwell.storage.table import HttpTableService
+from wallwell.standalone.table_client import HttpTableService
 
 READINESS_INTERVAL_S = 0.05
 PLATFORM_POLL_S = 5.0
--- a/tests/contract/test_platform.py
+++ b/tests/contract/test_platform.py
@@ -7,7 +7,8 @@
 from wallwell.emulator.platform_server import PlatformServer
 from wallwell.errors import PlatformUnavailableError, TableConflictError
 from wallwell.standalone.machines import HttpMachineList, Machine, MachineState
-from wallwell.storage.table import Condition, HttpTableService, Put, Transaction
+from wallwell.standalone.table_client import HttpTableService
+from wallwell.storage.table import Condition, Put, Transaction
 
 
 async def with_platform(scenario, **options):
--- a/tests/unit/cluster/test_region_load_reporter.py
+++ b/tests/unit/cluster/test_region_load_reporter.py
@@ -10,7 +10,15 @@
 from wallwell.clock import boot_time_s
 from wallwell.cluster import region_load_reporter as region_exchange
 from wallwell.cluster.fleet_load import FleetLoad
-from wallwell.cluster.load_messages import MemberLoad, RegionLoad, RegionSum, RelayTotals, ZoneLoad, pack_region_sum
+from wallwell.cluster.load_messages import (
+    MemberLoad,
+    RegionLoad,
+    RegionReply,
+    RegionSum,
+    RelayTotals,
+    ZoneLoad,
+    pack_region_sum,
+)
 from wallwell.cluster.load_reporter import LoadReporter
 from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load
 from wallwell.cluster.peer_health import PeerHealth
@@ -349,3 +357,19 @@
         return asker.order.other_regions()
 
     assert run_virtual(work()) == []
+
+
+def test_a_sum_that_cannot_be_decoded_counts_as_no_answer_and_is_logged_once(monkeypatch):
+    events = []
+    monkeypatch.setattr(region_exchange, "emit", lambda event, **fields: events.append(event))
+
+    async def scenario(network):
+        await asyncio.sleep(3.0)
+        between = network.delegates()[0].exchange.between_regions
+        for _ in range(3):
+            with pytest.raises(PeerUnavailableError):
+                between._unpack_reply(RegionReply(b"not compressed"), "b1-n0", "10.0.0.1:1")
+        return between._unpack_reply(RegionReply(pack_region_sum(RegionSum("b", Load()))), "b1-n0", "10.0.0.1:1")
+
+    assert run(scenario) == RegionSum("b", Load())
+    assert events == [Event.PEER_REPLY_UNREADABLE]
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -80,8 +80,9 @@
 from wallwell.standalone.metrics import NodeMetrics
 from wallwell.standalone.routing.blocks import CacheKey, hash_chain
 from wallwell.standalone.settings import NodeSettings, load_settings, parse_settings
+from wallwell.standalone.table_client import Commit
 from wallwell.storage.feed import FeedPage, FeedRow, FollowedPage
-from wallwell.storage.table import Commit, Row, Scan, Transaction
+from wallwell.storage.table import Row, Scan, Transaction
 
 SOURCE = Path(wallwell.__file__).parent
 
