--- a/tests/unit/cluster/test_region_load_reporter.py
+++ b/tests/unit/cluster/test_region_load_reporter.py
@@ -10,14 +10,22 @@
 from wallwell.clock import boot_time_s
 from wallwell.cluster import region_load_reporter as region_exchange
 from wallwell.cluster.fleet_load import FleetLoad
-from wallwell.cluster.load_messages import MemberLoad, RegionLoad, RegionSum, RelayTotals, ZoneLoad, pack_region_sum
+from wallwell.cluster.load_messages import (
+    MemberLoad,
+    RegionLoad,
+    RegionReply,
+    RegionSum,
+    RelayTotals,
+    ZoneLoad,
+    pack_region_sum,
+)
 from wallwell.cluster.load_reporter import LoadReporter
 from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load
 from wallwell.cluster.peer_health import PeerHealth
 from wallwell.cluster.peer_link import CONNECT_TIMEOUT_S, PeerLinks
 from wallwell.cluster.region_load_reporter import REGION_INTERVAL_S
 from wallwell.cluster.region_traffic import RegionTraffic
-from wallwell.cluster.upstream import Member, UpstreamOrder
+from wallwell.cluster.upstream import NodeRecord, UpstreamOrder
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import TenantLimit
 from wallwell.deployment.topology import Topology
@@ -96,7 +104,7 @@
 class Network:
     def __init__(self, per_zone=2):
         names = [(f"{zone}-n{index}", zone) for zone in MAP for index in range(per_zone)]
-        self.members = {name: Member(zone, f"{name}:1") for name, zone in names}
+        self.members = {name: NodeRecord(zone, f"{name}:1") for name, zone in names}
         self.is_cut = False
         self.without_link = set()
         """Nodes that reach nobody of the other region, and all of their own."""
@@ -109,15 +117,15 @@
     def of(self, region):
         return [node for node in self.nodes.values() if node.region == region and node.alive]
 
-    def speakers(self):
+    def delegates(self):
         return [
             node
             for node in self.of("a")
-            if node.exchange._region_sum() and node.exchange.between_regions.speaks_to("b", now())
+            if node.exchange._region_sum() and node.exchange.between_regions.is_delegate_to("b", now())
         ]
 
     def relays_of(self, region):
-        names = [name for name, _ in self.of(region)[0].order.speakers_of(region)]
+        names = [name for name, _ in self.of(region)[0].order.delegates_of(region)]
         return [self.nodes[name] for name in names[:3]]
 
     def fail(self, node):
@@ -165,13 +173,13 @@
         await asyncio.sleep(3.0)
         network.messages.clear()
         await asyncio.sleep(10.0)
-        return dict(network.messages), len(network.speakers())
+        return dict(network.messages), len(network.delegates())
 
-    messages, speakers = run(scenario)
+    messages, delegates = run(scenario)
     far = {key: count for key, count in messages.items() if key[1]}
     assert set(far) == {("RegionLoad", True)}
     assert far["RegionLoad", True] <= 10.0 / REGION_INTERVAL_S + 1
-    assert speakers == 1
+    assert delegates == 1
 
 
 def test_a_change_is_known_everywhere_within_half_a_second():
@@ -318,9 +326,9 @@
         await asyncio.sleep(3.0)
         relay = network.relays_of("b")[0]
         other = next(node for node in network.of("b") if node.zone == relay.zone and node is not relay)
-        network.members[other.name] = Member(other.zone, f"{other.name}:1", link_mbps=500.0)
+        network.members[other.name] = NodeRecord(other.zone, f"{other.name}:1", link_mbps=500.0)
         await asyncio.sleep(5.0)
-        network.members[other.name] = Member(other.zone, f"{other.name}:1")
+        network.members[other.name] = NodeRecord(other.zone, f"{other.name}:1")
         await asyncio.sleep(2.0)
         return network.all_know(12)
 
@@ -332,7 +340,7 @@
 def test_a_region_whose_nodes_all_go_while_one_is_asked_is_asked_no_more(reply_is_lost):
     async def work():
         network = Network()
-        asker = network.speakers()[0]
+        asker = network.delegates()[0]
         between = asker.exchange.between_regions
         gone = [name for name, node in network.nodes.items() if node.region == "b"]
 
@@ -349,3 +357,19 @@
         return asker.order.other_regions()
 
     assert run_virtual(work()) == []
+
+
+def test_a_sum_that_cannot_be_decoded_counts_as_no_answer_and_is_logged_once(monkeypatch):
+    events = []
+    monkeypatch.setattr(region_exchange, "emit", lambda event, **fields: events.append(event))
+
+    async def scenario(network):
+        await asyncio.sleep(3.0)
+        between = network.delegates()[0].exchange.between_regions
+        for _ in range(3):
+            with pytest.raises(PeerUnavailableError):
+                between._unpack_reply(RegionReply(b"not compressed"), "b1-n0", "10.0.0.1:1")
+        return between._unpack_reply(RegionReply(pack_region_sum(RegionSum("b", Load()))), "b1-n0", "10.0.0.1:1")
+
+    assert run(scenario) == RegionSum("b", Load())
+    assert events == [Event.PEER_REPLY_UNREADABLE]
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -35,7 +35,7 @@
     unpack_region_sum,
 )
 from wallwell.cluster.row_messages import RelayedRow, RowsReply, reply_with_rows, unpack_rows
-from wallwell.cluster.upstream import Member
+from wallwell.cluster.upstream import NodeRecord
 from wallwell.deployment.backends import BackendRecord
 from wallwell.errors import RequestError, SettingsError, WallwellError, all_error_types
 from wallwell.events import Event
@@ -80,8 +80,9 @@
 from wallwell.standalone.metrics import NodeMetrics
 from wallwell.standalone.routing.blocks import CacheKey, hash_chain
 from wallwell.standalone.settings import NodeSettings, load_settings, parse_settings
+from wallwell.standalone.table_client import Commit
 from wallwell.storage.feed import FeedPage, FeedRow, FollowedPage
-from wallwell.storage.table import Commit, Row, Scan, Transaction
+from wallwell.storage.table import Row, Scan, Transaction
 
 SOURCE = Path(wallwell.__file__).parent
 
@@ -92,7 +93,7 @@
     "claim row": ClaimBody,
     "configuration head row": HeadBody,
     "configuration revision row": FileRevision,
-    "member row": Member,
+    "member row": NodeRecord,
     "weights progress row": Progress,
     "rollout record row": RolloutRecord,
     "rollout status row": rows.RolloutStatusRow,
@@ -541,7 +542,7 @@
 
 async def _write_member(node: Any, store: Any) -> None:
     node._members._own_version = 4
-    await node._members.register(Member("z1", "127.0.0.1:9", 30.0))
+    await node._members.register(NodeRecord("z1", "127.0.0.1:9", 30.0))
 
 
 async def _write_crash(node: Any, store: Any) -> None:
