--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -16,6 +16,7 @@
 from wallwell.events import Event, emit
 from wallwell.rollout.model import RolloutBounds
 from wallwell.rollout.records import RolloutBook
+from wallwell.routing.admission.access import RevocationBound, is_fresh_enough
 from wallwell.routing.admission.overload import GenerationTime
 from wallwell.routing.admission.quarantine import Quarantine
 from wallwell.routing.health.zone_suspicion import ZoneSuspicion
@@ -135,10 +136,9 @@
 
     def is_fresh(self, arrival_s: float) -> bool:
         """Whether a request that arrived then may rely on the configuration known here."""
-        if not self.bounds.strict_revocation:
-            return True
-        bound_s = self.bounds.revocation_s - self.bounds.revocation_margin_s
-        return self.freshness.covers(arrival_s, bound_s)
+        bounds = self.bounds
+        bound = RevocationBound(bounds.strict_revocation, bounds.revocation_s, bounds.revocation_margin_s)
+        return is_fresh_enough(self.freshness, bound, arrival_s)
 
     def is_ready(self, now_s: float) -> bool:
         """Whether this node can serve callers now."""
--- a/src/wallwell/routing/admission/access.py
+++ b/src/wallwell/routing/admission/access.py
@@ -18,14 +18,16 @@
 
 
 class Denial(enum.Enum):
-    """Why a request is not admitted."""
+    """Why a request is not admitted. The values are sent to callers as the error's detail."""
 
-    NO_CONFIGURATION = "no configuration has been received yet"
-    STALE_ROUTE = "no route is known, but a newer configuration may have one"
+    NO_CONFIGURATION = "no configuration yet"
+    STALE_ROUTE = "the route may be newer"
+    """No route is known, but a newer configuration may have one."""
     UNKNOWN_ROUTE = "no route for this host and path"
-    STALE_CREDENTIAL = "a credential is needed and may have been revoked meanwhile"
+    STALE_CREDENTIAL = "credentials cannot be confirmed"
+    """A credential is needed, and what is known of it may have been revoked meanwhile."""
     UNKNOWN_CREDENTIAL = "the credential belongs to no tenant"
-    BODY_TOO_LARGE = "the body is larger than the configuration allows"
+    BODY_TOO_LARGE = "body is larger than the limit"
 
 
 class Granted(NamedTuple):
--- a/src/wallwell/routing/admission/overload.py
+++ b/src/wallwell/routing/admission/overload.py
@@ -1,13 +1,13 @@
 """Which generations are refused while engines have more under way than they can serve in time. Pure.
 
 An engine serves a bounded number of generations at once, the rest wait in its queue. Once that wait is longer than
-callers' objectives, all answers are late, and late ones hold places for as long as others: the queue then lasts
-until long after its cause. Refusing a part at once keeps the others in time, and the refused callers come back when
-there is room. In a day of 45 engines of which 11 were away for 14 s, 67 in 100 of the worth asked for was served
-without this and 75 with it.
+callers' objectives, all answers are late, and late ones hold slots for as long as others: the queue then lasts
+until long after its cause. Refusing a fraction at once keeps the others in time, and the refused callers return
+when there are free slots. In a simulated day of 45 engines of which 11 were away for 14 s, 67% of the value asked
+for was served without this and 75% with it.
 
-What nodes know of each other's load is old by some reports and the same everywhere. With a single
-threshold all of them would refuse and admit by turns, so the part that is refused grows with the load.
+What nodes know of each other's load is old by some reports and the same everywhere. With a single threshold all of
+them would refuse and admit alternately, so the fraction that is refused grows with the load.
 """
 
 from __future__ import annotations
@@ -21,17 +21,21 @@
 BEGIN_REFUSING = 1.1
 """Load of the usable engines, by slot, from which generations of the most urgent rank are refused.
 
-Long prompts count several times in a load (see ``request_load``), so a fleet in time may be at 1. At full size, on
-the day above, 71, 74 and 75 in 100 were served from 1.2 with those that return preferred, 1.2 and 1.05; on a day
-with crashes of a third of the engines 74, 74 and 72."""
+Long prompts count several times in a load (see ``request_load``), so a fleet in time may be at 1. In the simulated
+day above 71% of the value was served from 1.2, 74% from 1.2 with returning callers preferred, and 75% from 1.05; in
+a day with crashes of a third of the engines 74%, 74% and 72%."""
 REFUSE_ALL = 1.7
 """Load by slot from which all of them are refused: most of a batch waits behind the one being served."""
 RANK_STEP = 0.1
-"""How much earlier each less urgent rank is refused."""
+"""How much earlier each less urgent rank is refused, in load by slot. Chosen, not measured."""
 MAX_RANK_STEPS = 3
+"""Ranks beyond the most urgent one that differ: refusing begins at a load by slot of 0.8 at the least.
+
+Chosen, not measured."""
 DEFAULT_GENERATION_S = 1.5
-"""Time of a generation until some have been observed."""
+"""Seconds of a generation until some have been observed. Chosen, not measured."""
 SMOOTHING = 0.05
+"""Weight of the newest observation in the average: some twenty decide. Chosen, not measured."""
 SHORTEST_RETURN_FRACTION = 0.5
 """Part of a generation's time after which the first places are free again."""
 RETURN_SPREAD = (0.75, 1.75)
@@ -67,11 +71,11 @@
         return None
     load = sum(each.fleet_load() for each in engines)
     occupancy = Occupancy(load, sum(each.record.slots for each in engines))
-    return occupancy if rng.random() < refused_part(occupancy, rank) else None
+    return occupancy if rng.random() < refused_fraction(occupancy, rank) else None
 
 
-def refused_part(occupancy: Occupancy, rank: int) -> float:
-    """Return the part of new generations of a rank, 0 first, that is refused."""
+def refused_fraction(occupancy: Occupancy, rank: int) -> float:
+    """Return the fraction of new generations of a rank, 0 first, that is refused."""
     begin = BEGIN_REFUSING - RANK_STEP * _rank_steps(rank)
     return min(1.0, max(0.0, (occupancy.per_slot - begin) / (REFUSE_ALL - BEGIN_REFUSING)))
 
--- a/src/wallwell/serving/admission.py
+++ b/src/wallwell/serving/admission.py
@@ -1,18 +1,25 @@
-"""Who may ask for what: route, tenant and time allowed of a request, before anything is sent."""
+"""Admits a request: access, its tenant's limit, its service and deadline, before anything is sent. No I/O.
+
+This is the adapter between the node's state and the decisions in ``routing/admission/`` (``access``,
+``tenant_limits``): it raises the error that belongs to a denial, and counts the request for the retry budget and
+the demand of the fleet. Relies on the state's configuration and on how recently the store confirmed it.
+"""
 
 from __future__ import annotations
 
 from wallwell.clock import boot_time_s
-from wallwell.deployment.routes import Route, TenantAccess
+from wallwell.deployment.routes import TenantAccess
 from wallwell.errors import (
     BodyTooLargeError,
     NotReadyError,
     RateLimitedError,
+    RequestError,
     StaleConfigurationError,
     UnauthenticatedError,
     UnknownResourceError,
 )
 from wallwell.node.state import NodeState
+from wallwell.routing.admission.access import AccessRequest, Denial, decide_access
 from wallwell.routing.admission.tenant_limits import Admitted, OverLimit
 from wallwell.routing.retry.attempt_outcome import AttemptLog
 from wallwell.routing.retry.retry_after import RefusalCause
@@ -22,7 +29,7 @@
 
 
 class Admission:
-    """Decides on requests by the configuration in force and how recently it was confirmed."""
+    """Asks the decisions about one request at a time."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
@@ -30,26 +37,21 @@
 
     def admit(self, request: CallerRequest, reply: CallerReply) -> ActiveRequest:
         """Find route, tenant and service. Raises :class:`RequestError`."""
-        config = self._state.config
-        if config is None:
-            wait_ms = self._retry_after.of_arrival(RefusalCause.NO_CONFIGURATION, request)
-            raise NotReadyError("no configuration yet", retry_after_ms=wait_ms)
-        fresh = self._state.is_fresh(request.arrived_s)
-        route = config.find_route(request.host, request.path)
-        if route is None:
-            if not fresh:
-                raise self._stale_error(request, "the route may be newer")
-            raise UnknownResourceError("no route for this host and path")
-        tenant = self._authorise(request, route, fresh)
-        self._check_body(request, config.bounds.max_body_bytes)
+        state = self._state
+        is_fresh = state.is_fresh(request.arrived_s)
+        asked = AccessRequest(request.host, request.path, request.credential, len(request.body))
+        access = decide_access(state.config, is_fresh, asked)
+        if isinstance(access, Denial):
+            raise self._denied(access, request)
+        route, tenant = access
         admitted = self._take_of_limit(request, tenant)
         allowance_s = route.timeout_s
         if request.allowance_s is not None:
             allowance_s = min(allowance_s, request.allowance_s)
-        service = self._state.split.choose(route, self._state.split_offset)
-        self._state.budget_of(service).on_request(boot_time_s())
+        service = state.split.choose(route, state.split_offset)
+        state.budget_of(service).on_request(boot_time_s())
         if request.generation is not None:
-            self._state.demand.own.add(boot_time_s())
+            state.demand.own.add(boot_time_s())
         return ActiveRequest(
             request=request,
             reply=reply,
@@ -61,21 +63,22 @@
             admitted=admitted,
         )
 
-    def _authorise(self, request: CallerRequest, route: Route, fresh: bool) -> TenantAccess | None:
-        config = self._state.config
-        assert config is not None
-        if route.public or not config.tenants:
-            return config.tenant_of(request.credential) if request.credential else None
-        if not fresh:
-            raise self._stale_error(request, "credentials cannot be confirmed")
-        tenant = config.tenant_of(request.credential)
-        if tenant is None:
-            raise UnauthenticatedError("the credential belongs to no tenant")
-        return tenant
-
-    def _stale_error(self, request: CallerRequest, detail: str) -> StaleConfigurationError:
-        wait_ms = self._retry_after.of_arrival(RefusalCause.STALE_CONFIGURATION, request)
-        return StaleConfigurationError(detail, retry_after_ms=wait_ms)
+    def _denied(self, denial: Denial, request: CallerRequest) -> RequestError:
+        """Return the error of a denial; where newer knowledge may change the answer, with when to retry."""
+        detail = denial.value
+        match denial:
+            case Denial.NO_CONFIGURATION:
+                wait_ms = self._retry_after.of_arrival(RefusalCause.NO_CONFIGURATION, request)
+                return NotReadyError(detail, retry_after_ms=wait_ms)
+            case Denial.STALE_ROUTE | Denial.STALE_CREDENTIAL:
+                wait_ms = self._retry_after.of_arrival(RefusalCause.STALE_CONFIGURATION, request)
+                return StaleConfigurationError(detail, retry_after_ms=wait_ms)
+            case Denial.UNKNOWN_ROUTE:
+                return UnknownResourceError(detail)
+            case Denial.UNKNOWN_CREDENTIAL:
+                return UnauthenticatedError(detail)
+            case Denial.BODY_TOO_LARGE:
+                return BodyTooLargeError(detail)
 
     def _take_of_limit(self, request: CallerRequest, tenant: TenantAccess | None) -> Admitted | None:
         """Take a request's tokens of its tenant's limit. Raises :class:`RateLimitedError`."""
@@ -87,7 +90,3 @@
             detail = f"the limit of {tenant.name} is used up"
             raise RateLimitedError(detail, retry_after_ms=round(taken.wait_s * 1000))
         return taken
-
-    def _check_body(self, request: CallerRequest, max_body_bytes: int) -> None:
-        if len(request.body) > max_body_bytes:
-            raise BodyTooLargeError("body is larger than the limit")
--- a/src/wallwell/serving/backend_choice.py
+++ b/src/wallwell/serving/backend_choice.py
@@ -12,7 +12,7 @@
 from wallwell.deployment.backends import Backend
 from wallwell.errors import OverloadedError
 from wallwell.node.state import NodeState
-from wallwell.routing.admission.overload import Occupancy, refused_part, retry_after_s
+from wallwell.routing.admission.overload import overloaded_occupancy, retry_after_s
 from wallwell.routing.retry.retry_after import ShortestAnswer
 from wallwell.routing.selection.call_choice import choose_for_call
 from wallwell.routing.selection.engine_choice import FleetView, Prompt, choose_for_generation
@@ -50,22 +50,19 @@
         return choose_for_generation(prompt, candidates, listed, fleet)
 
     def refuse_if_overloaded(self, active: ActiveRequest, now_s: float) -> None:
-        """Refuse a part of new generations while engines have too much to do. Raises :class:`OverloadedError`.
+        """Refuse a fraction of new generations while engines have too much to do. Raises :class:`OverloadedError`.
 
-        Engines that load weights count: they are back sooner than a refused caller.
+        A stream that a caller resumes and a request that was sent before are not new.
         """
         generation = active.request.generation
         if generation is None or generation.resume_after is not None or active.history.tried:
             return
-        engines = [each for each in eligible_backends(self._state, active.service, now_s) if each.is_open(now_s)]
-        if any(each.peers_load is None for each in engines):
-            return  # What one node has under way says little of the fleet.
-        load = sum(each.fleet_load() for each in engines)
-        occupancy = Occupancy(load, sum(each.record.slots for each in engines))
-        rng = self._state.rng
-        if rng.random() >= refused_part(occupancy, active.rank):
+        state = self._state
+        engines = eligible_backends(state, active.service, now_s)
+        occupancy = overloaded_occupancy(engines, active.rank, now_s, state.rng)
+        if occupancy is None:
             return
-        wait_s = retry_after_s(occupancy, active.rank, self._state.generation_time.seconds, rng)
+        wait_s = retry_after_s(occupancy, active.rank, state.generation_time.seconds, state.rng)
         raise OverloadedError(f"{occupancy.per_slot:.2f} under way by slot", retry_after_ms=round(wait_s * 1000))
 
     def learn_time(self, active: ActiveRequest, now_s: float) -> None:
--- a/tests/unit/routing/admission/test_overload.py
+++ b/tests/unit/routing/admission/test_overload.py
@@ -11,7 +11,7 @@
     REFUSE_ALL,
     GenerationTime,
     Occupancy,
-    refused_part,
+    refused_fraction,
     retry_after_s,
 )
 
@@ -33,11 +33,11 @@
     ],
 )
 def test_part_refused(per_slot, rank, part):
-    assert refused_part(Occupancy(round(per_slot * 1_000), 1_000), rank) == pytest.approx(part, abs=1e-6)
+    assert refused_fraction(Occupancy(round(per_slot * 1_000), 1_000), rank) == pytest.approx(part, abs=1e-6)
 
 
 def test_engines_without_slots_refuse_nothing():
-    assert refused_part(Occupancy(5, 0), 0) == 0.0
+    assert refused_fraction(Occupancy(5, 0), 0) == 0.0
 
 
 def returns(rank, per_slot, generation_s=2.0):
