--- a/src/wallwell/routing/retry/attempt_outcome.py
+++ b/src/wallwell/routing/retry/attempt_outcome.py
@@ -64,6 +64,13 @@
 )
 """A back end that works said itself that it ran nothing."""
 
+
+def allows_retry(event: TransportEvent, repeatable: bool) -> bool:
+    """Whether a request may be sent again after an attempt that ended so."""
+    verdict = VERDICTS[event]
+    return verdict.retry_repeatable if repeatable else verdict.retry_once_only
+
+
 _SEVERITY = {Outcome.NOT_RUN: 0, Outcome.FAILED: 1, Outcome.UNKNOWN: 2, Outcome.COMPLETED: 3}
 
 
@@ -85,4 +92,4 @@
         self.attempts += 1
         if _SEVERITY[verdict.outcome] > _SEVERITY[self.outcome]:
             self.outcome = verdict.outcome
-        return verdict.retry_repeatable if self.repeatable else verdict.retry_once_only
+        return allows_retry(event, self.repeatable)
--- a/src/wallwell/routing/retry/retry_budget.py
+++ b/src/wallwell/routing/retry/retry_budget.py
@@ -1,6 +1,6 @@
 """A retry budget that many nodes keep together without asking each other. Pure.
 
-The fleet may repeat ``ratio`` x its requests plus ``extra`` in any window. Each node spends ``ratio`` x its own
+The fleet may retry ``ratio`` x its requests plus ``extra`` in any window. Each node spends ``ratio`` x its own
 requests plus its share of ``extra``; the sum over nodes then keeps the fleet's bound. Both are counted in the
 window that ends now, so no burst at a window's edge can spend twice. A node that has just started does not know
 what it spent before, so its share of ``extra`` begins a window later.
@@ -13,7 +13,9 @@
 from wallwell.routing.sliding_window import SlidingWindow
 
 SAFETY = 0.8
-"""Part of the budget that is used, since nodes' counts of each other lag."""
+"""Fraction of the budget that is used, since nodes' counts of each other lag. Chosen, not measured."""
+RETRY_COST = 1.0
+"""What one retry takes of a budget, which is counted in retries."""
 
 
 @dataclass
@@ -36,14 +38,18 @@
         self._requests.add(now_s)
 
     def left(self, now_s: float, nodes: int) -> float:
-        """Return how many repeats this node may still send now."""
+        """Return how many retries this node may still send now."""
         extra = self.extra / max(1, nodes) if now_s - self.started_s >= self.window_s else 0.0
         allowed = self.ratio * self._requests.count(now_s) + extra
         return SAFETY * allowed - self._retries.count(now_s)
 
+    def allows_retry(self, now_s: float, nodes: int) -> bool:
+        """Whether one retry may be sent now."""
+        return self.left(now_s, nodes) >= RETRY_COST
+
     def try_retry(self, now_s: float, nodes: int) -> bool:
-        """Spend one repeat if the budget allows it."""
-        if self.left(now_s, nodes) < 1.0:
+        """Spend one retry if the budget allows it."""
+        if not self.allows_retry(now_s, nodes):
             return False
         self._retries.add(now_s)
         return True
--- /dev/null
+++ b/src/wallwell/routing/retry/retry_policy.py
@@ -0,0 +1,169 @@
+"""May a request be sent again? The one place that decides on further attempts. Pure.
+
+Inputs are the route (how often a request may run, whether it may run twice at all), the history of its
+attempts, how the last one ended, and the service's retry budget. The pipeline and the response wait ask here
+and act on the result.
+
+Three bounds hold together. Runs: attempts that may have been executed, at most ``route.max_attempts``.
+Arrivals: back ends that refused without running anything are passed over, but not without end. Budget: retries
+are limited to a fraction of recent requests, so that an outage is not amplified. An attempt that could not
+connect costs nothing of the budget, since it put no load on any back end.
+
+This module is the only one that draws on the budget.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from wallwell.deployment.routes import Route
+from wallwell.routing.retry.attempt_history import UNREACHABLE, AttemptHistory
+from wallwell.routing.retry.attempt_outcome import TransportEvent, allows_retry
+from wallwell.routing.retry.response_timeout import stall_timeout_s
+from wallwell.routing.retry.retry_after import RefusalCause
+from wallwell.routing.retry.retry_budget import FleetRetryBudget
+
+MAX_REFUSALS_BEYOND_ATTEMPTS = 3
+"""Further arrivals beyond a route's attempts, for back ends that prove that they did not run the request.
+Chosen, not measured."""
+MAX_UNREACHABLE = 3
+"""Back ends that could not be connected to, after which the request is refused: the cause is then probably on this
+node's side of the network, and its caller reaches another node. Chosen, not measured."""
+
+
+@dataclass(frozen=True)
+class Retry:
+    """Another attempt may be made; it is paid for if it costs anything."""
+
+
+@dataclass(frozen=True)
+class GiveUp:
+    """No further attempt is made."""
+
+    cause: RefusalCause
+    """What decides when the caller may try again, if nothing of the request has run."""
+    detail: str | None = None
+    """The reason in words; None where how the last attempt ended is the reason."""
+
+
+RETRY = Retry()
+AS_IT_ENDED = GiveUp(RefusalCause.REFUSED)
+NO_RUN_LEFT = GiveUp(RefusalCause.REFUSED, "every allowed attempt was used")
+NOTHING_REACHABLE = GiveUp(RefusalCause.SUSPENDED, "no back end can be reached")
+TOO_MANY_REFUSALS = GiveUp(RefusalCause.REFUSED, "too many back ends refused")
+BUDGET_EXHAUSTED = GiveUp(RefusalCause.BUDGET_USED, "the retry budget is used up")
+
+
+class RetryPolicy:
+    """Decides on further attempts of requests; holds no state of its own.
+
+    ``history`` counts ended attempts only, except where a method says that one is in flight. ``nodes`` is the
+    number of nodes that share the budget."""
+
+    def may_run_again(self, route: Route, runs: int) -> bool:
+        """Whether a request that has run ``runs`` times, a run in flight included, may run once more."""
+        return runs < route.max_attempts
+
+    def may_interrupt(self, route: Route, history: AttemptHistory) -> bool:
+        """Whether the attempt in flight may be ended early because its back end has stopped."""
+        return route.repeatable and self.may_run_again(route, history.runs + 1)
+
+    def stall_timeout_s(self, route: Route, history: AttemptHistory) -> float | None:
+        """Return after how long a pause the stream in flight is continued elsewhere; None if it may not be."""
+        if not route.resumable or not self.may_run_again(route, history.runs + 1):
+            return None
+        return stall_timeout_s(route.max_gap_s)
+
+    def may_abandon_silent(
+        self,
+        route: Route,
+        history: AttemptHistory,
+        has_untried: Callable[[], bool],
+        budget: FleetRetryBudget,
+        now_s: float,
+        nodes: int,
+    ) -> bool:
+        """Whether the attempt in flight may be abandoned for another back end once it has been silent for long.
+
+        ``has_untried`` says whether a usable back end was not tried yet. It is called only if the route allows
+        another run, since the answer takes a look at all back ends of the service.
+        """
+        if not self.may_interrupt(route, history):
+            return False
+        return has_untried() and budget.allows_retry(now_s, nodes)
+
+    def abandon_silent(
+        self, history: AttemptHistory, are_all_behind: bool, budget: FleetRetryBudget, now_s: float, nodes: int
+    ) -> bool:
+        """Decide whether to abandon a silent attempt now; the retry that follows is then paid for in advance.
+
+        A late answer is better than none, so the attempt goes on if the budget allows no retry. It also goes on
+        while the engines of the whole fleet are behind: another one would prefill the prompt from its start
+        behind others, and what this one has computed or queued would be lost."""
+        if are_all_behind or not self._draw(budget, now_s, nodes):
+            return False
+        history.prepaid_retries += 1
+        return True
+
+    def after_error_answer(
+        self,
+        route: Route,
+        history: AttemptHistory,
+        has_untried: Callable[[], bool],
+        budget: FleetRetryBudget,
+        now_s: float,
+        nodes: int,
+    ) -> bool:
+        """Decide whether the attempt in flight, answered with an error, is retried; the retry is then paid for.
+
+        The caller gets the error answer otherwise. ``has_untried`` as for :meth:`may_abandon_silent`.
+        """
+        if not self.may_abandon_silent(route, history, has_untried, budget, now_s, nodes):
+            return False
+        return self._draw(budget, now_s, nodes)
+
+    def after_failure(
+        self,
+        route: Route,
+        history: AttemptHistory,
+        attempts: int,
+        event: TransportEvent,
+        budget: FleetRetryBudget,
+        now_s: float,
+        nodes: int,
+    ) -> Retry | GiveUp:
+        """Decide what follows an attempt that ended without a whole answer; a retry is then paid for.
+
+        ``attempts`` and ``history`` already count the attempt that failed.
+        """
+        bound = self._exceeded_bound(route, history, attempts, event)
+        if bound is not None:
+            return bound
+        if event in UNREACHABLE or self._pay(history, budget, now_s, nodes):
+            return RETRY
+        return BUDGET_EXHAUSTED
+
+    def _exceeded_bound(
+        self, route: Route, history: AttemptHistory, attempts: int, event: TransportEvent
+    ) -> GiveUp | None:
+        if not allows_retry(event, route.repeatable):
+            return AS_IT_ENDED
+        if not self.may_run_again(route, history.runs):
+            return NO_RUN_LEFT
+        if attempts - history.arrivals >= MAX_UNREACHABLE:
+            return NOTHING_REACHABLE
+        if history.arrivals >= route.max_attempts + MAX_REFUSALS_BEYOND_ATTEMPTS:
+            return TOO_MANY_REFUSALS
+        return None
+
+    def _pay(self, history: AttemptHistory, budget: FleetRetryBudget, now_s: float, nodes: int) -> bool:
+        """Pay for a retry, with one that was paid in advance if there is one."""
+        if history.prepaid_retries:
+            history.prepaid_retries -= 1
+            return True
+        return self._draw(budget, now_s, nodes)
+
+    def _draw(self, budget: FleetRetryBudget, now_s: float, nodes: int) -> bool:
+        """Draw one retry from the budget; False if it is exhausted."""
+        return budget.try_retry(now_s, nodes)
