--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -19,10 +19,10 @@
 from wallwell.rollout.records import RolloutBook
 from wallwell.routing.admission.overload import GenerationTime
 from wallwell.routing.admission.quarantine import Quarantine
+from wallwell.routing.admission.remaining_time import ShortestAnswer
 from wallwell.routing.health.zone_suspicion import ZoneSuspicion
 from wallwell.routing.rendezvous import owner
 from wallwell.routing.retry.first_token import FirstTokenDelays
-from wallwell.routing.retry.retry_after import ShortestAnswer
 from wallwell.routing.retry.retry_budget import FleetRetryBudget
 from wallwell.routing.selection.kv_store import KvStoreContents
 from wallwell.routing.selection.prefill_rate import PrefillRate
--- a/src/wallwell/routing/retry/retry_after.py
+++ b/src/wallwell/routing/retry/retry_after.py
@@ -33,11 +33,6 @@
 """Added to the end of a suspension, so that a caller does not come just before it."""
 FREE_FRACTION = 0.5
 """Part of a request's usual time after which places of a full service are free again."""
-ANSWER_FRACTION = 0.5
-"""Part of the shortest answer seen that a request must have left to be sent; half, since loads and sizes differ."""
-TRIED_ONE_IN = 20
-"""One in so many requests with less time is sent all the same. Otherwise a node whose first answers were slow would
-refuse short ones for its life, since it learns from what it sends only."""
 
 
 class RefusalCause(enum.Enum):
@@ -99,29 +94,3 @@
         case _:
             # Repeats of this node are used up; a caller's own return is a new request, and no repeat.
             return ELSEWHERE_S
-
-
-@dataclass
-class ShortestAnswer:
-    """The shortest time from a request's sending to the end of its answer, of one route at this node."""
-
-    seconds: float = float("inf")
-    _short: int = 0
-    """Requests that had too little time."""
-
-    def is_too_late(self, left_s: float, floor_s: float) -> bool:
-        """Whether a request with ``left_s`` is to be refused; counts those that have too little time."""
-        if left_s < floor_s:
-            return True
-        if left_s >= self.least_left_s(floor_s):
-            return False
-        self._short += 1
-        return self._short % TRIED_ONE_IN != 0
-
-    def observe(self, seconds: float) -> None:
-        """Learn from one that has ended well."""
-        self.seconds = min(self.seconds, seconds)
-
-    def least_left_s(self, floor_s: float) -> float:
-        """Return what a request must have left of its time to be sent; ``floor_s`` at least."""
-        return floor_s if self.seconds == float("inf") else max(floor_s, ANSWER_FRACTION * self.seconds)
--- a/src/wallwell/routing/retry/retry_policy.py
+++ b/src/wallwell/routing/retry/retry_policy.py
@@ -56,10 +56,17 @@
 
 
 class RetryPolicy:
-    """Decides on further attempts of requests; holds no state of its own.
+    """Decides on further attempts of requests.
 
-    ``history`` counts ended attempts only, except where a method says that one is in flight. ``nodes`` is the
-    number of nodes that share the budget."""
+    ``history`` counts ended attempts only; a method that speaks of an attempt in flight adds that one itself.
+    """
+
+    def __init__(self, node_count: Callable[[], int]) -> None:
+        """Create the policy of one node.
+
+        ``node_count`` returns how many nodes share the budgets; it is called only where a budget is consulted.
+        """
+        self._node_count = node_count
 
     def may_run_again(self, route: Route, runs: int) -> bool:
         """Whether a request that has run ``runs`` times, a run in flight included, may run once more."""
@@ -82,7 +89,6 @@
         has_untried: Callable[[], bool],
         budget: FleetRetryBudget,
         now_s: float,
-        nodes: int,
     ) -> bool:
         """Whether the attempt in flight may be abandoned for another back end once it has been silent for long.
 
@@ -91,17 +97,18 @@
         """
         if not self.may_interrupt(route, history):
             return False
-        return has_untried() and budget.allows_retry(now_s, nodes)
+        return has_untried() and budget.allows_retry(now_s, self._node_count())
 
     def abandon_silent(
-        self, history: AttemptHistory, are_all_behind: bool, budget: FleetRetryBudget, now_s: float, nodes: int
+        self, history: AttemptHistory, are_all_behind: bool, budget: FleetRetryBudget, now_s: float
     ) -> bool:
         """Decide whether to abandon a silent attempt now; the retry that follows is then paid for in advance.
 
         A late answer is better than none, so the attempt goes on if the budget allows no retry. It also goes on
         while the engines of the whole fleet are behind: another one would prefill the prompt from its start
-        behind others, and what this one has computed or queued would be lost."""
-        if are_all_behind or not self._draw(budget, now_s, nodes):
+        behind others, and what this one has computed or queued would be lost.
+        """
+        if are_all_behind or not self._draw(budget, now_s):
             return False
         history.prepaid_retries += 1
         return True
@@ -113,15 +120,14 @@
         has_untried: Callable[[], bool],
         budget: FleetRetryBudget,
         now_s: float,
-        nodes: int,
     ) -> bool:
         """Decide whether the attempt in flight, answered with an error, is retried; the retry is then paid for.
 
         The caller gets the error answer otherwise. ``has_untried`` as for :meth:`may_abandon_silent`.
         """
-        if not self.may_abandon_silent(route, history, has_untried, budget, now_s, nodes):
+        if not self.may_abandon_silent(route, history, has_untried, budget, now_s):
             return False
-        return self._draw(budget, now_s, nodes)
+        return self._draw(budget, now_s)
 
     def after_failure(
         self,
@@ -131,7 +137,6 @@
         event: TransportEvent,
         budget: FleetRetryBudget,
         now_s: float,
-        nodes: int,
     ) -> Retry | GiveUp:
         """Decide what follows an attempt that ended without a whole answer; a retry is then paid for.
 
@@ -140,7 +145,7 @@
         bound = self._exceeded_bound(route, history, attempts, event)
         if bound is not None:
             return bound
-        if event in UNREACHABLE or self._pay(history, budget, now_s, nodes):
+        if event in UNREACHABLE or self._pay(history, budget, now_s):
             return RETRY
         return BUDGET_EXHAUSTED
 
@@ -151,19 +156,20 @@
             return AS_IT_ENDED
         if not self.may_run_again(route, history.runs):
             return NO_RUN_LEFT
+        # An error answer that was retried counts here too: it is an attempt, and not among the arrivals.
         if attempts - history.arrivals >= MAX_UNREACHABLE:
             return NOTHING_REACHABLE
         if history.arrivals >= route.max_attempts + MAX_REFUSALS_BEYOND_ATTEMPTS:
             return TOO_MANY_REFUSALS
         return None
 
-    def _pay(self, history: AttemptHistory, budget: FleetRetryBudget, now_s: float, nodes: int) -> bool:
+    def _pay(self, history: AttemptHistory, budget: FleetRetryBudget, now_s: float) -> bool:
         """Pay for a retry, with one that was paid in advance if there is one."""
         if history.prepaid_retries:
             history.prepaid_retries -= 1
             return True
-        return self._draw(budget, now_s, nodes)
+        return self._draw(budget, now_s)
 
-    def _draw(self, budget: FleetRetryBudget, now_s: float, nodes: int) -> bool:
+    def _draw(self, budget: FleetRetryBudget, now_s: float) -> bool:
         """Draw one retry from the budget; False if it is exhausted."""
-        return budget.try_retry(now_s, nodes)
+        return budget.try_retry(now_s, self._node_count())
--- a/src/wallwell/serving/active_request.py
+++ b/src/wallwell/serving/active_request.py
@@ -9,10 +9,11 @@
 from wallwell.deployment.routes import Route, TenantAccess
 from wallwell.routing.admission.request_content import content_digest
 from wallwell.routing.admission.tenant_limits import Admitted
+from wallwell.routing.retry.attempt_history import AttemptHistory
 from wallwell.routing.retry.attempt_outcome import AttemptLog
 from wallwell.routing.selection.prefix_home import placement_key
 from wallwell.serving.event_stream import StreamPosition
-from wallwell.serving.messages import AttemptHistory, CallerReply, CallerRequest
+from wallwell.serving.messages import CallerReply, CallerRequest
 
 
 @dataclass
--- /dev/null
+++ b/src/wallwell/serving/alternatives.py
@@ -0,0 +1,13 @@
+"""Whether another back end is left for a request: what the retry policy asks of this node's state. No I/O."""
+
+from __future__ import annotations
+
+from wallwell.node.state import NodeState
+from wallwell.serving.active_request import ActiveRequest
+from wallwell.serving.version_choice import candidates_for
+
+
+def has_untried_backend(state: NodeState, active: ActiveRequest, now_s: float) -> bool:
+    """Whether a usable back end is left to which the request was not sent yet."""
+    usable = candidates_for(state, active, now_s).usable
+    return any(each.incarnation not in active.history.tried for each in usable)
--- a/src/wallwell/serving/backend_choice.py
+++ b/src/wallwell/serving/backend_choice.py
@@ -9,8 +9,8 @@
 from wallwell.errors import OverloadedError
 from wallwell.node.state import NodeState
 from wallwell.routing.admission.overload import Occupancy, refused_part, retry_after_s
+from wallwell.routing.admission.remaining_time import ShortestAnswer
 from wallwell.routing.rendezvous import rendezvous_score
-from wallwell.routing.retry.retry_after import ShortestAnswer
 from wallwell.routing.selection.prefix_home import (
     choose_engine,
     choose_from_tiers,
--- a/src/wallwell/serving/messages.py
+++ b/src/wallwell/serving/messages.py
@@ -189,17 +189,3 @@
     def abort(self) -> None:
         """Break a streamed answer off so that it cannot look complete."""
         ...
-
-
-@dataclass
-class AttemptHistory:
-    """What became of the attempts of one request so far."""
-
-    tried: set[str] = field(default_factory=set)
-    runs: int = 0
-    arrivals: int = 0
-    prepaid_retries: int = 0
-    """Repeats drawn from the budget before the attempt that they follow was given up."""
-    unresponsive_zones: set[str] = field(default_factory=set)
-    """Zones into which a connection of this request hung."""
-    details: list[str] = field(default_factory=list)
--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -19,11 +19,14 @@
 from wallwell.events import Event, emit
 from wallwell.node.state import NodeState
 from wallwell.outcomes import Outcome
+from wallwell.routing.admission.remaining_time import is_too_late
+from wallwell.routing.retry.attempt_history import UNREACHABLE
 from wallwell.routing.retry.attempt_outcome import REFUSED_BY_BACKEND, TransportEvent
-from wallwell.routing.retry.retry_after import RefusalCause
+from wallwell.routing.retry.retry_policy import GiveUp, RetryPolicy
 from wallwell.routing.selection.prefix_home import request_load
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.admission import Admission
+from wallwell.serving.alternatives import has_untried_backend
 from wallwell.serving.backend_choice import BackendChoice
 from wallwell.serving.cache_planning import CachePlanner
 from wallwell.serving.counted_answer import CountedAnswer
@@ -40,24 +43,14 @@
     Dispatch,
 )
 from wallwell.serving.request_errors import RequestErrors
-from wallwell.serving.response_timeout import MIN_REMAINING_S, ResponseWait
+from wallwell.serving.response_timeout import ResponseWait
 from wallwell.serving.version_choice import begin_attempt, candidates_for, end_attempt
 
-MAX_ARRIVALS_BEYOND_ATTEMPTS = 3
-"""Further back ends tried when earlier ones prove that they did not run the request."""
-STALL_TIMEOUT_FACTOR = 2.0
-"""Multiple of the largest allowed gap after which a silent stream is continued elsewhere."""
-MAX_UNREACHABLE = 3
-"""Back ends that could not be connected to, after which the request is given back to its caller."""
 ENDS_BY_ITSELF = (
     TransportEvent.RESET_BEFORE_SEND,
     TransportEvent.RESET_AFTER_SEND,
 )
 """Ends that a connection whose packets are dropped comes to as well, so that they are no sign of life."""
-UNREACHABLE = (
-    TransportEvent.CONNECT_REFUSED,
-    TransportEvent.CONNECT_TIMEOUT,
-)
 
 
 class RequestPipeline:
@@ -75,7 +68,8 @@
         self._liveness = liveness
         self._crashes = crashes
         self._admission = Admission(state)
-        self._wait = ResponseWait(state, client)
+        self._policy = RetryPolicy(lambda: state.node_count)
+        self._wait = ResponseWait(state, client, self._policy)
         self._choice = BackendChoice(state)
         self._errors = RequestErrors(state)
         self._caches = CachePlanner(state)
@@ -144,7 +138,7 @@
                 self._choice.learn_silence(active, boot_time_s())
                 # The attempt was under way: it may have reached its back end, whatever became of earlier ones.
                 active.log.record(TransportEvent.ANSWER_TIMEOUT)
-                active.history.runs += 1
+                active.history.on_run_ended()
                 raise self._errors.out_of_time(active) from None
 
     def _log_end(self, active: ActiveRequest, backend: Backend) -> None:
@@ -195,9 +189,7 @@
         generation = active.request.generation
         goes_on = bool(active.history.runs) or (generation is not None and generation.resume_after is not None)
         shortest = self._state.shortest_answers.get(active.route.name)
-        if shortest is None or goes_on:
-            return active.remaining_s() < MIN_REMAINING_S
-        return shortest.is_too_late(active.remaining_s(), MIN_REMAINING_S)
+        return is_too_late(shortest, active.remaining_s(), continues_run=goes_on)
 
     def _all_unrun(self, active: ActiveRequest) -> bool:
         return active.log.outcome is Outcome.NOT_RUN
@@ -240,8 +232,7 @@
         """Return what ends the attempt early if its back end has stopped and another may be asked."""
         if self._liveness is None:
             return nullcontext()
-        runs_left = active.history.runs + 1 < active.route.max_attempts
-        return self._liveness.watch(backend, active.route.repeatable and runs_left)
+        return self._liveness.watch(backend, self._policy.may_interrupt(active.route, active.history))
 
     def _load_of(self, active: ActiveRequest) -> int:
         generation = active.request.generation
@@ -297,7 +288,7 @@
             raise AttemptError(TransportEvent.ERROR_ANSWER, "a run that was to continue the stream failed")
         body = b"".join([chunk async for chunk in answer.chunks()])
         if answer.head.status >= 500 and self._may_retry_answer(active):
-            active.history.runs += 1
+            active.history.on_run_ended()
             active.log.record(TransportEvent.ERROR_ANSWER)
             return False
         self._on_whole_answer(active, backend, answer)
@@ -310,20 +301,21 @@
             self._crashes.on_answered(active.content)
 
     def _may_retry_answer(self, active: ActiveRequest) -> bool:
-        """Whether a failed answer leads to another attempt, which it then pays for."""
-        if not active.route.repeatable or active.history.runs + 1 >= active.route.max_attempts:
-            return False
-        if not self._wait.has_alternative(active):
-            return False
-        return self._state.budget_of(active.service).try_retry(boot_time_s(), self._state.node_count)
+        """Whether an error answer leads to another attempt, which is then paid for."""
+        now_s = boot_time_s()
+        return self._policy.after_error_answer(
+            active.route,
+            active.history,
+            lambda: has_untried_backend(self._state, active, now_s),
+            self._state.budget_of(active.service),
+            now_s,
+        )
 
     async def _pass_stream(self, active: ActiveRequest, backend: Backend, answer: BackendAnswer) -> None:
         """Pass events on as they come. Raises :class:`AttemptError` if the run breaks off."""
         position = active.position
         position.begin_run()
-        stall_s = None
-        if active.route.resumable and active.history.runs + 1 < active.route.max_attempts:
-            stall_s = active.route.max_gap_s * STALL_TIMEOUT_FACTOR
+        stall_s = self._policy.stall_timeout_s(active.route, active.history)
         async with aclosing(answer.chunks()) as chunks:  # type: ignore[type-var]
             while True:
                 try:
@@ -360,12 +352,9 @@
         now_s = boot_time_s()
         history = active.history
         event = failure.event
-        may_retry = active.log.record(event)
+        active.log.record(event)
         self.counters.attempts[event.value] += 1
-        if event not in UNREACHABLE:
-            history.arrivals += 1
-        if event not in UNREACHABLE and event not in REFUSED_BY_BACKEND:
-            history.runs += 1
+        history.on_failed(event)
         history.details.append(f"{backend.incarnation} {event.value} {failure.detail}")
         self._learn(active, backend, failure, now_s)
         emit(
@@ -379,20 +368,10 @@
             events=active.position.events_passed,
             content=active.content,
         )
-        if not may_retry:
-            raise self._errors.exhausted(active, failure.detail or event.value, RefusalCause.REFUSED)
-        if history.runs >= active.route.max_attempts:
-            raise self._errors.exhausted(active, "every allowed attempt was used", RefusalCause.REFUSED)
-        if active.log.attempts - history.arrivals >= MAX_UNREACHABLE:
-            raise self._errors.exhausted(active, "no back end can be reached", RefusalCause.SUSPENDED)
-        if history.arrivals >= active.route.max_attempts + MAX_ARRIVALS_BEYOND_ATTEMPTS:
-            raise self._errors.exhausted(active, "too many back ends refused", RefusalCause.REFUSED)
-        if event in UNREACHABLE:
-            return
-        if history.prepaid_retries:
-            history.prepaid_retries -= 1
-        elif not self._state.budget_of(active.service).try_retry(now_s, self._state.node_count):
-            raise self._errors.exhausted(active, "the retry budget is used up", RefusalCause.BUDGET_USED)
+        budget = self._state.budget_of(active.service)
+        decision = self._policy.after_failure(active.route, history, active.log.attempts, event, budget, now_s)
+        if isinstance(decision, GiveUp):
+            raise self._errors.exhausted(active, decision.detail or failure.detail or event.value, decision.cause)
 
     def _learn(self, active: ActiveRequest, backend: Backend, failure: AttemptError, now_s: float) -> None:
         event = failure.event
--- /dev/null
+++ b/tests/unit/routing/retry/test_response_timeout.py
@@ -0,0 +1,50 @@
+"""How long a silent back end is waited for."""
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from wallwell.routing.admission.remaining_time import MIN_REMAINING_S
+from wallwell.routing.retry.response_timeout import (
+    OBJECTIVE_FRACTION,
+    REMAINING_FRACTION,
+    SLOWEST_PREFILL_TOKENS_PER_S,
+    STALL_TIMEOUT_FACTOR,
+    begin_timeout_s,
+    response_timeout_s,
+    stall_timeout_s,
+)
+
+
+@pytest.mark.parametrize(
+    ("objective_s", "remaining_s", "prompt_tokens", "expected_s"),
+    [
+        # A call leaves time for a second attempt within the objective.
+        (0.5, 9.0, None, 0.5 * OBJECTIVE_FRACTION),
+        # A short prompt is given the objective, a long one the time of its prefill on top of the fraction.
+        (0.5, 9.0, 100, 0.5),
+        (0.5, 9.0, 20_000, 0.5 * OBJECTIVE_FRACTION + 20_000 / SLOWEST_PREFILL_TOKENS_PER_S),
+        # Whatever the objective, part of the caller's time is left for another back end.
+        (0.5, 0.2, None, 0.2 * REMAINING_FRACTION),
+        (0.5, 1.0, 20_000, REMAINING_FRACTION),
+    ],
+)
+def test_the_response_timeout(objective_s, remaining_s, prompt_tokens, expected_s):
+    assert response_timeout_s(objective_s, remaining_s, prompt_tokens) == pytest.approx(expected_s)
+
+
+@given(st.floats(0.01, 10.0), st.floats(0.0, 100.0), st.none() | st.integers(1, 300_000))
+def test_time_is_always_left_for_another_back_end(objective_s, remaining_s, prompt_tokens):
+    assert response_timeout_s(objective_s, remaining_s, prompt_tokens) <= REMAINING_FRACTION * remaining_s
+
+
+@pytest.mark.parametrize(
+    ("usable_for_s", "remaining_s", "expected_s"),
+    [(0.5, 2.0, 0.5), (2.0, 2.0, None), (9.0, 2.0, None), (-1.0, 2.0, MIN_REMAINING_S)],
+)
+def test_an_engine_must_begin_while_its_weights_are_new_enough(usable_for_s, remaining_s, expected_s):
+    assert begin_timeout_s(usable_for_s, remaining_s) == expected_s
+
+
+def test_a_stream_stalls_after_a_multiple_of_its_allowed_gap():
+    assert stall_timeout_s(0.5) == STALL_TIMEOUT_FACTOR * 0.5
--- a/tests/unit/routing/retry/test_retry_after.py
+++ b/tests/unit/routing/retry/test_retry_after.py
@@ -5,7 +5,6 @@
 import pytest
 
 from wallwell.routing.retry.retry_after import (
-    ANSWER_FRACTION,
     CUT_SPREAD,
     ELSEWHERE_S,
     FREE_FRACTION,
@@ -15,10 +14,8 @@
     NONE_LISTED_S,
     SHORTEST_S,
     SPREAD,
-    TRIED_ONE_IN,
     RefusalCause,
     RefusalCircumstances,
-    ShortestAnswer,
     retry_after_s,
 )
 
@@ -82,24 +79,3 @@
 
 def test_there_is_nothing_to_come_back_for_without_time():
     assert set(waits(RefusalCause.OUT_OF_TIME, service_s=1.0, open_in_s=1.0)) == {0.0}
-
-
-def test_a_request_needs_part_of_the_shortest_answer_seen():
-    shortest = ShortestAnswer()
-    assert shortest.least_left_s(0.02) == 0.02
-    for seconds in (0.9, 0.4, 0.6):
-        shortest.observe(seconds)
-    assert shortest.least_left_s(0.02) == pytest.approx(ANSWER_FRACTION * 0.4)
-    assert shortest.least_left_s(1.0) == 1.0
-
-
-def test_one_slow_first_answer_does_not_refuse_short_requests_for_ever():
-    shortest = ShortestAnswer()
-    shortest.observe(8.0)
-    refused = 0
-    while shortest.is_too_late(1.0, 0.02):
-        refused += 1
-    assert refused == TRIED_ONE_IN - 1
-    shortest.observe(0.1)
-    assert not any(shortest.is_too_late(1.0, 0.02) for _ in range(100))
-    assert all(shortest.is_too_late(0.01, 0.02) for _ in range(100))
--- a/tests/unit/serving/test_pipeline.py
+++ b/tests/unit/serving/test_pipeline.py
@@ -34,8 +34,8 @@
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind, TenantAccess, WeightedService
 from wallwell.outcomes import Outcome
+from wallwell.routing.admission.remaining_time import ShortestAnswer
 from wallwell.routing.retry.attempt_outcome import TransportEvent as T
-from wallwell.routing.retry.retry_after import ShortestAnswer
 from wallwell.serving.pipeline import RequestPipeline
 
 
