--- a/src/wallwell/routing/admission/overload.py
+++ b/src/wallwell/routing/admission/overload.py
@@ -12,7 +12,6 @@
 
 from __future__ import annotations
 
-import random
 from dataclasses import dataclass
 
 BEGIN_REFUSING = 1.1
@@ -29,12 +28,6 @@
 DEFAULT_GENERATION_S = 1.5
 """Time of a generation until some have been observed."""
 SMOOTHING = 0.05
-SHORTEST_RETURN_FRACTION = 0.5
-"""Part of a generation's time after which the first places are free again."""
-RETURN_SPREAD = (0.75, 1.75)
-"""Multiples of the expected time over which callers' returns are spread, so that they do not come at once."""
-RETURN_ORDER = 0.25
-"""Part of that time by which each less urgent rank returns later."""
 
 
 @dataclass(frozen=True)
@@ -52,22 +45,12 @@
 
 def refused_part(occupancy: Occupancy, rank: int) -> float:
     """Return the part of new generations of a rank, 0 first, that is refused."""
-    begin = BEGIN_REFUSING - RANK_STEP * _rank_steps(rank)
+    begin = BEGIN_REFUSING - RANK_STEP * rank_steps(rank)
     return min(1.0, max(0.0, (occupancy.per_slot - begin) / (REFUSE_ALL - BEGIN_REFUSING)))
 
 
-def retry_after_s(occupancy: Occupancy, rank: int, generation_s: float, rng: random.Random) -> float:
-    """Return when a refused caller can expect to be served.
-
-    The load beyond the threshold is served in as many generations' time as it is larger, by slot. Callers are
-    spread around that, the urgent first.
-    """
-    excess = max(0.0, occupancy.per_slot - BEGIN_REFUSING)
-    order = 1.0 + RETURN_ORDER * _rank_steps(rank)
-    return generation_s * order * (SHORTEST_RETURN_FRACTION + excess) * rng.uniform(*RETURN_SPREAD)
-
-
-def _rank_steps(rank: int) -> int:
+def rank_steps(rank: int) -> int:
+    """Return by how many steps a rank counts as less urgent than rank 0."""
     return min(MAX_RANK_STEPS, max(0, rank))
 
 
--- a/src/wallwell/routing/retry/retry_after.py
+++ b/src/wallwell/routing/retry/retry_after.py
@@ -1,9 +1,16 @@
-"""When a refused caller is told to come back, by the cause of the refusal. Pure.
+"""What Retry-After says, by the cause of the refusal. Pure.
 
-A caller comes back once or a few times, on a new connection and so mostly at another node. It honours a wait up
-to ``HONOURED_FRACTION`` of its remaining time and comes back then, whatever it was told. A caller that is refused
-again costs more than a late answer, so the wait is the time in which the cause has probably ended where it holds
-for other nodes as well, and next to nothing where it holds for this node alone.
+A refused caller retries once or a few times, on a new connection and so mostly at another node. It honours a
+wait of up to ``HONOURED_FRACTION`` of its remaining time and retries then, whatever the answer said. A caller
+that is refused again costs more than a late answer. So the wait is the time after which the cause has probably
+ended where it holds for other nodes as well, and next to nothing where it holds for this node alone.
+
+Two functions: :func:`retry_after_s` for refusals of requests that could not be sent or did not run, and
+:func:`overload_retry_after_s` for generations refused while engines have more to do than they can serve in time.
+
+Two further causes have a wait that is known where they are decided, and is sent as it is: a tenant beyond its limit
+(:mod:`wallwell.routing.admission.tenant_limits`: the time until its limit allows the request) and a request in
+quarantine (:mod:`wallwell.routing.admission.quarantine`: what is left of it).
 """
 
 from __future__ import annotations
@@ -12,85 +19,114 @@
 import random
 from dataclasses import dataclass
 
+from wallwell.routing.admission.overload import BEGIN_REFUSING, Occupancy, rank_steps
+
 HONOURED_FRACTION = 1 / 3
-"""Part of its remaining time up to which a caller waits (the users' protocol); longer waits are cut to it."""
+"""Fraction of its remaining time up to which a caller waits; longer waits are cut to it. A bound of the callers'
+protocol."""
 SHORTEST_S = 0.01
-"""Shortest wait that is told: a refused caller must not come back faster than its connection is made."""
+"""Shortest wait that is sent, in seconds: a refused caller must not retry faster than its connection is made.
+Chosen, not measured."""
 ELSEWHERE_S = 0.04
-"""Wait where any other node can be expected to serve: only long enough that callers of one node do not arrive there
-in one moment."""
-FLEET_SILENCE_FRACTION = 0.5
-"""Part of a silence of the store so far for which it is expected to last on: of outages seen in the middle, as many
-have ended after half of their age again as have not."""
-LONGEST_SILENCE_S = 2.0
-NONE_LISTED_S = 1.0
-"""Wait where no back end is listed: about the time in which a started one is listed and known to all nodes."""
+"""Wait in seconds where any other node can be expected to serve: only long enough that the callers of one node
+do not arrive at the others in one moment. Chosen, not measured."""
+STORE_SILENCE_FRACTION = 0.5
+"""Fraction of the store's silence so far for which it is expected to last on. Arithmetic: of outages seen at a
+random moment, as many have ended after half of their age again as have not."""
+LONGEST_STORE_WAIT_S = 2.0
+"""Longest wait in seconds for a silent store, so that callers notice its return soon. Chosen, not measured."""
+NO_BACKEND_LISTED_S = 1.0
+"""Wait in seconds where no back end is listed: about the time in which a started one is listed and known to all
+nodes."""
 SPREAD = (0.75, 1.25)
-"""Multiples of a wait over which callers are spread, so that they do not come back together."""
+"""Multiples of a wait over which callers are spread, so that they do not retry together. Chosen, not measured."""
 CUT_SPREAD = 0.5
-"""Part of the longest wait a caller honours over which those are spread who would have to wait longer."""
-MARGIN_S = 0.005
-"""Added to the end of a suspension, so that a caller does not come just before it."""
-FREE_FRACTION = 0.5
-"""Part of a request's usual time after which places of a full service are free again."""
+"""Fraction of the longest wait a caller honours over which callers are spread who would have to wait longer.
+Chosen, not measured."""
+SUSPENSION_MARGIN_S = 0.005
+"""Added in seconds to the end of a suspension, so that a caller does not arrive just before it. Chosen, not
+measured."""
+FREE_SLOTS_FRACTION = 0.5
+"""Fraction of a request's usual duration after which slots of a full service are free again. Chosen, not measured:
+requests in flight at a random moment have on average half of their duration left."""
+
+OVERLOAD_FREE_SLOTS_FRACTION = 0.5
+"""Fraction of a generation's usual duration after which the first slots are free again. Chosen, not measured: as
+``FREE_SLOTS_FRACTION``."""
+OVERLOAD_SPREAD = (0.75, 1.75)
+"""Multiples of the expected time over which retries of generations are spread, so that they do not arrive at once.
+Chosen, not measured."""
+OVERLOAD_RANK_DELAY = 0.25
+"""Fraction of that time by which each less urgent rank retries later. Chosen, not measured."""
 
 
 class RefusalCause(enum.Enum):
     """Why a request was refused before it ran."""
 
-    NO_CONFIGURATION = "no configuration"
-    STALE_CONFIGURATION = "stale configuration"
-    NONE_LISTED = "no back end listed"
-    SUSPENDED = "all back ends suspended"
-    REFUSED = "back ends refused"
-    WEIGHTS_TOO_OLD = "no back end has due weights"
-    BUDGET_USED = "retry budget used up"
-    OUT_OF_TIME = "too little time left"
+    NO_CONFIGURATION = "no configuration received yet"
+    STALE_CONFIGURATION = "configuration not confirmed lately"
+    NO_BACKEND_LISTED = "no back end is listed"
+    ALL_SUSPENDED = "all back ends are suspended"
+    REFUSED_BY_BACKENDS = "back ends refused"
+    WEIGHTS_TOO_OLD = "no back end has new enough weights"
+    RETRY_BUDGET_EXHAUSTED = "retry budget exhausted"
+    TOO_LITTLE_TIME = "too little time left"
 
 
 @dataclass(frozen=True)
 class RefusalCircumstances:
-    """What a node knows when it refuses. Times in seconds."""
+    """What a node knows when it refuses a request. Times in seconds."""
 
     remaining_s: float
     """What is left of the caller's time."""
     store_silence_s: float = 0.0
-    """Time since the store's last word; since the node's start if there was none."""
-    hears_fleet: bool = False
-    """Whether other nodes tell this one their loads, so that the store may be silent for them as well."""
-    open_in_s: float = 0.0
-    """Time until the first suspended back end may be tried."""
-    service_s: float = 0.0
-    """Usual time of a request of this kind at its back end."""
-
-
-def retry_after_s(cause: RefusalCause, known: RefusalCircumstances, rng: random.Random) -> float:
-    """Return the wait to tell; 0 if there is nothing to come back for in the caller's time."""
-    if cause is RefusalCause.OUT_OF_TIME:
+    """Time since the store was last heard; since the node's start if it never was."""
+    receives_peer_loads: bool = False
+    """Whether other nodes report their loads to this one, so that the store may be silent for them as well."""
+    suspension_ends_in_s: float = 0.0
+    """Time until the first suspended back end may be tried; 0 if one may be now."""
+    usual_duration_s: float = 0.0
+    """Usual duration of a request of this kind at its back end."""
+
+
+def retry_after_s(cause: RefusalCause, circumstances: RefusalCircumstances, rng: random.Random) -> float:
+    """Return the wait in seconds; 0 if a retry within the caller's time is no use."""
+    if cause is RefusalCause.TOO_LITTLE_TIME:
         return 0.0
-    longest_s = max(SHORTEST_S, known.remaining_s * HONOURED_FRACTION)
-    if cause is RefusalCause.SUSPENDED:
+    longest_s = max(SHORTEST_S, circumstances.remaining_s * HONOURED_FRACTION)
+    if cause is RefusalCause.ALL_SUSPENDED:
         # The end of the suspension is known, so the spread begins there.
-        low_s = known.open_in_s + MARGIN_S
-        wait_s = low_s + rng.uniform(0.0, ELSEWHERE_S)
+        earliest_s = circumstances.suspension_ends_in_s + SUSPENSION_MARGIN_S
+        wait_s = earliest_s + rng.uniform(0.0, ELSEWHERE_S)
     else:
-        wait_s = _expected_s(cause, known) * rng.uniform(*SPREAD)
+        wait_s = _expected_s(cause, circumstances) * rng.uniform(*SPREAD)
     if wait_s > longest_s:
         wait_s = longest_s * rng.uniform(1.0 - CUT_SPREAD, 1.0)
     return max(SHORTEST_S, wait_s)
 
 
-def _expected_s(cause: RefusalCause, known: RefusalCircumstances) -> float:
+def _expected_s(cause: RefusalCause, circumstances: RefusalCircumstances) -> float:
     """Return the time in which the cause has probably ended for the caller."""
     match cause:
         case RefusalCause.NO_CONFIGURATION | RefusalCause.STALE_CONFIGURATION:
-            if not known.hears_fleet:
+            if not circumstances.receives_peer_loads:
                 return ELSEWHERE_S
-            return max(ELSEWHERE_S, min(LONGEST_SILENCE_S, FLEET_SILENCE_FRACTION * known.store_silence_s))
-        case RefusalCause.NONE_LISTED | RefusalCause.WEIGHTS_TOO_OLD:
-            return NONE_LISTED_S
-        case RefusalCause.REFUSED:
-            return max(ELSEWHERE_S, FREE_FRACTION * known.service_s)
+            expected_s = STORE_SILENCE_FRACTION * circumstances.store_silence_s
+            return max(ELSEWHERE_S, min(LONGEST_STORE_WAIT_S, expected_s))
+        case RefusalCause.NO_BACKEND_LISTED | RefusalCause.WEIGHTS_TOO_OLD:
+            return NO_BACKEND_LISTED_S
+        case RefusalCause.REFUSED_BY_BACKENDS:
+            return max(ELSEWHERE_S, FREE_SLOTS_FRACTION * circumstances.usual_duration_s)
         case _:
-            # Repeats of this node are used up; a caller's own return is a new request, and no repeat.
+            # This node's retries are used up; a caller's own retry is a new request, which needs no budget.
             return ELSEWHERE_S
+
+
+def overload_retry_after_s(occupancy: Occupancy, rank: int, generation_s: float, rng: random.Random) -> float:
+    """Return the wait in seconds after which a generation refused in an overload can expect to be served.
+
+    ``generation_s`` is a generation's usual duration. The load beyond the threshold is served in as many of
+    these as it is larger, by slot. Callers are spread around that, the urgent ones (rank 0) first."""
+    excess = max(0.0, occupancy.per_slot - BEGIN_REFUSING)
+    order = 1.0 + OVERLOAD_RANK_DELAY * rank_steps(rank)
+    return generation_s * order * (OVERLOAD_FREE_SLOTS_FRACTION + excess) * rng.uniform(*OVERLOAD_SPREAD)
--- a/src/wallwell/routing/retry/retry_policy.py
+++ b/src/wallwell/routing/retry/retry_policy.py
@@ -48,11 +48,11 @@
 
 
 RETRY = Retry()
-AS_IT_ENDED = GiveUp(RefusalCause.REFUSED)
-NO_RUN_LEFT = GiveUp(RefusalCause.REFUSED, "every allowed attempt was used")
-NOTHING_REACHABLE = GiveUp(RefusalCause.SUSPENDED, "no back end can be reached")
-TOO_MANY_REFUSALS = GiveUp(RefusalCause.REFUSED, "too many back ends refused")
-BUDGET_EXHAUSTED = GiveUp(RefusalCause.BUDGET_USED, "the retry budget is used up")
+AS_IT_ENDED = GiveUp(RefusalCause.REFUSED_BY_BACKENDS)
+NO_RUN_LEFT = GiveUp(RefusalCause.REFUSED_BY_BACKENDS, "every allowed attempt was used")
+NOTHING_REACHABLE = GiveUp(RefusalCause.ALL_SUSPENDED, "no back end can be reached")
+TOO_MANY_REFUSALS = GiveUp(RefusalCause.REFUSED_BY_BACKENDS, "too many back ends refused")
+BUDGET_EXHAUSTED = GiveUp(RefusalCause.RETRY_BUDGET_EXHAUSTED, "the retry budget is used up")
 
 
 class RetryPolicy:
--- a/src/wallwell/serving/backend_choice.py
+++ b/src/wallwell/serving/backend_choice.py
@@ -8,9 +8,10 @@
 from wallwell.deployment.backends import Backend
 from wallwell.errors import OverloadedError
 from wallwell.node.state import NodeState
-from wallwell.routing.admission.overload import Occupancy, refused_part, retry_after_s
+from wallwell.routing.admission.overload import Occupancy, refused_part
 from wallwell.routing.admission.remaining_time import ShortestAnswer
 from wallwell.routing.rendezvous import rendezvous_score
+from wallwell.routing.retry.retry_after import overload_retry_after_s
 from wallwell.routing.selection.prefix_home import (
     choose_engine,
     choose_from_tiers,
@@ -125,7 +126,7 @@
         rng = self._state.rng
         if rng.random() >= refused_part(occupancy, active.rank):
             return
-        wait_s = retry_after_s(occupancy, active.rank, self._state.generation_time.seconds, rng)
+        wait_s = overload_retry_after_s(occupancy, active.rank, self._state.generation_time.seconds, rng)
         raise OverloadedError(f"{occupancy.per_slot:.2f} under way by slot", retry_after_ms=round(wait_s * 1000))
 
     def learn_time(self, active: ActiveRequest, now_s: float) -> None:
--- a/src/wallwell/serving/request_errors.py
+++ b/src/wallwell/serving/request_errors.py
@@ -30,7 +30,7 @@
         """Return the error of a request whose time is over, or too short for any answer."""
         text = "; ".join(active.history.details)
         if active.log.outcome is Outcome.NOT_RUN and not active.history.runs:
-            wait_ms = self._retry_after.of_request(RefusalCause.OUT_OF_TIME, active)
+            wait_ms = self._retry_after.of_request(RefusalCause.TOO_LITTLE_TIME, active)
             if active.log.attempts:
                 return RetriesExhaustedError(text, retry_after_ms=wait_ms)
             detail = f"{active.remaining_s() * 1000:.0f} ms left are too few for any answer"
@@ -55,7 +55,7 @@
         """Return the error where no back end may be asked: none is listed, or none has weights new enough."""
         listed = self._state.backends.of_service(active.service)
         is_any_there = any(not each.is_leaving(now_s) for each in listed)
-        cause = RefusalCause.WEIGHTS_TOO_OLD if is_any_there else RefusalCause.NONE_LISTED
+        cause = RefusalCause.WEIGHTS_TOO_OLD if is_any_there else RefusalCause.NO_BACKEND_LISTED
         return self.exhausted(active, "no back end can take the request", cause)
 
     def quarantined(self, active: ActiveRequest, now_s: float) -> RequestError | None:
@@ -70,4 +70,4 @@
         detail = f"back ends crashed under content {active.content}"
         if active.log.outcome is Outcome.NOT_RUN:
             return RequestQuarantinedError(detail, retry_after_ms=round(left_s * 1000))
-        return self.exhausted(active, detail, RefusalCause.REFUSED)
+        return self.exhausted(active, detail, RefusalCause.REFUSED_BY_BACKENDS)
--- a/tests/unit/routing/admission/test_overload.py
+++ b/tests/unit/routing/admission/test_overload.py
@@ -1,7 +1,5 @@
 """Generations are refused in part while engines have too much under way, the less urgent first."""
 
-import random
-
 import pytest
 
 from wallwell.routing.admission.overload import (
@@ -12,7 +10,6 @@
     GenerationTime,
     Occupancy,
     refused_part,
-    retry_after_s,
 )
 
 RAMP = REFUSE_ALL - BEGIN_REFUSING
@@ -40,26 +37,6 @@
     assert refused_part(Occupancy(5, 0), 0) == 0.0
 
 
-def returns(rank, per_slot, generation_s=2.0):
-    rng = random.Random(1)
-    occupancy = Occupancy(round(per_slot * 1_000), 1_000)
-    return sorted(retry_after_s(occupancy, rank, generation_s, rng) for _ in range(200))
-
-
-def test_callers_return_later_the_more_is_under_way_and_not_all_at_once():
-    some, more = returns(0, 1.5), returns(0, 2.5)
-    assert sum(some) < sum(more)
-    assert some[-1] > 1.5 * some[0]
-
-
-def test_the_urgent_return_first():
-    assert sum(returns(0, 1.5)) < sum(returns(1, 1.5))
-
-
-def test_returns_are_told_in_generations_time():
-    assert sum(returns(0, 1.5, generation_s=4.0)) == pytest.approx(2 * sum(returns(0, 1.5)))
-
-
 def test_the_time_of_a_generation_is_learned():
     time = GenerationTime()
     before = time.seconds
--- a/tests/unit/routing/retry/test_retry_after.py
+++ b/tests/unit/routing/retry/test_retry_after.py
@@ -4,18 +4,20 @@
 
 import pytest
 
+from wallwell.routing.admission.overload import Occupancy
 from wallwell.routing.retry.retry_after import (
     CUT_SPREAD,
     ELSEWHERE_S,
-    FREE_FRACTION,
+    FREE_SLOTS_FRACTION,
     HONOURED_FRACTION,
-    LONGEST_SILENCE_S,
-    MARGIN_S,
-    NONE_LISTED_S,
+    LONGEST_STORE_WAIT_S,
+    NO_BACKEND_LISTED_S,
     SHORTEST_S,
     SPREAD,
+    SUSPENSION_MARGIN_S,
     RefusalCause,
     RefusalCircumstances,
+    overload_retry_after_s,
     retry_after_s,
 )
 
@@ -43,17 +45,25 @@
         (C.NO_CONFIGURATION, {"store_silence_s": 0.3}, around(ELSEWHERE_S)),
         (C.STALE_CONFIGURATION, {"store_silence_s": 5.0}, around(ELSEWHERE_S)),
         # The whole fleet, as far as is known: the longer it has lasted, the longer it is expected to last.
-        (C.NO_CONFIGURATION, {"store_silence_s": 0.02, "hears_fleet": True}, around(ELSEWHERE_S)),
-        (C.NO_CONFIGURATION, {"store_silence_s": 1.0, "hears_fleet": True}, around(0.5)),
-        (C.STALE_CONFIGURATION, {"store_silence_s": 3.0, "hears_fleet": True}, around(1.5)),
-        (C.STALE_CONFIGURATION, {"store_silence_s": 60.0, "hears_fleet": True}, around(LONGEST_SILENCE_S)),
-        (C.NONE_LISTED, {}, around(NONE_LISTED_S)),
-        (C.WEIGHTS_TOO_OLD, {}, around(NONE_LISTED_S)),
-        (C.SUSPENDED, {"open_in_s": 0.4}, (0.4 + MARGIN_S, 0.4 + MARGIN_S + ELSEWHERE_S)),
-        (C.SUSPENDED, {"open_in_s": 0.0}, (SHORTEST_S, MARGIN_S + ELSEWHERE_S)),
-        (C.REFUSED, {"service_s": 1.2}, around(FREE_FRACTION * 1.2)),
-        (C.REFUSED, {"service_s": 0.02}, around(ELSEWHERE_S)),
-        (C.BUDGET_USED, {"service_s": 9.0, "open_in_s": 9.0}, around(ELSEWHERE_S)),
+        (C.NO_CONFIGURATION, {"store_silence_s": 0.02, "receives_peer_loads": True}, around(ELSEWHERE_S)),
+        (C.NO_CONFIGURATION, {"store_silence_s": 1.0, "receives_peer_loads": True}, around(0.5)),
+        (C.STALE_CONFIGURATION, {"store_silence_s": 3.0, "receives_peer_loads": True}, around(1.5)),
+        (
+            C.STALE_CONFIGURATION,
+            {"store_silence_s": 60.0, "receives_peer_loads": True},
+            around(LONGEST_STORE_WAIT_S),
+        ),
+        (C.NO_BACKEND_LISTED, {}, around(NO_BACKEND_LISTED_S)),
+        (C.WEIGHTS_TOO_OLD, {}, around(NO_BACKEND_LISTED_S)),
+        (
+            C.ALL_SUSPENDED,
+            {"suspension_ends_in_s": 0.4},
+            (0.4 + SUSPENSION_MARGIN_S, 0.4 + SUSPENSION_MARGIN_S + ELSEWHERE_S),
+        ),
+        (C.ALL_SUSPENDED, {"suspension_ends_in_s": 0.0}, (SHORTEST_S, SUSPENSION_MARGIN_S + ELSEWHERE_S)),
+        (C.REFUSED_BY_BACKENDS, {"usual_duration_s": 1.2}, around(FREE_SLOTS_FRACTION * 1.2)),
+        (C.REFUSED_BY_BACKENDS, {"usual_duration_s": 0.02}, around(ELSEWHERE_S)),
+        (C.RETRY_BUDGET_EXHAUSTED, {"usual_duration_s": 9.0, "suspension_ends_in_s": 9.0}, around(ELSEWHERE_S)),
     ],
 )
 def test_waits_lie_around_what_is_expected_and_are_spread(cause, known, expected):
@@ -64,18 +74,43 @@
 
 
 @pytest.mark.parametrize("remaining_s", [0.06, 0.663, 4.47])
-@pytest.mark.parametrize("cause", [each for each in RefusalCause if each is not RefusalCause.OUT_OF_TIME])
+@pytest.mark.parametrize("cause", [each for each in RefusalCause if each is not RefusalCause.TOO_LITTLE_TIME])
 def test_no_wait_is_longer_than_callers_honour_and_cut_ones_are_still_spread(cause, remaining_s):
     """All callers that would wait longer would otherwise come back at one part of their time."""
-    known = {"store_silence_s": 60.0, "hears_fleet": True, "open_in_s": 60.0, "service_s": 60.0}
+    known = {
+        "store_silence_s": 60.0,
+        "receives_peer_loads": True,
+        "suspension_ends_in_s": 60.0,
+        "usual_duration_s": 60.0,
+    }
     seen = waits(cause, remaining_s=remaining_s, **known)
     longest_s = remaining_s * HONOURED_FRACTION
     assert min(seen) >= SHORTEST_S
     assert max(seen) <= longest_s + 1e-9
-    uncut_s = (SPREAD[1] - SPREAD[0]) * NONE_LISTED_S
-    if cause is not RefusalCause.BUDGET_USED:
+    uncut_s = (SPREAD[1] - SPREAD[0]) * NO_BACKEND_LISTED_S
+    if cause is not RefusalCause.RETRY_BUDGET_EXHAUSTED:
         assert max(seen) - min(seen) > 0.8 * min(CUT_SPREAD * longest_s, longest_s - SHORTEST_S, uncut_s)
 
 
 def test_there_is_nothing_to_come_back_for_without_time():
-    assert set(waits(RefusalCause.OUT_OF_TIME, service_s=1.0, open_in_s=1.0)) == {0.0}
+    assert set(waits(RefusalCause.TOO_LITTLE_TIME, usual_duration_s=1.0, suspension_ends_in_s=1.0)) == {0.0}
+
+
+def returns(rank, per_slot, generation_s=2.0):
+    rng = random.Random(1)
+    occupancy = Occupancy(round(per_slot * 1_000), 1_000)
+    return sorted(overload_retry_after_s(occupancy, rank, generation_s, rng) for _ in range(200))
+
+
+def test_callers_refused_in_an_overload_return_later_the_more_is_under_way_and_not_all_at_once():
+    some, more = returns(0, 1.5), returns(0, 2.5)
+    assert sum(some) < sum(more)
+    assert some[-1] > 1.5 * some[0]
+
+
+def test_after_an_overload_the_urgent_return_first():
+    assert sum(returns(0, 1.5)) < sum(returns(1, 1.5))
+
+
+def test_waits_after_an_overload_are_in_generations_time():
+    assert sum(returns(0, 1.5, generation_s=4.0)) == pytest.approx(2 * sum(returns(0, 1.5)))
--- a/tests/unit/routing/retry/test_retry_policy.py
+++ b/tests/unit/routing/retry/test_retry_policy.py
@@ -177,6 +177,8 @@
 
 
 def test_every_way_to_give_up_names_its_cause():
-    assert {each.cause for each in (AS_IT_ENDED, NO_RUN_LEFT, TOO_MANY_REFUSALS)} == {RefusalCause.REFUSED}
-    assert NOTHING_REACHABLE.cause is RefusalCause.SUSPENDED
-    assert BUDGET_EXHAUSTED.cause is RefusalCause.BUDGET_USED
+    assert {each.cause for each in (AS_IT_ENDED, NO_RUN_LEFT, TOO_MANY_REFUSALS)} == {
+        RefusalCause.REFUSED_BY_BACKENDS
+    }
+    assert NOTHING_REACHABLE.cause is RefusalCause.ALL_SUSPENDED
+    assert BUDGET_EXHAUSTED.cause is RefusalCause.RETRY_BUDGET_EXHAUSTED
