--- /dev/null
+++ b/src/wallwell/serving/attempt_learning.py
@@ -0,0 +1,93 @@
+"""What a node learns from its attempts: signs of life, failures, versions of weights, crashes.
+
+Owns no state: it carries what one attempt has shown to the back end, the node's state and the crash observer, which
+decide by it when a back end or a zone is left out. Called by the pipeline and by attempts while they go on.
+"""
+
+from __future__ import annotations
+
+from wallwell.clock import boot_time_s
+from wallwell.deployment.backends import Backend
+from wallwell.events import Event, emit
+from wallwell.node.state import NodeState
+from wallwell.routing.retry.attempt_history import UNREACHABLE
+from wallwell.routing.retry.attempt_outcome import REFUSED_BY_BACKEND, TransportEvent
+from wallwell.serving.active_request import ActiveRequest
+from wallwell.serving.backend_choice import BackendChoice
+from wallwell.serving.messages import AnswerHead, AttemptError, CrashObserver
+
+NO_SIGN_OF_LIFE = (
+    TransportEvent.CONNECT_TIMEOUT,
+    TransportEvent.ANSWER_TIMEOUT,
+    TransportEvent.RESET_BEFORE_SEND,
+    TransportEvent.RESET_AFTER_SEND,
+)
+"""Ends that an attempt also comes to while all packets to its back end are dropped."""
+
+
+class AttemptLearning:
+    """Learns from attempts of one node."""
+
+    def __init__(self, state: NodeState, choice: BackendChoice, crashes: CrashObserver | None) -> None:
+        self._state = state
+        self._choice = choice
+        self._crashes = crashes
+
+    def on_head(self, active: ActiveRequest, backend: Backend, head: AnswerHead) -> None:
+        """The head of an answer came."""
+        generation = active.request.generation
+        if generation is not None and head.weights_version:
+            backend.learn_version(generation.model, head.weights_version)
+        now_s = boot_time_s()
+        backend.silence.on_heard(now_s)
+        self._state.on_sign_of_life(backend, now_s)
+        if head.ok:
+            backend.on_success(now_s)
+
+    def on_stream_data(self, active: ActiveRequest, backend: Backend, now_s: float) -> None:
+        """Bytes of a stream came."""
+        backend.silence.on_heard(now_s)
+        self._state.on_sign_of_life(backend, now_s)
+        self._choice.learn_first_token(active, now_s)
+
+    def on_whole_answer(self, active: ActiveRequest, backend: Backend, head: AnswerHead) -> None:
+        """An answer came to its end."""
+        backend.on_success(boot_time_s())
+        if self._crashes is not None and head.ok:
+            self._crashes.on_answered(active.content)
+
+    def on_failure(self, active: ActiveRequest, backend: Backend, failure: AttemptError, now_s: float) -> None:
+        """An attempt ended without a whole answer."""
+        event = failure.event
+        self._learn_reachability(active, backend, event, now_s)
+        if event is TransportEvent.ANSWER_TIMEOUT:
+            self._choice.learn_silence(active, now_s)
+        generation = active.request.generation
+        if event is TransportEvent.PRECONDITION_REFUSED and generation is not None:
+            self._state.on_version_refused(backend, generation.model, failure.weights_version)
+            return
+        if event in REFUSED_BY_BACKEND or event is TransportEvent.ERROR_ANSWER:
+            return  # A back end that answers works.
+        if event is TransportEvent.RESET_AFTER_SEND and self._crashes is not None:
+            self._crashes.on_broken_run(active.content, backend)
+        if event is TransportEvent.ANSWER_TIMEOUT and backend.is_answering(now_s):
+            return  # Busy, not broken.
+        self._count_failure(backend, event, now_s)
+
+    def _learn_reachability(
+        self, active: ActiveRequest, backend: Backend, event: TransportEvent, now_s: float
+    ) -> None:
+        if event is TransportEvent.CONNECT_TIMEOUT:
+            active.history.unresponsive_zones.add(backend.record.zone)
+            self._state.on_connect_timeout(backend, now_s)
+        elif event not in NO_SIGN_OF_LIFE:
+            self._state.on_sign_of_life(backend, now_s)
+
+    def _count_failure(self, backend: Backend, event: TransportEvent, now_s: float) -> None:
+        if backend.on_failure(now_s, unreachable=event in UNREACHABLE):
+            emit(
+                Event.BACKEND_SUSPENDED,
+                backend=backend.incarnation,
+                reason=event.value,
+                failures=backend.consecutive_failures,
+            )
--- /dev/null
+++ b/src/wallwell/serving/request_reports.py
@@ -0,0 +1,83 @@
+"""Log events and counts of requests: refused, answered, and each failed attempt. Decides nothing."""
+
+from __future__ import annotations
+
+from wallwell.clock import boot_time_s
+from wallwell.deployment.backends import Backend
+from wallwell.errors import RequestError
+from wallwell.events import Event, emit
+from wallwell.node.state import NodeState
+from wallwell.serving.active_request import ActiveRequest
+from wallwell.serving.counters import FleetCounters
+from wallwell.serving.messages import AttemptError, CallerRequest
+
+NEVER_CONFIRMED_MS = -1
+"""Logged as the store's age while the store was never heard."""
+
+
+class RequestReports:
+    """Reports requests of one node."""
+
+    def __init__(self, state: NodeState, counters: FleetCounters) -> None:
+        self._state = state
+        self._counters = counters
+
+    def on_refused(self, request: CallerRequest, error: RequestError) -> None:
+        """A request ends with an error of the router's own."""
+        kind = "generation" if request.generation is not None else "call"
+        self._counters.on_refused(kind, error.outcome.value, error.code)
+        emit(
+            Event.REQUEST_REFUSED,
+            request_id=request.request_id,
+            code=error.code,
+            outcome=error.outcome.value,
+            reason=error.detail,
+            config=self._state.config.version if self._state.config is not None else 0,
+            store_age_ms=self._store_age_ms(),
+            after_ms=round((boot_time_s() - request.arrived_s) * 1000),
+        )
+
+    def on_attempt_failed(self, active: ActiveRequest, backend: Backend, failure: AttemptError) -> None:
+        """An attempt ended without a whole answer."""
+        reason = failure.event.value
+        self._counters.attempts[reason] += 1
+        emit(
+            Event.REQUEST_RETRIED,
+            request_id=active.request.request_id,
+            backend=backend.incarnation,
+            software=backend.record.software,
+            reason=reason,
+            detail=failure.detail,
+            attempts=active.log.attempts,
+            events=active.position.events_passed,
+            content=active.content,
+        )
+
+    def on_ended(self, active: ActiveRequest, backend: Backend, now_s: float) -> None:
+        """A request got a back end's whole answer."""
+        request, timing = active.request, active.timing
+        first_s = timing.first_s or now_s
+        gap_s = timing.max_gap_s if timing.first_s is not None else None
+        kind = active.route.kind.value
+        self._counters.on_answered(kind, first_s - request.arrived_s, now_s - request.arrived_s, gap_s)
+        emit(
+            Event.REQUEST_ENDED,
+            request_id=request.request_id,
+            route=active.route.name,
+            tenant=active.tenant.name if active.tenant is not None else "",
+            backend=backend.incarnation,
+            software=backend.record.software,
+            backend_in_flight=backend.in_flight,
+            attempts=active.log.attempts + 1,
+            prompt_tokens=request.generation.prompt_tokens if request.generation is not None else 0,
+            first_ms=round((first_s - request.arrived_s) * 1000),
+            max_gap_ms=round(timing.max_gap_s * 1000),
+            total_ms=round((now_s - request.arrived_s) * 1000),
+        )
+
+    def _store_age_ms(self) -> int:
+        """Return how long ago the store confirmed what this node knows."""
+        confirmed_s = self._state.freshness.confirmed_at_s
+        if confirmed_s == float("-inf"):
+            return NEVER_CONFIRMED_MS
+        return round((boot_time_s() - confirmed_s) * 1000)
--- /dev/null
+++ b/src/wallwell/serving/stream_passing.py
@@ -0,0 +1,58 @@
+"""Passes the events of a streamed answer to the caller as they come.
+
+Only whole events are passed on, each number once and in order, also when the stream is continued by another
+run: the position of the request (:class:`~wallwell.serving.event_stream.StreamPosition`) covers all of its
+runs. Owns when a stream counts as stalled or broken off; by how long a pause, the retry policy says."""
+
+from __future__ import annotations
+
+from contextlib import aclosing
+
+from wallwell.clock import boot_time_s, bounded
+from wallwell.deployment.backends import Backend
+from wallwell.errors import StreamOrderError
+from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.routing.retry.retry_policy import RetryPolicy
+from wallwell.serving.active_request import ActiveRequest
+from wallwell.serving.attempt_learning import AttemptLearning
+from wallwell.serving.messages import AttemptError, BackendAnswer
+
+
+class StreamPassing:
+    """Passes streams on."""
+
+    def __init__(self, policy: RetryPolicy, learning: AttemptLearning) -> None:
+        self._policy = policy
+        self._learning = learning
+
+    async def pass_stream(self, active: ActiveRequest, backend: Backend, answer: BackendAnswer) -> None:
+        """Pass events on until the stream ends. Raises :class:`AttemptError` if the run breaks off."""
+        position = active.position
+        position.begin_run()
+        stall_s = self._policy.stall_timeout_s(active.route, active.history)
+        async with aclosing(answer.chunks()) as chunks:  # type: ignore[type-var]
+            while True:
+                try:
+                    async with bounded(stall_s):
+                        data = await anext(chunks, None)
+                except TimeoutError:
+                    raise AttemptError(TransportEvent.ANSWER_TIMEOUT, "the stream stalled") from None
+                if data is None:
+                    break
+                self._learning.on_stream_data(active, backend, boot_time_s())
+                await self._write_events(active, answer, data)
+        if position.has_remainder or not position.events_passed:
+            raise AttemptError(TransportEvent.RESET_AFTER_SEND, "the stream ended inside an event")
+        await active.reply.finish()
+
+    async def _write_events(self, active: ActiveRequest, answer: BackendAnswer, data: bytes) -> None:
+        try:
+            events = active.position.feed(data)
+        except StreamOrderError as error:
+            raise AttemptError(TransportEvent.FOREIGN_ANSWER, error.detail) from error
+        if not events:
+            return
+        if not active.reply.started:
+            await active.reply.start(answer.head)
+        active.timing.on_token(boot_time_s())
+        await active.reply.write(b"".join(events))
