--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -18,11 +18,11 @@
 from wallwell.routing.admission.access import RevocationBound, is_fresh_enough
 from wallwell.routing.admission.overload import GenerationTime
 from wallwell.routing.admission.quarantine import Quarantine
+from wallwell.routing.admission.remaining_time import ShortestAnswer
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.health.backend_registry import BackendRegistry
 from wallwell.routing.health.zone_suspicion import ZoneSuspicion
 from wallwell.routing.retry.first_token import FirstTokenDelays
-from wallwell.routing.retry.retry_after import ShortestAnswer
 from wallwell.routing.retry.retry_budget import FleetRetryBudget
 from wallwell.routing.selection.kv_store import KvStoreContents
 from wallwell.routing.selection.kv_store_choice import KvStores
--- a/src/wallwell/routing/admission/overload.py
+++ b/src/wallwell/routing/admission/overload.py
@@ -36,12 +36,6 @@
 """Seconds of a generation until some have been observed. Chosen, not measured."""
 SMOOTHING = 0.05
 """Weight of the newest observation in the average: some twenty decide. Chosen, not measured."""
-SHORTEST_RETURN_FRACTION = 0.5
-"""Part of a generation's time after which the first places are free again."""
-RETURN_SPREAD = (0.75, 1.75)
-"""Multiples of the expected time over which callers' returns are spread, so that they do not come at once."""
-RETURN_ORDER = 0.25
-"""Part of that time by which each less urgent rank returns later."""
 
 
 @dataclass(frozen=True)
@@ -76,22 +70,12 @@
 
 def refused_fraction(occupancy: Occupancy, rank: int) -> float:
     """Return the fraction of new generations of a rank, 0 first, that is refused."""
-    begin = BEGIN_REFUSING - RANK_STEP * _rank_steps(rank)
+    begin = BEGIN_REFUSING - RANK_STEP * rank_steps(rank)
     return min(1.0, max(0.0, (occupancy.per_slot - begin) / (REFUSE_ALL - BEGIN_REFUSING)))
 
 
-def retry_after_s(occupancy: Occupancy, rank: int, generation_s: float, rng: random.Random) -> float:
-    """Return when a refused caller can expect to be served.
-
-    The load beyond the threshold is served in as many generations' time as it is larger, by slot. Callers are
-    spread around that, the urgent first.
-    """
-    excess = max(0.0, occupancy.per_slot - BEGIN_REFUSING)
-    order = 1.0 + RETURN_ORDER * _rank_steps(rank)
-    return generation_s * order * (SHORTEST_RETURN_FRACTION + excess) * rng.uniform(*RETURN_SPREAD)
-
-
-def _rank_steps(rank: int) -> int:
+def rank_steps(rank: int) -> int:
+    """Return by how many steps a rank counts as less urgent than rank 0."""
     return min(MAX_RANK_STEPS, max(0, rank))
 
 
--- a/src/wallwell/serving/backend_choice.py
+++ b/src/wallwell/serving/backend_choice.py
@@ -11,9 +11,10 @@
 
 from wallwell.errors import OverloadedError
 from wallwell.node.state import NodeState
-from wallwell.routing.admission.overload import overloaded_occupancy, retry_after_s
+from wallwell.routing.admission.overload import overloaded_occupancy
+from wallwell.routing.admission.remaining_time import ShortestAnswer
 from wallwell.routing.health.backend import Backend
-from wallwell.routing.retry.retry_after import ShortestAnswer
+from wallwell.routing.retry.retry_after import overload_retry_after_s
 from wallwell.routing.selection.call_choice import choose_for_call
 from wallwell.routing.selection.engine_choice import FleetView, Prompt, choose_for_generation
 from wallwell.routing.selection.prefix_home import is_long, shared_parts
@@ -62,7 +63,7 @@
         occupancy = overloaded_occupancy(engines, active.rank, now_s, state.rng)
         if occupancy is None:
             return
-        wait_s = retry_after_s(occupancy, active.rank, state.generation_time.seconds, state.rng)
+        wait_s = overload_retry_after_s(occupancy, active.rank, state.generation_time.seconds, state.rng)
         raise OverloadedError(f"{occupancy.per_slot:.2f} under way by slot", retry_after_ms=round(wait_s * 1000))
 
     def learn_time(self, active: ActiveRequest, now_s: float) -> None:
