--- /dev/null
+++ b/src/wallwell/node/backend_rows.py
@@ -0,0 +1,93 @@
+"""Keeps a node's registry of back ends as the store lists them, also over an outage of the store.
+
+Owns the time of the store's last return. Relies on a follower that hands on every row in order
+(:mod:`wallwell.storage.feed`) and on :meth:`BackendRows.drop_lapsed` being called once a second.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from wallwell.clock import boot_time_s
+from wallwell.deployment.backends import Backend
+from wallwell.events import Event, emit
+from wallwell.http_connection import ConnectionPool
+from wallwell.node.adapter import NodeSources
+from wallwell.node.state import NodeState
+from wallwell.node.store_outage import STORE_OUTAGE_S
+from wallwell.storage.feed import FollowedPage
+
+LAPSE_GRACE_S = 1.7
+"""Seconds from the store's return for which a back end whose entry is missing still gets requests.
+
+Entries of living back ends are written again within 2 s of the store's return. The figure is below the 2 s within
+which a back end that has left must get nothing more (``drain_ms``), since a missing entry may mean either."""
+
+
+class BackendRows:
+    """Keeps the registry of back ends as the store lists them.
+
+    Entries lapse while the store is unavailable, and living back ends list themselves again soon after its return.
+    One that is missing then goes on getting requests for ``LAPSE_GRACE_S`` from the return.
+    """
+
+    def __init__(self, state: NodeState, sources: NodeSources, pool: ConnectionPool) -> None:
+        self._state = state
+        self._decode = sources.decode_backend
+        self._pool = pool
+        self._store_returned_s = float("-inf")
+
+    def apply(self, followed: FollowedPage) -> None:
+        """Apply a page; a row that cannot be decoded is logged and changes nothing."""
+        registry = self._state.backends
+        now_s = boot_time_s()
+        if now_s - followed.unconfirmed_since_s > STORE_OUTAGE_S and self._state.backends_known:
+            self._store_returned_s = now_s
+        if followed.whole:
+            for backend in registry.unnamed({row.key for row in followed.page.rows}):
+                self._on_missing(backend, now_s)
+        # Of two incarnations at one address the one that was written last is the one that lives.
+        for row in sorted(followed.page.rows, key=lambda row: row.version):
+            known = registry.get(row.key)
+            if row.value is None:
+                if known is not None:
+                    self._on_missing(known, now_s)
+                continue
+            try:
+                self._on_row(row.key, row.value)
+            except msgspec.MsgspecError as error:
+                emit(Event.CONFIG_REFUSED, row=row.key, error=str(error))
+        self.drop_lapsed(now_s)
+        self._state.backends_known = True
+
+    def drop_lapsed(self, now_s: float) -> None:
+        """Forget the back ends that have not listed themselves again in time."""
+        for backend in self._state.backends.remove_lapsed(now_s):
+            emit(Event.BACKEND_GONE, backend=backend.incarnation)
+            self._pool.forget(backend.record.address)
+
+    def _on_row(self, incarnation: str, value: bytes) -> None:
+        record = self._decode(incarnation, value)
+        known = self._state.backends.get(incarnation)
+        is_new = known is None or known.record != record
+        if is_new:
+            emit(
+                Event.BACKEND_LISTED,
+                backend=incarnation,
+                service=record.service,
+                address=record.address,
+                draining=record.draining,
+                versions=dict(record.versions),
+                software=record.software,
+            )
+        now_s = boot_time_s()
+        is_start = not self._state.backends_known
+        self._state.rollouts.on_listed(record.service, record.software, now_s, is_start)
+        backend = self._state.backends.upsert(record)
+        if is_new:
+            backend.slow_until_s = now_s + record.slow_for_s
+
+    def _on_missing(self, backend: Backend, now_s: float) -> None:
+        """An entry is missing: the back end has left, or the entry lapsed while the store was unavailable."""
+        grace_ends_s = now_s if backend.record.draining else self._store_returned_s + LAPSE_GRACE_S
+        self._state.backends.lapse(backend.incarnation, max(now_s, grace_ends_s))
--- a/src/wallwell/node/crash_watch.py
+++ b/src/wallwell/node/crash_watch.py
@@ -1,10 +1,14 @@
 """Finds back ends that have crashed, and keeps in the store which requests they were running.
 
-A run that broke off is no proof of a crash: connections are reset on the way, by a back end with too many of them,
-and at the end of a planned stop. A back end counts as crashed when its address refuses connections, still does so a
-moment later, and nothing has come from it in between, or when another incarnation has taken its address. One row
-for each request and crash goes to the store, without a condition: writing it twice changes nothing, every node
-counts the rows, and a node that starts reads them.
+A broken attempt alone is no proof of a crash: connections are reset on the way, by a back end with too many of
+them, and at the end of a planned stop. A back end counts as crashed when its address refuses connections, still
+does so a moment later, and nothing has come from it in between, or when another incarnation has taken its address.
+One row for each request and crash goes to the store, without a condition: writing it twice changes nothing, every
+node counts the rows, and a node that starts reads them.
+
+Owns the probes that are under way and the rows that the store has not taken yet. The counts are in
+``NodeState.quarantine``, which decides what is refused. Relies on attempts being reported
+(:meth:`CrashWatch.on_broken_run`, :meth:`CrashWatch.on_answered`) and on the followed rows of this product's table.
 """
 
 from __future__ import annotations
@@ -27,38 +31,43 @@
 
 CRASH_PREFIX = "crash/"
 """Rows ``crash/CONTENT/INCARNATION``; the value names the node that saw it."""
-FIRST_LOOK_S = 0.02
-"""Time from a broken run to the first look: the runs that break with it are then known, and cost one write."""
-SECOND_LOOK_S = 0.3
-"""Time from there to the second look. A back end that only has too many connections has sent something by then: its
-other streams pause for less than half a second in the users' sheets, and some of many are always about to send."""
-MAX_LOOKS = 5
-"""Looks at one back end. On a busy node, what it had sent before its end can be read after the first refusal; then
-one more look is needed."""
-LOOKS_TO_LIVE = 2
-"""Looks in a row that find it listening, after which it counts as alive. A process that ends, or a proxy before it,
-may still take a connection after those of its runs are reset."""
+FIRST_PROBE_DELAY_S = 0.02
+"""Seconds from a broken attempt to the first probe: those that break with it are then known, and cost one write.
+Chosen, not measured."""
+PROBE_INTERVAL_S = 0.3
+"""Seconds between two probes. A back end that only has too many connections has sent something by then: its other
+streams pause for less than half a second, and with many streams some are always about to send."""
+MAX_PROBES = 5
+"""Probes of one back end. On a busy node, what it had sent before its end can be read after the first refusal; then
+one more probe is needed. The rest is a margin, chosen, not measured."""
+PROBES_TO_LIVE = 2
+"""Probes in a row that find it listening, after which it counts as alive. A process that ends, or a proxy before
+it, may still take a connection after those of its attempts are reset."""
 SUCCESSOR_S = 3.0
-"""How long a back end that listens may yet turn out to have been a successor: one that is back within 0.3 s is
-listed at its address within about a second."""
+"""Seconds for which a back end that listens may yet turn out to have been a successor: one that is back within 0.3
+s is listed at its address within about a second; three times that is chosen, not measured."""
 MAX_WRITES = 100
 """Entries of one transaction (the store's bound)."""
 RETRY_S = 0.4
-"""Mean time after a failed write until the next."""
+"""Mean seconds from a failed write to the next. Chosen, not measured."""
+RETRY_JITTER = (0.5, 1.5)
+"""Range of factors on that time, so that nodes do not write together once the store is back."""
 SWEEP_S = 5.0
-"""Time between two looks for crashes whose time is over; they count for minutes."""
+"""Seconds between two removals of expired crashes. Chosen, not measured: small beside the minutes they count
+for."""
 
 
 class CrashCheck(Protocol):
-    """Tells whether a back end's process is gone."""
+    """Finds out whether a back end's process is gone."""
 
     async def is_refused(self, backend: BackendRecord) -> bool:
-        """Make a connection unless one rests; returns True only if the machine says that nothing listens there."""
+        """Connect unless a connection is idle; returns True only if the machine answers that nothing listens
+        there."""
         ...
 
 
 class CrashWatch:
-    """One node's part: looks, counts, writes, and removes what counts no longer."""
+    """One node's part: probes back ends, counts crashes, writes them to the store and removes expired ones."""
 
     def __init__(
         self, state: NodeState, check: CrashCheck, table: TableService, members: Callable[[], Iterable[str]]
@@ -69,18 +78,18 @@
         self._table = table
         self._members = members
         self._broken: dict[str, set[str]] = {}
-        """Contents of runs that broke off, by the incarnation that is being looked at."""
-        self._looking = BackgroundTasks()
+        """Contents of broken attempts, by the incarnation that is being probed."""
+        self._probes = BackgroundTasks()
         self._unwritten: dict[str, bool] = {}
         """Keys to write (True) or to delete (False)."""
         self._has_work = asyncio.Event()
         self._has_failed = False
         """Whether the store did not take the last write, so that an outage is logged once."""
 
-    # --- what attempts show ----------------------------------------------------------------------------
+    # --- attempts --------------------------------------------------------------------------------------
 
     def on_broken_run(self, content: str, backend: Backend) -> None:
-        """The connection of a run ended before its answer was whole."""
+        """The connection of an attempt ended before its answer was whole."""
         if backend.is_leaving(boot_time_s()) and not backend.superseded:
             return  # The end of a planned stop.
         broken = self._broken.get(backend.incarnation)
@@ -88,18 +97,18 @@
             broken.add(content)
             return
         self._broken[backend.incarnation] = {content}
-        self._looking.begin(self._look(backend))
+        self._probes.begin(self._probe(backend))
 
     def on_answered(self, content: str) -> None:
         """A request was answered with success: whatever crashed beside it, it was not the cause."""
         crashes = self._state.quarantine.on_answered(content, boot_time_s())
         self._write({_key(content, incarnation): False for incarnation in crashes})
 
-    async def _look(self, backend: Backend) -> None:
+    async def _probe(self, backend: Backend) -> None:
         try:
             has_crashed = await self._has_crashed(backend)
         finally:
-            # Runs that break from now on begin looks of their own.
+            # Attempts that break from now on start probes of their own.
             contents = self._broken.pop(backend.incarnation)
         if not has_crashed:
             await asyncio.sleep(SUCCESSOR_S)
@@ -112,8 +121,8 @@
     async def _has_crashed(self, backend: Backend) -> bool:
         refused_s = None
         listening = 0
-        for look in range(MAX_LOOKS):
-            await asyncio.sleep(SECOND_LOOK_S if look else FIRST_LOOK_S)
+        for probe in range(MAX_PROBES):
+            await asyncio.sleep(PROBE_INTERVAL_S if probe else FIRST_PROBE_DELAY_S)
             if backend.superseded:
                 return True
             if await self._check.is_refused(backend.record):
@@ -122,7 +131,7 @@
                 refused_s, listening = boot_time_s(), 0
             else:
                 refused_s, listening = None, listening + 1
-            if listening >= LOOKS_TO_LIVE:
+            if listening >= PROBES_TO_LIVE:
                 return False
         return False
 
@@ -130,10 +139,10 @@
         if count_crash(self._state.quarantine, content, incarnation, boot_time_s()):
             self._write({_key(content, incarnation): True})
 
-    # --- what other nodes have written -----------------------------------------------------------------
+    # --- rows and reports of other nodes----------------------------------------------------------------
 
     def on_row(self, row: FeedRow, now_s: float) -> None:
-        """Take a row of this product's own table."""
+        """Apply a row of this product's own table; other kinds than crashes are ignored."""
         if not row.key.startswith(CRASH_PREFIX):
             return
         content, incarnation = _crash_of(row.key)
@@ -144,8 +153,9 @@
         else:
             count_crash(self._state.quarantine, content, incarnation, now_s)
 
-    def on_told(self, crash: Crash) -> None:
-        """Take a crash that a peer has told, since the store does not have it yet; whoever saw it writes it."""
+    def on_peer_report(self, crash: Crash) -> None:
+        """Count a crash that a peer reports, since the store has not taken it yet; the peer that saw it writes
+        it."""
         count_crash(self._state.quarantine, *crash, boot_time_s())
 
     def unwritten(self) -> Sequence[Crash]:
@@ -162,15 +172,15 @@
             self._has_work.set()
 
     async def run(self) -> None:
-        """Write what is to be written, and remove what counts no longer, until cancelled."""
+        """Write crashes and remove expired ones until cancelled."""
         while True:
             try:
                 async with bounded(SWEEP_S):
                     await self._has_work.wait()
-            except TimeoutError:
+            except TimeoutError:  # Nothing to write for a while: the time to sweep.
                 self._sweep(boot_time_s())
             if self._unwritten and not await self.write_some():
-                await asyncio.sleep(RETRY_S * self._state.rng.uniform(0.5, 1.5))
+                await asyncio.sleep(RETRY_S * self._state.rng.uniform(*RETRY_JITTER))
 
     async def write_some(self) -> bool:
         """Write as much as one transaction takes; returns False if the store did not take it."""
@@ -193,7 +203,7 @@
         return True
 
     def _sweep(self, now_s: float) -> None:
-        """Forget crashes whose time is over; one node removes each row."""
+        """Forget expired crashes; one node removes each row."""
         members = {*self._members(), self._state.node}
         for content, incarnation in self._state.quarantine.expire(now_s):
             if owner(members, key_of(content)) == self._state.node:
--- a/src/wallwell/node/kv_store_watch.py
+++ b/src/wallwell/node/kv_store_watch.py
@@ -1,4 +1,9 @@
-"""Follows what the stores of kept KV cache hold: from a peer that follows a store, or from the store itself."""
+"""Follows what the KV stores hold: from a peer that follows a store, or from the store itself.
+
+Owns a follower task for each configured store and the links to peers. The copies of the stores' content are in
+``NodeState.kv_store_contents``; cache planning reads them. Relies on :class:`UpstreamOrder` for the choice of a
+peer.
+"""
 
 from __future__ import annotations
 
@@ -17,28 +22,36 @@
 from wallwell.routing.selection.kv_store import CachePage, CachePosition, KvStoreContents
 
 WAIT_S = 0.8
-"""How long a call is held open until there is an event."""
+"""Seconds for which a call is held open until there is an event; as for the tables
+(:mod:`wallwell.node.followers`)."""
 PAUSE_S = 0.1
-"""Pause after a page, so that events which come close together cost one call."""
+"""Seconds after a page, so that events which come close together cost one call. Chosen, not measured."""
 RETRY_S = 0.5
+"""Mean seconds after a failed call until the next. Chosen, not measured."""
+RETRY_JITTER = (0.8, 1.2)
+"""Range of factors on that time, so that nodes do not call together once a store is back."""
 ANSWER_MARGIN_S = 0.5
+"""Seconds for which a peer's answer is waited for beyond the agreed wait; as for the tables
+(``relay.ANSWER_MARGIN_S``)."""
 CONFIG_TICK_S = 0.2
+"""Seconds between two checks which stores are configured. Chosen, not measured."""
 LISTING_INTERVAL_S = 5.0
-"""Smallest time between two whole listings that only missing events call for; a listing holds the store up."""
+"""Least seconds between two whole listings that missing events call for; a listing keeps the store busy. Chosen,
+not measured."""
 
 
 class CacheEventSource(Protocol):
-    """A store's events and its whole content."""
+    """Reads a store's events and its whole content."""
 
     async def events(self, address: str, position: CachePosition, wait_s: float) -> CachePage:
-        """Return what changed after a position, waiting up to ``wait_s``; everything if that is not known.
+        """Return what changed after a position, waiting up to ``wait_s``; everything if the position is unknown.
 
         Raises :class:`CacheStoreSilentError` or :class:`CacheEventsRefusedError`.
         """
         ...
 
     async def listing(self, address: str) -> CachePage:
-        """Return everything the store keeps. Raises as :meth:`events` does."""
+        """Return everything the store holds. Raises as :meth:`events` does."""
         ...
 
 
@@ -68,6 +81,8 @@
         """By store: a link carries one request at a time, and each store is followed by a task of its own."""
         self._followers: dict[str, asyncio.Task[None]] = {}
         self._listed_at_s: dict[str, float] = {}
+        self._refusing: set[str] = set()
+        """Stores that answered the last call without events."""
         self._advanced = asyncio.Event()
 
     async def run(self) -> None:
@@ -96,10 +111,10 @@
     async def _follow(self, address: str) -> None:
         while True:
             took_page = await self.step(address)
-            await asyncio.sleep(PAUSE_S if took_page else RETRY_S * self._state.rng.uniform(0.8, 1.2))
+            await asyncio.sleep(PAUSE_S if took_page else RETRY_S * self._state.rng.uniform(*RETRY_JITTER))
 
     async def step(self, address: str) -> bool:
-        """Take one page of a store's events; returns False if nobody told any."""
+        """Apply one page of a store's events; returns False if neither peer nor store sent one."""
         cache = self._state.kv_store_contents[address]
         page = None
         candidates = self._order.candidates(boot_time_s())
@@ -123,7 +138,8 @@
         try:
             reply = await links.to(name, peer).ask(request, CacheReply, WAIT_S + ANSWER_MARGIN_S)
         except PeerUnavailableError:
-            return None  # The rows that come the same way decide whether the peer is passed over.
+            # Not logged: the tables are followed through the same peer, which logs its loss and passes it over.
+            return None
         if reply.page is not None:
             self._note_listing(address, reply.page)
             cache.reachable = reply.reachable
@@ -140,8 +156,13 @@
                 emit(Event.CACHE_STORE_LOST, address=address, reason=error.detail)
             cache.reachable = False
             return None
-        except CacheEventsRefusedError:
+        except CacheEventsRefusedError as error:
+            # Logged once until the store sends events again, since the call is repeated twice a second.
+            if address not in self._refusing:
+                self._refusing.add(address)
+                emit(Event.CACHE_EVENTS_REFUSED, address=address, reason=error.detail)
             return None
+        self._refusing.discard(address)
         self._note_listing(address, page)
         if not cache.reachable:
             emit(Event.CACHE_STORE_REGAINED, address=address)
@@ -166,7 +187,7 @@
                 async with bounded(left_s):
                     await self._advanced.wait()
             except TimeoutError:
-                break
+                break  # The agreed wait is over: the peer gets an empty page.
         return CacheReply(cache.after(request.position), cache.reachable)
 
     def close(self) -> None:
--- a/src/wallwell/node/loop_lag.py
+++ b/src/wallwell/node/loop_lag.py
@@ -1,9 +1,11 @@
-"""Whether this node's event loop is starved of processor time, from how late its timers come. Pure.
+"""Whether this node's event loop is starved of processor time, from how late its timers fire. Pure.
 
 A starved node still completes connections, since the system does that, but it reads requests too late: callers
-give up a request that nobody has read after a second. It serves nobody then, so it says that it is not ready and
-callers' connections go elsewhere, which also ends the starvation. A single late timer is no sign of it: a machine
-that was frozen sees one when it wakes, and is well.
+give up a request that nobody has read after a second. So the node reports that it is not ready, callers'
+connections go elsewhere, and the load that starved it falls. A single late timer is no sign of starvation: a
+machine that was frozen sees one when it wakes, and is well.
+
+Owns the count of late timers. Relies on :meth:`LoopLag.observe` being called every :data:`TICK_S`.
 """
 
 from __future__ import annotations
@@ -11,13 +13,15 @@
 from dataclasses import dataclass
 
 TICK_S = 0.25
-"""Time between two timers; four wake-ups a second."""
+"""Seconds between two timers; four wake-ups a second. Chosen, not measured."""
 LATE_S = 0.5
-"""Delay of a timer that counts as late: a request needs more than one turn of the loop, and a caller waits 1 s."""
+"""Seconds of delay from which a timer counts as late: a request needs more than one turn of the loop, and a caller
+waits 1 s."""
 LATE_IN_A_ROW = 2
+"""Late timers in a row that make starvation: one is what a machine sees that was frozen."""
 STARVED_S = 1.0
-"""How long a node counts as starved after its last late timer; short, so that its share is missed no longer than
-its callers need to turn away."""
+"""Seconds for which a node counts as starved after its last late timer; short, so that its capacity is missing no
+longer than callers need to move their connections. Chosen, not measured."""
 
 
 @dataclass
@@ -28,7 +32,7 @@
     _starved_until_s: float = float("-inf")
 
     def observe(self, delay_s: float, now_s: float) -> None:
-        """A timer came ``delay_s`` after its time."""
+        """A timer fired ``delay_s`` seconds after its time."""
         if delay_s < LATE_S:
             self.late_in_a_row = 0
             return
--- a/src/wallwell/node/metrics.py
+++ b/src/wallwell/node/metrics.py
@@ -1,4 +1,8 @@
-"""Text exposition of a fleet node's counters and state; imported only where figures are asked for."""
+"""A node's counters and state in Prometheus's text format.
+
+Owns nothing: figures are read from the node's state when they are asked for. Imported only then, since the library
+costs memory. Names and labels of metrics are part of the operators' interface.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,8 @@
 from wallwell.serving.counters import LATENCY_BOUNDS_S, FleetCounters, LatencyHistogram
 
 MAX_TENANTS_SHOWN = 20
-"""Tenants with series of their own: those that were refused most, so that labels stay bounded with any number."""
+"""Tenants with series of their own: those that were refused most, so that labels stay bounded with any
+number of tenants. Chosen, not measured."""
 
 
 class FleetCollector:
--- /dev/null
+++ b/src/wallwell/node/operator_rows.py
@@ -0,0 +1,75 @@
+"""Applies the operators' rows to a node's state: configuration, named weights versions, orders of rollouts.
+
+Owns no state beside :class:`NodeState`. Relies on a follower that hands on every row in order
+(:mod:`wallwell.storage.feed`); a row that cannot be decoded is logged and changes nothing.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from wallwell.clock import boot_time_s
+from wallwell.events import Event, emit
+from wallwell.node.adapter import NodeSources
+from wallwell.node.state import NodeState
+from wallwell.node.store_outage import STORE_OUTAGE_S
+from wallwell.storage.feed import FollowedPage
+
+
+class OperatorRows:
+    """Applies the operators' configuration and the weights versions they name."""
+
+    def __init__(self, state: NodeState, sources: NodeSources) -> None:
+        self._state = state
+        self._sources = sources
+
+    def apply(self, followed: FollowedPage) -> None:
+        """Apply a page; a row that cannot be decoded is logged and changes nothing."""
+        for row in followed.page.rows:
+            if row.value is None:
+                continue
+            try:
+                if row.key.startswith(self._sources.rollout_prefix):
+                    self._on_rollout(row.key, row.value, row.version)
+                else:
+                    self._on_row(row.key, row.value, followed.unconfirmed_since_s)
+            except msgspec.MsgspecError as error:
+                emit(Event.CONFIG_REFUSED, row=row.key, error=str(error))
+        if self._state.config is not None:
+            self._state.freshness.confirm(followed.confirmed_at_s)
+
+    def _on_row(self, key: str, value: bytes, unconfirmed_since_s: float) -> None:
+        if key == self._sources.config_key:
+            config = self._sources.decode_config(value)
+            if self._state.apply_config(config):
+                emit(Event.CONFIG_ADVANCED, version=config.version, routes=len(config.routes))
+        elif key.startswith(self._sources.version_prefix):
+            model, version = self._sources.decode_version(value)
+            since_s, estimated = self._named_since_s(unconfirmed_since_s)
+            if self._state.weights.name(model, version, since_s, estimated):
+                emit(Event.WEIGHTS_NAMED, model=model, version=version, estimated=estimated)
+
+    def _on_rollout(self, key: str, value: bytes, version: int) -> None:
+        try:
+            order = self._sources.decode_rollout(key, value, version)
+        except msgspec.MsgspecError as error:
+            emit(Event.ROLLOUT_REFUSED, row=key, error=str(error))
+            return
+        if not self._state.knows_service(order.service):
+            emit(Event.ROLLOUT_REFUSED, row=key, error="no such service is configured or listed")
+        if self._state.rollouts.on_order(order, boot_time_s()):
+            emit(
+                Event.ROLLOUT_ORDERED,
+                service=order.service,
+                target=order.target_version,
+                duration_s=order.duration_s,
+                order=order.store_version,
+            )
+
+    def _named_since_s(self, unconfirmed_since_s: float) -> tuple[float, bool]:
+        """Return since when (boot clock) a version just seen counts as named, and whether that is estimated."""
+        now_s = boot_time_s()
+        if unconfirmed_since_s == float("-inf"):
+            return self._state.estimated_naming_s(now_s), True
+        # After an outage of the store the version may have been named at any time within it.
+        return (unconfirmed_since_s if now_s - unconfirmed_since_s > STORE_OUTAGE_S else now_s), False
--- a/src/wallwell/platform/main.py
+++ b/src/wallwell/platform/main.py
@@ -11,8 +11,8 @@
 
 from wallwell.errors import WallwellError
 from wallwell.events import Event, configure_logging, emit
-from wallwell.node.node import FleetNode
-from wallwell.node.rows import NodeSources
+from wallwell.node.adapter import NodeAdapter, NodeSources
+from wallwell.node.node import FleetNode, NodeIdentity
 from wallwell.platform import names
 from wallwell.platform.cache_events import CacheEventsClient
 from wallwell.platform.callers import CallersListener
@@ -44,18 +44,9 @@
         rollouts=PlatformRollouts(store),
         cache_events=CacheEventsClient(workers.pool),
     )
-    return FleetNode(
-        settings.node,
-        settings.zone,
-        settings.fleet_bounds(),
-        sources,
-        workers,
-        workers,
-        workers,
-        workers.pool,
-        link_mbps=settings.limits.link_mbps,
-        places=places,
-    )
+    identity = NodeIdentity(settings.node, places, settings.limits.link_mbps)
+    adapter = NodeAdapter(sources, client=workers, control=workers, check=workers, pool=workers.pool)
+    return FleetNode(identity, settings.fleet_bounds(), adapter)
 
 
 async def _listen(server: web.Server, address: str) -> web.ServerRunner:
--- a/tests/platform/test_busy_node.py
+++ b/tests/platform/test_busy_node.py
@@ -75,9 +75,9 @@
         url = f"http://127.0.0.1:{next(iter(runner.sites))._server.sockets[0].getsockname()[1]}/"
         answers = []
         for delays in ((), (9.0,), (9.0, 9.0), ()):
-            harness.node.lag = LoopLag()
+            harness.node.readiness.lag = LoopLag()
             for delay_s in delays:
-                harness.node.lag.observe(delay_s, boot_time_s() + 60.0)
+                harness.node.readiness.lag.observe(delay_s, boot_time_s() + 60.0)
             async with harness.session.get(url) as response:
                 answers.append(response.status)
         await runner.cleanup()
@@ -89,7 +89,7 @@
 def test_a_node_notices_that_its_loop_is_starved(on_platform):
     async def scenario(harness):
         busy = asyncio.create_task(hog(LATE_S + 0.1))
-        await harness.until(lambda: harness.node.lag.late_in_a_row >= 2, bound_s=30.0)
+        await harness.until(lambda: harness.node.readiness.lag.late_in_a_row >= 2, bound_s=30.0)
         starved = not harness.node.is_ready()
         busy.cancel()
         await harness.until(harness.node.is_ready)
--- a/tests/unit/node/test_backend_rows.py
+++ b/tests/unit/node/test_backend_rows.py
@@ -10,8 +10,8 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.events import Event
 from wallwell.http_connection import ConnectionPool
-from wallwell.node import rows as fleet_rows
-from wallwell.node.rows import LAPSE_GRACE_S, BackendRows
+from wallwell.node import backend_rows
+from wallwell.node.backend_rows import LAPSE_GRACE_S, BackendRows
 from wallwell.serving.version_choice import eligible_backends
 from wallwell.storage.feed import FeedPage, FeedRow, FollowedPage
 
@@ -40,7 +40,7 @@
 def test_a_back_end_is_not_logged_as_changed_while_it_becomes_warm(monkeypatch):
     """Its entry changes with each heartbeat then: 250 lines a node in 36 s with 30 back ends."""
     listed = []
-    monkeypatch.setattr(fleet_rows, "emit", lambda event, **fields: listed.append((event, fields["draining"])))
+    monkeypatch.setattr(backend_rows, "emit", lambda event, **fields: listed.append((event, fields["draining"])))
     rows = BackendRows(make_state(backends=0), CoolingSources(), ConnectionPool("X", 1.0, 1.0))
     for value in (b"2.0 ready", b"1.0 ready", b"0.0 ready", b"0.0 draining"):
         rows.apply(FollowedPage(FeedPage((FeedRow("a", value, 1),), 1, 0.0), False, 0.0, 0.0))
--- a/tests/unit/node/test_crash_watch.py
+++ b/tests/unit/node/test_crash_watch.py
@@ -15,9 +15,9 @@
 from wallwell.deployment.routes import RouteKind
 from wallwell.node.crash_watch import (
     CRASH_PREFIX,
-    FIRST_LOOK_S,
-    MAX_LOOKS,
-    SECOND_LOOK_S,
+    FIRST_PROBE_DELAY_S,
+    MAX_PROBES,
+    PROBE_INTERVAL_S,
     SUCCESSOR_S,
     SWEEP_S,
     CrashWatch,
@@ -28,7 +28,7 @@
 from wallwell.serving.pipeline import RequestPipeline
 from wallwell.storage.feed import FeedRow
 
-LOOKED_S = FIRST_LOOK_S + SECOND_LOOK_S + 0.1
+PROBED_S = FIRST_PROBE_DELAY_S + PROBE_INTERVAL_S + 0.1
 REFUSED, ANSWERS = True, False
 RESUMABLE = make_route(RouteKind.STREAM, resumable=True, attempts=2)
 CUT_STREAM = Script(chunks=(event(1),), breaks=T.RESET_AFTER_SEND, stream=True)
@@ -158,9 +158,9 @@
         before(node)
         await asyncio.sleep(0.01)
         node.watch.on_broken_run("c", node.backend())
-        await asyncio.sleep(FIRST_LOOK_S + 0.01)
+        await asyncio.sleep(FIRST_PROBE_DELAY_S + 0.01)
         meanwhile(node)
-        await asyncio.sleep(MAX_LOOKS * LOOKED_S + SUCCESSOR_S)
+        await asyncio.sleep(MAX_PROBES * PROBED_S + SUCCESSOR_S)
         return node.rows, "c" in suspected_contents(node.state.quarantine)
 
     assert run_virtual(work()) == ({"c/i-0"} if is_crash else set(), is_crash)
@@ -173,7 +173,7 @@
         node.table.before_transact = lambda: writes.append(1)
         for number in range(20):
             node.watch.on_broken_run(f"c-{number}", node.backend())
-        await asyncio.sleep(LOOKED_S)
+        await asyncio.sleep(PROBED_S)
         return node.check.looks, len(writes), len(node.rows)
 
     assert run_virtual(work()) == (2, 1, 20)
@@ -184,7 +184,7 @@
         node = Node()
         for number in range(230):
             node.watch.on_broken_run(f"c-{number}", node.backend())
-        await asyncio.sleep(LOOKED_S)
+        await asyncio.sleep(PROBED_S)
         return len(node.rows)
 
     assert run_virtual(work()) == 230
@@ -195,7 +195,7 @@
     async def work():
         node = Node(table=FaultyTable(faults=faults))
         node.watch.on_broken_run("c", node.backend())
-        await asyncio.sleep(LOOKED_S + 5.0)
+        await asyncio.sleep(PROBED_S + 5.0)
         return node.rows
 
     assert run_virtual(work()) == {"c/i-0"}
@@ -220,12 +220,12 @@
     async def work():
         node = Node()
         node.watch.on_broken_run("c", node.backend(0))
-        await asyncio.sleep(LOOKED_S)
+        await asyncio.sleep(PROBED_S)
         told = [list(node.watch.unwritten())]
         node.table.down = True
         for number in (1, 2):
             node.watch.on_broken_run("c", node.backend(number))
-            await asyncio.sleep(LOOKED_S)
+            await asyncio.sleep(PROBED_S)
         told.append(list(node.watch.unwritten()))
         node.table.down = False
         await asyncio.sleep(2.0)
@@ -239,8 +239,8 @@
     async def work():
         node = Node()
         for number in range(CRASHES_TO_QUARANTINE):
-            node.watch.on_told(("c", f"gone-{number}"))
-            node.watch.on_told(("c", f"gone-{number}"))
+            node.watch.on_peer_report(("c", f"gone-{number}"))
+            node.watch.on_peer_report(("c", f"gone-{number}"))
         await asyncio.sleep(1.0)
         return node.state.quarantine.left_s("c", boot_time_s()) > 0, node.rows
 
@@ -263,7 +263,7 @@
     async def work():
         node = Node()
         node.watch.on_broken_run("c", node.backend())
-        await asyncio.sleep(LOOKED_S)
+        await asyncio.sleep(PROBED_S)
         before = node.rows
         node.watch.on_answered("c")
         await asyncio.sleep(0.1)
@@ -301,7 +301,7 @@
 # --- requests ----------------------------------------------------------------------------------------------
 
 
-def serve(route, scripts, prepare=nothing, generation=None, settle_s=LOOKED_S):
+def serve(route, scripts, prepare=nothing, generation=None, settle_s=PROBED_S):
     """Serve one request on a node; return reply, number of sends and the node's rows a moment later."""
 
     async def work():
--- /dev/null
+++ b/tests/unit/node/test_member_rows.py
@@ -0,0 +1,67 @@
+"""A node's registration while the store takes no writes, and rows of members that cannot be decoded."""
+
+import asyncio
+
+from tests.unit.serving.fakes import make_state
+from wallwell.cluster.upstream import Member, UpstreamOrder
+from wallwell.errors import PlatformUnavailableError
+from wallwell.events import Event
+from wallwell.node import member_rows
+from wallwell.node.member_rows import MEMBER_PREFIX, MemberRows
+from wallwell.storage.feed import FeedPage, FeedRow, FollowedPage
+
+OWN = Member("z1", "127.0.0.1:9")
+
+
+class Table:
+    """Fails as often as it is set to."""
+
+    def __init__(self, failures):
+        self.failures = failures
+        self.calls = 0
+
+    async def transact(self, transaction):
+        self.calls += 1
+        if self.calls <= self.failures:
+            raise PlatformUnavailableError("away")
+
+
+def make_rows(monkeypatch, table):
+    events = []
+    monkeypatch.setattr(member_rows, "emit", lambda event, **fields: events.append(event))
+    state = make_state(backends=0)
+    order = UpstreamOrder(state.node, state.zone)
+    return MemberRows(state, table, order, ()), order, events
+
+
+def page(*rows):
+    return FollowedPage(FeedPage(rows, 1, 0.0), True, 0.0, 0.0)
+
+
+def test_a_registration_that_fails_is_tried_again_and_logged_once(monkeypatch):
+    async def scenario():
+        table = Table(failures=3)
+        rows, _, events = make_rows(monkeypatch, table)
+        rows.apply(page())
+        for _ in range(4):
+            await rows.register(OWN)
+        return table.calls, events
+
+    assert asyncio.run(scenario()) == (4, [Event.MEMBER_NOT_REGISTERED])
+
+
+def test_a_node_does_not_register_before_it_has_read_the_rows(monkeypatch):
+    async def scenario():
+        table = Table(failures=0)
+        rows, _, _ = make_rows(monkeypatch, table)
+        await rows.register(OWN)
+        return table.calls, rows.known
+
+    assert asyncio.run(scenario()) == (0, False)
+
+
+def test_a_member_whose_row_cannot_be_decoded_counts_without_an_address(monkeypatch):
+    rows, order, events = make_rows(monkeypatch, Table(failures=0))
+    rows.apply(page(FeedRow(MEMBER_PREFIX + "other", b"{", 1)))
+    assert order.members == {"other": Member(zone="")}
+    assert events == [Event.MEMBER_ROW_UNREADABLE]
