--- a/src/wallwell/placement/weights_roll.py
+++ b/src/wallwell/placement/weights_roll.py
@@ -1,8 +1,12 @@
-"""Which engines get which weights when: decisions of a weights roll, without I/O.
+"""Which engines load which weights when: the decisions of a weights roll. No I/O.
 
-A weights roll brings every engine to the newest version; :mod:`wallwell.placement.weights_roll_timing` says when it
-begins.
-Engines load a few at a time, so that the others keep serving and loads stay quick.
+A weights roll brings every engine to the newest version; :mod:`wallwell.placement.weights_roll_timing` decides when
+it begins. Engines load a few at a time, so that the others keep serving and loads stay quick.
+
+Inputs: the listed engines with the versions they are believed to have, the named versions
+(:class:`WeightsTargets`), the fleet's generations a second, and ``now_s`` on this node's clock. Owns which loads
+are in progress and when a failed one may be tried again. Orders that are sent show in the log as ``ORDER_SENT``
+(7001).
 """
 
 from __future__ import annotations
@@ -15,20 +19,24 @@
 from wallwell.deployment.backends import Backend
 from wallwell.deployment.topology import ONE_REGION, Topology
 from wallwell.deployment.weights import OVERDUE_FRACTION, NamedVersion, WeightsTargets
-from wallwell.placement.weights_roll_timing import RollCircumstances, hold_s
+from wallwell.placement.weights_roll_timing import RollCircumstances, start_delay_s
 from wallwell.routing.selection.prefix_home import CHUNK_TOKENS, regional_pools
 
-HOLD_FRACTION = 0.52
-"""Part of the allowance for which a weights roll waits at most."""
-CONCURRENT_SHARE = 0.4
-"""Share of each pool under order at the same time."""
-SERVING_SHARE = 0.5
-"""Share of all engines that go on serving during a weights roll; crashed ones do not count as serving."""
+LONGEST_DELAY_FRACTION = 0.52
+"""Fraction of the time allowed for a version (``version_s``) after which a weights roll begins at the latest, so
+that the rest of that time covers the loads. Chosen, not measured."""
+CONCURRENT_LOADS_FRACTION = 0.4
+"""Fraction of a pool's engines that load at the same time. Chosen, not measured: more would finish sooner and leave
+fewer to serve."""
+SERVING_FRACTION = 0.5
+"""Fraction of all engines that must go on serving during a weights roll; crashed ones do not count as serving.
+Chosen, not measured."""
 RETRY_S = 0.8
+"""Seconds after a load that failed until its engine is tried again. Chosen, not measured."""
 
 
 class OrderReply(enum.Enum):
-    """What an engine said to an order."""
+    """An engine's answer to an order."""
 
     ACCEPTED = "accepted"
     IN_PLACE = "in_place"
@@ -36,66 +44,77 @@
     FENCED = "fenced"
     REFUSED = "refused"
     UNKNOWN = "unknown"
-    """No answer: the order may have been taken, or may take effect later."""
+    """No answer: the order may have been accepted, or may take effect later."""
 
 
 @dataclass(frozen=True)
 class EngineReport:
-    """What an engine says of itself. ``orders_taken`` is the precondition of the next order."""
+    """What an engine reports of itself."""
 
     versions: Mapping[str, int]
+    """Weights versions by model."""
     busy: bool
+    """Whether it is loading."""
     orders_taken: int
+    """Number of orders accepted so far: the precondition of the next one."""
 
 
 @dataclass(frozen=True)
-class LoadOrder:
+class WeightsOrder:
     """An order to load weights, fenced by the lease under which it is given.
 
-    Streams under way go on under the new weights: an engine that waited for them to end would serve nobody else.
+    Streams in flight go on under the new weights: an engine that waited for them to end would serve nobody else.
     """
 
     model: str
     version: int
     holder: str
+    """The node that holds the lease."""
     fence: int
+    """The lease's fencing token: an engine refuses an order with a lower one than it has accepted."""
     expected_orders: int
+    """Orders the engine must have accepted so far, so that an order that is sent twice is accepted once."""
 
 
 @dataclass(frozen=True)
 class LoadTask:
-    """An engine that is to get a version now."""
+    """An engine that is to load a version now."""
 
     backend: Backend
     model: str
     version: int
 
 
-def divide(engines: Sequence[Backend], places: Topology = ONE_REGION) -> tuple[list[Backend], list[Backend]]:
-    """Return the pools for short and long prompts, each in the order in which its engines are reloaded."""
-    short = regional_pools(engines, 0, places)
-    long = [engine for engine in regional_pools(engines, CHUNK_TOKENS + 1, places) if engine not in short]
+def pools_by_prompt_length(
+    engines: Sequence[Backend], topology: Topology = ONE_REGION
+) -> tuple[list[Backend], list[Backend]]:
+    """Return the pools for short and long prompts, each in the order in which its engines load."""
+    short = regional_pools(engines, 0, topology)
+    long = [engine for engine in regional_pools(engines, CHUNK_TOKENS + 1, topology) if engine not in short]
     return short, long
 
 
 def concurrent_loads(pool: Sequence[Backend]) -> int:
-    """Return how many engines of a pool may be under order at the same time."""
-    return max(1, round(len(pool) * CONCURRENT_SHARE))
+    """Return how many engines of a pool may load at the same time."""
+    return max(1, round(len(pool) * CONCURRENT_LOADS_FRACTION))
 
 
 @dataclass
 class WeightsRollPlanner:
-    """Reconciles engines towards the newest named versions."""
+    """Brings engines towards the newest named versions."""
 
     targets: WeightsTargets
     allowance_s: float
+    """Seconds from a version's naming for which generations on older weights are allowed."""
     generations_per_s: Callable[[float], float] = lambda now_s: 0.0
-    """Generations a second of all nodes at a time."""
-    places: Topology = ONE_REGION
-    _under_way: set[str] = field(default_factory=set)
-    _holds: dict[tuple[str, int], float] = field(default_factory=dict)
-    """Holds worked out at ``_holds_at_s`` by model and missing version; engines that lack the same share one."""
-    _holds_at_s: float = float("-inf")
+    """Returns the generations a second of all nodes at a time."""
+    topology: Topology = ONE_REGION
+    _in_progress: set[str] = field(default_factory=set)
+    """Incarnations of the engines that load."""
+    _delays: dict[tuple[str, int], float] = field(default_factory=dict)
+    """Start delays worked out at ``_delays_at_s``, by model and missing version; engines that lack the same version
+    share one."""
+    _delays_at_s: float = float("-inf")
     _retry_at_s: dict[str, float] = field(default_factory=dict)
 
     def is_due(self, engines: Sequence[Backend], now_s: float) -> bool:
@@ -109,67 +128,70 @@
             missing = self.targets.oldest_missing(model, engine.believed_version(model))
             if missing is None:
                 continue
-            if now_s - missing.known_since_s >= self._hold_s(model, missing, engines, now_s):
+            if now_s - missing.known_since_s >= self._start_delay_s(model, missing, engines, now_s):
                 return model
         return None
 
-    def _hold_s(self, model: str, missing: NamedVersion, engines: Sequence[Backend], now_s: float) -> float:
-        if now_s != self._holds_at_s:
-            self._holds.clear()
-            self._holds_at_s = now_s
+    def _start_delay_s(self, model: str, missing: NamedVersion, engines: Sequence[Backend], now_s: float) -> float:
+        if now_s != self._delays_at_s:
+            self._delays.clear()
+            self._delays_at_s = now_s
         key = (model, missing.version)
-        if key not in self._holds:
-            self._holds[key] = self._find_hold_s(model, missing, engines, now_s)
-        return self._holds[key]
+        if key not in self._delays:
+            self._delays[key] = self._decide_start_delay_s(model, missing, engines, now_s)
+        return self._delays[key]
 
-    def _find_hold_s(self, model: str, missing: NamedVersion, engines: Sequence[Backend], now_s: float) -> float:
+    def _decide_start_delay_s(
+        self, model: str, missing: NamedVersion, engines: Sequence[Backend], now_s: float
+    ) -> float:
         newest = self.targets.newest(model)
         lacking = [each for each in engines if each.believed_version(model) < newest]
         serving = all(each.is_open(now_s) for each in engines if not each.is_leaving(now_s))
         circumstances = RollCircumstances(self.generations_per_s(now_s), len(lacking), serving)
-        longest_s = self.allowance_s * HOLD_FRACTION
-        return hold_s(self.targets.named(model), missing, circumstances, longest_s, now_s)
+        longest_s = self.allowance_s * LONGEST_DELAY_FRACTION
+        return start_delay_s(self.targets.named(model), missing, circumstances, longest_s, now_s)
 
     def next_tasks(self, engines: Sequence[Backend], now_s: float) -> list[LoadTask]:
-        """Return the loads to start now; each is to be ended with :meth:`finish`."""
+        """Return the loads to start now; the caller ends each with :meth:`finish`."""
         tasks: list[LoadTask] = []
-        for pool in divide(engines, self.places):
-            spare = self._count_serving(engines, now_s) - math.ceil(len(engines) * SERVING_SHARE)
-            if not self._under_way:
+        for pool in pools_by_prompt_length(engines, self.topology):
+            spare = self._count_serving(engines, now_s) - math.ceil(len(engines) * SERVING_FRACTION)
+            if not self._in_progress:
+                # With half of the engines gone the roll still goes on, one engine at a time.
                 spare = max(1, spare)
             tasks += self._next_of_pool(pool, engines, spare, now_s)
         return tasks
 
     def _count_serving(self, engines: Sequence[Backend], now_s: float) -> int:
-        return sum(each.is_open(now_s) and each.incarnation not in self._under_way for each in engines)
+        return sum(each.is_open(now_s) and each.incarnation not in self._in_progress for each in engines)
 
     def _next_of_pool(
         self, pool: Sequence[Backend], engines: Sequence[Backend], spare: int, now_s: float
     ) -> list[LoadTask]:
-        """Return the loads to start in one pool; ``spare`` engines of all can be missed now."""
-        under_way = sum(engine.incarnation in self._under_way for engine in pool)
-        free = min(spare, concurrent_loads(pool) - under_way)
+        """Return the loads to start in one pool; ``spare`` more of all engines can stop serving now."""
+        loading = sum(engine.incarnation in self._in_progress for engine in pool)
+        free = min(spare, concurrent_loads(pool) - loading)
         tasks: list[LoadTask] = []
         for engine in pool:
             identity = engine.incarnation
-            if identity in self._under_way or now_s < self._retry_at_s.get(identity, 0.0):
+            if identity in self._in_progress or now_s < self._retry_at_s.get(identity, 0.0):
                 continue
             model = self._due_model(engine, engines, now_s)
             if model is None or (len(tasks) >= free and not self._is_overdue(engine, model, now_s)):
                 continue
             tasks.append(LoadTask(engine, model, self.targets.newest(model)))
-            self._under_way.add(identity)
+            self._in_progress.add(identity)
         return tasks
 
     def _is_overdue(self, engine: Backend, model: str, now_s: float) -> bool:
-        """Whether the engine gets no new generation any more, so that nothing is lost by its order."""
+        """Whether the engine gets no generations any more, so that its load costs no capacity."""
         missing = self.targets.oldest_missing(model, engine.believed_version(model))
         return missing is not None and now_s - missing.known_since_s >= self.allowance_s * OVERDUE_FRACTION
 
     def finish(self, task: LoadTask, done: bool, now_s: float) -> None:
-        """A load has ended, or its order could not be carried out and is to be tried again."""
+        """A load has ended (``done``), or its order could not be carried out and is tried again later."""
         identity = task.backend.incarnation
-        self._under_way.discard(identity)
+        self._in_progress.discard(identity)
         if done:
             task.backend.learn_version(task.model, task.version)
             self._retry_at_s.pop(identity, None)
--- a/src/wallwell/placement/weights_roll_driver.py
+++ b/src/wallwell/placement/weights_roll_driver.py
@@ -1,4 +1,10 @@
-"""Carries out weights rolls: takes the lease, publishes what loads, gives fenced orders, sees them take effect."""
+"""Carries out weights rolls: takes the lease, publishes what loads, sends fenced orders, waits for their effect.
+
+Owns this node's attempts at the lease ``weights``, the loads it has started and what it has published of them. What
+to load and when is decided by :mod:`wallwell.placement.weights_roll`. Relies on the followed rows of this product's
+table (:meth:`WeightsRollDriver.on_row`) and on engines refusing an order with an old fence or another
+precondition, so that two holders cannot both change an engine.
+"""
 
 from __future__ import annotations
 
@@ -16,61 +22,73 @@
 from wallwell.errors import LeaseLostError, PlatformUnavailableError, TableConflictError
 from wallwell.events import Event, emit
 from wallwell.node.state import NodeState
-from wallwell.placement.weights_roll import EngineReport, LoadOrder, LoadTask, OrderReply, WeightsRollPlanner
+from wallwell.placement.weights_roll import EngineReport, LoadTask, OrderReply, WeightsOrder, WeightsRollPlanner
 from wallwell.storage.feed import FeedRow
 from wallwell.storage.table import Put, TableService, Transaction
 
 LEASE_NAME = "weights"
 PROGRESS_PREFIX = "weights/"
 TICK_S = 0.15
+"""Seconds between two steps. Chosen, not measured: a load starts at most this much late."""
 VALID_FRACTION = 0.4
-"""Part of the lease's time for which a holder trusts one renewal."""
+"""Fraction of the lease's time for which a holder trusts one renewal. Others wait for that and the whole lease's
+time again, so that the last order of one holder and the first of the next are a lease apart."""
 REPORT_INTERVAL_S = 0.3
+"""Seconds between two reports that a loading engine is asked for. Chosen, not measured."""
 LOAD_TIMEOUT_S = 6.0
+"""Seconds from an order's settle time to the load's end, after which the load counts as failed. Chosen, not
+measured: longer than a load takes."""
 MAX_SILENT_REPORTS = 2
-"""Reports in a row without an answer after which an engine's turn passes to another."""
+"""Unanswered reports in a row after which the load counts as failed and another engine may load. Chosen, not
+measured."""
 MAX_NAMED = 16
-"""Versions whose naming is recorded; older ones are long due."""
+"""Versions whose time of naming is recorded; older ones are long due. Chosen, not measured: it bounds the row."""
 LOADING_HINT_S = 4.0
+"""Seconds from an announcement for which nodes take an engine to be loading, unless they learn of its end before.
+Chosen, not measured: a lost announcement of the end keeps an engine out no longer."""
 SETTLE_S = 0.25
-"""Time between the word that an engine will load and its order.
-
-Nothing that is sent to the engine after that word is saved, and what was sent before is read by then: what an
-engine reads while it changes weights must not be kept."""
+"""Seconds between the announcement that an engine will load and its order. KV cache that an engine computes while
+it changes weights must not be saved: nothing sent to it after the announcement is saved, and by the end of this
+time it has prefilled what was sent before."""
 ORDER_LEAD_S = 0.03
-"""How long before its order an engine gets nothing new; what has not begun by then would be refused."""
+"""Seconds before its order from which an engine gets no new requests; one that has not begun by the order would be
+refused. Chosen, not measured."""
+PUBLISH_TIMEOUT_FRACTION = 0.25
+"""Fraction of a renewal's time for which a write of progress is waited for, so that a silent store uses up little
+of the lease."""
 
 
 class EngineControl(Protocol):
-    """Orders and reports of engines."""
+    """Sends orders to engines and asks for their reports."""
 
     async def report(self, backend: BackendRecord) -> EngineReport | None:
-        """Return what the engine says of itself, None without an answer."""
+        """Return the engine's report, None without an answer."""
         ...
 
-    async def order(self, backend: BackendRecord, order: LoadOrder) -> OrderReply:
-        """Give an order."""
+    async def order(self, backend: BackendRecord, order: WeightsOrder) -> OrderReply:
+        """Send an order; :attr:`OrderReply.UNKNOWN` without an answer."""
         ...
 
 
 class Progress(msgspec.Struct, frozen=True):
-    """Row that tells all nodes which engines are loading and which have finished."""
+    """Row by which all nodes learn which engines are loading and which have finished."""
 
     model: str
     loading: tuple[tuple[str, int], ...]
-    """Engines under order, each with its version."""
+    """Incarnations of loading engines, each with its version."""
     finished: tuple[tuple[str, int], ...]
+    """Incarnations of engines that have loaded, each with its version."""
     named: tuple[tuple[int, float], ...] = ()
-    """Versions and the store's time of their naming, for nodes that start later."""
+    """Versions and the store's time (s) of their naming, for nodes that start later."""
 
 
-def _load_to_come(model: str, version: int, now_s: float) -> LoadInProgress:
-    """Return what is believed of an engine from the word that it will load."""
+def _announced_load(model: str, version: int, now_s: float) -> LoadInProgress:
+    """Return what nodes assume of an engine once its load is announced."""
     return LoadInProgress(model, version, now_s + LOADING_HINT_S, now_s + SETTLE_S - ORDER_LEAD_S)
 
 
 class WeightsRollDriver:
-    """One node's part in weights rolls; at most one node acts at a time."""
+    """One node's driver of weights rolls; the lease lets at most one node act at a time."""
 
     def __init__(self, state: NodeState, table: TableService, control: EngineControl, clock: StoreClock) -> None:
         self._state = state
@@ -93,10 +111,10 @@
         """Model of which a load has ended since its progress was published; empty if none."""
         self._tasks = BackgroundTasks()
 
-    # --- what other nodes tell -------------------------------------------------------------------------
+    # --- rows of other nodes ---------------------------------------------------------------------------
 
     def on_row(self, row: FeedRow, now_s: float) -> None:
-        """Take a row of this product's own table."""
+        """Apply a row of this product's own table; other kinds than the lease and progress are ignored."""
         self._turn.observe(row, now_s)
         if row.key.startswith(PROGRESS_PREFIX) and row.value is not None:
             self._on_progress(msgspec.json.decode(row.value, type=Progress), now_s)
@@ -111,7 +129,7 @@
         for incarnation, version in progress.loading:
             backend = self._state.backends.get(incarnation)
             if backend is not None:
-                backend.expect_load(_load_to_come(progress.model, version, now_s), now_s)
+                backend.expect_load(_announced_load(progress.model, version, now_s), now_s)
 
     # --- loop ------------------------------------------------------------------------------------------
 
@@ -122,34 +140,44 @@
             await self.step()
 
     async def step(self) -> None:
-        """Look once whether something is due, and do this node's part of it."""
+        """Start the loads that are due, if this node holds the lease; publish loads that have ended."""
         now_s = boot_time_s()
         engines = self._engines()
         is_due = bool(self._tasks or self._unpublished) or self._planner.is_due(engines, now_s)
         self._turn.set_due(is_due, now_s)
         if not is_due or not await self._turn.hold(now_s):
             return
-        started = [task for side in self._sides(engines) for task in self._planner.next_tasks(side, boot_time_s())]
+        started = [
+            task
+            for group in self._by_rollout_version(engines)
+            for task in self._planner.next_tasks(group, boot_time_s())
+        ]
         if started:
             await self._start(started)
         elif self._unpublished:
             await self._publish(self._unpublished)
 
     def _engines(self) -> list[Backend]:
+        """Return the engines to load: those of models with named versions that a rollout has not excluded."""
         targets, rollouts = self._state.weights, self._state.rollouts
         return [
             each
             for each in self._state.backends.all()
             if any(targets.newest(model) for model in each.record.versions)
-            and not rollouts.gets_nothing_more(each.record.service, each.record.software)
+            and not rollouts.is_excluded(each.record.service, each.record.software)
         ]
 
-    def _sides(self, engines: list[Backend]) -> list[list[Backend]]:
-        """Return the engines by the side of their rollout: those of one cannot stand in for those of the other."""
-        sides: tuple[list[Backend], list[Backend]] = ([], [])
+    def _by_rollout_version(self, engines: list[Backend]) -> list[list[Backend]]:
+        """Return the engines in groups, those of current versions and those of versions that are rolled out.
+
+        While requests are shared between both, engines of one group cannot serve for those of the other.
+        """
+        current: list[Backend] = []
+        target: list[Backend] = []
         for each in engines:
-            sides[self._state.rollouts.is_beside(each.record.service, each.record.software)].append(each)
-        return [side for side in sides if side]
+            is_target = self._state.rollouts.is_target_of_active(each.record.service, each.record.software)
+            (target if is_target else current).append(each)
+        return [group for group in (current, target) if group]
 
     # --- loads -----------------------------------------------------------------------------------------
 
@@ -157,13 +185,13 @@
         for task in tasks:
             self._loading[task.backend.incarnation] = task
             now_s = boot_time_s()
-            task.backend.expect_load(_load_to_come(task.model, task.version, now_s), now_s)
+            task.backend.expect_load(_announced_load(task.model, task.version, now_s), now_s)
         await self._publish(tasks[0].model)
         for task in tasks:
             self._tasks.begin(self._load(task))
 
     async def _publish(self, model: str) -> None:
-        """Tell every node what loads; without an answer from the store the weights roll goes on all the same."""
+        """Write the progress row; without an answer from the store the weights roll goes on all the same."""
         self._unpublished = ""
         listed = self._state.backends
         self._finished = {name: done for name, done in self._finished.items() if listed.get(name) is not None}
@@ -173,15 +201,17 @@
         named = tuple((each.version, self._clock.to_store_s(each.known_since_s)) for each in certain)
         body = msgspec.json.encode(Progress(model, loading, finished, named[-MAX_NAMED:])).decode()
         try:
-            async with bounded(self._valid_s / 4):
+            async with bounded(self._valid_s * PUBLISH_TIMEOUT_FRACTION):
                 await self._table.transact(Transaction((), (Put(PROGRESS_PREFIX + model, body),)))
-        except (PlatformUnavailableError, TableConflictError, TimeoutError):
-            return
+        except (PlatformUnavailableError, TableConflictError, TimeoutError) as error:
+            # Logged each time, since a load publishes twice at most. The next write holds everything that this one
+            # did.
+            emit(Event.WEIGHTS_PROGRESS_LOST, model=model, reason=f"{type(error).__name__}: {error}")
 
     async def _load(self, task: LoadTask) -> None:
         done = False
         try:
-            done = await self._order_and_watch(task)
+            done = await self._order_and_wait(task)
         finally:
             now_s = boot_time_s()
             incarnation = task.backend.incarnation
@@ -194,8 +224,8 @@
         self._finished[incarnation] = (task.model, task.version)
         self._unpublished = task.model
 
-    async def _order_and_watch(self, task: LoadTask) -> bool:
-        """Give the order and wait until the engine reports the version; returns whether it did."""
+    async def _order_and_wait(self, task: LoadTask) -> bool:
+        """Send the order and wait until the engine reports the version; returns whether it did."""
         record = task.backend.record
         await asyncio.sleep(SETTLE_S)
         give_up_s = boot_time_s() + LOAD_TIMEOUT_S
@@ -212,7 +242,7 @@
                     return False
                 if reply is OrderReply.IN_PLACE:
                     return True
-                # Without an answer the order is given again: with the same precondition, at most one is taken.
+                # Without an answer the order is sent again: with the same precondition at most one is accepted.
                 ordered = reply is OrderReply.ACCEPTED
             await asyncio.sleep(REPORT_INTERVAL_S)
         return False
@@ -221,8 +251,9 @@
         try:
             fence = self._lease.check(boot_time_s())
         except LeaseLostError:
+            # No order without a lease, as if the engine had refused it. The loss itself is logged where it is seen.
             return OrderReply.FENCED
-        order = LoadOrder(task.model, task.version, self._state.node, fence, report.orders_taken)
+        order = WeightsOrder(task.model, task.version, self._state.node, fence, report.orders_taken)
         reply = await self._control.order(task.backend.record, order)
         emit(
             Event.ORDER_SENT,
@@ -240,6 +271,6 @@
         self._turn.drain()
 
     def stop(self) -> None:
-        """Give no further orders."""
+        """Send no further orders."""
         for task in self._tasks:
             task.cancel()
--- a/src/wallwell/placement/weights_roll_timing.py
+++ b/src/wallwell/placement/weights_roll_timing.py
@@ -1,7 +1,8 @@
 """When a weights roll begins: at once, or after a version that is expected soon, so that one load serves both.
 
-Loading and serving on older weights both cost. What decides is observed: how often versions are named, how many
-generations come, how many engines would load, and whether all of them serve. Pure.
+A load costs an engine's time; a generation on older weights loses part of its value. Both are counted in
+generations and compared. Inputs: the times at which versions were named, the fleet's generations a second, the
+number of engines that would load, and whether all of them serve. Owns no state.
 """
 
 from __future__ import annotations
@@ -14,53 +15,59 @@
 from wallwell.deployment.weights import NamedVersion
 
 SOONEST_S = 0.6
-"""Time from a version's naming to its first load: every node has heard of it by then, and it costs nothing."""
+"""Seconds from a version's naming to its first load at the earliest: every node knows the version by then, and
+generations on older weights still have their full value."""
 FREE_AGE_S = 1.5
-"""Age of a superseding version from which generations on older weights are worth less (users' rules)."""
+"""Age in seconds of the newer version from which a generation on older weights loses value. Given by the operators'
+price list."""
 STALE_LOSS = 0.2
-"""Part of a generation's worth that is lost on older weights (users' rules)."""
+"""Fraction of a generation's value that is lost on older weights. Given by the operators' price list."""
 LOAD_COST = 1.4
-"""Worth of a load and its order in generations (1.3 to 1.5 in the users' price lists, 0.8 in two of them)."""
+"""Cost of a load and its order, in generations: 1.3 to 1.5 in most of the operators' price lists, 0.8 in two."""
 NAMING_TOLERANCE_S = 0.5
-"""How late a version may be against the usual gap and still be expected."""
-GAPS_REMEMBERED = 4
+"""Seconds by which a version may be later than the usual interval and still be expected. Chosen, not measured."""
+INTERVALS_REMEMBERED = 4
+"""Newest intervals between versions whose median is the usual one. Chosen, not measured: few, so that a change of
+the operators' habit counts soon."""
 
 
 @dataclass(frozen=True)
 class RollCircumstances:
-    """What a weights roll of one model would meet now."""
+    """The fleet's state that a weights roll of one model would meet now."""
 
     generations_per_s: float
     """Of all nodes."""
     engines_lacking: int
+    """Engines without the newest version."""
     all_serving: bool
+    """Whether every listed engine that is not leaving takes requests."""
 
 
-def usual_gap_s(named: Sequence[NamedVersion]) -> float | None:
+def usual_interval_s(named: Sequence[NamedVersion]) -> float | None:
     """Return the usual time between two versions, None if fewer than two are known."""
-    times = [each.known_since_s for each in named if not each.estimated][-GAPS_REMEMBERED - 1 :]
-    gaps = [later - earlier for earlier, later in itertools.pairwise(times)]
-    return statistics.median(gaps) if gaps else None
+    times = [each.known_since_s for each in named if not each.estimated][-INTERVALS_REMEMBERED - 1 :]
+    intervals = [later - earlier for earlier, later in itertools.pairwise(times)]
+    return statistics.median(intervals) if intervals else None
 
 
-def hold_s(
+def start_delay_s(
     named: Sequence[NamedVersion],
     missing: NamedVersion,
     circumstances: RollCircumstances,
     longest_s: float,
     now_s: float,
 ) -> float:
-    """Return how long after the naming of the oldest missing version its weights roll begins.
+    """Return the seconds from the naming of the oldest missing version to the beginning of its weights roll.
 
-    ``named`` holds all versions of the model, oldest first. While an engine is out, the others are needed, and a
-    weights roll waits for ``longest_s``.
+    ``named`` holds all versions of the model, oldest first. While an engine is out of service, the others are
+    needed, and a weights roll waits for ``longest_s``.
     """
     if not circumstances.all_serving:
         return longest_s
-    gap_s = usual_gap_s(named)
-    if gap_s is None:
+    interval_s = usual_interval_s(named)
+    if interval_s is None:
         return min(SOONEST_S, longest_s)
-    next_s = named[-1].known_since_s + gap_s
+    next_s = named[-1].known_since_s + interval_s
     if now_s > next_s + NAMING_TOLERANCE_S:
         return min(SOONEST_S, longest_s)
     stale_s = max(0.0, next_s - missing.known_since_s - FREE_AGE_S)
--- a/src/wallwell/platform/workers.py
+++ b/src/wallwell/platform/workers.py
@@ -15,7 +15,7 @@
     ConnectionBrokenError,
     ConnectionPool,
 )
-from wallwell.placement.weights_roll import EngineReport, LoadOrder, OrderReply
+from wallwell.placement.weights_roll import EngineReport, OrderReply, WeightsOrder
 from wallwell.platform import names
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.messages import AnswerHead, AttemptError, Dispatch
@@ -139,7 +139,7 @@
         versions = {model.name: model.version for model in row.models}
         return EngineReport(versions, row.busy, row.seq)
 
-    async def order(self, backend: BackendRecord, order: LoadOrder) -> OrderReply:
+    async def order(self, backend: BackendRecord, order: WeightsOrder) -> OrderReply:
         """Order new weights; the reply says what is known of the order."""
         body = msgspec.json.encode(
             OrderBody(
--- a/src/wallwell/rollout/records.py
+++ b/src/wallwell/rollout/records.py
@@ -100,7 +100,7 @@
             return record
         return opening_record(order, record, ordered_at_s=0.0)
 
-    def gets_nothing_more(self, service: str, software: str) -> bool:
+    def is_excluded(self, service: str, software: str) -> bool:
         """Whether back ends of a version are leaving because of how a rollout ended."""
         sides = self.active.get(service)
         record = sides.record if sides is not None else None
@@ -109,7 +109,7 @@
         is_rolled_back = record.phase is Phase.ROLLED_BACK and software == record.target_version
         return is_rolled_back or software in record.barred
 
-    def is_beside(self, service: str, software: str) -> bool:
+    def is_target_of_active(self, service: str, software: str) -> bool:
         """Whether back ends of a version run beside the current ones in a rollout that has not ended."""
         sides = self.active.get(service)
         record = sides.record if sides is not None else None
--- a/tests/unit/placement/test_weights_roll.py
+++ b/tests/unit/placement/test_weights_roll.py
@@ -4,11 +4,16 @@
 
 from wallwell.deployment.backends import Backend, BackendRecord
 from wallwell.deployment.weights import OVERDUE_FRACTION, WeightsTargets
-from wallwell.placement.weights_roll import HOLD_FRACTION, RETRY_S, WeightsRollPlanner, divide
+from wallwell.placement.weights_roll import (
+    LONGEST_DELAY_FRACTION,
+    RETRY_S,
+    WeightsRollPlanner,
+    pools_by_prompt_length,
+)
 from wallwell.placement.weights_roll_timing import SOONEST_S
 
 ALLOWANCE_S = 8.0
-DUE_S = ALLOWANCE_S * HOLD_FRACTION
+DUE_S = ALLOWANCE_S * LONGEST_DELAY_FRACTION
 
 
 def engines(count, version=1):
@@ -118,7 +123,7 @@
 def test_some_engines_of_each_pool_go_on_serving():
     plan, listed = planner((2, 0.0)), engines(9)
     ordered = {task.backend.incarnation for task in plan.next_tasks(listed, DUE_S)}
-    for pool in divide(listed):
+    for pool in pools_by_prompt_length(listed):
         assert any(each.incarnation not in ordered for each in pool)
 
 
--- a/tests/unit/placement/test_weights_roll_timing.py
+++ b/tests/unit/placement/test_weights_roll_timing.py
@@ -7,8 +7,8 @@
     NAMING_TOLERANCE_S,
     SOONEST_S,
     RollCircumstances,
-    hold_s,
-    usual_gap_s,
+    start_delay_s,
+    usual_interval_s,
 )
 
 LONGEST_S = 5.2
@@ -31,7 +31,7 @@
     ids=["none", "one", "two", "one pause", "age of the first guessed", "pace that has changed"],
 )
 def test_the_usual_gap(versions, expected):
-    assert usual_gap_s(versions) == expected
+    assert usual_interval_s(versions) == expected
 
 
 @pytest.mark.parametrize(
@@ -61,9 +61,9 @@
 )
 def test_a_weights_roll_begins_at_once_or_waits(versions, now_s, demand_per_s, lacking, serving, begins_at_once):
     circumstances = RollCircumstances(demand_per_s, lacking, serving)
-    held_s = hold_s(versions, versions[-1], circumstances, LONGEST_S, now_s)
-    assert held_s == (SOONEST_S if begins_at_once else LONGEST_S)
+    delay_s = start_delay_s(versions, versions[-1], circumstances, LONGEST_S, now_s)
+    assert delay_s == (SOONEST_S if begins_at_once else LONGEST_S)
 
 
 def test_a_short_allowance_bounds_the_soonest():
-    assert hold_s(named(0.0), named(0.0)[0], RollCircumstances(9.0, 5, True), 0.2, 0.1) == 0.2
+    assert start_delay_s(named(0.0), named(0.0)[0], RollCircumstances(9.0, 5, True), 0.2, 0.1) == 0.2
--- a/tests/unit/rollout/test_records.py
+++ b/tests/unit/rollout/test_records.py
@@ -74,8 +74,8 @@
 @pytest.mark.parametrize(("phase", "software"), [(Phase.ROLLED_BACK, "v2"), (Phase.COMPLETE, "v1")])
 def test_back_ends_that_leave_after_a_rollout_get_nothing_more(phase, software):
     known = book(record(phase, barred=("v1",) if phase is Phase.COMPLETE else ()))
-    assert known.gets_nothing_more("svc", software)
-    assert not known.gets_nothing_more("svc", "v7")
+    assert known.is_excluded("svc", software)
+    assert not known.is_excluded("svc", "v7")
 
 
 def test_a_record_that_is_written_again_keeps_its_rollout_heard():
--- a/tests/unit/serving/test_regions.py
+++ b/tests/unit/serving/test_regions.py
@@ -25,7 +25,7 @@
 from wallwell.deployment.topology import Topology
 from wallwell.node.kv_store_watch import KvStoreWatch
 from wallwell.node.metrics import render
-from wallwell.placement.weights_roll import divide
+from wallwell.placement.weights_roll import pools_by_prompt_length
 from wallwell.routing.retry.attempt_outcome import AttemptLog
 from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
 from wallwell.routing.selection.prefix_home import PromptPart
@@ -303,7 +303,7 @@
 def test_each_region_has_engines_of_its_own_for_short_prompts():
     state = run_virtual(async_state())
     listed = state.backends.of_service("svc")
-    short, long = divide(listed, state.places)
+    short, long = pools_by_prompt_length(listed, state.places)
     for region in ("a", "b"):
         assert sum(MAP[each.record.zone] == region for each in short) == 2
         assert sum(MAP[each.record.zone] == region for each in long) == 4
@@ -312,7 +312,7 @@
 def test_half_of_a_pool_is_half_of_each_region():
     """Engines are reloaded half a pool at a time: never all of a region's at once."""
     state = run_virtual(async_state())
-    for pool in divide(state.backends.of_service("svc"), state.places):
+    for pool in pools_by_prompt_length(state.backends.of_service("svc"), state.places):
         first_half = pool[: len(pool) // 2]
         assert len({MAP[each.record.zone] for each in first_half}) == 2
 
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -41,7 +41,7 @@
 from wallwell.node.kv_store_watch import CacheReply
 from wallwell.node.metrics import FleetCollector
 from wallwell.outcomes import Outcome
-from wallwell.placement.weights_roll import EngineReport, LoadOrder, LoadTask
+from wallwell.placement.weights_roll import EngineReport, LoadTask, WeightsOrder
 from wallwell.placement.weights_roll_driver import Progress
 from wallwell.platform import rows
 from wallwell.platform.cache_events import CacheEventsClient, EventsBody, ListingBody
@@ -826,7 +826,7 @@
 
     async def act() -> tuple[EngineReport | None, str]:
         found = await workers.report(backend)
-        reply = await workers.order(backend, LoadOrder("m", 3, "n1", 8, 2))
+        reply = await workers.order(backend, WeightsOrder("m", 3, "n1", 8, 2))
         return found, reply.value
 
     found, reply = asyncio.run(act())
@@ -848,7 +848,7 @@
         pool.fetch = fetch  # type: ignore[method-assign]
         workers.pool = pool  # type: ignore[assignment]
         backend = BackendRecord("inc-1", "svc", "127.0.0.1:5", "z1", 1)
-        return (await workers.order(backend, LoadOrder("m", 3, "n1", 8, 2))).value
+        return (await workers.order(backend, WeightsOrder("m", 3, "n1", 8, 2))).value
 
     return {status: asyncio.run(act(status)) for status in statuses}
 
