--- a/src/wallwell/rollout/driver.py
+++ b/src/wallwell/rollout/driver.py
@@ -1,4 +1,9 @@
-"""Carries out rollouts: takes the lease, asks the planner, writes record and status for operators."""
+"""Carries out rollouts: takes the lease, asks the planner, writes the record and the status for operators.
+
+Owns this node's attempts at the lease ``software`` and, while it is held, what is known of each service's rows.
+What a rollout does next is decided by :mod:`wallwell.rollout.planner`. Relies on every write being conditional on
+the lease's row, so that a holder that was frozen past its lease changes nothing.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +21,7 @@
 from wallwell.events import Event, emit
 from wallwell.node.state import NodeState
 from wallwell.rollout.model import Capacity, Phase, RolloutCounts, RolloutDecision, RolloutRecord
-from wallwell.rollout.records import bar_replaced, opening_record
+from wallwell.rollout.records import exclude_replaced, opening_record
 from wallwell.rollout.reporter import report_interval_s
 from wallwell.rollout.reports import FleetCounts
 from wallwell.rollout.store import LEASE_NAME, RECORD_PREFIX, RolloutStore, StoredRollout
@@ -24,20 +29,19 @@
 from wallwell.storage.table import TableService
 
 TICK_S = 0.15
+"""Seconds between two steps. Chosen, not measured: small beside ``rollback_s`` (5 s by default)."""
 VALID_FRACTION = 0.5
-"""Part of ``lease_s`` for which a holder trusts one renewal. A dead one is followed after that and a candidate's
-delay; no guard is needed beside it, since every write has the lease's row as a condition."""
-CHECKPOINT_S = 1.0
-"""Time between two writes of a record while nothing changes. Nodes send nothing to a target version whose record is
-older than half of ``rollback_s``."""
+"""Fraction of ``lease_s`` for which a holder trusts one renewal. Another node succeeds a dead holder after that and
+a candidate's delay; no guard time is needed, since every write has the lease's row as a condition."""
+HEARTBEAT_S = 1.0
+"""Seconds between two writes of a record while nothing changes. Nodes send nothing to a target version whose record
+is older than half of ``rollback_s`` (2.5 s by default), so one write may be lost."""
 REPORTS_TO_WAIT_FOR = 2.5
-"""Intervals of reports for which a new holder decides nothing: every node's totals have then come."""
-
-
+"""Report intervals for which a new holder decides nothing: every node's totals have then arrived."""
 COMPLETE_AFTER_S = 2.0
-"""How long a node has to have held the lease to end a rollout as complete.
+"""Seconds for which a node must have held the lease to end a rollout as complete. Chosen, not measured.
 
-What dead nodes counted is lost to a new holder, and nobody watched the version meanwhile; so it first sees some
+What dead nodes counted is lost to a new holder, and nobody compared answers meanwhile; so it first waits for some
 seconds of answers. A late end costs little."""
 
 
@@ -52,15 +56,15 @@
 
 
 @dataclass
-class _Held:
-    """What this node knows of a service's rows while it holds the lease. Times are on this node's clock."""
+class _StoredRows:
+    """A service's rows as this node last read or wrote them. Times are on this node's clock."""
 
     stored: StoredRollout
     written_s: float = float("-inf")
 
 
 class RolloutDriver:
-    """One node's part in rollouts; at most one node acts at a time."""
+    """One node's driver of rollouts; the lease lets at most one node act at a time."""
 
     def __init__(
         self,
@@ -80,18 +84,18 @@
         self._valid_s = state.bounds.lease_s * VALID_FRACTION
         self._lease = LeaseKeeper(LEASE_NAME, state.node, self._valid_s, table)
         self._turn = LeaseTurn(LEASE_NAME, state.node, self._lease, self._valid_s, lambda: state.members)
-        self._held: dict[str, _Held] = {}
-        self._held_since_s: float | None = None
+        self._rows: dict[str, _StoredRows] = {}
+        self._lease_since_s: float | None = None
 
     @property
     def holder(self) -> str:
         """The node that decides, as far as this one knows; empty if none."""
         return self._state.node if self._turn.is_held() else self._turn.holder
 
-    # --- what other nodes tell -------------------------------------------------------------------------
+    # --- rows of other nodes ---------------------------------------------------------------------------
 
     def on_row(self, row: FeedRow, now_s: float) -> None:
-        """Take a row of this product's own table."""
+        """Apply a row of this product's own table; other kinds than the lease and records are ignored."""
         self._turn.observe(row, now_s)
         if not row.key.startswith(RECORD_PREFIX) or row.value is None:
             return
@@ -100,8 +104,8 @@
         except msgspec.MsgspecError as error:
             emit(Event.ROLLOUT_REFUSED, row=row.key, error=str(error))
             return
-        heard_s = min(now_s, self._clock.to_local_s(record.written_at_s))
-        if self._book.on_record(record, row.version, heard_s):
+        record_written_s = min(now_s, self._clock.to_local_s(record.written_at_s))
+        if self._book.on_record(record, row.version, record_written_s):
             emit(
                 Event.ROLLOUT_FOLLOWED,
                 service=record.service,
@@ -120,18 +124,18 @@
             await self.step()
 
     async def step(self) -> None:
-        """Look once whether something is due, and do this node's part of it."""
+        """Advance every rollout that has not ended, if this node holds the lease."""
         now_s = boot_time_s()
-        self._book.release_held(now_s)
+        self._book.release_unannounced(now_s)
         due = [service for service in self._book.due() if self._state.knows_service(service)]
         self._counts.keep(due)
         self._turn.set_due(bool(due), now_s)
         if not due or not await self._turn.hold(now_s):
-            self._held.clear()
-            self._held_since_s = None
+            self._rows.clear()
+            self._lease_since_s = None
             return
-        if self._held_since_s is None:
-            self._held_since_s = now_s
+        if self._lease_since_s is None:
+            self._lease_since_s = now_s
         for service in due:
             try:
                 async with bounded(self._valid_s):
@@ -140,54 +144,54 @@
                 self._on_write_failed(service, error)
 
     def _on_write_failed(self, service: str, error: Exception) -> None:
-        """Nothing is known of the rows any more: they are read before the next write."""
-        self._held.pop(service, None)
+        """What the rows hold is unknown now: they are read before the next write."""
+        self._rows.pop(service, None)
         emit(Event.ROLLOUT_WRITE_FAILED, service=service, reason=f"{type(error).__name__} {error}")
 
     async def _advance(self, service: str) -> None:
         """Read, decide and write once for a service. Raises what the store raises, or TimeoutError."""
-        held = self._held.get(service)
-        if held is None:
-            held = self._held[service] = _Held(await self._store.read(service))
-        record = held.stored.record
+        rows = self._rows.get(service)
+        if rows is None:
+            rows = self._rows[service] = _StoredRows(await self._store.read(service))
+        record = rows.stored.record
         order = self._book.orders.get(service)
         if order is not None and (record is None or record.order < order.store_version):
             ordered_at_s = self._clock.to_store_s(self._book.ordered_at_s[service])
             opened = opening_record(order, record, ordered_at_s)
-            await self._write(held, opened, {"ordered_ago_s": boot_time_s() - self._book.ordered_at_s[service]})
+            await self._write(rows, opened, {"ordered_ago_s": boot_time_s() - self._book.ordered_at_s[service]})
         elif record is not None and not record.phase.is_final:
-            await self._decide(held, record)
+            await self._decide(rows, record)
         elif record is not None:
-            self._learn(held.stored)  # Another holder has ended it, or this one, whose answer was lost.
+            self._learn(rows.stored)  # Another holder has ended it, or this one, whose answer was lost.
 
-    async def _decide(self, held: _Held, record: RolloutRecord) -> None:
+    async def _decide(self, rows: _StoredRows, record: RolloutRecord) -> None:
         now_s = boot_time_s()
-        self._learn(held.stored)
+        self._learn(rows.stored)
         if self._is_new_holder(now_s):
-            if now_s - held.written_s >= CHECKPOINT_S:
-                await self._write(held, record, {})
+            if now_s - rows.written_s >= HEARTBEAT_S:
+                await self._write(rows, record, {})
             return
         counts = self._counts.total(record)
         capacity = self._capacity(record.service, now_s)
         decision = self._planner.decide(record, counts, capacity, self._clock.to_store_s(now_s))
-        if decision.phase is Phase.COMPLETE and now_s - (self._held_since_s or now_s) < COMPLETE_AFTER_S:
+        if decision.phase is Phase.COMPLETE and now_s - (self._lease_since_s or now_s) < COMPLETE_AFTER_S:
             decision = RolloutDecision(
                 record.phase, record.share, "the lease was taken a moment ago", decision.inputs
             )
         decided = self._apply(record, counts, decision)
-        if _is_urgent(record, decided) or now_s - held.written_s >= CHECKPOINT_S:
-            await self._write(held, decided, dict(decision.inputs))
+        if _is_urgent(record, decided) or now_s - rows.written_s >= HEARTBEAT_S:
+            await self._write(rows, decided, dict(decision.inputs))
 
     def _is_new_holder(self, now_s: float) -> bool:
-        """Whether reports of other nodes may not have come yet. A node without peers has all there is."""
-        if self._held_since_s is None or self._state.node_count == 1:
+        """Whether other nodes' reports may not have arrived yet. A node without peers needs none."""
+        if self._lease_since_s is None or self._state.node_count == 1:
             return False
-        return now_s - self._held_since_s < REPORTS_TO_WAIT_FOR * report_interval_s(self._state.node_count)
+        return now_s - self._lease_since_s < REPORTS_TO_WAIT_FOR * report_interval_s(self._state.node_count)
 
     def _apply(self, record: RolloutRecord, counts: RolloutCounts, decision: RolloutDecision) -> RolloutRecord:
-        barred = record.barred
+        excluded = record.barred
         if decision.phase is Phase.COMPLETE:
-            barred = bar_replaced(record, self._book.known_versions(record.service))
+            excluded = exclude_replaced(record, self._book.known_versions(record.service))
         return msgspec.structs.replace(
             record,
             phase=decision.phase,
@@ -195,26 +199,26 @@
             reason=decision.reason,
             current_requests=counts.current_requests,
             target_requests=counts.target_requests,
-            barred=barred,
+            barred=excluded,
         )
 
-    async def _write(self, held: _Held, record: RolloutRecord, inputs: dict[str, float]) -> None:
+    async def _write(self, rows: _StoredRows, record: RolloutRecord, inputs: dict[str, float]) -> None:
         """Write a record and log what is new of it. Raises what the store raises."""
         lease = self._lease.held
-        assert lease is not None  # It was held a moment ago; whether it still is, the store decides.
+        assert lease is not None  # Held at the beginning of this step; whether it still is, the store decides.
         now_s = boot_time_s()
         record = msgspec.structs.replace(record, written_at_s=self._clock.to_store_s(now_s))
-        before = held.stored
-        held.stored = await self._store.write(record, before, lease.version)
-        held.written_s = now_s
-        self._learn(held.stored)
-        self._log(before, held.stored, record, inputs)
+        before = rows.stored
+        rows.stored = await self._store.write(record, before, lease.version)
+        rows.written_s = now_s
+        self._learn(rows.stored)
+        self._log(before, rows.stored, record, inputs)
 
     def _learn(self, stored: StoredRollout) -> None:
-        """Follow what is stored at once, without waiting for the feed."""
+        """Apply what is stored at once, without waiting for the feed."""
         if stored.record is not None:
-            heard_s = self._clock.to_local_s(stored.record.written_at_s)
-            self._book.on_record(stored.record, stored.record_version, heard_s)
+            record_written_s = self._clock.to_local_s(stored.record.written_at_s)
+            self._book.on_record(stored.record, stored.record_version, record_written_s)
 
     def _log(
         self, before: StoredRollout, after: StoredRollout, record: RolloutRecord, inputs: dict[str, float]
@@ -235,15 +239,15 @@
             emit(Event.ROLLOUT_STATUS_WRITTEN, service=record.service, status=after.status)
 
     def _capacity(self, service: str, now_s: float) -> Capacity:
-        sides = self._book.active[service].sides(self._state.backends.of_service(service), now_s)
-        current = [each for each in sides.current if not each.is_leaving(now_s)]
-        target = [each for each in sides.target if each.is_open(now_s)]
-        is_heard = self._state.node_count == 1 or all(each.peers_load is not None for each in sides.current)
+        groups = self._book.active[service].groups(self._state.backends.of_service(service), now_s)
+        current = [each for each in groups.current if not each.is_leaving(now_s)]
+        target = [each for each in groups.target if each.is_open(now_s)]
+        is_load_known = self._state.node_count == 1 or all(each.peers_load is not None for each in groups.current)
         return Capacity(
-            current_places=sum(each.record.slots for each in current),
-            target_places=sum(each.record.slots for each in target),
+            current_slots=sum(each.record.slots for each in current),
+            target_slots=sum(each.record.slots for each in target),
             target_backends=len(target),
-            current_in_flight=sum(each.fleet_load() for each in sides.current) if is_heard else -1,
+            current_in_flight=sum(each.fleet_load() for each in groups.current) if is_load_known else -1,
         )
 
     def drain(self) -> None:
@@ -252,7 +256,7 @@
 
 
 def _is_urgent(before: RolloutRecord, after: RolloutRecord) -> bool:
-    """Whether nodes should know of a change at once. A share that rises waits for the next checkpoint."""
+    """Whether a change is written at once. A share that rises waits for the next heartbeat."""
     if before.phase is not after.phase or after.share < before.share:
         return True
     return after.share > 0 and before.share == 0
--- a/src/wallwell/rollout/exposure.py
+++ b/src/wallwell/rollout/exposure.py
@@ -1,6 +1,8 @@
-"""How many requests the target side of a rollout may get, and from when on it may get all. Pure.
+"""How many requests the target version of a rollout may get, and from when on it may get all. Pure.
 
 ``B = exposure_share x N + exposure_requests`` is the bound, with ``N`` the requests between order and deadline.
+Inputs: totals of requests, the time left and the share in force. Owns the totals of the last seconds. The plan
+shows in the log as ``exposure_...`` among the inputs of ``ROLLOUT_DECIDED`` (7008).
 """
 
 from __future__ import annotations
@@ -12,42 +14,53 @@
 from wallwell.rollout.model import RolloutBounds
 
 CANARY_FRACTION = 0.5
-"""Part of the bound that the canary spends where answers are few."""
-CANARY_PART_OF_MANY = 0.25
+"""Fraction of the bound that the canary spends where requests are few. Chosen, not measured."""
+CANARY_FRACTION_OF_MANY = 0.25
+"""Fraction of the bound that it spends where requests are many. Chosen, not measured."""
 CANARY_ENOUGH = 600.0
-"""Requests beyond which the canary spends only :data:`CANARY_PART_OF_MANY`: 400 answers show failures of 5 in 100.
-What it leaves makes the switch longer, so that more of what is under way on the current side ends by itself."""
+"""Requests beyond which the canary spends only :data:`CANARY_FRACTION_OF_MANY`: 400 answers show failures of 5 in
+100. What it leaves makes the switch longer, so that more requests in flight at current back ends end by
+themselves."""
 SPENT_FRACTION = 0.8
-"""Part of the bound that is planned to be spent; the rest is for bursts and for counts that lag."""
+"""Fraction of the bound that is planned to be spent; the rest is for bursts and for counts that lag. Chosen, not
+measured."""
 LAST_FRACTION = 0.95
-"""Part of the bound that the last decision before the deadline may plan with: little is left to go otherwise."""
+"""Fraction of the bound that the last decision before the deadline may plan with: little can go wrong after it."""
 LAST_DECISION_S = 0.4
-"""Time before the deadline at which the next decision would come too late."""
+"""Seconds before the deadline at which the next decision would come too late. Chosen, not measured: more than
+two steps of the driver (0.15 s each)."""
 COUNT_LAG_S = 1.0
-"""Age of the oldest counts: nodes send every 0.3 s, a large fleet up to every second."""
+"""Age in seconds of the oldest counts: nodes send every 0.3 s, a large fleet up to every second."""
 WINDOW_S = 1.0
-"""Span over which a rate is taken: several reports of each node."""
+"""Seconds over which a rate is taken: several reports of each node."""
 MEMORY_S = 10.0
-"""How long a burst is remembered."""
+"""Seconds for which a burst is remembered. Chosen, not measured."""
 LARGEST_RATE_FACTOR = 3.0
-"""What a rate may lie above the mean since the order; more is taken for counts that came late to a new holder."""
+"""Largest multiple of the mean rate since the order that a rate counts as: a higher one comes of counts that
+arrived late at a new holder. Chosen, not measured."""
 LEAST_FRACTION = 0.2
-"""Part of ``exposure_share`` that a canary gets also when its part is spent: what turns bad late shows by it."""
+"""Fraction of ``exposure_share`` that a canary gets also when its budget is spent: a version that turns bad late
+shows by it. Chosen, not measured."""
 LARGEST_SHARE = 0.3
-"""Most that a canary gets of the requests before the deadline: its share follows a burst after counts and row."""
+"""Largest share of a canary before the deadline: its share follows a burst only after counts and record have
+arrived. Chosen, not measured."""
 OVERDUE_SHARE = 0.25
-"""Share after the deadline, where only the answers are short."""
+"""Share after the deadline, where no bound holds and more answers are needed. Chosen, not measured."""
 SHARE_TOLERANCE = 0.25
-"""Relative change below which the share stays: every change is a write and a row to all nodes."""
+"""Relative change up to which the share stays: every change is a write and a row to all nodes. Chosen, not
+measured."""
 LONGEST_SWITCH_S = 5.0
-"""The switch begins at most this long before the deadline: what turns bad later should show before it."""
+"""Seconds before the deadline at which the switch begins at the earliest: the longer the canary, the more late
+turns it shows. Chosen, not measured."""
 DEVIATIONS = 2.0
-"""Standard deviations of a count of arrivals that are planned for."""
+"""Standard deviations of the number of arrivals that are planned for: exceeded in about 1 of 40 plans for a normal
+distribution."""
 
 
 @dataclass(frozen=True)
 class Traffic:
-    """What was sent since the order and how fast, in requests a second. ``high_rate`` is the greatest of late."""
+    """Requests sent since the order, and rates in requests a second: the mean, the highest and the lowest of
+    late."""
 
     current: int
     target: int
@@ -57,7 +70,7 @@
 
     @property
     def total(self) -> int:
-        """Requests of both sides."""
+        """Requests to both versions."""
         return self.current + self.target
 
 
@@ -68,7 +81,7 @@
         self._samples: deque[tuple[float, int]] = deque()
 
     def observe(self, since_order_s: float, current: int, target: int) -> Traffic:
-        """Take in totals and return the traffic by them."""
+        """Record totals and return the traffic by them."""
         total = current + target
         if not self._samples or since_order_s > self._samples[-1][0]:
             self._samples.append((since_order_s, max(total, self._samples[-1][1]) if self._samples else total))
@@ -95,7 +108,8 @@
 
 @dataclass(frozen=True)
 class Exposure:
-    """The plan: share of the canary, and whether the switch fits what is left. Counts of requests."""
+    """The plan. ``bound``, ``spent`` and ``coming`` count requests; ``switch_fits`` if ``coming`` may all go to the
+    target."""
 
     bound: float
     spent: float
@@ -105,7 +119,7 @@
 
 
 def plan_exposure(bounds: RolloutBounds, traffic: Traffic, left_s: float, share: float) -> Exposure:
-    """Plan with ``left_s`` before the deadline and ``share`` in force. Nothing is bound after the deadline."""
+    """Plan with ``left_s`` seconds to the deadline and ``share`` in force. No bound holds after the deadline."""
     if left_s <= 0.0:
         return Exposure(math.inf, traffic.target, 0.0, OVERDUE_SHARE, True)
     coming = traffic.high_rate * left_s
@@ -118,13 +132,13 @@
 
 
 def _canary_share(bounds: RolloutBounds, traffic: Traffic, left_s: float, bound: float, spent: float) -> float:
-    """Return the share that spends the canary's part of the bound until the deadline."""
+    """Return the share that spends the canary's budget until the deadline."""
     if traffic.total == 0:
         return CANARY_FRACTION * bounds.exposure_share
     if spent >= SPENT_FRACTION * bound:
         return 0.0
-    part = min(CANARY_FRACTION * bound, max(CANARY_PART_OF_MANY * bound, CANARY_ENOUGH))
-    left = max(part - spent, 0.0)
+    budget = min(CANARY_FRACTION * bound, max(CANARY_FRACTION_OF_MANY * bound, CANARY_ENOUGH))
+    left = max(budget - spent, 0.0)
     expected = max(traffic.high_rate * left_s, 1.0)
     least = LEAST_FRACTION * bounds.exposure_share
     return min(max(left / expected, least), LARGEST_SHARE)
--- a/src/wallwell/rollout/likelihood.py
+++ b/src/wallwell/rollout/likelihood.py
@@ -1,4 +1,4 @@
-"""A test of a rate that may be looked at any number of times. Pure arithmetic.
+"""A test of a rate that may be evaluated any number of times while answers arrive. Pure arithmetic.
 
 For each alternative rate the likelihood ratio against the null rate is a supermartingale as long as the true rate
 is at most the null rate; so is any mixture of them (H. Robbins, "Statistical methods related to the law of the
@@ -10,12 +10,15 @@
 import math
 
 ALTERNATIVES = (0.01, 0.03, 0.06, 0.12, 0.25, 0.5, 0.9)
-"""Ways from the null rate to 1 at which the mixture has its alternatives; a version that is worse by less than 1 in
-100 is no matter of a rollout."""
+"""Fractions of the distance from the null rate to 1 at which the mixture has its alternatives. A version that is
+worse by less than 1 in 100 is not rolled back."""
 LOG_WEIGHT = -math.log(len(ALTERNATIVES))
+"""Each alternative has the same weight in the mixture."""
 NULL_DEVIATIONS = 2.0
-"""Standard deviations by which a null rate lies above the rate seen: it is too low in about 1 of 40 rollouts."""
+"""Standard deviations by which a null rate lies above the observed rate: for a normal distribution it is too low in
+about 1 of 40 rollouts."""
 LEAST_NULL_RATE = 1e-4
+"""Least null rate that is tested against; keeps the logarithm of the ratio finite. Chosen, not measured."""
 
 
 def upper_rate(events: int, answers: int, deviations: float = NULL_DEVIATIONS) -> float:
@@ -38,8 +41,8 @@
     if null >= 1.0 or events <= null * answers:
         return -math.inf
     best = -math.inf
-    for way in ALTERNATIVES:
-        rate = null + (1.0 - null) * way
-        ratio = events * math.log(rate / null) + (answers - events) * math.log1p(-way)
+    for distance in ALTERNATIVES:
+        rate = null + (1.0 - null) * distance
+        ratio = events * math.log(rate / null) + (answers - events) * math.log1p(-distance)
         best = max(best, ratio)
     return best + LOG_WEIGHT
--- a/src/wallwell/rollout/measures.py
+++ b/src/wallwell/rollout/measures.py
@@ -1,36 +1,43 @@
-"""What is counted of answers to compare two sides of a rollout. Pure."""
+"""What is counted of answers to compare the target version with the current one: failures and slowness. Pure.
+
+Names of measures appear in records' reasons and in the log.
+"""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-from wallwell.rollout.totals import Key, Totals
+from wallwell.rollout.model import Source
+from wallwell.rollout.totals import Totals
 
 USUAL_FRACTION = 0.9
-"""Part of the current side's answers that is called usual; answers beyond theirs by a factor are late."""
+"""Fraction of the current version's answers whose delays are called usual; answers later than these by a factor are
+late."""
 SLOW_SLACK_FACTOR = 1.25
+"""Factor by which the target version's rate of late answers may exceed the current one's: its caches are colder,
+and its back ends are others. Chosen, not measured."""
 SLOW_SLACK = 0.01
-"""What the target side's rate of late answers may exceed the current side's by: its caches are colder, and its back
-ends are others."""
+"""What that rate may exceed the current one by beside the factor. Chosen, not measured."""
 FAILED_SLACK = 0.002
-"""What the target side's rate of failures may exceed the current side's by."""
+"""What the target version's rate of failures may exceed the current one's by. Chosen, not measured."""
 
 
 @dataclass(frozen=True)
 class Measure:
-    """What is counted of answers. Delays count as late ``factor_buckets`` beyond the usual bucket.
+    """One kind of bad answer. Delays count as late from ``factor_buckets`` beyond the usual bucket.
 
-    ``cold_buckets`` come on top for generations while the whole service moves to back ends with empty caches.
+    ``cold_buckets`` are added for generations while the whole service moves to back ends with empty caches.
     """
 
     name: str
     field: str
+    """Field of :class:`AnswerCounts` with the delays; empty for failures."""
     factor_buckets: int = 0
     cold_buckets: int = 0
 
     def with_slack(self, rate: float) -> float:
-        """Return a rate of bad answers of the current side with what the target side may have beyond."""
+        """Return the rate of bad answers that the target version may have, by the current version's ``rate``."""
         return rate * SLOW_SLACK_FACTOR + SLOW_SLACK if self.field else rate + FAILED_SLACK
 
 
@@ -43,14 +50,15 @@
 )
 MEASURES = len(FAILURES) + len(SLOWNESS)
 GENERATION_BUCKETS = 1
-"""Beyond the usual, for first pieces of generations: a cold cache alone may make them later by up to 1.4."""
+"""Buckets added for generations' first tokens: a cold cache alone may make them later by a factor of up to 1.4."""
 
 
 @dataclass(frozen=True)
-class Verdict:
-    """What the answers say. ``log_evidence`` of a bad version, and where it is greatest.
+class VersionEvidence:
+    """Evidence that the target version is bad, by the test in which it is greatest.
 
-    ``excess`` is how many bad answers more the target side gave there than is expected at most.
+    ``log_evidence`` is the logarithm of a likelihood ratio, weighted by the number of tests. ``excess`` is how many
+    bad answers more the target version gave in that test than are allowed.
     """
 
     log_evidence: float = -math.inf
@@ -58,12 +66,13 @@
     route: str = ""
     excess: float = 0.0
     strongest_single: float = -math.inf
-    """The greatest evidence of a single test without its weight, among those with :attr:`single_excess`."""
+    """The greatest evidence of a single test without its weight."""
     single_excess: float = 0.0
+    """Bad answers beyond the allowed in that test."""
 
 
-def count_bad(totals: Totals, measure: Measure, key: Key, bucket: int) -> tuple[int, int]:
-    """Return bad and all answers of a key by a measure."""
+def count_bad(totals: Totals, measure: Measure, key: Source, bucket: int) -> tuple[int, int]:
+    """Return bad and all answers of a source by a measure."""
     if not measure.field:
         return totals.failed(key)
     return totals.beyond(key, measure.field, bucket)
--- a/src/wallwell/rollout/model.py
+++ b/src/wallwell/rollout/model.py
@@ -1,4 +1,6 @@
-"""What the parts of a rollout tell each other: orders, records, counts of answers, decisions. No I/O.
+"""Types of a rollout: orders, records, counts of answers, decisions. No I/O.
+
+Records and counts are stored and sent between nodes: their field names and order are fixed.
 
 A rollout replaces the software version of a service. Back ends of the target version run beside the current ones;
 requests move to them; when the rollout is complete the current back ends stop at once, when it is rolled back the
@@ -21,13 +23,13 @@
     CANARY = "canary"
     """A small share of requests goes to the target version while its answers are compared."""
     SWITCHING = "switching"
-    """New requests go to the target version; what is under way at the current one ends."""
+    """New requests go to the target version; requests in flight at the current one end there."""
     COMPLETE = "complete"
     ROLLED_BACK = "rolled_back"
 
     @property
     def is_final(self) -> bool:
-        """Whether nothing is decided any more."""
+        """Whether the rollout has ended."""
         return self in (Phase.COMPLETE, Phase.ROLLED_BACK)
 
 
@@ -47,9 +49,9 @@
     ``ordered_at_s`` is the store's steady time at which the order was first seen. ``share`` is the part of requests
     for the target version while in :attr:`Phase.CANARY`. ``current_requests`` and ``target_requests`` are what the
     nodes had sent to each side when the record was written: the least that a new holder of the lease starts from.
-    ``barred`` names the versions of the service that get nothing, since an earlier rollout ended with or left them.
-    ``written_at_s`` is the store's time of the writing: a node that knows no recent one during a rollout takes it
-    that nobody watches the target version.
+    ``barred`` names the excluded versions of the service: they get nothing, since an earlier rollout replaced them
+    or rolled them back, until an order names them. ``written_at_s`` is the store's time of the writing: a node
+    without a recent one during a rollout must assume that nobody compares the target version's answers.
     """
 
     service: str
@@ -73,10 +75,10 @@
 
 @dataclass(frozen=True)
 class RolloutBounds:
-    """What operators allow a target version that turns out to be bad, whenever it does.
+    """What a target version may get that turns out to be bad, whenever it does. Set by operators.
 
-    Of all requests that reach its service between order and deadline it may get ``exposure_share``, and
-    ``exposure_requests`` beside; it gets none later than ``rollback_s`` after its 50th bad answer.
+    Of all requests that reach its service between order and deadline it may get the fraction ``exposure_share``,
+    and ``exposure_requests`` beside; it gets none later than ``rollback_s`` seconds after its 50th bad answer.
     """
 
     exposure_share: float = 0.1
@@ -84,16 +86,21 @@
     rollback_s: float = 5.0
 
 
+Source = tuple[str, bool, str]
+"""Whose answers are counted: route, whether of the target version, incarnation of the target back end (else
+empty)."""
+
+
 class AnswerCounts(msgspec.Struct, frozen=True, array_like=True):
-    """Answers of one route from one side of a rollout, as totals since the order.
+    """Answers of one route from one version of a rollout, as totals since the order.
 
-    ``backend`` is the incarnation of a target back end; empty for the current side, which is counted together.
+    ``backend`` is the incarnation of a target back end; empty for current back ends, which are counted together.
     ``failed`` counts whole answers that the back end itself calls a failure; attempts that ended without an answer
     are in ``broken``, since crashes and cuts strike both versions. ``first_delays`` and ``piece_gaps`` count
-    answers by :func:`delay_bucket` of the time to the first piece (calls: to the answer) and of the mean time
-    between pieces. An attempt that was given up before its first piece counts in ``first_delays`` with the time for
-    which it was waited. Back ends that are still slow from their start are left out of both. ``answered`` counts
-    all whole answers, failed ones too: what was sent, less ``answered`` and ``broken``, is under way.
+    answers by :func:`delay_bucket` of the time to the first token (calls: to the answer) and of the mean time
+    between stream events. An attempt that timed out before its first token counts in ``first_delays`` with the time
+    that it was waited for. Back ends that are still slow from their start are left out of both. ``answered`` counts
+    all whole answers, failed ones too: what was sent, less ``answered`` and ``broken``, is in flight.
     """
 
     route: str
@@ -105,9 +112,15 @@
     first_delays: dict[int, int] = {}
     piece_gaps: dict[int, int] = {}
 
+    @property
+    def source(self) -> Source:
+        """Whose answers these are."""
+        return self.route, self.is_target, self.backend
+
 
 class RolloutCounts(msgspec.Struct, frozen=True):
-    """What one node, or all together, sent and got in one rollout. ``order`` names the order they belong to."""
+    """Requests sent and answers received in one rollout, by one node or all. ``order`` names the order they belong
+    to."""
 
     order: int
     current_requests: int = 0
@@ -117,13 +130,13 @@
 
 @dataclass(frozen=True)
 class Capacity:
-    """Back ends that can take requests, by side, in places (slots).
+    """Slots of the back ends that can take requests, of the current and of the target version.
 
-    ``current_in_flight`` counts requests under way on the current side; negative if that is not known.
+    ``current_in_flight`` counts requests in flight at current back ends; negative if that is not known.
     """
 
-    current_places: int
-    target_places: int
+    current_slots: int
+    target_slots: int
     target_backends: int
     current_in_flight: int = -1
 
@@ -139,11 +152,14 @@
 
 
 BUCKETS_PER_DOUBLING = 2
+"""Resolution of counted delays: neighbouring buckets are a factor of 1.4 apart. Fixed, since counts travel by
+it."""
 SHORTEST_DELAY_S = 0.001
+"""Upper end of the lowest bucket, in seconds. Fixed, since counts travel by it."""
 
 
 def delay_bucket(delay_s: float) -> int:
-    """Return the bucket of a time: two for each doubling, from a millisecond."""
+    """Return the bucket of a delay in seconds: two for each doubling, from a millisecond."""
     if delay_s <= SHORTEST_DELAY_S:
         return 0
     return math.floor(BUCKETS_PER_DOUBLING * math.log2(delay_s / SHORTEST_DELAY_S))
--- a/src/wallwell/rollout/records.py
+++ b/src/wallwell/rollout/records.py
@@ -1,4 +1,9 @@
-"""What one node knows of rollouts: operators' orders, records of the node that decides, listed versions. Pure."""
+"""What one node knows of rollouts: operators' orders, records of the node that decides, listed versions. Pure.
+
+Inputs: orders from the operators' table, records from this product's table, versions from the back ends' table,
+each from a feed of its own and in any order. Owns this node's :class:`ServiceRollout` objects, by which requests
+are sent, and its counts of them.
+"""
 
 from __future__ import annotations
 
@@ -6,23 +11,24 @@
 from dataclasses import dataclass, field
 
 from wallwell.rollout.model import Phase, RolloutBounds, RolloutOrder, RolloutRecord
-from wallwell.rollout.sides import UNHEARD_FRACTION, ServiceSides
+from wallwell.rollout.service_rollout import RECORD_VALID_FRACTION, ServiceRollout
 from wallwell.rollout.tally import RolloutTally
 
-UNKNOWN_HOLD_S = 2.0
-"""How long a version that nobody has named gets nothing. Entries and orders come on different feeds, of which one
-may be behind by its wait and a relay's (0.8 s each)."""
-MAX_BARRED = 16
-"""Versions that a record bars; the oldest are long gone."""
+UNANNOUNCED_WAIT_S = 2.0
+"""Seconds from its first listing for which a version that no order has named gets nothing. Entries and orders come
+on different feeds, of which one may be behind by its wait and a relay's (0.8 s each)."""
+MAX_EXCLUDED = 16
+"""Excluded versions that a record names; older ones are long gone. Chosen, not measured: it bounds the row."""
 
 
 def opening_record(
     order: RolloutOrder, previous: RolloutRecord | None, ordered_at_s: float, written_at_s: float = 0.0
 ) -> RolloutRecord:
-    """Return the first record of an order. What an earlier rollout did not end well with gets nothing any more."""
-    barred = list(previous.barred) if previous is not None else []
+    """Return the first record of an order. The target version of an earlier rollout that is not complete is
+    excluded."""
+    excluded = list(previous.barred) if previous is not None else []
     if previous is not None and previous.phase is not Phase.COMPLETE:
-        barred.append(previous.target_version)
+        excluded.append(previous.target_version)
     return RolloutRecord(
         service=order.service,
         target_version=order.target_version,
@@ -31,26 +37,26 @@
         duration_s=order.duration_s,
         phase=Phase.CANARY,
         reason="ordered",
-        barred=_barred(barred, order.target_version),
+        barred=_without_target(excluded, order.target_version),
         written_at_s=written_at_s,
     )
 
 
-def _barred(versions: Iterable[str], target: str) -> tuple[str, ...]:
-    return tuple(dict.fromkeys(version for version in versions if version != target))[-MAX_BARRED:]
+def _without_target(versions: Iterable[str], target: str) -> tuple[str, ...]:
+    return tuple(dict.fromkeys(version for version in versions if version != target))[-MAX_EXCLUDED:]
 
 
-def bar_replaced(record: RolloutRecord, known: Iterable[str]) -> tuple[str, ...]:
-    """Return the versions barred once a rollout is complete: all that the target version replaces."""
-    return _barred((*record.barred, *sorted(known)), record.target_version)
+def exclude_replaced(record: RolloutRecord, known: Iterable[str]) -> tuple[str, ...]:
+    """Return the versions excluded once a rollout is complete: all that the target version replaces."""
+    return _without_target((*record.barred, *sorted(known)), record.target_version)
 
 
 @dataclass
 class RolloutBook:
-    """Rollouts by service. ``active`` holds what requests have to look at; a service without an entry has none."""
+    """Rollouts by service. ``active`` holds those that requests go by; most services have no entry."""
 
     bounds: RolloutBounds = field(default_factory=RolloutBounds)
-    active: dict[str, ServiceSides] = field(default_factory=dict)
+    active: dict[str, ServiceRollout] = field(default_factory=dict)
     tally: RolloutTally = field(default_factory=RolloutTally)
     orders: dict[str, RolloutOrder] = field(default_factory=dict)
     ordered_at_s: dict[str, float] = field(default_factory=dict)
@@ -59,22 +65,25 @@
     _versions: dict[str, int] = field(default_factory=dict)
     """Versions of the records' rows."""
     _known: dict[str, set[str]] = field(default_factory=dict)
-    _held: dict[str, dict[str, float]] = field(default_factory=dict)
+    """Versions that back ends have listed, by service."""
+    _unannounced: dict[str, dict[str, float]] = field(default_factory=dict)
+    """Versions that no order has named, by service, with the time on this node's clock until which they get
+    nothing."""
 
     def on_order(self, order: RolloutOrder, seen_at_s: float) -> bool:
-        """Take an operator's order; returns False for one that is not newer than the known one."""
+        """Apply an operator's order; returns False for one that is not newer than the known one."""
         known = self.orders.get(order.service)
         if known is not None and known.store_version >= order.store_version:
             return False
         self.orders[order.service] = order
         self.ordered_at_s[order.service] = seen_at_s
-        self._renew(order.service)
+        self._refresh(order.service)
         return True
 
-    def on_record(self, record: RolloutRecord, version: int, heard_s: float) -> bool:
-        """Take a record as the store keeps it; returns whether the phase or order is another one.
+    def on_record(self, record: RolloutRecord, version: int, record_written_s: float) -> bool:
+        """Apply a record as the store keeps it; returns whether the phase or order is another one.
 
-        ``version`` is its row's: one older than the known one changes nothing. ``heard_s`` is when it was
+        ``version`` is its row's: one older than the known one changes nothing. ``record_written_s`` is when it was
         written, on this node's clock.
         """
         known = self._records.get(record.service)
@@ -82,11 +91,11 @@
             return False
         self._records[record.service] = record
         self._versions[record.service] = version
-        sides = self.active.get(record.service)
-        if known is not None and sides is not None and _is_same_rollout(known, record):
-            sides.heard_s = max(sides.heard_s, heard_s)
+        rollout = self.active.get(record.service)
+        if known is not None and rollout is not None and _is_same_rollout(known, record):
+            rollout.record_written_s = max(rollout.record_written_s, record_written_s)
             return False
-        self._renew(record.service, heard_s)
+        self._refresh(record.service, record_written_s)
         return known is None or (known.order, known.phase) != (record.order, record.phase)
 
     def record(self, service: str) -> RolloutRecord | None:
@@ -101,18 +110,18 @@
         return opening_record(order, record, ordered_at_s=0.0)
 
     def is_excluded(self, service: str, software: str) -> bool:
-        """Whether back ends of a version are leaving because of how a rollout ended."""
-        sides = self.active.get(service)
-        record = sides.record if sides is not None else None
+        """Whether a version gets nothing any more because of how a rollout ended."""
+        rollout = self.active.get(service)
+        record = rollout.record if rollout is not None else None
         if record is None:
             return False
         is_rolled_back = record.phase is Phase.ROLLED_BACK and software == record.target_version
         return is_rolled_back or software in record.barred
 
     def is_target_of_active(self, service: str, software: str) -> bool:
-        """Whether back ends of a version run beside the current ones in a rollout that has not ended."""
-        sides = self.active.get(service)
-        record = sides.record if sides is not None else None
+        """Whether a version is the target of a rollout that has not ended."""
+        rollout = self.active.get(service)
+        record = rollout.record if rollout is not None else None
         return record is not None and not record.phase.is_final and software == record.target_version
 
     def is_due(self, service: str) -> bool:
@@ -124,16 +133,18 @@
         """Return the services whose rollout has not ended."""
         return [service for service in self.active if self.is_due(service)]
 
-    def _renew(self, service: str, heard_s: float = float("-inf")) -> None:
+    def _refresh(self, service: str, record_written_s: float = float("-inf")) -> None:
         record = self.effective(service)
         before = self.active.get(service)
-        held = self._held.get(service, {})
-        if record is None and not held:
+        unannounced = self._unannounced.get(service, {})
+        if record is None and not unannounced:
             self.active.pop(service, None)
             return
-        heard_s = max(heard_s, before.heard_s if before is not None else heard_s)
-        unheard_after_s = self.bounds.rollback_s * UNHEARD_FRACTION
-        self.active[service] = ServiceSides(service, record, held, heard_s, unheard_after_s)
+        record_written_s = max(
+            record_written_s, before.record_written_s if before is not None else record_written_s
+        )
+        record_valid_s = self.bounds.rollback_s * RECORD_VALID_FRACTION
+        self.active[service] = ServiceRollout(service, record, unannounced, record_written_s, record_valid_s)
         if record is None or record.phase.is_final:
             self.tally.end(service)
         else:
@@ -142,7 +153,7 @@
     # --- versions of back ends -------------------------------------------------------------------------
 
     def on_listed(self, service: str, version: str, now_s: float, at_start: bool) -> None:
-        """A back end is listed. A version that nobody named gets nothing at first if others are known."""
+        """A back end is listed. A version that no order has named gets nothing at first if others are known."""
         known = self._known.setdefault(service, set())
         if version in known:
             return
@@ -150,28 +161,28 @@
         known.add(version)
         if is_first or at_start or self._is_named(service, version):
             return
-        self._held.setdefault(service, {})[version] = now_s + UNKNOWN_HOLD_S
-        self._renew(service)
+        self._unannounced.setdefault(service, {})[version] = now_s + UNANNOUNCED_WAIT_S
+        self._refresh(service)
 
     def _is_named(self, service: str, version: str) -> bool:
         record = self.effective(service)
         return record is not None and (version == record.target_version or version in record.barred)
 
     def known_versions(self, service: str) -> set[str]:
-        """Return every version that was listed for a service, without those that wait for an order."""
-        return self._known.get(service, set()) - set(self._held.get(service, {}))
-
-    def release_held(self, now_s: float) -> None:
-        """Let versions be used whose time without requests is over."""
-        for service, held in list(self._held.items()):
-            left = {version: until_s for version, until_s in held.items() if now_s < until_s}
-            if len(left) == len(held):
+        """Return every version that was listed for a service, without unannounced ones."""
+        return self._known.get(service, set()) - set(self._unannounced.get(service, {}))
+
+    def release_unannounced(self, now_s: float) -> None:
+        """Let unannounced versions be used whose wait is over."""
+        for service, waits in list(self._unannounced.items()):
+            left = {version: until_s for version, until_s in waits.items() if now_s < until_s}
+            if len(left) == len(waits):
                 continue
             if left:
-                self._held[service] = left
+                self._unannounced[service] = left
             else:
-                del self._held[service]
-            self._renew(service)
+                del self._unannounced[service]
+            self._refresh(service)
 
 
 def _is_same_rollout(one: RolloutRecord, other: RolloutRecord) -> bool:
--- a/src/wallwell/rollout/reporter.py
+++ b/src/wallwell/rollout/reporter.py
@@ -1,4 +1,8 @@
-"""Sends this node's counts of rollouts to the node that decides them."""
+"""Sends this node's counts of rollouts to the node that decides them, and receives other nodes' counts.
+
+Owns the link to the holder of the lease and what it has received. Relies on the holder's name from the followed
+lease row; a report that is lost costs nothing, since the next one holds the newest totals.
+"""
 
 from __future__ import annotations
 
@@ -13,22 +17,24 @@
 from wallwell.rollout.tally import RolloutTally
 
 REPORT_INTERVAL_S = 0.3
-"""Time between two reports of a node in a fleet of up to :data:`NODES_AT_FULL_PACE`.
-
-Larger fleets report less often, so that the node that decides takes some 330 reports a second at most."""
-NODES_AT_FULL_PACE = 100
+"""Seconds between two reports of a node in a fleet of up to :data:`NODES_AT_FULL_RATE`. Chosen, not measured: a
+small part of ``rollback_s`` (5 s by default)."""
+NODES_AT_FULL_RATE = 100
+"""Nodes up to which each reports at the full rate. Larger fleets report less often, so that the deciding node
+receives some 330 reports a second at most."""
 ANSWER_TIMEOUT_S = 0.3
+"""Seconds for which an answer is waited for: one report interval of a small fleet, then the next report is due."""
 LIFE_BITS = 63
-"""Length of the random number that tells a node's life from its earlier ones; a positive JSON integer."""
+"""Bits of the random number that distinguishes a node's lives; a positive JSON integer."""
 
 
 def report_interval_s(nodes: int) -> float:
     """Return the time between two reports of a node."""
-    return REPORT_INTERVAL_S * max(1.0, nodes / NODES_AT_FULL_PACE)
+    return REPORT_INTERVAL_S * max(1.0, nodes / NODES_AT_FULL_RATE)
 
 
 class CountsReporter:
-    """One node's reports; nothing is sent while no rollout is on."""
+    """One node's reports; nothing is sent while no rollout is active."""
 
     def __init__(
         self,
@@ -38,7 +44,8 @@
         holder: Callable[[], str],
         members: Callable[[], Mapping[str, Member]],
     ) -> None:
-        """``fleet`` is what this node decides by when it holds the lease, ``holder`` names who does."""
+        """``fleet`` holds all counts that this node has received; ``holder`` returns the holder's name, empty if
+        none."""
         self._node = node
         self._life = secrets.randbits(LIFE_BITS)
         self._tally = tally
@@ -67,16 +74,16 @@
         if holder == self._node or member is None or not member.relay:
             return
         self._links.keep({holder})
-        unsaid = self._taken.unsaid(counts) if self._taken.holder[0] == holder else counts
-        report = CountsReport(self._node, self._life, unsaid)
+        not_yet_taken = self._taken.not_yet_taken(counts) if self._taken.holder[0] == holder else counts
+        report = CountsReport(self._node, self._life, not_yet_taken)
         try:
             reply = await self._links.to(holder, member.relay).ask(report, CountsTaken, ANSWER_TIMEOUT_S)
         except PeerUnavailableError:
-            return  # The next report holds all that this one did, and may go to another holder.
-        self._taken.on_taken((holder, reply.life), unsaid)
+            return  # Not logged: the next report holds all that this one did, and may go to another holder.
+        self._taken.on_taken((holder, reply.life), not_yet_taken)
 
     async def on_report(self, report: CountsReport) -> CountsTaken:
-        """Take another node's report. It counts whoever holds the lease: its row may be on its way here."""
+        """Add another node's report, whoever holds the lease: its row may still be on its way to this node."""
         self._fleet.take(report)
         return CountsTaken(self._life)
 
--- a/src/wallwell/rollout/reports.py
+++ b/src/wallwell/rollout/reports.py
@@ -1,7 +1,10 @@
-"""What nodes tell the one that decides a rollout: totals of their lives, kept beyond a node's death. Pure.
+"""Counts of a rollout as nodes report them to the holder of the lease, and the holder's sum of them. Pure.
 
-A report holds a node's totals, but of its sources only those that have changed since the holder took them. So its
-size goes with the node's answers, not with the number of back ends.
+A report holds a node's totals, but of its sources only those that have changed since the holder received them. So
+its size grows with the node's answers, not with the number of back ends. Totals are kept by node and life, beyond a
+node's death.
+
+:class:`TakenCounts` belongs to a reporting node, :class:`FleetCounts` to the one that decides.
 """
 
 from __future__ import annotations
@@ -13,12 +16,12 @@
 import msgspec
 
 from wallwell.cluster.peer_link import PeerMessage
-from wallwell.rollout.model import AnswerCounts, RolloutCounts, RolloutRecord
-from wallwell.rollout.tally import ServiceTally, Source
+from wallwell.rollout.model import AnswerCounts, RolloutCounts, RolloutRecord, Source
+from wallwell.rollout.tally import ServiceTally
 
 
 class CountsReport(PeerMessage, frozen=True):
-    """A node's totals by service. ``life`` is another one after each of its starts."""
+    """A node's totals by service. ``life`` is a random number of its own for each of the node's starts."""
 
     node: str
     life: int
@@ -26,42 +29,43 @@
 
 
 class CountsTaken(msgspec.Struct, frozen=True):
-    """Answer to :class:`CountsReport`: the life of the node that took it, which knows nothing of earlier ones."""
+    """Answer to :class:`CountsReport`: the life of the receiving node, which knows nothing from its earlier
+    lives."""
 
     life: int
 
 
 @dataclass
 class TakenCounts:
-    """What a node's reports need not repeat, since a life of the holder has taken it."""
+    """What a node's reports can leave out, since the holder has received it in its present life."""
 
     holder: tuple[str, int] = ("", 0)
     _answers: dict[tuple[str, int, Source], int] = field(default_factory=dict)
 
-    def unsaid(self, counts: Mapping[str, RolloutCounts]) -> dict[str, RolloutCounts]:
-        """Return the totals without the sources that the holder knows."""
+    def not_yet_taken(self, counts: Mapping[str, RolloutCounts]) -> dict[str, RolloutCounts]:
+        """Return the totals without the sources whose newest counts the holder has."""
         found = {}
         for service, each in counts.items():
             new = tuple(
                 answers
                 for answers in each.answers
-                if self._answers.get((service, each.order, _source(answers))) != _ended(answers)
+                if self._answers.get((service, each.order, answers.source)) != _ended(answers)
             )
             found[service] = msgspec.structs.replace(each, answers=new)
         return found
 
     def on_taken(self, holder: tuple[str, int], counts: Mapping[str, RolloutCounts]) -> None:
-        """A report was taken. A holder other than before has to be told everything again."""
+        """A report was received. A holder other than before is sent everything again."""
         if holder != self.holder:
             self.holder = holder
             self._answers.clear()
             return
         for service, each in counts.items():
             for answers in each.answers:
-                self._answers[(service, each.order, _source(answers))] = _ended(answers)
+                self._answers[(service, each.order, answers.source)] = _ended(answers)
 
     def clear(self) -> None:
-        """No rollout is on."""
+        """No rollout is active."""
         self.holder = ("", 0)
         self._answers.clear()
 
@@ -72,11 +76,12 @@
 
     order: int
     requests: dict[tuple[str, int], tuple[int, int]] = field(default_factory=dict)
-    """Requests to the current and the target side."""
+    """Requests to the current and to the target version, by node and life."""
     answers: dict[tuple[str, int, Source], AnswerCounts] = field(default_factory=dict)
     total: ServiceTally = field(default_factory=lambda: ServiceTally(0))
 
     def take(self, life: tuple[str, int], counts: RolloutCounts) -> None:
+        """Add what is new in the totals of a node's life."""
         current, target = self.requests.get(life, (0, 0))
         newest = max(current, counts.current_requests), max(target, counts.target_requests)
         self.requests[life] = newest
@@ -86,7 +91,7 @@
             self._take_answers(life, each)
 
     def _take_answers(self, life: tuple[str, int], newest: AnswerCounts) -> None:
-        key = (*life, _source(newest))
+        key = (*life, newest.source)
         before = self.answers.get(key)
         if before is not None and _ended(before) >= _ended(newest):
             return
@@ -98,12 +103,12 @@
 
 @dataclass
 class FleetCounts:
-    """What all nodes together sent and got, by service."""
+    """What all nodes together sent and received, by service."""
 
     _services: dict[str, _ServiceTotals] = field(default_factory=dict)
 
     def take(self, report: CountsReport) -> None:
-        """Take a node's report; what is older than an earlier one changes nothing."""
+        """Add a node's report; counts older than known ones change nothing."""
         for service, counts in report.counts.items():
             known = self._services.get(service)
             if known is None or known.order < counts.order:
@@ -112,7 +117,7 @@
                 known.take((report.node, report.life), counts)
 
     def total(self, record: RolloutRecord) -> RolloutCounts:
-        """Return what all nodes sent and got in a rollout; at least what its record says."""
+        """Return what all nodes sent and received in a rollout; at least the requests that its record counts."""
         known = self._services.get(record.service)
         counts = known.total.counts() if known is not None and known.order == record.order else RolloutCounts(0)
         return msgspec.structs.replace(
@@ -129,10 +134,6 @@
             self._services = {service: known for service, known in self._services.items() if service in kept}
 
 
-def _source(answers: AnswerCounts) -> Source:
-    return answers.route, answers.is_target, answers.backend
-
-
 def _ended(answers: AnswerCounts) -> int:
     """Return how many attempts have ended; it grows with every change."""
     return answers.answered + answers.broken
--- a/src/wallwell/rollout/store.py
+++ b/src/wallwell/rollout/store.py
@@ -1,4 +1,4 @@
-"""Where rollouts are kept: the interface of the store that one node writes and every node follows."""
+"""Interface of the store for rollouts: two rows a service, which one node writes and every node follows."""
 
 from __future__ import annotations
 
@@ -36,6 +36,6 @@
 
         Nothing is written unless both rows are as they were ``seen`` and the row of the lease on rollouts has
         ``lease_version``. Raises :class:`TableConflictError` (nothing written) or
-        :class:`PlatformUnavailableError` (unknown; read again).
+        :class:`PlatformUnavailableError` (unknown whether written; read before the next write).
         """
         ...
--- a/src/wallwell/rollout/tally.py
+++ b/src/wallwell/rollout/tally.py
@@ -1,19 +1,25 @@
-"""What one node sent to each side of its rollouts and how it was answered, as totals since the order. Pure."""
+"""Counts what one node sent to each version in its rollouts and how it was answered, as totals since the order.
+Pure.
+
+Owns the node's totals. Relies on the request pipeline to report each attempt's begin and end
+(``serving/version_choice.py``). Reports of the totals go to the node that decides
+(:mod:`wallwell.rollout.reporter`).
+"""
 
 from __future__ import annotations
 
 from collections import Counter
 from dataclasses import dataclass, field
 
-from wallwell.rollout.model import AnswerCounts, RolloutCounts, delay_bucket
+from wallwell.rollout.model import AnswerCounts, RolloutCounts, Source, delay_bucket
 
-Source = tuple[str, bool, str]
-"""Route, whether from the target side, and the target back end's incarnation."""
+FIRST_SERVER_ERROR = 500
+"""Least HTTP status by which a back end calls its answer a failure of its own."""
 
 
 @dataclass
 class SourceCounts:
-    """Answers of one route from one side, or from one target back end."""
+    """Answers of one :data:`Source`; see :class:`AnswerCounts` for what each figure counts."""
 
     answered: int = 0
     failed: int = 0
@@ -32,7 +38,7 @@
     answers: dict[Source, SourceCounts] = field(default_factory=dict)
 
     def counts(self) -> RolloutCounts:
-        """Return the totals as they travel."""
+        """Return the totals as they are sent between nodes."""
         answers = tuple(
             AnswerCounts(
                 *source, each.answered, each.failed, each.broken, dict(each.first_delays), dict(each.piece_gaps)
@@ -42,7 +48,7 @@
         return RolloutCounts(self.order, self.current_requests, self.target_requests, answers)
 
     def failures(self, is_target: bool) -> int:
-        """Return the failed answers of a side."""
+        """Return the failed answers of the target version, or of the current ones."""
         return sum(each.failed for source, each in self.answers.items() if source[1] == is_target)
 
     def on_sent(self, is_target: bool) -> None:
@@ -63,7 +69,7 @@
 
 @dataclass
 class RolloutTally:
-    """One node's totals of the rollouts that are on; nothing is kept of others."""
+    """One node's totals of the rollouts that have not ended."""
 
     by_service: dict[str, ServiceTally] = field(default_factory=dict)
 
@@ -84,29 +90,29 @@
 
 @dataclass
 class CountedAttempt:
-    """One attempt under way that is counted; ends exactly once. Times are on this node's clock."""
+    """One attempt in flight that is counted; ends exactly once. Times are on this node's clock."""
 
     counts: SourceCounts
     sent_s: float
     is_warm: bool
     """Whether its back end is no longer slow from its start."""
 
-    def on_whole(self, status: int, first_s: float, last_s: float, pieces: int) -> None:
-        """A whole answer has come, its first piece at ``first_s``."""
+    def on_whole(self, status: int, first_s: float, last_s: float, events: int) -> None:
+        """A whole answer of so many ``events`` has arrived, the first at ``first_s`` and the last at ``last_s``."""
         self.counts.answered += 1
-        self.counts.failed += status >= 500
+        self.counts.failed += status >= FIRST_SERVER_ERROR
         if not self.is_warm:
             return
         self.counts.first_delays[delay_bucket(first_s - self.sent_s)] += 1
-        if pieces > 1:
-            self.counts.piece_gaps[delay_bucket((last_s - first_s) / (pieces - 1))] += 1
+        if events > 1:
+            self.counts.piece_gaps[delay_bucket((last_s - first_s) / (events - 1))] += 1
 
     def on_broken(self) -> None:
         """The attempt ended without a whole answer."""
         self.counts.broken += 1
 
     def on_given_up(self, first_s: float | None, now_s: float) -> None:
-        """The attempt was given up for its silence: it would have taken longer than was waited."""
+        """The attempt timed out at ``now_s``: its answer would have taken longer than it was waited for."""
         self.counts.broken += 1
         if first_s is None and self.is_warm:
             self.counts.first_delays[delay_bucket(now_s - self.sent_s)] += 1
--- a/src/wallwell/rollout/totals.py
+++ b/src/wallwell/rollout/totals.py
@@ -1,27 +1,32 @@
-"""Totals of answers: of several nodes' lives added up, and at one time for comparison with a later one. Pure."""
+"""Totals of answers, added up over nodes' lives, and as a snapshot to be compared with a later one. Pure.
+
+A :class:`Totals` owns its counts and caches sums of them; it never changes after it was made.
+"""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable, Mapping
 
-from wallwell.rollout.model import AnswerCounts, RolloutCounts
+from wallwell.rollout.model import AnswerCounts, RolloutCounts, Source
 
-Key = tuple[str, bool, str]
-"""Route, whether of the target side, incarnation of the target back end (empty for the current side)."""
+NEAR_CERTAIN_DEVIATIONS = 3.0
+"""Standard deviations below the expected number of answers that a route's answers stay above with near certainty
+(999 of 1,000 for a normal distribution)."""
 
 
 def merge(parts: Iterable[RolloutCounts], order: int) -> RolloutCounts:
-    """Return the sum of what nodes' lives sent and got; parts of other orders are left out."""
+    """Return the sum of what nodes sent and received, each life of a node apart; other orders' parts are left
+    out."""
     current_requests = target_requests = 0
-    answers: dict[Key, AnswerCounts] = {}
+    answers: dict[Source, AnswerCounts] = {}
     for part in parts:
         if part.order != order:
             continue
         current_requests += part.current_requests
         target_requests += part.target_requests
         for each in part.answers:
-            key = (each.route, each.is_target, each.backend)
+            key = each.source
             known = answers.get(key)
             answers[key] = each if known is None else _sum(known, each)
     return RolloutCounts(order, current_requests, target_requests, tuple(answers.values()))
@@ -48,39 +53,39 @@
 
 
 class Totals:
-    """Answers as they were counted at one time. What is asked often is worked out once."""
+    """Answers as they were counted ``at_s`` seconds after the order. Sums that are needed often are cached."""
 
     def __init__(self, counts: RolloutCounts, at_s: float) -> None:
         self.at_s = at_s
-        self.by_key: dict[Key, AnswerCounts] = {}
-        self.targets: dict[str, list[Key]] = {}
-        """Keys of the target back ends by route."""
+        self.by_key: dict[Source, AnswerCounts] = {}
+        self.targets: dict[str, list[Source]] = {}
+        """Sources of target back ends by route."""
         for each in merge((counts,), counts.order).answers:
-            key = (each.route, each.is_target, each.backend)
+            key = each.source
             self.by_key[key] = each
             if each.is_target:
                 self.targets.setdefault(each.route, []).append(key)
         self.target_answers = sum(each.answered for key, each in self.by_key.items() if key[1])
-        self._beyond: dict[tuple[Key, str, int], tuple[int, int]] = {}
+        self._beyond: dict[tuple[Source, str, int], tuple[int, int]] = {}
         self._of_targets: dict[tuple[str, str, int], tuple[int, int]] = {}
 
     def current_routes(self) -> list[str]:
-        """Return the routes that the current side has answered."""
+        """Return the routes that current back ends have answered."""
         return [route for route, is_target, _ in self.by_key if not is_target]
 
     def answered(self, route: str, is_target: bool) -> int:
-        """Return how many whole answers of a route a side has given."""
+        """Return how many whole answers of a route the target version, or the current ones, have given."""
         if not is_target:
             each = self.by_key.get((route, False, ""))
             return 0 if each is None else each.answered
         return sum(self.by_key[key].answered for key in self.targets.get(route, ()))
 
-    def failed(self, key: Key) -> tuple[int, int]:
-        """Return failed and all answers."""
+    def failed(self, key: Source) -> tuple[int, int]:
+        """Return failed and all answers of a source."""
         each = self.by_key.get(key)
         return (0, 0) if each is None else (each.failed, each.answered)
 
-    def beyond(self, key: Key, field: str, bucket: int) -> tuple[int, int]:
+    def beyond(self, key: Source, field: str, bucket: int) -> tuple[int, int]:
         """Return answers above a bucket of ``field`` (``first_delays``, ``piece_gaps``), and all counted there."""
         known = self._beyond.get((key, field, bucket))
         if known is not None:
@@ -102,11 +107,11 @@
             self._of_targets[(route, field, bucket)] = known
         return known
 
-    def quantile(self, key: Key, field: str, part: float) -> int | None:
-        """Return the bucket at or below which ``part`` of a key's answers are; None without answers."""
+    def quantile(self, key: Source, field: str, fraction: float) -> int | None:
+        """Return the bucket at or below which ``fraction`` of a source's answers are; None without answers."""
         each = self.by_key.get(key)
         buckets: Mapping[int, int] = {} if each is None else getattr(each, field)
-        left = part * sum(buckets.values())
+        left = fraction * sum(buckets.values())
         for bucket in sorted(buckets):
             left -= buckets[bucket]
             if left <= 0:
@@ -115,10 +120,10 @@
 
 
 def answers_short(totals: Totals, route_answers: int) -> dict[str, int]:
-    """Return the routes on which the target side has answered too few requests, with the least number.
+    """Return the routes on which the target version has answered too few requests, with the number needed.
 
-    A route should give ``route_answers``, or as many as its traffic gives with near certainty: three standard
-    deviations below what the current side's answers lead to expect. So a rare route asks for few or none.
+    A route needs ``route_answers``, or as many as its traffic gives with near certainty
+    (:data:`NEAR_CERTAIN_DEVIATIONS`) by the current version's answers. So a rare route needs few or none.
     """
     routes = totals.current_routes()
     current = sum(totals.answered(route, False) for route in routes)
@@ -126,7 +131,7 @@
     short: dict[str, int] = {}
     for route in routes:
         expected = target * totals.answered(route, False) / max(current, 1)
-        least = min(route_answers, math.floor(expected - 3.0 * math.sqrt(expected)))
+        least = min(route_answers, math.floor(expected - NEAR_CERTAIN_DEVIATIONS * math.sqrt(expected)))
         if totals.answered(route, True) < least:
             short[route] = least
     return short
--- a/src/wallwell/serving/version_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -10,7 +10,7 @@
 
 from wallwell.deployment.backends import Backend
 from wallwell.node.state import NodeState
-from wallwell.rollout.sides import ServiceSides
+from wallwell.rollout.service_rollout import ServiceRollout
 from wallwell.rollout.tally import CountedAttempt
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.active_request import ActiveRequest
@@ -45,10 +45,10 @@
     return next((each for each in offers if each.usable), offers[0])
 
 
-def _may_prefer_target(sides: ServiceSides, now_s: float) -> bool:
+def _may_prefer_target(sides: ServiceRollout, now_s: float) -> bool:
     """Whether a request that was drawn for the target version may still go there at its next attempt."""
     record = sides.record
-    return record is not None and (record.phase.is_final or sides.is_heard(now_s))
+    return record is not None and (record.phase.is_final or sides.has_fresh_record(now_s))
 
 
 def eligible_backends(state: NodeState, service: str, now_s: float) -> Sequence[Backend]:
--- a/tests/unit/rollout/test_driver.py
+++ b/tests/unit/rollout/test_driver.py
@@ -5,7 +5,7 @@
 from tests.unit.rollout.fleet import RECORD_PREFIX, SHARE, STATUS_PREFIX, SWITCHED_S, play, writers
 from wallwell.clock import boot_time_s
 from wallwell.deployment.backends import BackendRecord
-from wallwell.rollout.driver import CHECKPOINT_S, COMPLETE_AFTER_S
+from wallwell.rollout.driver import COMPLETE_AFTER_S, HEARTBEAT_S
 from wallwell.rollout.model import Phase, RolloutBounds, RolloutOrder
 from wallwell.rollout.planner import RolloutPlanner
 from wallwell.rollout.reporter import REPORT_INTERVAL_S
@@ -77,7 +77,7 @@
             for _ in range(10):
                 node.book.tally.by_service["svc"].on_sent(is_target=False)
         before = len(fleet.holder.store.writes)
-        await asyncio.sleep(2 * CHECKPOINT_S)
+        await asyncio.sleep(2 * HEARTBEAT_S)
         return len(fleet.holder.store.writes) - before, fleet.record().current_requests
 
     writes, requests = play(scenario)
@@ -89,15 +89,15 @@
     async def scenario(fleet):
         fleet.order()
         await fleet.until(lambda: fleet.record() is not None and fleet.record().share == SHARE)
-        heard = set()
+        fresh = set()
         for _ in range(15):
             await asyncio.sleep(0.1)
-            heard |= {node.book.active["svc"].is_heard(boot_time_s()) for node in fleet.nodes}
+            fresh |= {node.book.active["svc"].has_fresh_record(boot_time_s()) for node in fleet.nodes}
         fleet.kill(fleet.holder)
         for node in fleet.nodes:
             node.driver.drain()  # Nobody takes over.
         await asyncio.sleep(2.5)
-        return heard, {node.book.active["svc"].is_heard(boot_time_s()) for node in fleet.nodes}
+        return fresh, {node.book.active["svc"].has_fresh_record(boot_time_s()) for node in fleet.nodes}
 
     assert play(scenario) == ({True}, {False})
 
--- a/tests/unit/rollout/test_evidence.py
+++ b/tests/unit/rollout/test_evidence.py
@@ -30,7 +30,7 @@
 
 def worse(log, is_switching=False):
     """Return the worse of both verdicts."""
-    verdicts = [log.verdict(measures, is_switching) for measures in (FAILURES, SLOWNESS)]
+    verdicts = [log.evidence(measures, is_switching) for measures in (FAILURES, SLOWNESS)]
     return max(verdicts, key=lambda each: each.log_evidence)
 
 
--- a/tests/unit/rollout/test_records.py
+++ b/tests/unit/rollout/test_records.py
@@ -3,7 +3,7 @@
 import pytest
 
 from wallwell.rollout.model import Phase, RolloutBounds, RolloutOrder, RolloutRecord
-from wallwell.rollout.records import UNKNOWN_HOLD_S, RolloutBook, bar_replaced, opening_record
+from wallwell.rollout.records import UNANNOUNCED_WAIT_S, RolloutBook, exclude_replaced, opening_record
 
 ORDER = RolloutOrder("svc", "v2", 30.0, 10)
 
@@ -17,7 +17,7 @@
     if order is not None:
         known.on_order(order, 1.0)
     for version, each in enumerate(records, 1):
-        known.on_record(each, version, heard_s=50.0)
+        known.on_record(each, version, record_written_s=50.0)
     return known
 
 
@@ -68,7 +68,7 @@
 
 
 def test_a_complete_rollout_bars_all_versions_that_it_replaces():
-    assert bar_replaced(record(barred=("v0",)), {"v1", "v2"}) == ("v0", "v1")
+    assert exclude_replaced(record(barred=("v0",)), {"v1", "v2"}) == ("v0", "v1")
 
 
 @pytest.mark.parametrize(("phase", "software"), [(Phase.ROLLED_BACK, "v2"), (Phase.COMPLETE, "v1")])
@@ -78,13 +78,13 @@
     assert not known.is_excluded("svc", "v7")
 
 
-def test_a_record_that_is_written_again_keeps_its_rollout_heard():
+def test_a_record_that_is_written_again_stays_fresh():
     known = book(record())
-    sides = known.active["svc"]
-    assert not sides.is_heard(52.6)
+    rollout = known.active["svc"]
+    assert not rollout.has_fresh_record(52.6)
     known.on_record(record(), 2, 52.0)
-    assert known.active["svc"] is sides
-    assert sides.is_heard(52.6)
+    assert known.active["svc"] is rollout
+    assert rollout.has_fresh_record(52.6)
 
 
 def test_counting_begins_with_the_order_and_ends_with_the_rollout():
@@ -100,7 +100,7 @@
     known = book()
     known.on_listed("svc", "v1", 0.0, at_start=True)
     known.on_listed("svc", "v2", 10.0, at_start=False)
-    assert known.active["svc"].held_until_s == {"v2": 10.0 + UNKNOWN_HOLD_S}
+    assert known.active["svc"].unannounced_until_s == {"v2": 10.0 + UNANNOUNCED_WAIT_S}
     known.on_order(ORDER, 10.5)
     assert known.effective("svc").target_version == "v2"
 
@@ -110,7 +110,7 @@
     known.on_listed("svc", "v1", 0.0, at_start=True)
     known.on_listed("svc", "v2", 10.0, at_start=False)
     known.on_listed("svc", "v2", 11.0, at_start=False)
-    known.release_held(10.0 + UNKNOWN_HOLD_S)
+    known.release_unannounced(10.0 + UNANNOUNCED_WAIT_S)
     assert known.active == {}
 
 
@@ -123,11 +123,11 @@
     assert known.active == {}
 
 
-def test_a_version_that_is_named_is_not_held():
+def test_a_version_that_is_named_is_not_unannounced():
     known = book(order=ORDER)
     known.on_listed("svc", "v1", 0.0, at_start=True)
     known.on_listed("svc", "v2", 10.0, at_start=False)
-    assert known.active["svc"].held_until_s == {}
+    assert known.active["svc"].unannounced_until_s == {}
 
 
 def test_a_version_that_waits_for_its_order_does_not_count_as_replaced():
--- a/tests/unit/rollout/test_sides.py
+++ b/tests/unit/rollout/test_service_rollout.py
@@ -7,7 +7,7 @@
 
 from wallwell.deployment.backends import Backend, BackendRecord
 from wallwell.rollout.model import Phase, RolloutRecord
-from wallwell.rollout.sides import ServiceSides, canary_backends
+from wallwell.rollout.service_rollout import ServiceRollout, canary_backends
 
 NOW_S = 100.0
 
@@ -24,8 +24,8 @@
     return RolloutRecord("svc", "v2", 1, 0.0, 30.0, phase, share, barred=barred)
 
 
-def sides(phase=Phase.CANARY, share=0.0, heard_s=NOW_S, barred=(), held=None):
-    return ServiceSides("svc", record(phase, share, barred), held or {}, heard_s, 2.5)
+def rollout(phase=Phase.CANARY, share=0.0, record_written_s=NOW_S, barred=(), unannounced=None):
+    return ServiceRollout("svc", record(phase, share, barred), unannounced or {}, record_written_s, 2.5)
 
 
 def names(backends):
@@ -48,12 +48,12 @@
     ],
 )
 def test_requests_are_drawn_by_phase_and_share(phase, share, part):
-    assert drawn(sides(phase, share)) == pytest.approx(part, abs=0.003)
+    assert drawn(rollout(phase, share)) == pytest.approx(part, abs=0.003)
 
 
 @pytest.mark.parametrize(("phase", "part"), [(Phase.CANARY, 0.0), (Phase.SWITCHING, 0.0), (Phase.COMPLETE, 1.0)])
-def test_a_node_that_has_not_heard_of_a_watched_rollout_sends_nothing_to_its_target(phase, part):
-    assert drawn(sides(phase, 0.2, heard_s=NOW_S - 2.5)) == part
+def test_a_node_without_a_fresh_record_sends_nothing_to_its_target(phase, part):
+    assert drawn(rollout(phase, 0.2, record_written_s=NOW_S - 2.5)) == part
 
 
 @pytest.mark.parametrize(
@@ -72,8 +72,8 @@
 )
 def test_the_other_side_takes_a_request_only_where_the_phase_allows_it(phase, share, prefers_target, expected):
     barred = ("v1",) if phase is Phase.COMPLETE else ()
-    service = sides(phase, share, barred=barred)
-    known = service.sides([*OLD, *NEW], NOW_S)
+    service = rollout(phase, share, barred=barred)
+    known = service.groups([*OLD, *NEW], NOW_S)
     groups = {"current": names(OLD), "target": names(NEW), "canary": names(known.canary), "none": set()}
     tiers = service.tiers([*OLD, *NEW], prefers_target, NOW_S)
     assert [names(tier) for tier in tiers] == [groups[each] for each in expected]
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize(("phase", "is_served"), [(Phase.CANARY, True), (Phase.ROLLED_BACK, False)])
 def test_without_any_current_back_end_listed_the_target_serves_unless_rolled_back(phase, is_served):
-    tiers = sides(phase).tiers(NEW, False, NOW_S)
+    tiers = rollout(phase).tiers(NEW, False, NOW_S)
     assert any(tiers) == is_served
 
 
@@ -99,20 +99,20 @@
     assert canary_backends("svc", NEW, 40, 0.2)[: len(few)] == few
 
 
-def test_a_barred_or_held_version_gets_nothing():
+def test_a_excluded_or_unannounced_version_gets_nothing():
     others = [backend("a", "v0"), backend("b", "v3")]
-    service = sides(Phase.COMPLETE, barred=("v0",), held={"v3": NOW_S + 1})
+    service = rollout(Phase.COMPLETE, barred=("v0",), unannounced={"v3": NOW_S + 1})
     assert names(service.eligible_backends([*others, *NEW], NOW_S)) == names(NEW)
     assert names(service.eligible_backends([*others, *NEW], NOW_S + 1)) == names([others[1], *NEW])
 
 
 def test_a_version_listed_later_without_an_order_is_used_beside_a_complete_one():
-    (tier,) = sides(Phase.COMPLETE, barred=("v1",)).tiers([*OLD, *NEW, backend("c", "v3")], True, NOW_S)
+    (tier,) = rollout(Phase.COMPLETE, barred=("v1",)).tiers([*OLD, *NEW, backend("c", "v3")], True, NOW_S)
     assert names(tier) == {*names(NEW), "c"}
 
 
 @pytest.mark.parametrize(
-    ("phase", "share", "heard_s", "expected"),
+    ("phase", "share", "record_written_s", "expected"),
     [
         (Phase.CANARY, 0.0, NOW_S, 40),
         (Phase.CANARY, 0.1, NOW_S, 44),
@@ -122,14 +122,14 @@
         (Phase.ROLLED_BACK, 0.0, NOW_S, 40),
     ],
 )
-def test_load_is_counted_of_the_back_ends_that_take_requests(phase, share, heard_s, expected):
-    assert len(sides(phase, share, heard_s).eligible_backends([*OLD, *NEW], NOW_S)) == expected
+def test_load_is_counted_of_the_back_ends_that_take_requests(phase, share, record_written_s, expected):
+    assert len(rollout(phase, share, record_written_s).eligible_backends([*OLD, *NEW], NOW_S)) == expected
 
 
-def unnamed(known, held_until_s=NOW_S + 2.0):
+def unnamed(known, unannounced_until_s=NOW_S + 2.0):
     """Back ends of an ordinary replacement: ``known`` ones, and one of a version that waits for an order."""
     listed = [*known, backend("next-0", "v9")]
-    return ServiceSides("svc", None, {"v9": held_until_s}), listed
+    return ServiceRollout("svc", None, {"v9": unannounced_until_s}), listed
 
 
 @pytest.mark.parametrize("end", ["none", "draining", "lapsed", "superseded", "gone"])
@@ -160,17 +160,17 @@
 
 @pytest.mark.parametrize("phase", [Phase.COMPLETE, Phase.ROLLED_BACK])
 def test_after_a_rollout_an_unnamed_version_is_used_at_once_if_no_other_stays(phase):
-    service = sides(phase, barred=("v1",), held={"v9": NOW_S + 2.0})
+    service = rollout(phase, barred=("v1",), unannounced={"v9": NOW_S + 2.0})
     listed = [OLD[0], backend("next-0", "v9")]
     assert names(service.eligible_backends(listed, NOW_S)) == {"next-0"}
     assert names(service.tiers(listed, True, NOW_S)[-1]) == {"next-0"}
 
 
 @pytest.mark.parametrize("phase", [Phase.CANARY, Phase.SWITCHING])
-def test_a_node_that_has_not_heard_of_a_rollout_keeps_to_current_back_ends_that_are_only_suspended(phase):
+def test_a_node_without_a_fresh_record_keeps_to_current_back_ends_that_are_only_suspended(phase):
     last = backend("old-0", "v1")
     last.suspended_until_s = NOW_S + 60.0
-    service = sides(phase, 0.2, heard_s=NOW_S - 2.5)
+    service = rollout(phase, 0.2, record_written_s=NOW_S - 2.5)
     assert [names(tier) for tier in service.tiers([last, *NEW], False, NOW_S)] == [{"old-0"}]
     last.superseded = True
     assert len(service.tiers([last, *NEW], False, NOW_S)[-1]) >= 3
--- a/tests/unit/rollout/test_tally_and_reports.py
+++ b/tests/unit/rollout/test_tally_and_reports.py
@@ -39,7 +39,7 @@
 
 def test_a_whole_answer_counts_its_first_delay_and_its_mean_gap():
     counted, counts = attempt()
-    counted.on_whole(200, first_s=10.4, last_s=11.4, pieces=11)
+    counted.on_whole(200, first_s=10.4, last_s=11.4, events=11)
     assert (counts.answered, counts.failed, counts.broken) == (1, 0, 0)
     assert (dict(counts.first_delays), dict(counts.piece_gaps)) == ({delay_bucket(0.4): 1}, {delay_bucket(0.1): 1})
 
--- a/tests/unit/serving/test_rollout_requests.py
+++ b/tests/unit/serving/test_rollout_requests.py
@@ -128,7 +128,7 @@
 
 def test_a_node_without_recent_word_of_a_rollout_uses_the_current_side():
     def prepare(state):
-        state.rollouts.active["svc"].heard_s = boot_time_s() - state.bounds.rollout.rollback_s / 2
+        state.rollouts.active["svc"].record_written_s = boot_time_s() - state.bounds.rollout.rollback_s / 2
 
     assert set(serve([OK], requests=50, phase=Phase.SWITCHING, prepare=prepare)[0]) == {"v1"}
 
@@ -174,7 +174,7 @@
         for each in state.backends.all():
             if each.record.software == "v2":
                 each.suspended_until_s = boot_time_s() + 1.0
-        state.rollouts.active["svc"].heard_s -= 1.0
+        state.rollouts.active["svc"].record_written_s -= 1.0
 
     slow = Script(fails=T.RESET_AFTER_SEND, head_after_s=3.0)
     route = replace(SAFE, objective_s=4.0)
