--- a/src/wallwell/serving/version_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 
 from wallwell.node.state import NodeState
-from wallwell.rollout.sides import ServiceSides
+from wallwell.rollout.service_rollout import ServiceRollout
 from wallwell.rollout.tally import CountedAttempt
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.retry.attempt_outcome import TransportEvent
@@ -49,10 +49,10 @@
     return WeightsRequirement(state.weights, model, state.bounds.version_s)
 
 
-def _may_prefer_target(sides: ServiceSides, now_s: float) -> bool:
+def _may_prefer_target(sides: ServiceRollout, now_s: float) -> bool:
     """Whether a request that was drawn for the target version may still go there at its next attempt."""
     record = sides.record
-    return record is not None and (record.phase.is_final or sides.is_heard(now_s))
+    return record is not None and (record.phase.is_final or sides.has_fresh_record(now_s))
 
 
 def eligible_backends(state: NodeState, service: str, now_s: float) -> Sequence[Backend]:
