--- a/src/wallwell/background.py
+++ b/src/wallwell/background.py
@@ -1,4 +1,4 @@
-"""Tasks that nobody waits for."""
+"""Tasks that run beside their creator, which does not wait for them."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 
 class BackgroundTasks(set[asyncio.Task[Any]]):
-    """Tasks under way, held until they end: the event loop itself holds its tasks by weak references only."""
+    """Running tasks, held until they end: the event loop itself holds its tasks by weak references only."""
 
     def begin(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
-        """Run work beside its caller."""
+        """Run work beside its caller. An error in it is the task's own; asyncio logs it if nobody awaits the
+        task."""
         task = asyncio.create_task(work)
         self.add(task)
         task.add_done_callback(self.discard)
--- a/src/wallwell/catalogue.py
+++ b/src/wallwell/catalogue.py
@@ -1,4 +1,4 @@
-"""Markdown catalogues of errors and log events, generated from the code."""
+"""The pages ``docs/ERRORS.md`` and ``docs/LOG_EVENTS.md``, generated from :mod:`errors` and :mod:`events`."""
 
 from __future__ import annotations
 
--- a/src/wallwell/clock.py
+++ b/src/wallwell/clock.py
@@ -1,8 +1,9 @@
 """The clock of every decision: it goes on while the machine is suspended, as the world outside does.
 
-The steady clock stands still then, and so do the event loop's timers. A machine that wakes would take a credential
-for confirmed a moment ago, a lease for held and a caller for waiting, each by as long as it was away. So times are
-read here, and bounds on waiting are brought forward by :class:`SuspensionWatch`, which sees the two clocks part.
+The steady clock stands still then, and so do the event loop's timers. A machine that wakes would take a
+credential for confirmed a moment ago, a lease for held and a caller for waiting, each for as long as it was
+suspended. So times are read here, time-outs are opened here, and :class:`SuspensionWatch`, which sees the two
+clocks drift apart, brings open time-outs forward.
 """
 
 from __future__ import annotations
@@ -14,24 +15,24 @@
 from wallwell.events import Event, emit
 
 _BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""Systems without this clock count a suspension in none, and are not suspended in service."""
+"""The clock that counts suspensions. Systems without it have no clock that does, and do not run the service."""
 NOTICED_S = 0.05
-"""How far the clocks must part to count as a suspension; they are read one after the other, and a thread may lose
-the processor in between for some milliseconds."""
+"""Seconds by which the clocks must drift apart to count as a suspension; they are read one after the other, and a
+thread may lose the processor in between for some milliseconds."""
 TICK_S = 0.25
-"""Time between two looks for a suspension; what a bound may end too late after one."""
+"""Seconds between two checks for a suspension, and so the longest by which a time-out ends too late after one."""
 
 _open_bounds: dict[asyncio.Timeout, float] = {}
-"""Bounds of this process that have neither ended nor been left, with their ends by the boot clock."""
+"""Time-outs of this process that are open, with their ends on the boot clock."""
 
 
 def boot_time_s() -> float:
-    """Return the seconds since the machine started, those in which it was suspended among them."""
+    """Return the seconds since the machine started, including those in which it was suspended."""
     return time.clock_gettime(_BOOT_CLOCK)
 
 
 class Bounded:
-    """An open bound. Not a generator, since streams open one for each piece."""
+    """An open time-out. Not a generator, which would cost more: streams open one for each chunk."""
 
     __slots__ = ("_seconds", "_timeout")
 
@@ -52,12 +53,12 @@
 
 
 def bounded(seconds: float | None) -> Bounded:
-    """Bound what is waited for as :func:`asyncio.timeout` does; time of a suspension counts."""
+    """Bound a wait as :func:`asyncio.timeout` does, None for no bound; time of a suspension counts."""
     return Bounded(seconds)
 
 
 def _bring_bounds_forward() -> None:
-    """Give every open bound the end that it has by the boot clock; one that began after the wake keeps its own."""
+    """Give every open time-out the end that it has on the boot clock; one opened after the wake keeps its own."""
     loop_s, boot_s = asyncio.get_running_loop().time(), boot_time_s()
     for bound, end_s in list(_open_bounds.items()):
         if not bound.expired():
@@ -65,19 +66,19 @@
 
 
 class SuspensionWatch:
-    """Notices that the machine was suspended, and brings open bounds forward by as long as that was."""
+    """Notices that the machine was suspended, and brings open time-outs forward by as long as that lasted."""
 
     def __init__(self) -> None:
-        self._apart_s = self._read()
+        self._drift_s = self._read_drift()
 
-    def _read(self) -> float:
+    def _read_drift(self) -> float:
         return boot_time_s() - time.monotonic()
 
     def look(self) -> None:
-        """Compare the clocks; to be called each ``TICK_S`` in the event loop."""
-        apart_s = self._read()
-        suspended_s = apart_s - self._apart_s
-        self._apart_s = apart_s
+        """Compare the clocks; to be called every ``TICK_S`` in the event loop."""
+        drift_s = self._read_drift()
+        suspended_s = drift_s - self._drift_s
+        self._drift_s = drift_s
         if suspended_s < NOTICED_S:
             return
         _bring_bounds_forward()
--- a/src/wallwell/errors.py
+++ b/src/wallwell/errors.py
@@ -1,7 +1,8 @@
-"""Every error type of wallwell.
+"""Every error type of wallwell, with its stable ``code`` and, where callers can see it, an HTTP status.
 
-Each class carries a stable ``code`` and, where callers can see it, an HTTP status. The class docstring is
-the meaning printed in ``docs/ERRORS.md``; ``wallwell catalogue errors`` regenerates that page.
+Codes and class names are sent on the wire and do not change. The class docstring is the meaning printed in
+``docs/ERRORS.md``; ``wallwell catalogue errors`` regenerates that page. WW1 is for starting, WW2 for configuration,
+WW3 for answers to callers, WW4 for the platform's services, WW5 for the cluster, WW7 for tools.
 """
 
 from __future__ import annotations
@@ -79,13 +80,14 @@
 
 
 class RequestError(WallwellError):
-    """Base of errors answered to a caller. ``outcome`` says what became of the request."""
+    """Base of errors answered to a caller. ``outcome`` says what became of the request over all of its attempts."""
 
     code = "WW3000"
     http_status = 400
     outcome: Outcome = Outcome.NOT_RUN
 
     def __init__(self, detail: str = "", retry_after_ms: int = 0) -> None:
+        """``retry_after_ms`` is sent as Retry-After; 0 sends none."""
         super().__init__(detail)
         self.retry_after_ms = retry_after_ms
 
@@ -126,7 +128,7 @@
 
 
 class RateLimitedError(RequestError):
-    """The tenant's limit is used up; ``retry_after_ms`` says when the request can be expected to be served."""
+    """The tenant's limit is used up; ``retry_after_ms`` says when a retry can be expected to be served."""
 
     code = "WW3006"
     http_status = 429
@@ -184,14 +186,14 @@
 
 
 class OverloadedError(RequestError):
-    """Engines have more requests under way than they can serve in time; ``retry_after_ms`` says when to return."""
+    """Engines have more requests in flight than they can serve in time; ``retry_after_ms`` says when to retry."""
 
     code = "WW3019"
     http_status = 503
 
 
 class RequestQuarantinedError(RequestError):
-    """Back ends that ran this request crashed, so it is sent to none; ``retry_after_ms`` says for how long."""
+    """Back ends that ran this request crashed, so it is sent to no other; ``retry_after_ms`` says for how long."""
 
     code = "WW3020"
     http_status = 503
@@ -262,7 +264,7 @@
 
 
 class HistoryLostError(PlatformError):
-    """The store no longer has the changes after the version asked for; everything must be read again."""
+    """The store no longer has the changes after the version asked for, so all rows must be fetched."""
 
     code = "WW4003"
 
@@ -280,13 +282,13 @@
 
 
 class CacheStoreSilentError(WallwellError):
-    """A store of kept KV cache cannot be reached or does not answer in time."""
+    """A KV store cannot be reached or does not answer in time."""
 
     code = "WW4004"
 
 
 class CacheEventsRefusedError(WallwellError):
-    """A store of kept KV cache answers, but tells no events now."""
+    """A KV store answers, but sends no cache events at present."""
 
     code = "WW4005"
 
@@ -310,7 +312,7 @@
 
 
 class SoakError(WallwellError):
-    """A soak run could not be set up or went beyond its bounds; this says nothing of the promises."""
+    """A soak run could not be set up or went beyond its bounds; this says nothing about the invariants."""
 
     code = "WW7003"
 
--- a/src/wallwell/events.py
+++ b/src/wallwell/events.py
@@ -1,6 +1,7 @@
 """Numbered log events and the logger's set-up.
 
-Every line wallwell logs is an :class:`Event`: a number, a level and a message. Fields go beside it.
+Every line wallwell logs is an :class:`Event`: a number, a level and a message, with fields that vary. Numbers,
+levels and names of fields stay, since others search logs by them; messages may be improved.
 ``docs/LOG_EVENTS.md`` is generated from this module by ``wallwell catalogue events``.
 """
 
@@ -18,34 +19,43 @@
 class Event(enum.Enum):
     """Every log event: ``(number, level, message)``."""
 
+    # 1001 to 1010: the life of a process, its machine and its log.
     NODE_STARTED = (1001, "INFO", "node started")
     NODE_READY = (1002, "INFO", "node is ready to serve")
-    NODE_DRAINING = (1003, "INFO", "planned stop: refusing new work and finishing what is open")
+    NODE_DRAINING = (1003, "INFO", "planned stop: refusing new work and finishing open requests")
     NODE_STOPPED = (1004, "INFO", "node stopped")
-    NODE_STOP_FORCED = (1009, "WARNING", "planned stop ended by the end of its grace time")
-    MACHINE_WOKEN = (1010, "WARNING", "machine was suspended; bounds on waiting are brought forward")
     INTERNAL_ERROR = (1006, "ERROR", "unexpected error")
+    SETTINGS_RELOADED = (1007, "INFO", "settings file checked; its values take effect at the next start")
     LOG_LINES_LOST = (1008, "WARNING", "log lines lost")
+    NODE_STOP_FORCED = (1009, "WARNING", "planned stop cut short by the end of its grace time")
+    MACHINE_WOKEN = (1010, "WARNING", "machine was suspended; open time-outs are brought forward")
+
+    # 2001 to 2004: operators' configuration.
     CONFIG_ADVANCED = (2001, "INFO", "configuration advanced to a higher revision")
     CONFIG_ACCEPTED = (2002, "INFO", "operators' change accepted")
-    CONFIG_WITHOUT_EFFECT = (2004, "WARNING", "accepted file has settings that nothing acts on")
     CONFIG_REFUSED = (2003, "WARNING", "operators' change refused")
+    CONFIG_WITHOUT_EFFECT = (2004, "WARNING", "accepted file has settings without effect")
+
+    # 3001 to 3010: single requests, by X-Request-Id.
     REQUEST_ENDED = (3001, "INFO", "request ended")
     REQUEST_RETRIED = (3002, "INFO", "attempt failed and is retried")
     STREAM_RESUMED = (3003, "INFO", "stream resumed after a fault")
     STREAM_BROKEN = (3004, "WARNING", "stream could not be continued")
     PROTOCOL_VIOLATION = (3005, "WARNING", "back end broke the protocol; its connection is closed")
-    CALLER_GONE = (3006, "INFO", "caller went away; its work is cancelled")
+    CALLER_GONE = (3006, "INFO", "caller disconnected; its work is cancelled")
     CLAIM_ABANDONED = (3007, "WARNING", "claim could not be settled in the table service")
-    ANSWER_DISCARDED = (3008, "WARNING", "answer of another exchange discarded")
+    ANSWER_DISCARDED = (3008, "WARNING", "bytes that answer no request in flight discarded")
     REQUEST_REFUSED = (3009, "INFO", "request ended with an error of the router")
-    REQUEST_QUARANTINED = (3010, "WARNING", "request gets no back end any more: those that ran it crashed")
-    CRASHES_NOT_WRITTEN = (4005, "WARNING", "store did not take which requests crashed back ends; tried again")
-    STORE_LOST = (4003, "WARNING", "store does not answer for these rows")
-    STORE_REGAINED = (4004, "INFO", "store answers again for these rows")
-    SETTINGS_RELOADED = (1007, "INFO", "settings read again")
+    REQUEST_QUARANTINED = (3010, "WARNING", "request is quarantined: back ends that ran it crashed")
+
+    # 4001 to 4005: the platform's store and other services.
     TABLE_UNAVAILABLE = (4001, "WARNING", "table service is unavailable")
     MACHINE_LIST_UNAVAILABLE = (4002, "WARNING", "machine list is unavailable")
+    STORE_LOST = (4003, "WARNING", "store does not answer for these rows")
+    STORE_REGAINED = (4004, "INFO", "store answers again for these rows")
+    CRASHES_NOT_WRITTEN = (4005, "WARNING", "crashes not recorded in the store; retried")
+
+    # 5001 to 5011: nodes, leases and links between them.
     MEMBER_JOINED = (5001, "INFO", "member joined")
     MEMBER_SUSPECT = (5002, "WARNING", "member is suspected to have failed")
     MEMBER_DEAD = (5003, "WARNING", "member is considered failed")
@@ -53,24 +63,34 @@
     CLUSTER_MESSAGE_REFUSED = (5005, "WARNING", "message from a peer refused")
     LEASE_ACQUIRED = (5006, "INFO", "lease acquired")
     LEASE_LOST = (5007, "WARNING", "lease lost")
-    RELAY_LOST = (5008, "INFO", "peer is not followed for a while")
-    RELAY_NOT_SERVED = (5009, "WARNING", "no port for peers; they follow the store")
-    REGION_LOST = (5010, "WARNING", "nothing is heard of another region; its loads count no more")
-    REGION_REGAINED = (5011, "INFO", "another region is heard again")
+    RELAY_LOST = (5008, "INFO", "peer does not relay rows; it is not followed for a while")
+    RELAY_NOT_SERVED = (5009, "WARNING", "no free port for peers; they follow the store")
+    REGION_LOST = (5010, "WARNING", "no reports from another region; its loads are left out")
+    REGION_REGAINED = (5011, "INFO", "another region reports again")
+
+    # 6001 to 6014: back ends, engines' caches, KV stores and zones.
     ENGINE_INCARNATION = (6001, "INFO", "engine has a new incarnation; its cache entries are dropped")
     ENGINE_EVENTS_GAP = (6002, "WARNING", "cache events were lost; resynchronising")
     ENGINE_UNREACHABLE = (6003, "WARNING", "engine cannot be reached")
-    BACKEND_LEAVING = (6004, "INFO", "back end is leaving and gets no new work")
+    BACKEND_LEAVING = (6004, "INFO", "back end is leaving and gets no new requests")
     BREAKER_OPENED = (6005, "WARNING", "circuit breaker opened")
     BACKEND_LISTED = (6006, "INFO", "back end listed or changed")
     BACKEND_GONE = (6007, "INFO", "back end is no longer listed")
-    BACKEND_SUSPENDED = (6008, "WARNING", "back end gets nothing for a while after failures")
-    BACKEND_SILENT = (6011, "WARNING", "back end has stopped without a word; its attempts are made elsewhere")
-    ZONE_SUSPECTED = (6012, "WARNING", "connections into a zone hang; its back ends get nothing until one answers")
-    ZONE_RETURNED = (6013, "INFO", "a zone answers again; its back ends come back")
+    BACKEND_SUSPENDED = (6008, "WARNING", "back end gets no requests for a while after failures")
+    CACHE_STORE_LOST = (6009, "WARNING", "KV store does not answer; nothing is fetched or saved")
+    CACHE_STORE_REGAINED = (6010, "INFO", "KV store answers again")
+    BACKEND_SILENT = (6011, "WARNING", "back end is unresponsive; its attempts are made elsewhere")
+    ZONE_SUSPECTED = (
+        6012,
+        "WARNING",
+        "connects into a zone time out; its back ends get no requests until one answers",
+    )
+    ZONE_RETURNED = (6013, "INFO", "a zone answers again; its back ends get requests")
     BACKEND_CRASHED = (6014, "WARNING", "back end crashed; the requests it was running are suspects")
-    CACHE_STORE_LOST = (6009, "WARNING", "store of kept KV cache does not answer; nothing is fetched or saved")
-    CACHE_STORE_REGAINED = (6010, "INFO", "store of kept KV cache answers again")
+
+    # 7001 to 7011: weights on engines, and rollouts of software.
+    ORDER_SENT = (7001, "INFO", "fenced order sent to an engine")
+    ORDER_REFUSED = (7002, "WARNING", "fenced order refused")
     WEIGHTS_NAMED = (7003, "INFO", "weights version named")
     WEIGHTS_IN_PLACE = (7004, "INFO", "weights version is in place on an engine")
     ROLLOUT_ORDERED = (7005, "INFO", "operators ordered a rollout of a service's software")
@@ -79,8 +99,9 @@
     ROLLOUT_DECIDED = (7008, "INFO", "rollout decided by the holder of the lease")
     ROLLOUT_STATUS_WRITTEN = (7009, "INFO", "status of a rollout written for operators")
     ROLLOUT_WRITE_FAILED = (7010, "WARNING", "record of a rollout was not written, or the answer was lost")
-    ORDER_SENT = (7001, "INFO", "fenced order sent to an engine")
-    ORDER_REFUSED = (7002, "WARNING", "fenced order refused")
+    ENGINE_CONTROL_FAILED = (7011, "INFO", "no usable answer to a report or order call of an engine")
+
+    # 8001: stand-ins of the demo and the tests.
     EMULATOR_FAULT = (8001, "INFO", "fault switch changed")
 
     @property
--- a/src/wallwell/late_loop.py
+++ b/src/wallwell/late_loop.py
@@ -1,8 +1,8 @@
-"""Waiting for a task with a bound that an event loop short of processor time does not shorten.
+"""Waiting for a task with a time-out that an event loop short of processor time does not shorten.
 
 On a busy node a timer and the bytes that it waits for become due in the same turn of the loop, and the timer's task
 runs first, since what the bytes lead to takes a few turns more. A back end that answered in time would then count
-as silent, be suspended, and its request be sent again, which makes the node busier still.
+as unresponsive, get no requests for a while, and its request be retried, which makes the node busier still.
 """
 
 from __future__ import annotations
@@ -13,12 +13,13 @@
 from wallwell.clock import bounded
 
 GRACE_TURNS = 8
-"""Turns of the loop that are waited beyond the bound, for reading, waking the reader, and the tasks between it and
-the one that waits. Microseconds on an idle loop."""
+"""Turns of the loop that a task is given beyond the time-out: for reading, waking the reader, and the tasks
+between it and the one that waits. Microseconds on an idle loop."""
 
 
 async def is_done_within(task: asyncio.Future[Any], seconds: float) -> bool:
-    """Wait until a task has ended, at most ``seconds`` and what the loop owes it; it is not cancelled."""
+    """Wait until a task has ended, at most ``seconds`` and ``GRACE_TURNS``; returns whether it has. Never cancels
+    it."""
     try:
         async with bounded(seconds):
             await asyncio.wait({task})
--- a/src/wallwell/log_writer.py
+++ b/src/wallwell/log_writer.py
@@ -1,7 +1,8 @@
-"""JSON log lines to a descriptor that may not be read: bounded in memory, never blocking, losses counted.
+"""JSON log lines to a descriptor whose reader may be slow: bounded in memory, never blocking, losses counted.
 
-Lines of failures and refusals are kept longest. Lines of single-attempt successes are written in full up to a rate
-and beyond it for a fixed part of request ids, so that a burst costs neither time nor memory.
+Owns the queue of lines and which are dropped first. Lines of failures and refusals are kept longest. Lines of
+single-attempt successes are all written up to a rate, and beyond it for a fixed fraction of request ids, so that a
+burst costs neither time nor memory.
 """
 
 from __future__ import annotations
@@ -16,8 +17,18 @@
 import xxhash
 
 MAX_LINES = 2000
+"""Lines queued while the reader is slow. Chosen, not measured: about a megabyte of lines of some hundred bytes."""
 MAX_ROUTINE_PER_S = 20.0
+"""Lines a second up to which every ordinary success is written. Chosen, not measured: whole histories at low
+load."""
 SAMPLE_ONE_IN = 16
+"""Beyond that rate, one request id in this many is written. Chosen, not measured. It is the same at every node,
+so the lines of a chosen request are complete over all nodes."""
+MAX_SAVED_S = 1.0
+"""Seconds whose unused lines are saved up; the time before the first line, which is unknown, counts as this
+much."""
+LINES_LOST_EVENT = 1008
+"""Number of ``Event.LOG_LINES_LOST``, whose module imports this one."""
 
 
 class RoutineSampler:
@@ -31,7 +42,7 @@
 
     def keeps(self, request_id: str, now_s: float) -> bool:
         """Whether the line of this request is written."""
-        elapsed_s = min(1.0, max(0.0, now_s - self._updated_s))
+        elapsed_s = min(MAX_SAVED_S, max(0.0, now_s - self._updated_s))
         self._updated_s = now_s
         self._tokens = min(self._rate_per_s, self._tokens + elapsed_s * self._rate_per_s)
         if self._tokens >= 1.0:
@@ -41,7 +52,7 @@
 
 
 class LogWriter:
-    """Writes encoded lines without waiting for their reader."""
+    """Queues lines and writes as many as their reader takes without waiting."""
 
     def __init__(self, descriptor: int, max_lines: int = MAX_LINES) -> None:
         self._descriptor = descriptor
@@ -62,10 +73,11 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write queued lines until the reader stands still."""
+        """Write queued lines until the descriptor takes no more."""
         if self.lost and not self._partial:
             self._partial = (
-                msgspec.json.encode({"message": "log lines lost", "event": 1008, "lost": self.lost}) + b"\n"
+                msgspec.json.encode({"message": "log lines lost", "event": LINES_LOST_EVENT, "lost": self.lost})
+                + b"\n"
             )
             self.lost = 0
         while self._partial or self._important or self._routine:
@@ -76,13 +88,14 @@
             except BlockingIOError:
                 return
             except OSError:
+                # The reader is gone. There is nowhere to report that, and the queue must not grow.
                 self._partial = b""
                 continue
             self._partial = self._partial[written:]
 
 
 class JsonSink:
-    """A sink of the logger: encodes records, samples ordinary successes, never waits."""
+    """A sink of the logger: encodes records and samples ordinary successes."""
 
     def __init__(self, writer: LogWriter, routine_event: int) -> None:
         self._writer = writer
@@ -90,7 +103,7 @@
         self._routine_event = routine_event
 
     def __call__(self, message: Any) -> None:
-        """Take one message of the logger."""
+        """Write one message of the logger, unless it is an ordinary success that is not sampled."""
         record = message.record
         extra = record["extra"]
         routine = extra.get("event") == self._routine_event and extra.get("attempts", 1) <= 1
--- a/src/wallwell/outcomes.py
+++ b/src/wallwell/outcomes.py
@@ -1,4 +1,4 @@
-"""The four ways a request can end."""
+"""The four ways a request can end, as they stand in answers, log lines and metrics."""
 
 from __future__ import annotations
 
--- a/src/wallwell/plain_http.py
+++ b/src/wallwell/plain_http.py
@@ -2,8 +2,8 @@
 
 A router speaks plain HTTP to callers, back ends and the store. aiohttp makes two TLS contexts when it is imported
 and reads the machine's certificates for one of them: about a fifth of the processor time of a node's start (0.61 s
-with them, 0.50 s without, mean of six imports each) and 2.5 MB of its memory. All nodes may start at once, and
-callers wait for that.
+with them, 0.50 s without, mean of six imports each) and 2.5 MB of its memory. All nodes may start at the same time,
+and callers wait meanwhile. Must run before anything else imports aiohttp.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def load_aiohttp_without_tls() -> None:
-    """Import aiohttp without the ``ssl`` module; everybody else finds that module as before."""
+    """Import aiohttp without the ``ssl`` module; every other import finds that module as before."""
     sys.modules["ssl"] = None  # type: ignore[assignment]
     try:
         import aiohttp.web  # noqa: F401
--- a/src/wallwell/socket_options.py
+++ b/src/wallwell/socket_options.py
@@ -1,4 +1,7 @@
-"""Options of TCP sockets that find peers which have fallen silent without a reset."""
+"""Options of TCP sockets that end connections whose other end is gone without a reset, and a test for such ends.
+
+Relies on the system's TCP: nothing here costs the event loop anything while a connection is open.
+"""
 
 from __future__ import annotations
 
@@ -8,18 +11,20 @@
 import socket
 
 PROBE_AFTER_S = 1
-"""Silence of a connection, in whole seconds, after which its other end is asked for a sign of life.
+"""Seconds without a packet after which the system probes a connection.
 
-The shortest that the system allows. Engines are silent for up to half a second between the pieces of a stream."""
+The shortest that the system allows. Engines are silent for up to half a second between the events of a stream."""
 PROBES = 1
-"""Unanswered probes after which the connection ends; each is waited for as long as the silence before it."""
+"""Unanswered probes after which the connection ends; each is given ``PROBE_AFTER_S``, so the end comes after 2
+s."""
 
 
 def end_when_silent(transport: asyncio.BaseTransport | None, unacknowledged_s: float) -> None:
-    """Let a connection end by itself when its other end says nothing any more, resting or waiting for an answer.
+    """Let the system end a connection whose other end no longer acknowledges anything, idle or in use.
 
-    Without this, a connection whose packets are dropped on the way looks open for good. Bytes that were sent end it
-    after ``unacknowledged_s`` seconds, silence after ``PROBE_AFTER_S`` and as long for each probe.
+    Without this, a connection whose packets are dropped on the way looks open forever. With bytes sent it ends
+    after ``unacknowledged_s`` seconds, without any after ``PROBE_AFTER_S`` and as long for each probe. Does
+    nothing where the system lacks an option.
     """
     raw = transport.get_extra_info("socket") if transport is not None else None
     if raw is None:
@@ -34,9 +39,9 @@
 
 
 def has_hung_up(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether a connection's other end has closed it, asked of the system: an event loop tells it a turn later.
+    """Whether a connection's other end has closed it, asked of the system: the event loop learns it a turn later.
 
-    One system call, a few microseconds. Where the system does not tell, only what the loop knows counts.
+    One system call, a few microseconds. Where the system cannot say, only what the loop knows counts.
     """
     if transport is None or transport.is_closing():
         return True
