--- /dev/null
+++ b/src/wallwell/backend_connection.py
@@ -0,0 +1,192 @@
+"""One HTTP/1.1 connection to a back end, on the parser of aiohttp, with the proofs that forwarding needs.
+
+The session of aiohttp hides what the request pipeline must know: whether a request can have reached the back end,
+whether a body without length ended cleanly or by a reset, and whether bytes came that answer nothing. Here each
+round trip matches its answer by request id, answers to other requests are discarded, and a connection on which
+anything surplus was seen is not used again. :mod:`wallwell.http_connection` makes, keeps and closes connections.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import AsyncIterator
+
+from aiohttp.base_protocol import BaseProtocol
+from aiohttp.client_exceptions import ClientPayloadError
+from aiohttp.http_parser import HttpResponseParser, RawResponseMessage
+from aiohttp.streams import EMPTY_PAYLOAD, StreamReader
+
+from wallwell.clock import boot_time_s
+from wallwell.events import Event, emit
+
+READ_BYTES = 32 * 1024
+"""Bytes of a body that are buffered before reading from the socket pauses. Chosen, not measured: several events
+of a stream, and little memory for each of some hundred connections."""
+MAX_HEADER_BYTES = 32 * 1024
+"""Bytes of a status line or a header, as much as callers may send."""
+DEFAULT_IDLE_S = 4.0
+"""Seconds for which a connection stays usable while idle, if the back end does not state a time. Chosen, not
+measured: below the five seconds after which many servers close."""
+IDLE_MARGIN_S = 0.8
+"""Seconds before the back end's own idle time-out at which a connection is no longer used, so that no request
+meets a connection that is just being closed. Chosen, not measured: back ends state whole seconds."""
+
+
+class ConnectionBrokenError(Exception):
+    """The connection ended before the whole answer had come, so the request may have run."""
+
+
+class BackendConnection(BaseProtocol):
+    """One connection; carries one round trip at a time."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, id_header: str) -> None:
+        """``id_header`` names the header in which an answer repeats its request's id."""
+        super().__init__(loop)
+        self._id_header = id_header
+        self._expected_id: str | None = None
+        self._head: asyncio.Future[RawResponseMessage] | None = None
+        """The head of the answer; None outside of a round trip."""
+        self._payload: StreamReader | None = None
+        self._reads_to_end = False
+        """Whether only the end of the connection ends the body."""
+        self._tainted = False
+        """Whether the connection must not carry another round trip."""
+        self._broken = ""
+        """Why the body is incomplete, empty if it is not."""
+        self.closed = False
+        self.timed_out = False
+        """Whether it ended because the other end no longer acknowledged anything."""
+        self.idle_since_s = 0.0
+        """On the boot clock."""
+        self.max_idle_s = DEFAULT_IDLE_S
+
+    def is_reusable(self, now_s: float) -> bool:
+        """Whether an idle connection may carry another round trip."""
+        return not (self.closed or self._tainted) and now_s - self.idle_since_s < self.max_idle_s
+
+    # --- round trip ------------------------------------------------------------------------------------
+
+    async def round_trip(self, request_id: str, data: bytes, has_body: bool = True) -> RawResponseMessage:
+        """Send a request and return the head of the answer with its id; :meth:`body` then yields its body.
+
+        An empty ``request_id`` accepts any answer. Raises :class:`ConnectionBrokenError`.
+        """
+        if self.transport is None or self.closed:
+            raise ConnectionBrokenError("closed before sending")
+        self._expected_id = request_id
+        self._head = self._loop.create_future()
+        self._payload = None
+        self._reads_to_end = False
+        self._broken = ""
+        self._parser = self._new_parser(has_body)
+        self.transport.write(data)
+        return await self._head
+
+    def _new_parser(self, has_body: bool) -> HttpResponseParser:
+        return HttpResponseParser(
+            self,
+            self._loop,
+            READ_BYTES,
+            payload_exception=ClientPayloadError,
+            response_with_body=has_body,
+            read_until_eof=True,
+            auto_decompress=False,
+            max_line_size=MAX_HEADER_BYTES,
+            max_field_size=MAX_HEADER_BYTES,
+        )
+
+    async def body(self) -> AsyncIterator[bytes]:
+        """Yield the answer's body as it comes, and all that arrived before a break.
+
+        Raises :class:`ConnectionBrokenError` if it ends early.
+        """
+        payload = self._payload
+        assert payload is not None
+        try:
+            while data := await payload.readany():
+                yield data
+        except ClientPayloadError as error:
+            raise ConnectionBrokenError(str(error)) from error
+        if self._broken:
+            raise ConnectionBrokenError(self._broken)
+
+    def finish_round_trip(self) -> bool:
+        """End the round trip, or give it up; returns whether the connection may be used again."""
+        payload = self._payload
+        ended = payload is not None and payload.is_eof() and payload.exception() is None and not self._broken
+        self._head = None
+        self._payload = None
+        self._expected_id = None
+        self._parser = None
+        if not ended or self._tainted or self._reads_to_end:
+            self.close()
+            return False
+        self.idle_since_s = boot_time_s()
+        return not self.closed
+
+    def close(self) -> None:
+        """Close at once; a back end then stops working on the connection's request."""
+        self.closed = True
+        if self.transport is not None:
+            self.transport.abort()
+
+    # --- asyncio.Protocol --------------------------------------------------------------------------------
+
+    def data_received(self, data: bytes) -> None:
+        """Parse bytes of the answer; bytes outside a round trip end the connection."""
+        if self._parser is None:
+            if self._head is None and data:
+                emit(Event.ANSWER_DISCARDED, reason="bytes outside a round trip")
+                self.close()
+            return
+        try:
+            messages, upgraded, _ = self._parser.feed_data(data)
+        except Exception as error:
+            self._fail(ConnectionBrokenError(f"not an HTTP answer: {type(error).__name__}"))
+            self.close()
+            return
+        if upgraded:
+            self._tainted = True
+        for message, payload in messages:
+            self._on_message(message, payload)
+
+    def _on_message(self, message: RawResponseMessage, payload: StreamReader) -> None:
+        if 100 <= message.code < 200:
+            return  # An interim answer; the answer itself follows.
+        answer_id = message.headers.get(self._id_header)
+        if self._head is None or self._head.done() or (self._expected_id and answer_id != self._expected_id):
+            self._tainted = True
+            emit(Event.ANSWER_DISCARDED, reason="answer to another request")
+            return
+        if message.should_close:
+            self._tainted = True
+        length_known = message.chunked or "Content-Length" in message.headers
+        self._reads_to_end = not length_known and payload is not EMPTY_PAYLOAD
+        self._learn_idle_time(message.headers.get("Keep-Alive", ""))
+        self._payload = payload
+        self._head.set_result(message)
+
+    def _learn_idle_time(self, keep_alive: str) -> None:
+        for parameter in keep_alive.split(","):
+            name, _, value = parameter.strip().partition("=")
+            if name.lower() == "timeout" and value.isdigit():
+                self.max_idle_s = max(0.0, int(value) - IDLE_MARGIN_S)
+
+    def connection_lost(self, exc: BaseException | None) -> None:
+        """The connection ended: a body without length is complete only after a clean close."""
+        self.closed = True
+        self.timed_out = isinstance(exc, TimeoutError)
+        detail = f"connection lost: {type(exc).__name__ if exc else 'closed'}"
+        if self._reads_to_end and exc is None and self._payload is not None:
+            self._payload.feed_eof()
+        self._fail(ConnectionBrokenError(detail))
+        super().connection_lost(exc)
+
+    def _fail(self, error: ConnectionBrokenError) -> None:
+        if self._head is not None and not self._head.done():
+            self._head.set_exception(error)
+        payload = self._payload
+        if payload is not None and not payload.is_eof() and payload.exception() is None:
+            # Not as an exception of the reader, which would hide what has arrived and was not read yet.
+            self._broken = str(error)
+            payload.feed_eof()
--- a/src/wallwell/emulator/platform_store.py
+++ b/src/wallwell/emulator/platform_store.py
@@ -15,7 +15,7 @@
 from wallwell.background import BackgroundTasks
 from wallwell.emulator.faults import reset_connection
 from wallwell.platform import names
-from wallwell.platform.store import TransactBody
+from wallwell.platform.store_wire import TransactBody
 
 MAX_PAGE_ROWS = 500
 CONFLICT = 412
--- a/src/wallwell/platform/__init__.py
+++ b/src/wallwell/platform/__init__.py
@@ -1,4 +1,6 @@
-"""The users' platform: its settings, wire formats and names, translated to and from the product's types.
+"""Adapter to the platform on which the router runs: its settings, wire formats and names, and its own types.
 
-Translation only: no decision, no state machine and no retry lives here, and nothing outside knows these names.
+Owns every name of the platform's protocol and decodes it once. Takes no decision, keeps no state machine and
+retries nothing; those stand in ``routing``, ``serving``, ``placement`` and ``rollout``, which know none of these
+names. Only ``cli``, ``soak`` and ``emulator`` import this package.
 """
--- a/src/wallwell/platform/cache_events.py
+++ b/src/wallwell/platform/cache_events.py
@@ -1,7 +1,12 @@
-"""Client of the cache events and listings that the platform's stores of kept KV cache tell."""
+"""Client of the cache events and listings of the platform's KV stores.
+
+Owns the wire format and the timeouts. Events since a position are read with a held call; after a gap or a restart
+of the store the whole listing takes their place. See :class:`wallwell.node.kv_store_watch.CacheEventSource`.
+"""
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TypeVar
 
 import msgspec
@@ -12,31 +17,43 @@
 from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition
 
 ANSWER_MARGIN_S = 0.6
-"""How much longer than the agreed wait an answer is waited for."""
+"""Seconds beyond the agreed wait after which a held call counts as unanswered. Chosen, not measured: covers
+connecting and a round trip to another region."""
 LISTING_TIMEOUT_S = 1.5
+"""Seconds for a listing. Chosen, not measured: it holds every cached part and may be some megabytes."""
 
 Body = TypeVar("Body", bound=msgspec.Struct)
 
+EventFields = tuple[int, str, str, str, int, str]
+"""Number, sign, scope of the cache, part, tokens kept now, model."""
+ListedFields = tuple[str, str, int, str]
+"""Scope of the cache, part, tokens, model."""
+
 
 class EventsBody(msgspec.Struct, frozen=True):
-    """Answer to a call for events: each is number, sign, salt, part, tokens kept now, model."""
+    """Answer to a call for events."""
 
     epoch: int
+    """Changes with each start of the store."""
     next_token: int
+    """Position for the next call, not a number of tokens."""
     lost: bool
-    events: tuple[tuple[int, str, str, str, int, str], ...] = ()
+    """Whether events after the position asked for are no longer known."""
+    events: tuple[EventFields, ...] = ()
 
 
 class ListingBody(msgspec.Struct, frozen=True):
-    """Answer to a call for all that is kept: each is salt, part, tokens, model."""
+    """Answer to a call for all that is cached."""
 
     epoch: int
+    """Changes with each start of the store."""
     next_token: int
-    held: tuple[tuple[str, str, int, str], ...] = ()
+    """Position of the events that follow this listing, not a number of tokens."""
+    held: tuple[ListedFields, ...] = ()
 
 
 class CacheEventsClient:
-    """Calls stores of kept KV cache; see :class:`wallwell.node.kv_store_watch.CacheEventSource`."""
+    """Calls KV stores; see :class:`wallwell.node.kv_store_watch.CacheEventSource`."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self._pool = pool
@@ -48,14 +65,16 @@
         body = await self._get(address, target, wait_line, EventsBody, wait_s + ANSWER_MARGIN_S)
         if body.lost or body.epoch != position.epoch:
             return await self.listing(address)
-        # A part that is kept only in part comes with a minus and the tokens that are left.
-        entries = tuple(CacheEntry(number, salt, part, tokens) for number, _, salt, part, tokens, _ in body.events)
+        # The sign is not needed: a part that was dropped or shortened comes with the tokens that are left.
+        entries = tuple(
+            CacheEntry(number, scope, part, tokens) for number, _, scope, part, tokens, _ in body.events
+        )
         return CachePage(CachePosition(body.epoch, body.next_token), entries)
 
     async def listing(self, address: str) -> CachePage:
         """See :class:`wallwell.node.kv_store_watch.CacheEventSource`."""
         body = await self._get(address, names.CACHE_LISTING_PATH, "", ListingBody, LISTING_TIMEOUT_S)
-        entries = tuple(CacheEntry(body.next_token, salt, part, tokens) for salt, part, tokens, _ in body.held)
+        entries = tuple(CacheEntry(body.next_token, scope, part, tokens) for scope, part, tokens, _ in body.held)
         return CachePage(CachePosition(body.epoch, body.next_token), entries, whole=True)
 
     async def _get(
@@ -66,7 +85,7 @@
             status, data = await self._pool.fetch(address, head.encode(), timeout_s)
         except (ConnectFailedError, ConnectionBrokenError, TimeoutError) as error:
             raise CacheStoreSilentError(f"{address}: {type(error).__name__}") from error
-        if status != 200:
+        if status != HTTPStatus.OK:
             raise CacheEventsRefusedError(f"{address}: status {status}")
         try:
             return msgspec.json.decode(data, type=body_type)
--- a/src/wallwell/platform/main.py
+++ b/src/wallwell/platform/main.py
@@ -1,4 +1,8 @@
-"""Entry point of a router on the users' platform."""
+"""Entry point of a router on the platform: wires the node, opens its listeners, and carries out a planned stop.
+
+Owns the process: signals, listeners, and the order in which a stop closes them. Everything else is the node's
+(:class:`wallwell.node.node.FleetNode`).
+"""
 
 from __future__ import annotations
 
@@ -21,15 +25,41 @@
 from wallwell.platform.settings import PlatformSettings, load_platform_settings, settings_path
 from wallwell.platform.stop_deadline import end_process_after
 from wallwell.platform.store import PlatformStore, TableRows
-from wallwell.platform.workers import WorkerClient
+from wallwell.platform.worker_orders import WorkerControl
+from wallwell.platform.worker_probes import WorkerProbes
+from wallwell.platform.workers import WorkerClient, worker_pool
+
+SHUTDOWN_TIMEOUT_S = 0.1
+"""Seconds for which a listener waits for handlers as it closes. Chosen, not measured: by then the node has waited
+for open requests, and this time is taken from its grace period."""
+ACCEPT_QUEUE = 512
+"""Connections that the system keeps until the event loop accepts them. aiohttp's 128 overflow when all callers of a
+lost node connect again while the loop has little processor time, and an overflow costs a caller a second."""
+REFUSED_SETTINGS_STATUS = 2
+"""Exit status if the node could not start with its settings."""
 
 
 def build_node(settings: PlatformSettings) -> FleetNode:
     """Wire a node to the platform's store and workers."""
     store = PlatformStore(settings.provider.addr)
-    places = settings.places()
-    workers = WorkerClient(places)
-    sources = NodeSources(
+    topology = settings.topology()
+    pool = worker_pool()
+    return FleetNode(
+        settings.node,
+        settings.zone,
+        settings.fleet_bounds(),
+        _sources(store, CacheEventsClient(pool)),
+        WorkerClient(pool),
+        WorkerControl(pool),
+        WorkerProbes(pool, topology),
+        pool,
+        link_mbps=settings.limits.link_mbps,
+        places=topology,
+    )
+
+
+def _sources(store: PlatformStore, cache_events: CacheEventsClient) -> NodeSources:
+    return NodeSources(
         operators=TableRows(store, names.OPERATOR_TABLE),
         backends=TableRows(store, names.BACKENDS_TABLE),
         own=TableRows(store, names.OWN_TABLE),
@@ -37,46 +67,34 @@
         config_key=names.CONFIG_KEY,
         version_prefix=names.VERSION_KEY_PREFIX,
         decode_config=decode_config,
-        decode_version=lambda value: (decode_version(value).model, decode_version(value).version),
+        decode_version=decode_version,
         decode_backend=decode_backend,
         rollout_prefix=names.ROLLOUT_KEY_PREFIX,
         decode_rollout=decode_rollout_order,
         rollouts=PlatformRollouts(store),
-        cache_events=CacheEventsClient(workers.pool),
-    )
-    return FleetNode(
-        settings.node,
-        settings.zone,
-        settings.fleet_bounds(),
-        sources,
-        workers,
-        workers,
-        workers,
-        workers.pool,
-        link_mbps=settings.limits.link_mbps,
-        places=places,
+        cache_events=cache_events,
     )
 
 
-async def _listen(server: web.Server, address: str) -> web.ServerRunner:
-    runner = web.ServerRunner(server, shutdown_timeout=0.1)
+async def listen(server: web.Server, address: str) -> web.ServerRunner:
+    """Serve at ``IP:PORT``. Raises OSError if the address cannot be bound."""
+    runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
     await runner.setup()
     host, _, port = address.rpartition(":")
-    await web.TCPSite(runner, host, int(port), backlog=512, reuse_address=True).start()
+    await web.TCPSite(runner, host, int(port), backlog=ACCEPT_QUEUE, reuse_address=True).start()
     return runner
 
 
-async def _listen_for_figures(listener: CallersListener, settings: PlatformSettings) -> web.ServerRunner | None:
-    """Serve the node's own figures where the settings name a port and a path for them."""
-    port, _, path = settings.metrics.partition("/")
-    if not port.isdigit():
+async def _listen_for_metrics(listener: CallersListener, settings: PlatformSettings) -> web.ServerRunner | None:
+    """Serve the node's metrics where the settings name a port and a path for them."""
+    address = settings.metrics_address()
+    if address is None:
         return None
-    host = settings.listen.ready.rpartition(":")[0]
-    return await _listen(listener.metrics_server(f"/{path}"), f"{host}:{port}")
+    return await listen(listener.metrics_server(address.path), address.address)
 
 
 def reload_settings(path: str) -> None:
-    """Read the settings again; a file that cannot be used changes nothing."""
+    """Check the settings file again; the values in use stay until the next start. A file with errors is logged."""
     try:
         load_platform_settings(path)
     except WallwellError as error:
@@ -85,34 +103,41 @@
     emit(Event.SETTINGS_RELOADED)
 
 
-async def run(path: str) -> None:
-    """Run until a planned stop has ended."""
-    settings = load_platform_settings(path)
+def _stop_signal(settings_file: str) -> asyncio.Event:
+    """Handle the process's signals; the event returned is set once it is to stop."""
     loop = asyncio.get_running_loop()
     stopping = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stopping.set)
     loop.add_signal_handler(signal.SIGINT, stopping.set)
-    loop.add_signal_handler(signal.SIGHUP, reload_settings, path)
+    loop.add_signal_handler(signal.SIGHUP, reload_settings, settings_file)
+    return stopping
+
+
+async def run(path: str) -> None:
+    """Run until a planned stop has ended. Raises :class:`SettingsError` and OSError."""
+    settings = load_platform_settings(path)
+    stopping = _stop_signal(path)
     node = build_node(settings)
     listener = CallersListener(node)
     await node.listen_for_peers(settings.ip, settings.peer_ports())
     node.start()
     callers_server = listener.server()
-    callers = await _listen(callers_server, settings.listen.front)
-    ready = await _listen(listener.ready_server(), settings.listen.ready)
-    figures = await _listen_for_figures(listener, settings)
+    callers = await listen(callers_server, settings.listen.front)
+    ready = await listen(listener.ready_server(), settings.listen.ready)
+    metrics = await _listen_for_metrics(listener, settings)
     emit(Event.NODE_STARTED, node=settings.node, zone=settings.zone, callers=settings.listen.front)
     await stopping.wait()
 
     async def close_listener() -> None:
         for site in list(callers.sites):
             await site.stop()
-        await listener.close_resting(callers_server)
+        await listener.close_idle(callers_server)
 
-    end_process_after(settings.bounds.grace_s)
-    await node.drain(settings.bounds.grace_s, close_listener)
-    # Together, since aiohttp waits at each server for connections that say nothing.
-    await asyncio.gather(*(runner.cleanup() for runner in (callers, ready, figures) if runner is not None))
+    grace_s = settings.grace_s
+    end_process_after(grace_s)
+    await node.drain(grace_s, close_listener)
+    # Together, since aiohttp waits at each server for connections that are still open.
+    await asyncio.gather(*(runner.cleanup() for runner in (callers, ready, metrics) if runner is not None))
     await node.stop()
     emit(Event.NODE_STOPPED)
 
@@ -124,5 +149,5 @@
         uvloop.run(run(settings_path()))
     except WallwellError as error:
         print(str(error), file=sys.stderr)
-        return 2
+        return REFUSED_SETTINGS_STATUS
     return 0
--- a/src/wallwell/platform/rollouts.py
+++ b/src/wallwell/platform/rollouts.py
@@ -1,4 +1,8 @@
-"""Rows of rollouts in the platform's store: the product's record, and the status that operators read."""
+"""Rows of rollouts in the platform's store: wallwell's own record, and the status that operators read.
+
+Owns how the two rows of a service are read together and written in one transaction under the lease. Relies on
+:class:`wallwell.platform.store.PlatformStore` and on :mod:`wallwell.platform.rows` for the status row's form.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +14,8 @@
 from wallwell.events import Event, emit
 from wallwell.platform import names
 from wallwell.platform.rows import encode_rollout_status
-from wallwell.platform.store import ConditionEntry, PlatformStore, PutEntry, TransactBody, encode_value
+from wallwell.platform.store import PlatformStore
+from wallwell.platform.store_wire import TransactBody, condition, put
 from wallwell.rollout.model import RolloutRecord
 from wallwell.rollout.store import LEASE_NAME, RECORD_PREFIX, StoredRollout
 
@@ -22,7 +27,7 @@
         self._store = store
 
     async def read(self, service: str) -> StoredRollout:
-        """See :class:`RolloutStore`. A record that cannot be read counts as none and is replaced."""
+        """See :class:`RolloutStore`. A record that cannot be decoded is logged, counts as none and is replaced."""
         own, status = await asyncio.gather(
             self._store.get_row(names.OWN_TABLE, RECORD_PREFIX + service),
             self._store.get_row(names.STATUS_TABLE, names.ROLLOUT_KEY_PREFIX + service),
@@ -35,20 +40,21 @@
         )
 
     async def write(self, record: RolloutRecord, seen: StoredRollout, lease_version: int) -> StoredRollout:
-        """See :class:`RolloutStore`."""
-        own_key = RECORD_PREFIX + record.service
+        """See :class:`RolloutStore`. Conditions on the lease and on both rows keep a former holder from writing."""
+        record_key = RECORD_PREFIX + record.service
         status_key = names.ROLLOUT_KEY_PREFIX + record.service
         status = encode_rollout_status(record)
-        puts = [PutEntry(names.OWN_TABLE, "", own_key, encode_value(msgspec.json.encode(record).decode()))]
-        if status != seen.status:
-            puts.append(PutEntry(names.STATUS_TABLE, "", status_key, encode_value(status)))
+        status_changed = status != seen.status
+        puts = [put(names.OWN_TABLE, record_key, msgspec.json.encode(record).decode())]
+        if status_changed:
+            puts.append(put(names.STATUS_TABLE, status_key, status))
         conditions = (
-            ConditionEntry(names.OWN_TABLE, "", LEASE_PREFIX + LEASE_NAME, lease_version),
-            ConditionEntry(names.OWN_TABLE, "", own_key, seen.record_version),
-            ConditionEntry(names.STATUS_TABLE, "", status_key, seen.status_version),
+            condition(names.OWN_TABLE, LEASE_PREFIX + LEASE_NAME, lease_version),
+            condition(names.OWN_TABLE, record_key, seen.record_version),
+            condition(names.STATUS_TABLE, status_key, seen.status_version),
         )
         version = await self._store.transact_rows(TransactBody(conditions, tuple(puts), ()))
-        return StoredRollout(record, version, status, version if len(puts) > 1 else seen.status_version)
+        return StoredRollout(record, version, status, version if status_changed else seen.status_version)
 
 
 def _decode_record(text: str) -> RolloutRecord | None:
--- a/src/wallwell/platform/rows.py
+++ b/src/wallwell/platform/rows.py
@@ -1,4 +1,9 @@
-"""Rows of the platform's store, decoded to the product's types."""
+"""Values of the rows that operators and workers write to the platform's store, decoded to wallwell's types.
+
+Classes ending in ``Row`` have the platform's field names; a comment says what a field holds where its name
+misleads. The ``decode_`` functions return types of ``deployment`` and ``rollout``, with times in seconds, and
+raise ``msgspec.MsgspecError``; whoever applies the row logs that and keeps what was in force.
+"""
 
 from __future__ import annotations
 
@@ -21,12 +26,18 @@
 from wallwell.platform import names
 from wallwell.rollout.model import RolloutOrder, RolloutRecord
 
+READY_STATE = "ready"
+"""State of a back end that takes new requests; any other means that it is leaving."""
+RUNNING_STATE = "running"
+"""State of a rollout that has not ended, whatever its phase."""
+
 
 class SplitRow(msgspec.Struct, frozen=True):
-    """One service of a split route."""
+    """One service of a route that is split between services."""
 
     service: str
     weight: float = 1.0
+    """Relative to the other services; a service of weight 0 gets nothing."""
 
 
 class RouteRow(msgspec.Struct, frozen=True):
@@ -36,29 +47,40 @@
     path_prefix: str
     kind: RouteKind
     timeout_ms: float
+    """The longest time a request is held."""
     name: str = ""
     service: str = ""
+    """Used if ``backends`` names none."""
     backends: tuple[SplitRow, ...] = ()
+    """Services, not back ends."""
     slo_ms: float = 1000.0
+    """Time within which an answer earns full credit; of a stream, its first event."""
     priority: int = 5
+    """0 is served first."""
     attempts: int = 1
+    """Back ends that one request may be sent to, the first one included."""
     public: bool = False
+    """Whether requests need no credential."""
     can_resume: bool = False
+    """Whether a stream may be continued at another back end."""
     gap_slo_ms: float = 500.0
+    """Longest pause between events that keeps a stream in time."""
 
 
-class ModelRow(msgspec.Struct, frozen=True):
+class EngineModelRow(msgspec.Struct, frozen=True):
     """A model that a service's engines run."""
 
     name: str
 
 
 class EngineRow(msgspec.Struct, frozen=True):
-    """Engines of a service."""
+    """The engines of a service."""
 
     slots: int = 1
+    """Requests that one engine works on at the same time."""
     kv_capacity: int = 0
-    models: tuple[ModelRow, ...] = ()
+    """Tokens that one engine's memory holds, of running requests and cached parts together."""
+    models: tuple[EngineModelRow, ...] = ()
 
 
 class ServiceRow(msgspec.Struct, frozen=True):
@@ -66,9 +88,12 @@
 
     name: str
     max_conns: int = 0
+    """Connections that one back end accepts from all callers together."""
     engine: EngineRow | None = None
     kv_store_addr: str = ""
+    """``IP:PORT`` of a KV store; such a service takes no requests."""
     zone: str = ""
+    """Zone of a KV store."""
 
 
 TOKENS_UNIT = "tokens"
@@ -76,16 +101,21 @@
 
 
 class TenantRow(msgspec.Struct, frozen=True):
-    """A tenant as the operator writes it. ``rate_per_s`` is its limit over all nodes, 0 for none."""
+    """A tenant as the operator writes it."""
 
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
+    """Takes precedence over the route's."""
     isolated: bool = False
+    """Whether its cached parts are shared with no other tenant."""
     rate_per_s: float = 0.0
+    """Limit over all nodes, in ``unit`` a second; 0 for none."""
     burst: float = 0.0
+    """What may be saved up from quieter times, in ``unit``."""
     unit: str = ""
     plain_tokens: int = 1
+    """Tokens that a request without a token count of its own costs."""
 
 
 class LimitsRow(msgspec.Struct, frozen=True):
@@ -93,12 +123,14 @@
 
     max_body_bytes: int = 4 * 1024 * 1024
     idle_timeout_ms: float = 60_000
+    """How long callers may leave a connection idle."""
 
 
 class ConfigRow(msgspec.Struct, frozen=True):
     """The operators' whole configuration."""
 
     version: int
+    """Rises with each change, in uneven steps."""
     routes: tuple[RouteRow, ...] = ()
     services: tuple[ServiceRow, ...] = ()
     limits: LimitsRow = LimitsRow()
@@ -106,7 +138,7 @@
 
 
 class VersionRow(msgspec.Struct, frozen=True):
-    """A named weights version."""
+    """A weights version that operators name, to be brought to every engine of a model."""
 
     model: str
     version: int
@@ -120,19 +152,22 @@
 
     service: NameText
     target_version: NameText
+    """A version of the software, not of weights."""
     duration_s: Annotated[float, msgspec.Meta(gt=0)]
+    """Time within which the rollout shall have ended."""
 
 
 class RolloutStatusRow(msgspec.Struct, frozen=True):
-    """What operators read of a rollout. ``state`` is ``running``, ``complete`` or ``rolled_back``."""
+    """What operators read of a rollout."""
 
     state: str
+    """``running``, ``complete`` or ``rolled_back``."""
     target_version: str
     service: str
 
 
-class ModelVersionRow(msgspec.Struct, frozen=True):
-    """A model and its version at a back end."""
+class LoadedModelRow(msgspec.Struct, frozen=True):
+    """A model and its weights version at a back end."""
 
     name: str
     version: int = 0
@@ -143,16 +178,20 @@
 
     service: str
     addr: str
+    """``IP:PORT``."""
     zone: str = ""
     slots: int = 1
-    state: str = "ready"
+    state: str = READY_STATE
+    """``ready`` or ``draining``."""
     version: str = ""
+    """Version of its software, not of weights."""
     cold_left_ms: float = 0.0
-    models: tuple[ModelVersionRow, ...] = ()
+    """How much longer it stays slow after its start, as of the entry's writing."""
+    models: tuple[LoadedModelRow, ...] = ()
 
 
 def decode_config(value: bytes) -> DeploymentConfig:
-    """Decode the operators' configuration. Raises ``msgspec.ValidationError``."""
+    """Decode the operators' configuration."""
     row = msgspec.json.decode(value, type=ConfigRow)
     return DeploymentConfig(
         version=row.version,
@@ -196,27 +235,28 @@
     return Service(row.name, row.max_conns, engines, row.kv_store_addr, row.zone)
 
 
-def decode_version(value: bytes) -> VersionRow:
-    """Decode a named weights version. Raises ``msgspec.ValidationError``."""
-    return msgspec.json.decode(value, type=VersionRow)
+def decode_version(value: bytes) -> tuple[str, int]:
+    """Return the model and the weights version that operators name for it."""
+    row = msgspec.json.decode(value, type=VersionRow)
+    return row.model, row.version
 
 
 def decode_rollout_order(key: str, value: bytes, version: int) -> RolloutOrder:
-    """Decode an order to replace a service's software. Raises ``msgspec.ValidationError``."""
+    """Decode an order to replace a service's software."""
     row = msgspec.json.decode(value, type=RolloutOrderRow)
     if key != names.ROLLOUT_KEY_PREFIX + row.service:
-        raise msgspec.ValidationError(f"names the service {row.service}, which is not its key's")
+        raise msgspec.ValidationError(f"the order names the service {row.service}, its key another one")
     return RolloutOrder(row.service, row.target_version, row.duration_s, version)
 
 
 def encode_rollout_status(record: RolloutRecord) -> str:
-    """Return the status row's text of a rollout."""
-    state = record.phase.value if record.phase.is_final else "running"
+    """Return the value of a rollout's status row."""
+    state = record.phase.value if record.phase.is_final else RUNNING_STATE
     return msgspec.json.encode(RolloutStatusRow(state, record.target_version, record.service)).decode()
 
 
 def decode_backend(incarnation: str, value: bytes) -> BackendRecord:
-    """Decode a back end's entry. Raises ``msgspec.ValidationError``."""
+    """Decode a back end's entry."""
     row = msgspec.json.decode(value, type=BackendRow)
     return BackendRecord(
         incarnation=incarnation,
@@ -224,7 +264,7 @@
         address=row.addr,
         zone=row.zone,
         slots=row.slots,
-        draining=row.state != "ready",
+        draining=row.state != READY_STATE,
         versions={model.name: model.version for model in row.models if model.version},
         software=row.version,
         slow_for_s=row.cold_left_ms / 1000,
--- a/src/wallwell/platform/stop_deadline.py
+++ b/src/wallwell/platform/stop_deadline.py
@@ -1,7 +1,8 @@
-"""The end of a planned stop that nothing can put off.
+"""The end of a planned stop that nothing can delay.
 
-Whatever hangs at the end of a process keeps it past its grace time: a task that ignores its cancellation, a name
-being looked up in a thread, a loop that gets no processor time. So a thread of its own ends the process in time.
+The platform kills a process that outlives its grace time, and counts that as a crash. A task that ignores its
+cancellation, a host name being resolved in a thread, or an event loop without processor time can each keep a
+process that long. So a thread of its own ends the process in time.
 """
 
 from __future__ import annotations
@@ -14,9 +15,11 @@
 from wallwell.events import Event, emit
 
 EXIT_MARGIN_S = 0.25
-"""How long before the end of the grace time the process is ended: what the system needs to take it down."""
-LOOK_S = 0.1
-"""Longest wait between two looks at the clock: a wait that a suspension lengthens ends at most so much too late."""
+"""Seconds before the end of the grace time at which the process is ended. Chosen, not measured: time for the
+system to release its memory and sockets."""
+CLOCK_CHECK_S = 0.1
+"""Longest wait, in seconds, between two readings of the clock. A suspension of the machine lengthens a wait,
+which so ends at most this much too late."""
 
 
 class StopTimer(threading.Thread):
@@ -35,7 +38,7 @@
     def run(self) -> None:
         """Wait and call."""
         while (left_s := self.due_s - boot_time_s()) > 0:
-            if self._cancelled.wait(min(left_s, LOOK_S)):
+            if self._cancelled.wait(min(left_s, CLOCK_CHECK_S)):
                 return
         if not self._cancelled.is_set():
             self._call()
--- a/src/wallwell/platform/store.py
+++ b/src/wallwell/platform/store.py
@@ -1,8 +1,12 @@
-"""Client of the platform's store: the product's table and feed interfaces over its rows."""
+"""Client of the platform's store: wallwell's interfaces of tables and feeds over the store's calls.
+
+Owns the connections to the store. Sends each call once: who calls decides whether to try again, since a call
+without an answer may have taken effect. The wire format stands in :mod:`wallwell.platform.store_wire`.
+"""
 
 from __future__ import annotations
 
-import base64
+from http import HTTPStatus
 from urllib.parse import urlencode
 
 import msgspec
@@ -10,75 +14,39 @@
 from wallwell.errors import HistoryLostError, PlatformUnavailableError, TableConflictError
 from wallwell.http_connection import ConnectFailedError, ConnectionBrokenError, ConnectionPool
 from wallwell.platform import names
+from wallwell.platform.store_wire import (
+    RowsAnswer,
+    TransactBody,
+    decode_answer,
+    feed_row,
+    own_transaction,
+    table_row,
+)
 from wallwell.storage.feed import FeedPage, FeedRow
 from wallwell.storage.table import Row, Scan, Transaction
 
 CALL_TIMEOUT_S = 1.5
+"""Seconds for one call, connecting included. Chosen, not measured: two calls fit into the 3 s of a lease."""
 CONNECT_TIMEOUT_S = 1.0
+"""Seconds for a new connection. Chosen, not measured: leaves a third of the call's time for its answer."""
 PAGE_ROWS = 500
-_OK = 200
-_CONFLICT = 412
-_HISTORY_GONE = 410
-
-
-class StoredRow(msgspec.Struct, frozen=True):
-    """A row on the wire; ``value`` is base64."""
-
-    key: str
-    value: str = ""
-    ver: int = 0
-    gone: bool = False
-
-
-class RowsAnswer(msgspec.Struct, frozen=True):
-    """Answer about rows."""
-
-    ver: int
-    now_ms: float = 0.0
-    rows: tuple[StoredRow, ...] = ()
-    more: bool = False
-
-
-class ConditionEntry(msgspec.Struct, frozen=True):
-    """A row and the version it must have."""
-
-    table: str
-    part: str
-    key: str
-    ver: int
-
-
-class PutEntry(msgspec.Struct, frozen=True):
-    """A row to write."""
-
-    table: str
-    part: str
-    key: str
-    value: str
-
-
-class DeleteEntry(msgspec.Struct, frozen=True):
-    """A row to remove."""
-
-    table: str
-    part: str
-    key: str
-
-
-class TransactBody(msgspec.Struct, frozen=True):
-    """A transaction."""
-
-    expect_rev: tuple[ConditionEntry, ...]
-    put: tuple[PutEntry, ...]
-    delete: tuple[DeleteEntry, ...]
+"""Rows in one page: the most that the store's protocol allows."""
+MAX_IDLE_CONNECTIONS = 6
+"""Idle connections kept. Chosen, not measured: three feeds are held open at the same time, and as many other
+calls."""
+AFTER_KEY = "\x00"
+"""Appended to the last key of a page, it makes the smallest key that follows: keys are ordered by their bytes."""
 
 
 class PlatformStore:
-    """The store at one address; one connection for each call under way."""
+    """The store at one address, one connection for each call in progress.
+
+    Implements :class:`wallwell.storage.table.TableService` over wallwell's own table.
+    """
 
     def __init__(self, address: str) -> None:
         self._address = address
-        self._pool = ConnectionPool("", CONNECT_TIMEOUT_S, CALL_TIMEOUT_S, max_idle=6)
+        self._pool = ConnectionPool("", CONNECT_TIMEOUT_S, CALL_TIMEOUT_S, max_idle=MAX_IDLE_CONNECTIONS)
 
     def close(self) -> None:
         """Close idle connections."""
@@ -95,55 +63,52 @@
         except (ConnectFailedError, ConnectionBrokenError) as error:
             raise PlatformUnavailableError(str(error)) from error
         except TimeoutError as error:
-            raise PlatformUnavailableError("no answer in time") from error
+            raise PlatformUnavailableError(f"no answer within {timeout_s:g} s") from error
 
     async def read(self, path: str, query: dict[str, str], timeout_s: float) -> RowsAnswer:
         """Read rows. Raises :class:`HistoryLostError` or :class:`PlatformUnavailableError`."""
         status, data = await self.call("GET", f"{path}?{urlencode(query)}", b"", timeout_s)
-        if status == _HISTORY_GONE:
-            raise HistoryLostError("history is gone")
-        if status != _OK:
+        if status == HTTPStatus.GONE:
+            raise HistoryLostError("the store no longer has the changes after that version")
+        if status != HTTPStatus.OK:
             raise PlatformUnavailableError(f"status {status}")
-        return _decode(data)
+        return decode_answer(data)
 
     async def transact_rows(self, body: TransactBody) -> int:
         """Carry out a transaction over rows of any tables and return the version of what it wrote.
 
-        Raises :class:`TableConflictError` (nothing written) or :class:`PlatformUnavailableError` (unknown).
+        Raises :class:`TableConflictError` (nothing written) or :class:`PlatformUnavailableError` (not known whether
+        it was written).
         """
         payload = msgspec.json.encode(body)
         status, data = await self.call("POST", names.ROWS_TRANSACT_PATH, payload, CALL_TIMEOUT_S)
-        if status == _CONFLICT:
+        if status == HTTPStatus.PRECONDITION_FAILED:
             raise TableConflictError("a condition does not hold")
-        if status != _OK:
+        if status != HTTPStatus.OK:
             raise PlatformUnavailableError(f"status {status}")
-        return _decode(data).ver
+        return decode_answer(data).ver
 
     async def get_row(self, table: str, key: str) -> Row | None:
-        """Return a row of a table. Raises :class:`PlatformUnavailableError`."""
-        query = {"table": table, "part": "", "from": key, "limit": "1"}
+        """Return a row of a table, None if there is none. Raises :class:`PlatformUnavailableError`."""
+        query = {"table": table, "part": names.WHOLE_TABLE, "from": key, "limit": "1"}
         answer = await self.read(names.ROWS_READ_PATH, query, CALL_TIMEOUT_S)
+        # The store answers the first row from this key on, which may be a later one.
         found = next((row for row in answer.rows if row.key == key), None)
-        return Row(key, _decode_value(found.value).decode(), found.ver) if found is not None else None
+        return table_row(found) if found is not None else None
 
-    # --- the product's table interface, over this product's own table --------------------------------------
+    # --- TableService, over wallwell's own table -------------------------------------------------------------
 
     async def transact(self, transaction: Transaction) -> int:
         """See :class:`wallwell.storage.table.TableService`."""
-        table = names.OWN_TABLE
-        body = TransactBody(
-            expect_rev=tuple(ConditionEntry(table, "", each.key, each.version) for each in transaction.conditions),
-            put=tuple(PutEntry(table, "", each.key, encode_value(each.value)) for each in transaction.puts),
-            delete=tuple(DeleteEntry(table, "", key) for key in transaction.deletes),
-        )
-        return await self.transact_rows(body)
+        return await self.transact_rows(own_transaction(transaction))
 
     async def get(self, key: str) -> Row | None:
         """See :class:`wallwell.storage.table.TableService`."""
         return await self.get_row(names.OWN_TABLE, key)
 
     async def scan(self, prefix: str, after_version: int) -> Scan:
-        """See :class:`wallwell.storage.table.TableService`."""
+        """See :class:`wallwell.storage.table.TableService`. Reads the whole table, which holds a few rows a
+        node."""
         page = await TableRows(self, names.OWN_TABLE).read_all()
         rows = [row for row in page.rows if row.key.startswith(prefix) and row.version > after_version]
         return Scan(page.version, tuple(Row(row.key, (row.value or b"").decode(), row.version) for row in rows))
@@ -157,43 +122,26 @@
         self._table = table
 
     async def read_all(self) -> FeedPage:
-        """See :class:`wallwell.storage.feed.RowSource`. The version is the first page's, so nothing is missed."""
-        rows: list[FeedRow] = []
-        first: RowsAnswer | None = None
-        start = ""
-        while True:
-            query = {"table": self._table, "part": "", "limit": str(PAGE_ROWS)}
-            if start:
-                query["from"] = start
-            answer = await self._store.read(names.ROWS_READ_PATH, query, CALL_TIMEOUT_S)
-            first = first or answer
-            rows.extend(_feed_row(row) for row in answer.rows)
-            if not answer.more or not answer.rows:
-                return FeedPage(tuple(rows), first.ver, first.now_ms / 1000)
-            start = answer.rows[-1].key + "\x00"
+        """See :class:`wallwell.storage.feed.RowSource`.
+
+        Version and time are those of the first page: a change made while later pages are read is then read from
+        the feed again, and none is missed.
+        """
+        first = answer = await self._read_page("")
+        rows: list[FeedRow] = [feed_row(row) for row in first.rows]
+        while answer.more and answer.rows:
+            answer = await self._read_page(answer.rows[-1].key + AFTER_KEY)
+            rows.extend(feed_row(row) for row in answer.rows)
+        return FeedPage(tuple(rows), first.ver, first.now_ms / 1000)
+
+    async def _read_page(self, from_key: str) -> RowsAnswer:
+        query = {"table": self._table, "part": names.WHOLE_TABLE, "limit": str(PAGE_ROWS)}
+        if from_key:
+            query["from"] = from_key
+        return await self._store.read(names.ROWS_READ_PATH, query, CALL_TIMEOUT_S)
 
     async def changes(self, after_version: int, wait_s: float) -> FeedPage:
         """See :class:`wallwell.storage.feed.RowSource`."""
         query = {"table": self._table, "after": str(after_version), "wait_ms": str(round(wait_s * 1000))}
         answer = await self._store.read(names.ROWS_FEED_PATH, query, wait_s + CALL_TIMEOUT_S)
-        return FeedPage(tuple(_feed_row(row) for row in answer.rows), answer.ver, answer.now_ms / 1000)
-
-
-def _decode(data: bytes) -> RowsAnswer:
-    try:
-        return msgspec.json.decode(data, type=RowsAnswer)
-    except msgspec.MsgspecError as error:
-        raise PlatformUnavailableError(f"answer not understood: {error}") from error
-
-
-def _feed_row(row: StoredRow) -> FeedRow:
-    return FeedRow(row.key, None if row.gone else _decode_value(row.value), row.ver)
-
-
-def encode_value(text: str) -> str:
-    """Return a row's value as it travels."""
-    return base64.b64encode(text.encode()).decode()
-
-
-def _decode_value(text: str) -> bytes:
-    return base64.b64decode(text)
+        return FeedPage(tuple(feed_row(row) for row in answer.rows), answer.ver, answer.now_ms / 1000)
--- /dev/null
+++ b/src/wallwell/platform/worker_orders.py
@@ -0,0 +1,139 @@
+"""Reports of workers and orders to them: which weights an engine has, and which it shall load.
+
+Owns the wire format of both and their timeout. Sends each order once; the weights roll decides what follows. See
+:class:`wallwell.placement.weights_roll_driver.EngineControl`.
+"""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+
+import msgspec
+
+from wallwell.deployment.backends import BackendRecord
+from wallwell.events import Event, emit
+from wallwell.http_connection import ConnectFailedError, ConnectionBrokenError, ConnectionPool
+from wallwell.placement.weights_roll import EngineReport, LoadOrder, OrderReply
+from wallwell.platform import names
+
+CONTROL_TIMEOUT_S = 1.0
+"""Seconds for one call, connecting included. Chosen, not measured: a third of the lease under which orders are
+given, and workers answer reports and orders without waiting for a slot."""
+LOAD_WEIGHTS = "version"
+"""The order to load a version of a model's weights."""
+STREAMS_GO_ON = "retain"
+"""Mode of orders under which streams in progress continue, under the new weights."""
+MAX_FAILING_KNOWN = 1000
+"""Failing workers remembered, so that each outage is logged once; entries of ended workers are dropped this way."""
+
+
+class ReportedModel(msgspec.Struct, frozen=True):
+    """A model in a worker's report."""
+
+    name: str
+    version: int = 0
+    """Version of the model's weights."""
+
+
+class ReportRow(msgspec.Struct, frozen=True):
+    """A worker's report, some hundred milliseconds old."""
+
+    models: tuple[ReportedModel, ...] = ()
+    busy: bool = False
+    """Whether an order is being carried out; says nothing of the worker's load."""
+    seq: int = 0
+    """Orders taken since the worker's start, not a number of the report."""
+
+
+class OrderBody(msgspec.Struct, frozen=True):
+    """An order's body."""
+
+    op: str
+    model: str
+    version: int
+    mode: str
+    """What becomes of streams in progress."""
+    holder: str
+    """Node that holds the lease under which the order is given."""
+    fence: int
+    """Fencing token of that lease; a worker refuses one lower than it has seen."""
+    expect_rev: int
+    """Orders that the worker must have taken before this one: its report's ``seq``, not a revision."""
+
+
+_ORDER_REPLIES: dict[int, OrderReply] = {
+    HTTPStatus.OK: OrderReply.IN_PLACE,
+    HTTPStatus.ACCEPTED: OrderReply.ACCEPTED,
+    HTTPStatus.CONFLICT: OrderReply.BUSY,
+    HTTPStatus.PRECONDITION_FAILED: OrderReply.FENCED,
+    HTTPStatus.BAD_REQUEST: OrderReply.REFUSED,
+    HTTPStatus.MISDIRECTED_REQUEST: OrderReply.REFUSED,
+}
+
+
+class WorkerControl:
+    """Asks workers for reports and gives them orders."""
+
+    def __init__(self, pool: ConnectionPool) -> None:
+        self._pool = pool
+        self._failing: dict[str, None] = {}
+        """Incarnations whose last call failed, the longest known first."""
+
+    async def report(self, backend: BackendRecord) -> EngineReport | None:
+        """Return a worker's report, None without a usable answer, which is logged."""
+        answer = await self._call("GET", names.REPORT_PATH, backend, b"")
+        if answer is None:
+            return None
+        status, data = answer
+        if status != HTTPStatus.OK:
+            self._on_failure(backend, names.REPORT_PATH, f"status {status}")
+            return None
+        try:
+            row = msgspec.json.decode(data, type=ReportRow)
+        except msgspec.MsgspecError as error:
+            self._on_failure(backend, names.REPORT_PATH, f"report cannot be decoded: {error}")
+            return None
+        self._failing.pop(backend.incarnation, None)
+        versions = {model.name: model.version for model in row.models}
+        return EngineReport(versions, row.busy, row.seq)
+
+    async def order(self, backend: BackendRecord, order: LoadOrder) -> OrderReply:
+        """Order new weights; ``UNKNOWN`` if the order may have been taken or may take effect later."""
+        body = OrderBody(
+            op=LOAD_WEIGHTS,
+            model=order.model,
+            version=order.version,
+            mode=STREAMS_GO_ON,
+            holder=order.holder,
+            fence=order.fence,
+            expect_rev=order.expected_orders,
+        )
+        answer = await self._call("POST", names.ORDER_PATH, backend, msgspec.json.encode(body))
+        if answer is None:
+            return OrderReply.UNKNOWN
+        status, _ = answer
+        if status not in _ORDER_REPLIES:
+            self._on_failure(backend, names.ORDER_PATH, f"status {status}")
+            return OrderReply.UNKNOWN
+        return _ORDER_REPLIES[status]
+
+    async def _call(self, method: str, path: str, backend: BackendRecord, body: bytes) -> tuple[int, bytes] | None:
+        """Make one call and return status and body, None if there was no answer."""
+        head = f"{method} {path} HTTP/1.1\r\nHost: {backend.address}\r\nContent-Length: {len(body)}\r\n"
+        head += f"{names.EXPECT_INSTANCE}: {backend.incarnation}\r\n"
+        if body:
+            head += "Content-Type: application/json\r\n"
+        try:
+            return await self._pool.fetch(backend.address, head.encode() + b"\r\n" + body, CONTROL_TIMEOUT_S)
+        except (ConnectFailedError, ConnectionBrokenError, TimeoutError) as error:
+            self._on_failure(backend, path, f"{type(error).__name__}: {error}")
+            return None
+
+    def _on_failure(self, backend: BackendRecord, path: str, reason: str) -> None:
+        """Log the first failure after a report: a weights roll asks an unresponsive worker about once a second."""
+        if backend.incarnation in self._failing:
+            return
+        self._failing[backend.incarnation] = None
+        if len(self._failing) > MAX_FAILING_KNOWN:
+            del self._failing[next(iter(self._failing))]
+        emit(Event.ENGINE_CONTROL_FAILED, backend=backend.incarnation, call=path, error=reason)
--- /dev/null
+++ b/src/wallwell/platform/worker_probes.py
@@ -0,0 +1,45 @@
+"""Probes of workers by new connections, which cost a worker no slot.
+
+Owns the timeouts of probes. A connection that a probe makes stays in the pool and carries the next request.
+"""
+
+from __future__ import annotations
+
+from wallwell.deployment.backends import BackendRecord
+from wallwell.deployment.topology import ONE_REGION, Distance, Topology
+from wallwell.http_connection import ConnectFailedError, ConnectionPool
+
+REACHABLE_TIMEOUT_S = 0.12
+"""Seconds for a machine to answer a connection's first packet; more than the longest round trip within a region."""
+FAR_REACHABLE_TIMEOUT_S = 0.25
+"""The same in another region: 40 ms of round trip, and what may wait in the queue of the link between them."""
+
+
+class WorkerProbes:
+    """Finds out by new connections whether workers are reachable and whether their processes have ended."""
+
+    def __init__(self, pool: ConnectionPool, topology: Topology = ONE_REGION) -> None:
+        self._pool = pool
+        self._topology = topology
+
+    async def is_reachable(self, backend: BackendRecord) -> bool:
+        """See :class:`wallwell.serving.liveness.ReachabilityCheck`."""
+        failure = await self._open_connection(backend)
+        return failure is None or not failure.timed_out
+
+    async def is_refused(self, backend: BackendRecord) -> bool:
+        """See :class:`wallwell.node.crash_watch.CrashCheck`."""
+        if self._pool.has_idle(backend.address):
+            return False  # The end of its process would have reset it.
+        failure = await self._open_connection(backend)
+        return failure is not None and failure.refused
+
+    async def _open_connection(self, backend: BackendRecord) -> ConnectFailedError | None:
+        """Make a connection for the next request; returns why there is none."""
+        is_far = self._topology.distance(backend.zone) is Distance.OTHER_REGION
+        timeout_s = FAR_REACHABLE_TIMEOUT_S if is_far else REACHABLE_TIMEOUT_S
+        try:
+            await self._pool.open_idle(backend.address, timeout_s)
+        except ConnectFailedError as error:
+            return error
+        return None
--- /dev/null
+++ b/src/wallwell/platform/worker_requests.py
@@ -0,0 +1,110 @@
+"""A request to a worker as it travels, and the meaning of the head of its answer. No I/O.
+
+Decides nothing but what the platform's protocol proves of an answer; whether to retry is decided in
+``routing/retry``, from the :class:`TransportEvent` named here.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from http import HTTPStatus
+
+from aiohttp.http_parser import RawResponseMessage
+
+from wallwell.platform import names
+from wallwell.routing.retry.attempt_outcome import TransportEvent
+from wallwell.serving.messages import AnswerHead, AttemptError, CachePlan, CallerRequest, Dispatch
+
+MAX_PRIORITY = 9
+"""Least urgent priority of the platform's protocol, whose range is 0 to 9."""
+METHODS_WITH_BODY = ("POST", "PUT", "PATCH")
+"""Methods whose requests carry a length even if their body is empty."""
+MIN_DEADLINE_MS = 1
+"""A request whose time has run out on its way still names a time; 0 could be read as no bound."""
+NOT_RUN_STATUSES = frozenset(
+    (
+        HTTPStatus.REQUEST_TIMEOUT,
+        HTTPStatus.MISDIRECTED_REQUEST,
+        HTTPStatus.TOO_MANY_REQUESTS,
+        HTTPStatus.SERVICE_UNAVAILABLE,
+    )
+)
+"""Statuses that state to a caller that nothing ran. From a worker they prove that only together with
+``names.NOT_RUN``, so without that header such an answer must not be passed on."""
+
+
+def encode_request(dispatch: Dispatch) -> bytes:
+    """Return the whole request of an attempt as sent to the worker."""
+    request = dispatch.request
+    lines = [f"{request.method} {request.target} HTTP/1.1"]
+    lines.extend(f"{name}: {value}" for name, value in request.headers)
+    lines.extend(f"{name}: {value}" for name, value in _headers_of_router(dispatch))
+    if request.body or request.method in METHODS_WITH_BODY:
+        lines.append(f"Content-Length: {len(request.body)}")
+    # The caller's bytes outside UTF-8 arrive as surrogates and leave as they came.
+    return "\r\n".join(lines).encode("utf-8", "surrogateescape") + b"\r\n\r\n" + request.body
+
+
+def _headers_of_router(dispatch: Dispatch) -> Iterator[tuple[str, object]]:
+    request = dispatch.request
+    yield names.REQUEST_ID, request.request_id
+    yield names.DEADLINE_MS, max(MIN_DEADLINE_MS, int(dispatch.remaining_s * 1000))
+    yield names.EXPECT_INSTANCE, dispatch.backend.incarnation
+    if dispatch.tenant:
+        yield names.TENANT, dispatch.tenant
+    if request.generation is not None:
+        yield names.PRIORITY, min(MAX_PRIORITY, max(0, dispatch.rank))
+    if dispatch.expected_version:
+        yield names.EXPECT_VERSION, dispatch.expected_version
+    if dispatch.resume_after is not None:
+        yield names.RESUME_AFTER, dispatch.resume_after
+    if dispatch.cache is not None:
+        yield from _cache_headers(dispatch.cache)
+
+
+def _cache_headers(cache: CachePlan) -> Iterator[tuple[str, object]]:
+    yield names.CACHE_SALT, cache.scope
+    if cache.fetch_from:
+        yield names.KV_FETCH, cache.fetch_from
+    if cache.save_to:
+        yield names.KV_SAVE, cache.save_to
+
+
+def has_answer_body(request: CallerRequest) -> bool:
+    """Whether the answer to a request has a body."""
+    return request.method != "HEAD"
+
+
+def answer_head(message: RawResponseMessage) -> AnswerHead:
+    """Return the head of a worker's answer, without the headers of its connection and its instance."""
+    headers = tuple(
+        (name, value)
+        for name, value in message.headers.items()
+        if name.lower() not in names.HOP_BY_HOP and name.lower() != names.INSTANCE_ID.lower()
+    )
+    version = message.headers.get(names.WEIGHT_VERSION, "")
+    content_type = message.headers.get("Content-Type", "")
+    return AnswerHead(
+        status=message.code,
+        headers=headers,
+        weights_version=int(version) if version.isdigit() else 0,
+        is_event_stream=content_type.startswith(names.EVENT_STREAM),
+    )
+
+
+def attempt_failure(message: RawResponseMessage, head: AnswerHead) -> AttemptError | None:
+    """Return how the attempt failed, None if this is the worker's answer to the request.
+
+    A worker's own errors, such as 500 or 504, are its answer and are passed on.
+    """
+    if message.code == HTTPStatus.MISDIRECTED_REQUEST:
+        return AttemptError(TransportEvent.PRECONDITION_REFUSED, str(message.code), head.weights_version)
+    if names.NOT_RUN in message.headers:
+        return AttemptError(TransportEvent.BACKEND_OVERLOADED, str(message.code))
+    if message.code in NOT_RUN_STATUSES:
+        return AttemptError(TransportEvent.CANCEL_UNACKNOWLEDGED, f"{message.code} without proof")
+    if "Content-Encoding" in message.headers:
+        return AttemptError(TransportEvent.FOREIGN_ANSWER, "encoded body")
+    if head.ok and names.SEAL not in message.headers:
+        return AttemptError(TransportEvent.FOREIGN_ANSWER, "no seal")
+    return None
--- a/tests/platform/test_busy_node.py
+++ b/tests/platform/test_busy_node.py
@@ -15,7 +15,7 @@
 from tests.platform.conftest import config, route
 from wallwell.clock import boot_time_s
 from wallwell.node.loop_lag import LATE_S, LoopLag
-from wallwell.platform.main import _listen
+from wallwell.platform.main import listen
 
 LOOPS = pytest.mark.parametrize("loop", [asyncio.new_event_loop, uvloop.new_event_loop], ids=["asyncio", "uvloop"])
 CALLERS = 7
@@ -56,7 +56,7 @@
         return web.Response()
 
     async def scenario():
-        runner = await _listen(web.Server(answer), "127.0.0.1:0")
+        runner = await listen(web.Server(answer), "127.0.0.1:0")
         port = next(iter(runner.sites))._server.sockets[0].getsockname()[1]
         with contextlib.ExitStack() as callers:
             for _ in range(QUEUED):
@@ -71,7 +71,7 @@
 
 def test_a_starved_node_says_that_it_is_not_ready_until_it_has_recovered(on_platform):
     async def scenario(harness):
-        runner = await _listen(harness.listener.ready_server(), "127.0.0.1:0")
+        runner = await listen(harness.listener.ready_server(), "127.0.0.1:0")
         url = f"http://127.0.0.1:{next(iter(runner.sites))._server.sockets[0].getsockname()[1]}/"
         answers = []
         for delays in ((), (9.0,), (9.0, 9.0), ()):
--- a/tests/platform/test_cache_events.py
+++ b/tests/platform/test_cache_events.py
@@ -7,7 +7,7 @@
 
 from wallwell.errors import CacheEventsRefusedError, CacheStoreSilentError
 from wallwell.platform.cache_events import CacheEventsClient
-from wallwell.platform.workers import WorkerClient
+from wallwell.platform.workers import worker_pool
 from wallwell.routing.selection.kv_store import CacheEntry, CachePosition
 
 EVENTS = {
@@ -42,12 +42,12 @@
             await runner.setup()
             site = web.TCPSite(runner, "127.0.0.1", 0)
             await site.start()
-            client = WorkerClient()
+            pool = worker_pool()
             try:
                 address = f"127.0.0.1:{site._server.sockets[0].getsockname()[1]}"
-                await scenario(CacheEventsClient(client.pool), address)
+                await scenario(CacheEventsClient(pool), address)
             finally:
-                client.pool.close()
+                pool.close()
                 await runner.cleanup()
 
         run_async(work())
--- a/tests/platform/test_caller_gone.py
+++ b/tests/platform/test_caller_gone.py
@@ -23,14 +23,14 @@
 @pytest.fixture
 def sent(monkeypatch):
     """What the node writes to its workers; a worker may not see what is written just before a reset."""
-    exchange, written = BackendConnection.exchange, []
+    round_trip, written = BackendConnection.round_trip, []
 
     def recorded(self, request_id, *args, **more):
         if request_id:  # Calls of control carry none.
             written.append(request_id)
-        return exchange(self, request_id, *args, **more)
+        return round_trip(self, request_id, *args, **more)
 
-    monkeypatch.setattr(BackendConnection, "exchange", recorded)
+    monkeypatch.setattr(BackendConnection, "round_trip", recorded)
     return written
 
 
--- a/tests/platform/test_node.py
+++ b/tests/platform/test_node.py
@@ -126,7 +126,7 @@
         await harness.until(lambda: any(worker.requests for worker in harness.workers))
 
         async def close_listener():
-            await harness.listener.close_resting(harness.server)
+            await harness.listener.close_idle(harness.server)
 
         stopping = asyncio.create_task(harness.node.drain(1.0, close_listener))
         await harness.until(lambda: not harness.node.is_ready())
@@ -149,7 +149,7 @@
         head = "\r\n".join(f"{name}: {value}" for name, value in harness.headers().items())
         writer.write(f"POST /a HTTP/1.1\r\n{head}\r\nContent-Length: 10\r\n\r\nfirst".encode())
         await harness.until(lambda: harness.listener._busy)
-        await harness.listener.close_resting(harness.server)
+        await harness.listener.close_idle(harness.server)
         writer.write(b"-last")
         async with asyncio.timeout(5):
             answer = await reader.read()
--- a/tests/platform/test_reachability.py
+++ b/tests/platform/test_reachability.py
@@ -7,13 +7,14 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.topology import Topology
 from wallwell.http_connection import ConnectFailedError
-from wallwell.platform.workers import FAR_REACHABLE_TIMEOUT_S, REACHABLE_TIMEOUT_S, WorkerClient
+from wallwell.platform.worker_probes import FAR_REACHABLE_TIMEOUT_S, REACHABLE_TIMEOUT_S, WorkerProbes
+from wallwell.platform.workers import worker_pool
 
 
 @pytest.fixture
 def patient(monkeypatch):
     """A busy machine must not decide whether a connection on it is answered in time."""
-    monkeypatch.setattr("wallwell.platform.workers.REACHABLE_TIMEOUT_S", 30.0)
+    monkeypatch.setattr("wallwell.platform.worker_probes.REACHABLE_TIMEOUT_S", 30.0)
 
 
 def record(address):
@@ -32,10 +33,10 @@
     async def work():
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        client = WorkerClient()
-        assert await client.is_reachable(record(address))
-        answer = await client.pool.fetch(address, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", 5.0)
-        client.pool.close()
+        pool = worker_pool()
+        assert await WorkerProbes(pool).is_reachable(record(address))
+        answer = await pool.fetch(address, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", 5.0)
+        pool.close()
         for writer in connections:
             writer.close()
         server.close()
@@ -51,22 +52,22 @@
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         server.close()
         await server.wait_closed()
-        return await WorkerClient().is_reachable(record(address))
+        return await WorkerProbes(worker_pool()).is_reachable(record(address))
 
     assert run_async(work())
 
 
 @pytest.mark.parametrize(("timed_out", "reachable"), [(True, False), (False, True)])
 def test_only_silence_counts_as_unreachable(run_async, monkeypatch, timed_out, reachable):
-    client = WorkerClient()
+    pool = worker_pool()
     asked = []
 
     async def fail(address, timeout_s):
         asked.append((address, timeout_s))
         raise ConnectFailedError(timed_out, "scripted")
 
-    monkeypatch.setattr(client.pool, "open_resting", fail)
-    assert run_async(client.is_reachable(record("10.0.0.1:80"))) is reachable
+    monkeypatch.setattr(pool, "open_idle", fail)
+    assert run_async(WorkerProbes(pool).is_reachable(record("10.0.0.1:80"))) is reachable
     assert asked == [("10.0.0.1:80", REACHABLE_TIMEOUT_S)]
 
 
@@ -75,14 +76,15 @@
     [("z", REACHABLE_TIMEOUT_S), ("far", FAR_REACHABLE_TIMEOUT_S), ("new", REACHABLE_TIMEOUT_S)],
 )
 def test_a_machine_of_another_region_is_given_the_time_of_the_way(run_async, monkeypatch, zone, timeout_s):
-    client = WorkerClient(Topology("z", {"z": "east", "far": "west"}))
+    pool = worker_pool()
+    probes = WorkerProbes(pool, Topology("z", {"z": "east", "far": "west"}))
     waited = []
 
-    async def open_resting(address, limit_s):
+    async def open_idle(address, limit_s):
         waited.append(limit_s)
 
-    monkeypatch.setattr(client.pool, "open_resting", open_resting)
-    assert run_async(client.is_reachable(BackendRecord("i-1", "svc", "10.0.0.1:1", zone, 8)))
+    monkeypatch.setattr(pool, "open_idle", open_idle)
+    assert run_async(probes.is_reachable(BackendRecord("i-1", "svc", "10.0.0.1:1", zone, 8)))
     assert waited == [timeout_s]
 
 
@@ -92,14 +94,14 @@
     async def work():
         server = await asyncio.start_server(lambda reader, writer: writer.transport.abort(), "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        client = WorkerClient()
-        accepts = await client.is_refused(record(address))
+        pool = worker_pool()
+        accepts = await WorkerProbes(pool).is_refused(record(address))
         server.close()
         await server.wait_closed()
-        while client.pool.has_resting(address):  # Until the reset has been read.
+        while pool.has_idle(address):  # Until the reset has been read.
             await asyncio.sleep(0.005)
-        ended = await client.is_refused(record(address))
-        client.pool.close()
+        ended = await WorkerProbes(pool).is_refused(record(address))
+        pool.close()
         return accepts, ended
 
     assert run_async(work()) == (False, True)
@@ -111,9 +113,9 @@
     async def work():
         server = await asyncio.start_server(lambda reader, writer: accepted.append(writer), "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        client = WorkerClient()
-        refused = [await client.is_refused(record(address)) for _ in range(3)]
-        client.pool.close()
+        pool = worker_pool()
+        refused = [await WorkerProbes(pool).is_refused(record(address)) for _ in range(3)]
+        pool.close()
         for writer in accepted:
             writer.close()
         server.close()
@@ -125,10 +127,10 @@
 
 @pytest.mark.parametrize("timed_out", [True, False])
 def test_silence_and_other_failures_are_no_refusal(run_async, monkeypatch, timed_out):
-    client = WorkerClient()
+    pool = worker_pool()
 
     async def fail(address, timeout_s):
         raise ConnectFailedError(timed_out, "scripted")
 
-    monkeypatch.setattr(client.pool, "open_resting", fail)
-    assert not run_async(client.is_refused(record("10.0.0.1:80")))
+    monkeypatch.setattr(pool, "open_idle", fail)
+    assert not run_async(WorkerProbes(pool).is_refused(record("10.0.0.1:80")))
--- a/tests/platform/test_send_progress.py
+++ b/tests/platform/test_send_progress.py
@@ -8,14 +8,14 @@
 from tests.platform.stand_ins import WorkerStandIn
 from tests.unit.serving.fakes import make_request
 from wallwell.deployment.backends import BackendRecord
-from wallwell.platform.workers import WorkerClient
+from wallwell.platform.workers import WorkerClient, worker_pool
 from wallwell.serving.messages import Dispatch
 
 
 @pytest.mark.parametrize("comes_up", [True, False])
 def test_a_request_is_connecting_until_its_connection_is_up(run_async, comes_up):
     async def work():
-        worker, client = WorkerStandIn("i-1"), WorkerClient()
+        worker, pool = WorkerStandIn("i-1"), worker_pool()
         await worker.start()
         worker.respond = worker.hang
         if not comes_up:
@@ -23,10 +23,10 @@
             async def never(*args):
                 await asyncio.sleep(3600)
 
-            client.pool._connect = never
+            pool._connect = never
         request = dataclasses.replace(make_request(), headers=(("Host", "h"),))
         dispatch = Dispatch(BackendRecord("i-1", "svc", worker.address, "z", 8), request, "", 5.0, 0)
-        sending = asyncio.ensure_future(client.send(dispatch))
+        sending = asyncio.ensure_future(WorkerClient(pool).send(dispatch))
         while not (worker.requests if comes_up else dispatch.progress.connecting):
             await asyncio.sleep(0.001)
         sending.cancel()
--- /dev/null
+++ b/tests/unit/platform/test_worker_orders.py
@@ -0,0 +1,112 @@
+"""Reports and orders of workers that do not answer as they should: what is understood, and what is logged."""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+from loguru import logger
+
+from wallwell.deployment.backends import BackendRecord
+from wallwell.events import Event
+from wallwell.http_connection import ConnectFailedError, ConnectionBrokenError
+from wallwell.placement.weights_roll import LoadOrder, OrderReply
+from wallwell.platform import worker_orders
+from wallwell.platform.worker_orders import WorkerControl
+
+REPORT = (200, json.dumps({"models": [{"name": "m", "version": 3}], "busy": True, "seq": 2}).encode())
+ORDER = LoadOrder("m", 4, "n1", 8, 2)
+FAILURES = [
+    ConnectFailedError(True, "no connection in 0.25 s"),
+    ConnectionBrokenError("connection lost: closed"),
+    TimeoutError(),
+    (503, b""),
+    (200, b"no report"),
+]
+
+
+class ScriptedPool:
+    """Answers calls from a list; an exception in it is raised."""
+
+    def __init__(self, *script):
+        self.script = list(script)
+
+    async def fetch(self, address, request, timeout_s):
+        answer = self.script.pop(0)
+        if isinstance(answer, Exception):
+            raise answer
+        return answer
+
+
+@pytest.fixture
+def failures():
+    """Fields of the lines about failed calls."""
+    lines = []
+
+    def keep(message):
+        fields = message.record["extra"]
+        if fields.get("event") == Event.ENGINE_CONTROL_FAILED.number:
+            lines.append((fields["backend"], fields["call"], fields["error"]))
+
+    sink = logger.add(keep, level="INFO", format="{message}")
+    yield lines
+    logger.remove(sink)
+
+
+def record(incarnation="i-1"):
+    return BackendRecord(incarnation, "svc", "10.0.0.1:80", "z", 8)
+
+
+@pytest.mark.parametrize("failure", FAILURES, ids=str)
+def test_a_failed_report_is_none_and_logged_with_its_reason(run_async, failures, failure):
+    assert run_async(WorkerControl(ScriptedPool(failure)).report(record())) is None
+    ((backend, call, error),) = failures
+    assert (backend, call) == ("i-1", "/api/report")
+    assert error
+
+
+@pytest.mark.parametrize("failure", [*FAILURES[:4], (299, b"")], ids=str)
+def test_an_order_without_a_known_answer_may_have_been_taken(run_async, failures, failure):
+    assert run_async(WorkerControl(ScriptedPool(failure)).order(record(), ORDER)) is OrderReply.UNKNOWN
+    assert [line[:2] for line in failures] == [("i-1", "/api/order")]
+
+
+@pytest.mark.parametrize(
+    ("status", "reply"),
+    [
+        (200, OrderReply.IN_PLACE),
+        (202, OrderReply.ACCEPTED),
+        (400, OrderReply.REFUSED),
+        (409, OrderReply.BUSY),
+        (412, OrderReply.FENCED),
+        (421, OrderReply.REFUSED),
+    ],
+)
+def test_an_answer_to_an_order_is_no_failure(run_async, failures, status, reply):
+    assert run_async(WorkerControl(ScriptedPool((status, b""))).order(record(), ORDER)) is reply
+    assert failures == []
+
+
+def test_an_outage_is_logged_once_and_again_after_a_report(run_async, failures):
+    control = WorkerControl(ScriptedPool(TimeoutError(), TimeoutError(), REPORT, TimeoutError()))
+
+    async def work():
+        return [await control.report(record()) for _ in range(4)]
+
+    found = run_async(work())
+    assert [report is not None for report in found] == [False, False, True, False]
+    assert (found[2].versions, found[2].busy, found[2].orders_taken) == ({"m": 3}, True, 2)
+    assert len(failures) == 2
+
+
+def test_failing_workers_that_have_ended_are_not_remembered_for_good(run_async, failures, monkeypatch):
+    monkeypatch.setattr(worker_orders, "MAX_FAILING_KNOWN", 2)
+    control = WorkerControl(ScriptedPool(*[TimeoutError()] * 4))
+
+    async def work():
+        for name in ("a", "b", "c", "c"):
+            await control.report(record(name))
+
+    run_async(work())
+    assert [line[0] for line in failures] == ["a", "b", "c"]
+    assert list(control._failing) == ["b", "c"]
--- a/tests/unit/test_http_connection.py
+++ b/tests/unit/test_http_connection.py
@@ -80,7 +80,7 @@
 async def fetch(pool, address, request_id="r1"):
     connection = await pool.acquire(address)
     try:
-        message = await connection.exchange(request_id, REQUEST)
+        message = await connection.round_trip(request_id, REQUEST)
         return message.code, b"".join([chunk async for chunk in connection.body()])
     finally:
         pool.release(address, connection)
@@ -213,14 +213,14 @@
         steps = [b"HTTP/1.1 200 OK\r\nX-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", PAUSE, end]
         async with ScriptedServer(steps) as server:
             connection = await pool.acquire(server.address)
-            await connection.exchange("r1", REQUEST)
+            await connection.round_trip("r1", REQUEST)
             while not connection.closed:
                 await asyncio.sleep(0)
             received = b""
             with pytest.raises(ConnectionBrokenError):
                 async for chunk in connection.body():
                     received += chunk
-            assert not connection.finish_exchange()
+            assert not connection.finish_round_trip()
             return received
 
     assert run_async(work()) == b"hello"
--- a/tests/unit/test_suspended_machine.py
+++ b/tests/unit/test_suspended_machine.py
@@ -26,12 +26,13 @@
 )
 from tests.unit.test_http_connection import REQUEST, ScriptedServer, answer
 from tests.virtual_time import run_virtual, suspend_machine
+from wallwell.backend_connection import DEFAULT_IDLE_S
 from wallwell.clock import TICK_S, SuspensionWatch, boot_time_s, bounded
 from wallwell.cluster.lease_turn import LeaseTurn
 from wallwell.cluster.leases import LeaseKeeper
 from wallwell.deployment.freshness import Freshness, StoreClock
 from wallwell.deployment.routes import RouteKind
-from wallwell.http_connection import DEFAULT_IDLE_S, ConnectionPool
+from wallwell.http_connection import ConnectionPool
 from wallwell.late_loop import is_done_within
 from wallwell.node.loop_lag import LoopLag
 from wallwell.outcomes import Outcome
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -49,8 +49,10 @@
 from wallwell.platform.main import build_node
 from wallwell.platform.rollouts import PlatformRollouts
 from wallwell.platform.settings import PlatformSettings, load_platform_settings, settings_path
-from wallwell.platform.store import PlatformStore, RowsAnswer, TableRows, TransactBody
-from wallwell.platform.workers import OrderBody, ReportRow, WorkerClient
+from wallwell.platform.store import PlatformStore, TableRows
+from wallwell.platform.store_wire import RowsAnswer, TransactBody
+from wallwell.platform.worker_orders import OrderBody, ReportRow, WorkerControl
+from wallwell.platform.workers import WorkerClient, worker_pool
 from wallwell.rollout.model import Phase, RolloutRecord
 from wallwell.rollout.reports import CountsTaken
 from wallwell.rollout.store import StoredRollout
@@ -232,7 +234,7 @@
 def platform_settings(path: Path) -> dict[str, Any]:
     """Return the settings in a file of the platform, and what they mean in seconds."""
     settings = load_platform_settings(str(path))
-    bounds, places = settings.fleet_bounds(), settings.places()
+    bounds, places = settings.fleet_bounds(), settings.topology()
     return {
         "document": _plain(settings),
         "peer_ports": list(settings.peer_ports()),
@@ -749,7 +751,7 @@
         backend = BackendRecord("inc-1", "svc", self._address, "z1", 1)
         cache = CachePlan(**self._dispatch["cache"]) if "cache" in self._dispatch else None
         given = {name: value for name, value in self._dispatch.items() if name != "cache"}
-        answer = await WorkerClient().send(Dispatch(backend, request, cache=cache, **given))
+        answer = await WorkerClient(worker_pool()).send(Dispatch(backend, request, cache=cache, **given))
         body = b"".join([chunk async for chunk in answer.chunks()])
         await reply.answer(answer.head, body)
 
@@ -808,7 +810,7 @@
         request = CallerRequest("r1", "h", "GET", "/", (), b"", "", None, 0.0)
         backend = BackendRecord("inc-1", "svc", address, "z1", 1)
         try:
-            await WorkerClient().send(Dispatch(backend, request, "", 1.0, 5))
+            await WorkerClient(worker_pool()).send(Dispatch(backend, request, "", 1.0, 5))
         except AttemptError as error:
             return error.event.value, error.detail, error.weights_version
         finally:
@@ -820,8 +822,8 @@
 
 def worker_control(report: bytes) -> dict[str, Any]:
     """Return the calls for a worker's report and for an order, and what is understood of the report."""
-    workers = WorkerClient()
-    workers.pool = pool = _RecordingPool({"GET": report})  # type: ignore[assignment]
+    pool = _RecordingPool({"GET": report})
+    workers = WorkerControl(pool)  # type: ignore[arg-type]
     backend = BackendRecord("inc-1", "svc", "127.0.0.1:5", "z1", 1)
 
     async def act() -> tuple[EngineReport | None, str]:
@@ -839,14 +841,13 @@
     """Return what each status of a worker's answer to an order means."""
 
     async def act(status: int) -> str:
-        workers = WorkerClient()
         pool = _RecordingPool()
 
         async def fetch(address: str, data: bytes, timeout_s: float) -> tuple[int, bytes]:
             return status, b""
 
         pool.fetch = fetch  # type: ignore[method-assign]
-        workers.pool = pool  # type: ignore[assignment]
+        workers = WorkerControl(pool)  # type: ignore[arg-type]
         backend = BackendRecord("inc-1", "svc", "127.0.0.1:5", "z1", 1)
         return (await workers.order(backend, LoadOrder("m", 3, "n1", 8, 2))).value
 
