--- a/src/wallwell/cli/bench_runs.py
+++ b/src/wallwell/cli/bench_runs.py
@@ -15,7 +15,7 @@
 
 
 def progress(text: str) -> None:
-    """Tell what runs now."""
+    """Print what runs now."""
     print(text, file=sys.stderr)
 
 
--- a/src/wallwell/cli/config_commands.py
+++ b/src/wallwell/cli/config_commands.py
@@ -1,4 +1,7 @@
-"""``wallwell check``, ``apply``, ``remove``, ``get`` and ``status``."""
+"""``wallwell check``, ``apply``, ``remove``, ``get`` and ``status``: operators' files and what is in force.
+
+``check`` works offline; the others call a router through :class:`OperatorClient`.
+"""
 
 from __future__ import annotations
 
@@ -20,6 +23,13 @@
 from wallwell.standalone.config.schema import FileKey, Kind
 
 TOKEN_VARIABLE = "WALLWELL_OPERATOR_TOKEN"
+"""Environment variable with the operator's bearer token."""
+DEFAULT_WAIT_S = 10.0
+"""Seconds that ``apply --wait`` waits by default. Chosen, not measured: a person waits at a terminal."""
+DIGEST_LENGTH = 12
+"""Characters of a file's digest that are printed: enough to tell two revisions apart."""
+APPLY_ID_BYTES = 12
+"""Random bytes of an apply id, by which a router recognises a retry of the same change."""
 _KIND_ORDER = {kind: index for index, kind in enumerate(Kind)}
 
 
@@ -32,7 +42,7 @@
     apply = commands.add_parser("apply", help="put a file or a directory of files in force")
     apply.add_argument("path", type=Path)
     apply.add_argument("--wait", action="store_true", help="wait until it is in force on every live node")
-    apply.add_argument("--timeout", type=float, default=10.0, help="seconds to wait")
+    apply.add_argument("--timeout", type=float, default=DEFAULT_WAIT_S, help="seconds to wait")
     apply.add_argument("--base", type=int, help="the file's revision the change was made from")
     _add_connection(apply)
     apply.set_defaults(run=run_apply)
@@ -63,15 +73,10 @@
 
     Raises :class:`ConfigInvalidError` that lists every problem of every file.
     """
-    if not path.exists():
-        raise ConfigNotFoundError(f"{path} does not exist")
-    paths = sorted(path.glob("*.yaml")) if path.is_dir() else [path]
-    if not paths:
-        raise ConfigNotFoundError(f"{path} has no *.yaml files")
     files: dict[FileKey, ConfigFile] = {}
     sources: dict[FileKey, Path] = {}
     messages: list[str] = []
-    for each in paths:
+    for each in _paths_of(path):
         file, problems = parse_file(each.read_text(encoding="utf-8"))
         messages.extend(f"{each}: {problem}" for problem in problems)
         if file is None:
@@ -88,6 +93,16 @@
     return sorted(files.values(), key=lambda file: (_KIND_ORDER[file.key.kind], file.key.name))
 
 
+def _paths_of(path: Path) -> list[Path]:
+    """Return the file, or the files of the directory. Raises :class:`ConfigNotFoundError` if there are none."""
+    if not path.exists():
+        raise ConfigNotFoundError(f"{path} does not exist")
+    paths = sorted(path.glob("*.yaml")) if path.is_dir() else [path]
+    if not paths:
+        raise ConfigNotFoundError(f"{path} has no *.yaml files")
+    return paths
+
+
 def run_check(options: argparse.Namespace) -> int:
     """Check files offline; status 0 if there is nothing wrong."""
     files = read_directory(options.path)
@@ -105,7 +120,9 @@
         client = OperatorClient(options.router, options.token, session)
         revision = 0
         for file in files:
-            request = ApplyRequest(secrets.token_hex(12), options.operator, file.body, base_revision=options.base)
+            request = ApplyRequest(
+                secrets.token_hex(APPLY_ID_BYTES), options.operator, file.body, base_revision=options.base
+            )
             try:
                 answer = await client.apply(request)
             except WallwellError as error:
@@ -135,7 +152,9 @@
     async def remove() -> int:
         async with aiohttp.ClientSession() as session:
             client = OperatorClient(options.router, options.token, session)
-            answer = await client.apply(ApplyRequest(secrets.token_hex(12), options.operator, key=options.key))
+            answer = await client.apply(
+                ApplyRequest(secrets.token_hex(APPLY_ID_BYTES), options.operator, key=options.key)
+            )
             print(f"{answer.key}: removed at revision {answer.revision}")
             return 0
 
@@ -153,7 +172,7 @@
                 print(f"# revision {view.revision} by {view.operator}\n{view.body}", end="")
                 return 0
             for view in await client.files():
-                print(f"{view.key}\trevision {view.revision}\t{view.operator}\t{view.digest[:12]}")
+                print(f"{view.key}\trevision {view.revision}\t{view.operator}\t{view.digest[:DIGEST_LENGTH]}")
             return 0
 
     return asyncio.run(get())
--- a/src/wallwell/cli/demo.py
+++ b/src/wallwell/cli/demo.py
@@ -1,4 +1,7 @@
-"""``wallwell demo``: a whole deployment in one process, with real requests over loopback sockets."""
+"""``wallwell demo``: a whole deployment in one process, with real requests over loopback sockets.
+
+The same requests run under wallwell's policy and under round robin, so that their figures can be compared.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,13 @@
 from wallwell.events import configure_logging
 
 REQUESTS = 300
+"""Requests by default. Chosen, not measured: ten seconds at ``RATE_PER_S``."""
 RATE_PER_S = 30.0
+"""Requests a second. Chosen, not measured: what stand-ins, routers and callers do in one process."""
+SEED = 7
+"""Draws the requests, so that each run sends the same ones."""
+SHOWN_VIOLATIONS = 5
+"""Faulty answers that are printed; their number is printed in any case."""
 _POLICIES = ("expected_first_token", "round_robin")
 
 
@@ -32,7 +41,7 @@
 def run(options: argparse.Namespace) -> int:
     """Run the trace under wallwell's policy and round robin; status 1 if a request was lost, cut or doubled."""
     configure_logging("INFO" if options.verbose else "ERROR", json_lines=False)
-    trace = TraceBuilder(PROFILES[options.deployment], seed=7).build(options.requests, RATE_PER_S)
+    trace = TraceBuilder(PROFILES[options.deployment], seed=SEED).build(options.requests, RATE_PER_S)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         directory = options.examples / options.deployment
         runs = [runner.run(run_policy(directory, policy, trace, _progress)) for policy in _POLICIES]
@@ -56,7 +65,7 @@
             times = f"{'-':>16}{'-':>10}"
         print(f"  {priority:<20}{result.requests:>9}  {outcomes:<24}{times}")
     hit_rate = each.cached_tokens / max(1, each.cached_tokens + each.prefill_tokens)
-    print(f"  prefix hit rate {hit_rate:.1%}; prompt tokens computed again {each.recomputed_tokens:,}")
+    print(f"  prefix hit rate {hit_rate:.1%}; prompt tokens prefilled again {each.recomputed_tokens:,}")
     print(f"  lost, cut or foreign answers {len(each.load.violations)}; doubled calls {each.doubled}")
-    for violation in each.load.violations[:5]:
+    for violation in each.load.violations[:SHOWN_VIOLATIONS]:
         print(f"    {violation}")
--- a/src/wallwell/cli/emulate.py
+++ b/src/wallwell/cli/emulate.py
@@ -14,6 +14,9 @@
 from wallwell.events import configure_logging
 from wallwell.standalone.settings import Listener
 
+SHUTDOWN_TIMEOUT_S = 0.1
+"""Seconds for which handlers are waited for. Chosen, not measured: a stand-in has nothing to finish."""
+
 
 class EmulatorService(aiomisc.Service):
     """Serves the applications of one settings file."""
@@ -31,8 +34,8 @@
 
 
 async def listen(app: web.Application, listener: Listener) -> web.AppRunner:
-    """Serve ``app``; the runner's ``addresses`` tell the port."""
-    runner = web.AppRunner(app, handler_cancellation=True, access_log=None, shutdown_timeout=0.1)
+    """Serve ``app``; the runner's ``addresses`` hold the port."""
+    runner = web.AppRunner(app, handler_cancellation=True, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
     await runner.setup()
     await web.TCPSite(runner, listener.host, listener.port).start()
     return runner
--- a/src/wallwell/cli/explain.py
+++ b/src/wallwell/cli/explain.py
@@ -1,4 +1,8 @@
-"""``wallwell explain``: the story of one request, put together from the logs of several nodes."""
+"""``wallwell explain``: the history of one request, collected from the JSON logs of several nodes.
+
+Relies on the numbers and fields of :mod:`wallwell.events`. Lines that are no events are skipped: logs of several
+programs are often in one file.
+"""
 
 from __future__ import annotations
 
@@ -14,11 +18,12 @@
 from wallwell.events import Event
 
 CONTEXT_S = 3.0
-"""How long before a request what the node believed still counts as context."""
-STORY_EVENTS = frozenset(
+"""Seconds before a request's end for which the node's own events are shown. Chosen, not measured."""
+REQUEST_EVENTS = frozenset(
     event.number for event in (Event.REQUEST_ENDED, Event.REQUEST_RETRIED, Event.REQUEST_REFUSED, Event.CALLER_GONE)
 )
-BELIEF_EVENTS = frozenset(
+"""Events of one request."""
+CONTEXT_EVENTS = frozenset(
     event.number
     for event in (
         Event.CONFIG_ADVANCED,
@@ -37,8 +42,13 @@
         Event.ROLLOUT_FOLLOWED,
     )
 )
+"""Events that change what a node decides about the requests that follow."""
 SLOW_FIRST_MS = 500
+"""Milliseconds to the first token above which a request counts as slow. Chosen, not measured: half of the objective
+that a route has by default."""
 LONG_GAP_MS = 450
+"""Milliseconds between tokens above which a pause counts as long. Chosen, not measured: just below the longest
+pause that a route allows by default."""
 
 
 class LogLine(msgspec.Struct, frozen=True):
@@ -52,14 +62,14 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return a line of the JSON log, None for anything else. What stands before the JSON names time and node."""
+    """Return a line of the JSON log, None for anything else. Text before the JSON names time and node."""
     prefix, brace, rest = text.partition("{")
     if not brace:
         return None
     try:
         fields = msgspec.json.decode(brace + rest, type=dict[str, Any])
     except msgspec.MsgspecError:
-        return None
+        return None  # Some other program's line.
     if not isinstance(fields.get("event"), int):
         return None
     words = prefix.split()
@@ -70,72 +80,72 @@
     return LogLine(at, node, fields["event"], str(fields.get("message", "")), shown)
 
 
-def story_of(lines: Iterable[LogLine], request_id: str) -> list[LogLine]:
-    """Return the lines about a request, in the order in which they were logged."""
-    return [line for line in lines if line.fields.get("request_id") == request_id and line.event in STORY_EVENTS]
+def lines_of(lines: Iterable[LogLine], request_id: str) -> list[LogLine]:
+    """Return the lines about a request, in the order of the files."""
+    return [line for line in lines if line.fields.get("request_id") == request_id and line.event in REQUEST_EVENTS]
 
 
-def context_of(lines: Iterable[LogLine], story: list[LogLine]) -> list[LogLine]:
-    """Return what the node of the story came to believe shortly before its end."""
-    end = story[-1]
+def context_of(lines: Iterable[LogLine], request_lines: list[LogLine]) -> list[LogLine]:
+    """Return events of the request's node shortly before its end; none if the lines have no time in seconds."""
+    end = request_lines[-1]
     try:
         end_s = float(end.at)
     except ValueError:
-        return []
+        return []  # Times as text cannot be compared here; the request's own lines are printed all the same.
     found = []
     for line in lines:
-        if line.node != end.node or line.event not in BELIEF_EVENTS:
+        if line.node != end.node or line.event not in CONTEXT_EVENTS:
             continue
         if end_s - CONTEXT_S <= float(line.at) <= end_s:
             found.append(line)
     return found
 
 
-def likely_cause(story: list[LogLine]) -> str:
+def likely_cause(request_lines: list[LogLine]) -> str:
     """Return the most likely cause of how the request ended, in one line."""
-    last = story[-1]
-    failures = [line for line in story if line.event == Event.REQUEST_RETRIED.number]
+    last = request_lines[-1]
+    failures = [line for line in request_lines if line.event == Event.REQUEST_RETRIED.number]
     tried = ", ".join(f"{line.fields.get('backend')} {line.fields.get('reason')}" for line in failures)
     if last.event == Event.REQUEST_REFUSED.number:
         code, reason = last.fields.get("code"), last.fields.get("reason")
-        told = "it never ran" if last.fields.get("outcome") == "not_run" else "it may have run"
-        return f"refused with {code} ({told}): {reason}"
+        proof = "it never ran" if last.fields.get("outcome") == "not_run" else "it may have run"
+        return f"refused with {code} ({proof}): {reason}"
     if last.event == Event.CALLER_GONE.number:
-        return "the caller went away"
+        return "the caller disconnected"
     if failures:
         return f"answered after failed attempts: {tried}"
     if last.fields.get("first_ms", 0) > SLOW_FIRST_MS:
-        return f"slow start: {last.fields['first_ms']} ms to the first piece at {last.fields.get('backend')}"
+        return f"slow start: {last.fields['first_ms']} ms to the first token at {last.fields.get('backend')}"
     if last.fields.get("max_gap_ms", 0) > LONG_GAP_MS:
-        return f"long pause: {last.fields['max_gap_ms']} ms between pieces from {last.fields.get('backend')}"
+        return f"long pause: {last.fields['max_gap_ms']} ms between tokens from {last.fields.get('backend')}"
     return "answered at the first attempt"
 
 
 def render(line: LogLine) -> str:
-    """Return a line for people."""
+    """Return a line as text for people."""
     fields = " ".join(f"{name}={value}" for name, value in line.fields.items() if name != "request_id")
     return f"{line.at:>12} {line.node} {line.event} {line.message}: {fields}"
 
 
 def register(commands: Any) -> None:
     """Add the command."""
-    parser = commands.add_parser("explain", help="tell a request's story from logs")
+    parser = commands.add_parser("explain", help="explain how a request ended, from logs")
     parser.add_argument("request_id", help="the request's id")
     parser.add_argument("logs", nargs="*", type=Path, help="log files of any nodes; standard input if none")
     parser.set_defaults(run=run)
 
 
 def run(options: argparse.Namespace) -> int:
-    """Print the story. Raises :class:`UnknownRequestError`."""
+    """Print a request's lines and the likely cause. Raises :class:`UnknownRequestError`."""
     lines = [line for text in _texts(options.logs) if (line := parse_line(text)) is not None]
-    story = story_of(lines, options.request_id)
-    if not story:
+    request_lines = lines_of(lines, options.request_id)
+    if not request_lines:
         raise UnknownRequestError(f"no line about request {options.request_id}")
-    for line in context_of(lines, story):
+    for line in context_of(lines, request_lines):
         print("  before", render(line))
-    for line in story:
+    for line in request_lines:
         print(render(line))
-    print(f"likely cause: {likely_cause(story)}")
+    print(f"likely cause: {likely_cause(request_lines)}")
     return 0
 
 
--- a/src/wallwell/cli/extras.py
+++ b/src/wallwell/cli/extras.py
@@ -10,7 +10,7 @@
 
 @contextlib.contextmanager
 def needs_extra(extra: str) -> Iterator[None]:
-    """Turn a module that cannot be found into :class:`ExtraMissingError`, which tells how to install it.
+    """Turn a module that cannot be found into :class:`ExtraMissingError`, which says how to install it.
 
     A module of this package itself that is missing is a fault of the installation and not of an extra.
     """
--- a/src/wallwell/cli/main.py
+++ b/src/wallwell/cli/main.py
@@ -1,4 +1,4 @@
-"""The ``wallwell`` command."""
+"""Entry point of the ``wallwell`` command: finds the command's module, runs it, and turns errors into a status."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from wallwell.errors import WallwellError
 
 EXIT_FAILED = 1
+"""Status of a command that ran and found a failure, or was interrupted."""
 EXIT_USAGE = 2
-
-
+"""Status of a command that could not run; its error is on standard error."""
 MODULES = {
     "router": "router",
     "check": "config_commands",
--- a/src/wallwell/cli/operator_client.py
+++ b/src/wallwell/cli/operator_client.py
@@ -1,8 +1,12 @@
-"""Client of a router's operators' listener, for the command line and the demo."""
+"""Client of a router's operators' listener, for the command line and the demo.
+
+Relies on the bodies of :mod:`wallwell.standalone`; each error comes as the type that the router raised.
+"""
 
 from __future__ import annotations
 
 import asyncio
+from http import HTTPStatus
 from typing import TypeVar
 
 import aiohttp
@@ -12,13 +16,17 @@
 from wallwell.standalone.config.commit import ApplyAnswer, ApplyRequest
 from wallwell.standalone.operators_app import FileView, OperatorError, StatusAnswer
 
-_TIMEOUT = aiohttp.ClientTimeout(total=30.0)
+TIMEOUT_S = 30.0
+"""Seconds for one call. Chosen, not measured: bounds a call to a router that does not answer."""
+POLL_INTERVAL_S = 0.1
+"""Seconds between two checks whether a revision is in force. Chosen, not measured."""
+_TIMEOUT = aiohttp.ClientTimeout(total=TIMEOUT_S)
 _TYPES = {error_type.code: error_type for error_type in all_error_types()}
 T = TypeVar("T")
 
 
 class OperatorClient:
-    """Talks to one router. Errors come back as the types the router raised."""
+    """Calls one router. Raises the errors that the router answers, by their code."""
 
     def __init__(self, base_url: str, token: str, session: aiohttp.ClientSession) -> None:
         self._base = base_url.rstrip("/")
@@ -33,13 +41,13 @@
                 payload = await response.read()
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             raise ConfigUnavailableError(f"{self._base}: {type(error).__name__}") from error
-        if response.status != 200:
+        if response.status != HTTPStatus.OK:
             answer = msgspec.json.decode(payload, type=OperatorError)
             raise _TYPES.get(answer.code, WallwellError)(answer.message)
         return msgspec.json.decode(payload, type=target)
 
     async def apply(self, request: ApplyRequest) -> ApplyAnswer:
-        """Apply one file; a lost answer is safe to repeat with the same apply id."""
+        """Apply one file; after a lost answer it may be retried with the same apply id."""
         return await self._call("POST", "/config/apply", ApplyAnswer, msgspec.json.encode(request))
 
     async def files(self) -> list[FileView]:
@@ -64,4 +72,4 @@
                 return True, status
             if asyncio.get_running_loop().time() >= deadline_s:
                 return False, status
-            await asyncio.sleep(0.1)
+            await asyncio.sleep(POLL_INTERVAL_S)
--- a/src/wallwell/cli/router.py
+++ b/src/wallwell/cli/router.py
@@ -1,4 +1,4 @@
-"""``wallwell router``: the product process."""
+"""``wallwell router``: runs one router without the platform's store, see :mod:`wallwell.standalone`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
 from wallwell.standalone.settings import NodeSettings, load_settings
 
 _SHUTDOWN_MARGIN_S = 10.0
-_OVERRIDES = {
+"""Seconds beyond the node's own grace time until aiomisc gives up. Chosen, not measured: the node ends a stop
+itself."""
+_SETTING_OF_OPTION = {
     "node": "node",
     "zone": "zone",
     "region": "region",
@@ -36,7 +38,7 @@
         await self.router_node.start()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Stop without cutting a request."""
+        """Stop after the requests in flight."""
         await self.router_node.stop()
 
 
@@ -57,7 +59,9 @@
 def run(options: argparse.Namespace) -> int:
     """Run until stopped; exit status 0 after a planned stop, 2 on bad settings."""
     overrides = {
-        path: getattr(options, name) for name, path in _OVERRIDES.items() if getattr(options, name) is not None
+        path: getattr(options, name)
+        for name, path in _SETTING_OF_OPTION.items()
+        if getattr(options, name) is not None
     }
     settings = load_settings(options.settings, overrides)
     configure_logging(settings.log.level, settings.log.json)
--- a/src/wallwell/cli/soak.py
+++ b/src/wallwell/cli/soak.py
@@ -1,4 +1,7 @@
-"""``wallwell soak``: real routers under seeded requests and faults, checked against promises."""
+"""``wallwell soak``: real routers under seeded requests and faults, checked against invariants.
+
+Plays one drawn schedule, or the runs of a file, and prints what broke an invariant and how to play it again.
+"""
 
 from __future__ import annotations
 
@@ -15,16 +18,22 @@
     from wallwell.soak.schedule import Schedule
 
 SHOWN_BREACHES = 10
+"""Breaches that are printed; all are written to the run's folder."""
 DEFAULT_SECONDS = 20.0
+"""Length of a schedule: the shortest is 15 s, since the recovery of the whole fleet is part of it."""
 DEFAULT_NODES = 3
+"""The fewest nodes of which a majority is left when one is lost."""
 DEFAULT_ENGINES = 4
+"""Chosen, not measured: enough that some serve while others load weights."""
 DEFAULT_INSTANCES = 2
+"""Workers that answer calls: the fewest between which a call can be retried."""
 DEFAULT_RATE_PER_S = 40.0
+"""Requests a second. Chosen, not measured: what all processes of a run serve on one machine."""
 
 
 def register(commands: Any) -> None:
     """Add the command."""
-    parser = commands.add_parser("soak", help="run real routers under drawn requests and faults; check promises")
+    parser = commands.add_parser("soak", help="run real routers under drawn requests and faults; check invariants")
     parser.add_argument("--seed", type=int, default=1, help="draws the schedule of requests and faults")
     parser.add_argument("--seconds", type=float, default=DEFAULT_SECONDS, help="length of the schedule")
     parser.add_argument("--nodes", type=int, default=DEFAULT_NODES)
@@ -42,7 +51,8 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run once, or all kept runs; status 1 if a promise was broken. Raises :class:`wallwell.errors.SoakError`."""
+    """Run once, or all kept runs; status 1 if an invariant was broken. Raises
+    :class:`wallwell.errors.SoakError`."""
     from wallwell.soak.drawing import draw_schedule
     from wallwell.soak.regressions import load_regressions, schedule_of
     from wallwell.soak.schedule import Shape
@@ -70,7 +80,7 @@
 
 
 def _play(schedule: Schedule, keep: Path | None, checkout: Path) -> int:
-    """Play a schedule. The folder is kept if it was named or a promise was broken."""
+    """Play a schedule. The folder is kept if it was named or an invariant was broken."""
     from wallwell.soak.run import run_soak
 
     _print_schedule(schedule)
@@ -117,7 +127,7 @@
 
 def _print_result(result: RunResult) -> None:
     print(f"{result.requests} requests, {result.served} served whole; {len(result.verdict.breaches)} breaches")
-    cases = ", ".join(f"{promise} {count}" for promise, count in result.verdict.cases.items())
-    print(f"  put to the test: {cases}")
+    cases = ", ".join(f"{name} {count}" for name, count in result.verdict.cases.items())
+    print(f"  cases checked: {cases}")
     for breach in result.verdict.breaches[:SHOWN_BREACHES]:
         print(f"  {breach}")
--- a/tests/unit/cli/test_explain.py
+++ b/tests/unit/cli/test_explain.py
@@ -41,11 +41,11 @@
     [
         ("r1", "answered after failed attempts: i-1 reset_after_send"),
         ("r2", "refused with WW3008 (it never ran): no back end"),
-        ("r3", "slow start: 900 ms to the first piece at i-2"),
-        ("r4", "long pause: 700 ms between pieces from i-2"),
+        ("r3", "slow start: 900 ms to the first token at i-2"),
+        ("r4", "long pause: 700 ms between tokens from i-2"),
         ("r5", "answered at the first attempt"),
         ("r6", "refused with WW3011 (it may have run): reset"),
-        ("r7", "the caller went away"),
+        ("r7", "the caller disconnected"),
         ("r8", "refused with WW3020 (it never ran): content c1"),
     ],
 )
