--- a/src/wallwell/cli/soak.py
+++ b/src/wallwell/cli/soak.py
@@ -95,8 +95,8 @@
         print(f"interrupted; see {folder}", file=sys.stderr)
         return 1
     _print_result(result)
-    if result.verdict.breaches:
-        (folder / "breaches.txt").write_text("\n".join(map(str, result.verdict.breaches)) + "\n")
+    if result.found.breaches:
+        (folder / "breaches.txt").write_text("\n".join(map(str, result.found.breaches)) + "\n")
         print(f"kept in {folder}; again: {replay_command(schedule)}")
         return 1
     if keep is None:
@@ -126,8 +126,8 @@
 
 
 def _print_result(result: RunResult) -> None:
-    print(f"{result.requests} requests, {result.served} served whole; {len(result.verdict.breaches)} breaches")
-    cases = ", ".join(f"{name} {count}" for name, count in result.verdict.cases.items())
+    print(f"{result.requests} requests, {result.served} served whole; {len(result.found.breaches)} breaches")
+    cases = ", ".join(f"{name} {count}" for name, count in result.found.cases.items())
     print(f"  cases checked: {cases}")
-    for breach in result.verdict.breaches[:SHOWN_BREACHES]:
+    for breach in result.found.breaches[:SHOWN_BREACHES]:
         print(f"  {breach}")
--- a/src/wallwell/soak/__init__.py
+++ b/src/wallwell/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soak: real router processes, seeded requests and seeded faults, checked against promises by what others see."""
+"""Soak: real router processes, seeded requests and seeded faults, checked against invariants by what others see."""
--- a/src/wallwell/soak/answers.py
+++ b/src/wallwell/soak/answers.py
@@ -5,7 +5,7 @@
 import re
 
 CALL_LINES = 20
-CALM_BODY = b"x" * 64
+HARMLESS_BODY = b"x" * 64
 CRASHING_BODY = b"c" * 64
 """Body of a request under which each worker that begins to run it crashes."""
 CRASH_STATUS = 70
--- a/src/wallwell/soak/caller_process.py
+++ b/src/wallwell/soak/caller_process.py
@@ -11,7 +11,7 @@
 import yarl
 
 from wallwell.platform import names
-from wallwell.soak.answers import CALM_BODY, CRASHING_BODY, call_body, events_of
+from wallwell.soak.answers import CRASHING_BODY, HARMLESS_BODY, call_body, events_of
 from wallwell.soak.control import Announcement, announce
 from wallwell.soak.history import Answered, HistoryWriter, Left, RequestKind, Sent
 from wallwell.soak.schedule import PlannedRequest
@@ -89,7 +89,7 @@
         target = yarl.URL(url, encoded=True)
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
         headers = _headers(planned)
-        body = CRASHING_BODY if planned.content else CALM_BODY
+        body = CRASHING_BODY if planned.content else HARMLESS_BODY
         async with self._session.post(target, data=body, headers=headers, timeout=timeout) as response:
             collected.status = response.status
             collected.seal = response.headers.get(names.SEAL, "")
--- a/src/wallwell/soak/faults.py
+++ b/src/wallwell/soak/faults.py
@@ -12,7 +12,7 @@
 from wallwell.errors import PeerUnavailableError, SoakError
 from wallwell.soak.answers import CRASH_STATUS
 from wallwell.soak.control import AimLink, ForgetHistory, HarmLink, SwitchStore
-from wallwell.soak.fleet import REGION_BYTES_PER_S, REGION_DELAY_S, Fleet, sound_link, store_host
+from wallwell.soak.fleet import REGION_BYTES_PER_S, REGION_DELAY_S, RunProcesses, sound_link, store_host
 from wallwell.soak.history import FaultBegan, FaultEnded
 from wallwell.soak.schedule import ALL_NODES, STORE, FaultKind, PlannedFault
 
@@ -47,7 +47,7 @@
 class FaultRunner:
     """Begins and ends faults and records both. Raises :class:`SoakError` where that fails."""
 
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, fleet: RunProcesses) -> None:
         self._fleet = fleet
         shape = fleet.schedule.shape
         self._turns = {name: asyncio.Lock() for name in (*shape.node_names(), *shape.worker_names())}
--- a/src/wallwell/soak/fleet.py
+++ b/src/wallwell/soak/fleet.py
@@ -41,7 +41,7 @@
 PEER_PORTS = 8
 
 
-class Fleet:
+class RunProcesses:
     """All processes of a run in one folder."""
 
     def __init__(self, schedule: Schedule, folder: Path, checkout: Path) -> None:
--- /dev/null
+++ b/src/wallwell/soak/invariants.py
@@ -0,0 +1,69 @@
+"""All invariants by name, checked over a run's history. Pure: records in, breaches out.
+
+An invariant states what callers, workers and operators may rely on. Most hold at any time; those with a time bound
+are checked only while no fault touches nodes, links or the store, see :meth:`History.is_fault_free`.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from wallwell.soak import invariants_fleet, invariants_requests, invariants_rollout
+from wallwell.soak.cases import Check
+from wallwell.soak.timeline import History
+
+
+@dataclass(frozen=True)
+class Breach:
+    """An invariant that did not hold: when it shows, by which request or process, and what was seen."""
+
+    at_s: float
+    invariant: str
+    subject: str
+    detail: str
+
+    def __str__(self) -> str:
+        return f"{self.at_s:.3f} s: {self.invariant} broken by {self.subject}: {self.detail}"
+
+
+@dataclass(frozen=True)
+class CheckResult:
+    """How often each invariant was put to the test, and the breaches, the first one first."""
+
+    cases: dict[str, int]
+    breaches: tuple[Breach, ...]
+
+
+INVARIANTS: dict[str, Check] = {
+    "own_answer_whole": invariants_requests.own_answer_whole,
+    "at_most_once": invariants_requests.at_most_once,
+    "only_asked": invariants_requests.only_asked,
+    "refused_not_run": invariants_requests.refused_not_run,
+    "stream_order": invariants_requests.stream_order,
+    "crashes_few": invariants_requests.crashes_few,
+    "recovers": invariants_requests.recovers,
+    "nodes_stay": invariants_requests.nodes_stay,
+    "drained_gets_nothing": invariants_fleet.drained_gets_nothing,
+    "left_is_cancelled": invariants_fleet.left_is_cancelled,
+    "planned_stop_cuts_nothing": invariants_fleet.planned_stop_cuts_nothing,
+    "revoked_key_unused": invariants_fleet.revoked_key_unused,
+    "configuration_never_back": invariants_fleet.configuration_never_back,
+    "tenant_limit": invariants_fleet.tenant_limit,
+    "fences_never_lower": invariants_fleet.fences_never_lower,
+    "weights_in_time": invariants_fleet.weights_in_time,
+    "exposure": invariants_rollout.exposure,
+    "none_after_rollback": invariants_rollout.none_after_rollback,
+    "rollout_ends_right": invariants_rollout.rollout_ends_right,
+}
+"""The names are printed, and kept runs and pages refer to them."""
+
+
+def check_invariants(history: History) -> CheckResult:
+    """Check every invariant."""
+    cases: dict[str, int] = {}
+    breaches = []
+    for invariant, check in INVARIANTS.items():
+        found = list(check(history))
+        cases[invariant] = len(found)
+        breaches += [Breach(case.at_s, invariant, case.subject, case.detail) for case in found if case is not None]
+    return CheckResult(cases, tuple(sorted(breaches, key=lambda breach: breach.at_s)))
--- a/src/wallwell/soak/promises_requests.py
+++ b/src/wallwell/soak/invariants_requests.py
@@ -1,19 +1,29 @@
-"""Promises about single requests and about routers that stay."""
+"""Invariants about single requests, about recovery, and about router processes that must not end by themselves.
+
+They hold at any time, faults or none, but for :func:`crashes_few`.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Iterator
+
+from wallwell.soak.cases import HELD, Cases, Violation
 from wallwell.soak.history import Began, FaultBegan, FaultEnded, NodeExited
 from wallwell.soak.schedule import RECOVERY_S, FaultKind
 from wallwell.soak.timeline import CONTACT_S, History
-from wallwell.soak.verdicts import HELD, Cases
 
-PROMISES_THAT_IT_DID_NOT_RUN = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+"""Statuses by which a router states that a request has not run and never will."""
 LEAST_SERVED_SHARE = 0.25
-CRASHES_TO_KNOW = 3
+"""Fraction of requests that a fleet which has recovered serves at least. Chosen, not measured: one tenant asks
+for more than its limit, and engines are full at times."""
+CRASHES_TO_QUARANTINE = 3
+"""Crashed workers after which routers send a request to no other."""
 LATER_CRASHES = 3
-"""Workers that a request may crash later than the time of contact after the third."""
+"""Workers that a request may crash later than the time of contact after the third: what nodes send before they
+know."""
 LEAST_REQUESTS = 8
-"""Requests below which a share served says nothing."""
+"""Requests below which a fraction served says nothing."""
 
 
 def own_answer_whole(history: History) -> Cases:
@@ -23,9 +33,11 @@
             continue
         seals = {f"seal-{began.worker}" for began in history.began.get(answer.request, ())}
         if not answer.own:
-            yield answer.at_s, answer.request, "bytes of another request"
+            yield Violation(answer.at_s, answer.request, "bytes of another request")
         elif answer.seal not in seals:
-            yield answer.at_s, answer.request, f"sealed {answer.seal or 'by nobody'}; it ran at {sorted(seals)}"
+            yield Violation(
+                answer.at_s, answer.request, f"sealed {answer.seal or 'by nobody'}; it ran at {sorted(seals)}"
+            )
         else:
             yield HELD
 
@@ -40,7 +52,7 @@
             yield HELD
         else:
             workers = ", ".join(each.worker for each in began)
-            yield began[1].at_s, request, f"{sent.kind.value} ran {len(began)} times: {workers}"
+            yield Violation(began[1].at_s, request, f"{sent.kind.value} ran {len(began)} times: {workers}")
 
 
 def only_asked(history: History) -> Cases:
@@ -49,13 +61,13 @@
         if request in history.sent:
             yield HELD
         else:
-            yield began[0].at_s, request, f"ran at {began[0].worker}, nobody sent it"
+            yield Violation(began[0].at_s, request, f"ran at {began[0].worker}, nobody sent it")
 
 
 def refused_not_run(history: History) -> Cases:
     """A request that may not be repeated and was refused has not run and never will."""
     for answer in history.answers.values():
-        if answer.status not in PROMISES_THAT_IT_DID_NOT_RUN:
+        if answer.status not in NOT_RUN_STATUSES:
             continue
         if not history.sent[answer.request].kind.at_most_once:
             continue
@@ -63,7 +75,9 @@
         if not began:
             yield HELD
         else:
-            yield answer.at_s, answer.request, f"refused with {answer.status}, but {began[0].worker} ran it"
+            yield Violation(
+                answer.at_s, answer.request, f"refused with {answer.status}, but {began[0].worker} ran it"
+            )
 
 
 def stream_order(history: History) -> Cases:
@@ -73,9 +87,11 @@
         if not sent.kind.is_stream or not 200 <= answer.status < 300:
             continue
         if answer.events != tuple(range(1, len(answer.events) + 1)):
-            yield answer.at_s, answer.request, f"events {_shown(answer.events)}"
+            yield Violation(answer.at_s, answer.request, f"events {_shown(answer.events)}")
         elif answer.whole and len(answer.events) < sent.events:
-            yield answer.at_s, answer.request, f"complete after {len(answer.events)} of {sent.events} events"
+            yield Violation(
+                answer.at_s, answer.request, f"complete after {len(answer.events)} of {sent.events} events"
+            )
         else:
             yield HELD
 
@@ -93,35 +109,40 @@
         if sent is not None and sent.content:
             by_content.setdefault(sent.content, []).append(began)
     for content, runs in by_content.items():
-        if len(runs) < CRASHES_TO_KNOW:
+        if len(runs) < CRASHES_TO_QUARANTINE:
             continue
-        known_s = runs[CRASHES_TO_KNOW - 1].at_s
-        later = [run for run in runs if run.at_s > known_s + CONTACT_S and history.calm(run.at_s, run.at_s)]
+        known_s = runs[CRASHES_TO_QUARANTINE - 1].at_s
+        later = [
+            run for run in runs if run.at_s > known_s + CONTACT_S and history.is_fault_free(run.at_s, run.at_s)
+        ]
         if len(later) <= LATER_CRASHES:
             yield HELD
         else:
-            yield later[0].at_s, content, f"crashed {len(runs)} workers, {len(later)} of them late"
+            yield Violation(later[0].at_s, content, f"crashed {len(runs)} workers, {len(later)} of them late")
 
 
 def recovers(history: History) -> Cases:
     """After all nodes were killed and started again, requests are served again within a bound."""
-    ends = [each for each in history.records if isinstance(each, FaultEnded)]
-    starts = [each for each in history.records if isinstance(each, FaultBegan)]
-    for ended in ends:
-        if ended.fault != FaultKind.KILL_ALL_NODES.value:
-            continue
-        from_s = ended.at_s + RECOVERY_S
-        until_s = min((each.at_s for each in starts if each.at_s > ended.at_s), default=history.end_s)
+    for from_s, until_s in _spans_after_recovery(history):
         asked = [sent for sent in history.sent.values() if from_s <= sent.at_s < until_s]
-        asked = [sent for sent in asked if sent.request in history.answers]
-        answers = [history.answers[sent.request] for sent in asked]
-        served = sum(200 <= answer.status < 300 and answer.whole for answer in answers)
-        if len(asked) < LEAST_REQUESTS:
+        answers = [history.answers[sent.request] for sent in asked if sent.request in history.answers]
+        if len(answers) < LEAST_REQUESTS:
             continue
-        if served >= LEAST_SERVED_SHARE * len(asked):
+        served = sum(200 <= answer.status < 300 and answer.whole for answer in answers)
+        if served >= LEAST_SERVED_SHARE * len(answers):
             yield HELD
         else:
-            yield from_s, "fleet", f"{served} of {len(asked)} served later than {RECOVERY_S:g} s after the start"
+            detail = f"{served} of {len(answers)} served later than {RECOVERY_S:g} s after the start"
+            yield Violation(from_s, "fleet", detail)
+
+
+def _spans_after_recovery(history: History) -> Iterator[tuple[float, float]]:
+    """Yield spans in which a fleet has recovered from the end of all nodes: until the next fault or the end."""
+    starts_s = [each.at_s for each in history.records if isinstance(each, FaultBegan)]
+    for record in history.records:
+        if isinstance(record, FaultEnded) and record.fault == FaultKind.KILL_ALL_NODES.value:
+            until_s = min((at_s for at_s in starts_s if at_s > record.at_s), default=history.end_s)
+            yield record.at_s + RECOVERY_S, until_s
 
 
 def nodes_stay(history: History) -> Cases:
@@ -130,8 +151,8 @@
         if not isinstance(record, NodeExited):
             continue
         if not record.asked:
-            yield record.at_s, record.node, f"ended by itself with status {record.status}"
+            yield Violation(record.at_s, record.node, f"ended by itself with status {record.status}")
         elif record.asked.startswith("SIGTERM") and record.status != 0:
-            yield record.at_s, record.node, f"ended with status {record.status} after {record.asked}"
+            yield Violation(record.at_s, record.node, f"ended with status {record.status} after {record.asked}")
         else:
             yield HELD
--- a/src/wallwell/soak/operator.py
+++ b/src/wallwell/soak/operator.py
@@ -12,7 +12,7 @@
 from wallwell.platform import names
 from wallwell.soak.caller_process import MODEL
 from wallwell.soak.control import AimLink
-from wallwell.soak.fleet import Fleet
+from wallwell.soak.fleet import RunProcesses
 from wallwell.soak.history import RolloutOrdered, RolloutState, WeightsNamed
 from wallwell.soak.schedule import LATER_KEYS, OperationKind, PlannedOperation
 from wallwell.soak.versions import ROLLOUT_SERVICE, ROLLOUTS, TARGET_VERSION
@@ -31,7 +31,7 @@
 class Operator:
     """Carries out the operations of a schedule."""
 
-    def __init__(self, fleet: Fleet) -> None:
+    def __init__(self, fleet: RunProcesses) -> None:
         self._fleet = fleet
         self._actions = {
             OperationKind.CHANGE_KEYS: self._change_keys,
--- a/src/wallwell/soak/regressions.py
+++ b/src/wallwell/soak/regressions.py
@@ -1,4 +1,4 @@
-"""Runs that once broke a promise, kept with their causes and played again."""
+"""Runs that once broke an invariant, kept with their causes and played again."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class KeptRun(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One run: what draws its schedule, and in one line why a promise was broken."""
+    """One run: what draws its schedule, and in one line why an invariant was broken."""
 
     seed: int
     cause: str
--- a/src/wallwell/soak/run.py
+++ b/src/wallwell/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: start the fleet, play the schedule, stop, check the promises over what was recorded."""
+"""One run: start the fleet, play the schedule, stop, check the invariants over what was recorded."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from wallwell.errors import SoakError
 from wallwell.soak.caller_process import CallerSettings
 from wallwell.soak.faults import FaultRunner
-from wallwell.soak.fleet import Fleet
+from wallwell.soak.fleet import RunProcesses
 from wallwell.soak.history import HISTORY_SUFFIX, read_history
+from wallwell.soak.invariants import CheckResult, check_invariants
 from wallwell.soak.operator import Operator
-from wallwell.soak.promises import Verdict, judge
 from wallwell.soak.schedule import Schedule
 from wallwell.soak.timeline import History
 
@@ -40,13 +40,13 @@
     folder: Path
     requests: int
     served: int
-    verdict: Verdict
+    found: CheckResult
 
 
 async def run_soak(schedule: Schedule, folder: Path, checkout: Path) -> RunResult:
     """Play a schedule and leave logs, histories and schedule in ``folder``. Raises :class:`SoakError`."""
     (folder / "schedule.json").write_bytes(msgspec.json.encode(schedule))
-    fleet = Fleet(schedule, folder, checkout)
+    fleet = RunProcesses(schedule, folder, checkout)
     with _interruptible():
         try:
             await fleet.start()
@@ -58,7 +58,7 @@
     return check_folder(schedule, folder)
 
 
-async def _play(fleet: Fleet) -> None:
+async def _play(fleet: RunProcesses) -> None:
     schedule = fleet.schedule
     start_s = time.monotonic() + LEAD_S
     history = str(fleet.folder / f"callers{HISTORY_SUFFIX}")
@@ -79,7 +79,7 @@
     await asyncio.sleep(LATE_WORK_S)
 
 
-async def _within_memory(fleet: Fleet, work: Coroutine[Any, Any, None]) -> None:
+async def _within_memory(fleet: RunProcesses, work: Coroutine[Any, Any, None]) -> None:
     """Do the work, or give it up where the processes hold more memory than they may."""
     tasks = (asyncio.create_task(work), asyncio.create_task(_watch_memory(fleet)))
     try:
@@ -92,18 +92,18 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def _watch_memory(fleet: Fleet) -> None:
+async def _watch_memory(fleet: RunProcesses) -> None:
     while True:
         await asyncio.sleep(MEMORY_PERIOD_S)
         fleet.supervisor.check_memory()
 
 
 def check_folder(schedule: Schedule, folder: Path) -> RunResult:
-    """Check the promises over a folder's histories."""
+    """Check the invariants over a folder's histories."""
     history = History(read_history(folder))
     answers = history.answers.values()
     served = sum(200 <= answer.status < 300 and answer.whole for answer in answers)
-    return RunResult(schedule, folder, len(history.sent), served, judge(history))
+    return RunResult(schedule, folder, len(history.sent), served, check_invariants(history))
 
 
 @contextmanager
--- a/src/wallwell/soak/timeline.py
+++ b/src/wallwell/soak/timeline.py
@@ -1,4 +1,4 @@
-"""A run's records by request and by time, as the promises look at them."""
+"""A run's records by request and by time, as the invariants look at them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class History:
-    """Records by request and by type, for the promises."""
+    """Records by request and by type, for the invariants."""
 
     def __init__(self, records: Iterable[AnyRecord]) -> None:
         self.records: Sequence[AnyRecord] = sorted(records, key=lambda record: record.at_s)
@@ -44,7 +44,7 @@
         """Return when a worker stopped working on what it began, None if it never said so."""
         return self._ended_s.get((began.request, began.worker))
 
-    def calm(self, from_s: float, until_s: float, besides: FaultBegan | None = None) -> bool:
+    def is_fault_free(self, from_s: float, until_s: float, besides: FaultBegan | None = None) -> bool:
         """Whether no fault but ``besides`` disturbed nodes, links or the store in a span and shortly before it."""
         return not any(
             began is not besides and began.at_s <= until_s and ended_s + CONTACT_S >= from_s
--- a/tests/contract/test_soak.py
+++ b/tests/contract/test_soak.py
@@ -111,7 +111,7 @@
     assert "WW7003 SoakError: a run takes 15 s at least" in result.stderr
 
 
-def test_a_short_run_breaks_no_promise(tmp_path):
+def test_a_short_run_breaks_no_invariant(tmp_path):
     """One seed, with a caller whose request crashes what runs it; longer ones and more seeds are played by hand."""
     run = "wallwell.cli.main", "soak", "--seed", "3", "--seconds", "15", "--crashing", "1"
     command = [sys.executable, "-m", *run, "--keep", str(tmp_path / "run"), "--checkout", str(ROOT)]
--- a/tests/unit/soak/test_promises.py
+++ b/tests/unit/soak/test_invariants.py
@@ -1,4 +1,4 @@
-"""Each promise holds on a sound history and fails on one with its fault, at the record that shows it."""
+"""Each invariant holds on a sound history and fails on one with its fault, at the record that shows it."""
 
 import pytest
 
@@ -17,7 +17,7 @@
     WeightsNamed,
     WorkerState,
 )
-from wallwell.soak.promises import PROMISES, judge
+from wallwell.soak.invariants import INVARIANTS, check_invariants
 from wallwell.soak.schedule import (
     DRAIN_BOUND_S,
     LIMITED_KEY,
@@ -121,13 +121,13 @@
 
 
 FAULT = [FaultBegan(9.0, "store_down", "store"), FaultEnded(25.0, "store_down", "store")]
-"""Nodes are out of touch meanwhile."""
+"""A fault on the store, during which time bounds are not checked."""
 BAD_ENOUGH = rollout(to_target=50, answers_bad=True)
 LATEST_BAD_S = 10.5 + 0.01 * 49 + 0.01 + ROLLBACK_S
 
 SOUND = {
     "a worker that leaves is reached within the bound": leaving(DRAIN_BOUND_S - 0.1),
-    "a worker that leaves is reached by nodes out of touch": [*leaving(DRAIN_BOUND_S + 0.1), *FAULT],
+    "a worker that leaves is reached by nodes cut off from the store": [*leaving(DRAIN_BOUND_S + 0.1), *FAULT],
     "a lapsed entry came back": [
         *leaving(5.0, "gone"),
         WorkerState(12.0, "w.1", "orders", "", "ready"),
@@ -188,7 +188,7 @@
     "work for callers that left": ("left_is_cancelled", callers_left(ended_after_s=1.9)),
     "a cut by a planned stop": ("planned_stop_cuts_nothing", stopped(whole=False)),
     "a cut shortly before the deadline": ("planned_stop_cuts_nothing", stopped(whole=False, deadline_s=0.35)),
-    "a cut of what came after the word to stop": (
+    "a cut of what came after the stop began": (
         "planned_stop_cuts_nothing",
         stopped(whole=False, sent_at_s=1.4),
     ),
@@ -253,23 +253,28 @@
 
 @pytest.mark.parametrize("records", SOUND.values(), ids=SOUND)
 def test_nothing_is_found_in_a_sound_history(records):
-    assert judge(history(*records)).breaches == ()
+    assert check_invariants(history(*records)).breaches == ()
 
 
-@pytest.mark.parametrize(("promise", "records"), BROKEN.values(), ids=BROKEN)
-def test_a_broken_promise_is_found_by_name(promise, records):
-    assert [breach.promise for breach in judge(history(*records)).breaches] == [promise]
+@pytest.mark.parametrize(("invariant", "records"), BROKEN.values(), ids=BROKEN)
+def test_a_broken_invariant_is_found_by_name(invariant, records):
+    assert [breach.invariant for breach in check_invariants(history(*records)).breaches] == [invariant]
 
 
-def test_every_promise_has_a_history_that_breaks_it():
-    assert {promise for promise, _ in BROKEN.values()} == set(PROMISES)
+def test_every_invariant_has_a_history_that_breaks_it():
+    assert {invariant for invariant, _ in BROKEN.values()} == set(INVARIANTS)
 
 
-def test_every_promise_is_put_to_the_test_by_a_sound_history():
-    tested = {name for records in SOUND.values() for name, cases in judge(history(*records)).cases.items() if cases}
-    assert tested == set(PROMISES)
+def test_every_invariant_is_put_to_the_test_by_a_sound_history():
+    tested = {
+        name
+        for records in SOUND.values()
+        for name, cases in check_invariants(history(*records)).cases.items()
+        if cases
+    }
+    assert tested == set(INVARIANTS)
 
 
 def test_the_first_breach_comes_first():
     records = [sent("a"), began("a", at_s=3), began("a", at_s=4), sent("b"), began("b"), began("b", at_s=2)]
-    assert [breach.subject for breach in judge(history(*records)).breaches] == ["b", "a"]
+    assert [breach.subject for breach in check_invariants(history(*records)).breaches] == ["b", "a"]
