--- a/src/wallwell/soak/answers.py
+++ b/src/wallwell/soak/answers.py
@@ -1,15 +1,18 @@
-"""Bodies of answers that tell whose they are, so that a caller finds foreign, doubled and missing pieces."""
+"""Bodies of answers that name their request, so that a caller finds foreign, doubled and missing events or
+lines."""
 
 from __future__ import annotations
 
 import re
 
 CALL_LINES = 20
+"""Lines of a call's answer. Chosen, not measured: an answer that is cut off shows at most places."""
 HARMLESS_BODY = b"x" * 64
+"""Body of any other request."""
 CRASHING_BODY = b"c" * 64
 """Body of a request under which each worker that begins to run it crashes."""
 CRASH_STATUS = 70
-"""Exit status of such a worker, so that the run tells it from any other end."""
+"""Exit status of such a worker, so that the run distinguishes it from any other end."""
 _EVENT = re.compile(rb"id: (\d+)\ndata: (\S+) (\d+)\Z")
 
 
--- a/src/wallwell/soak/caller_process.py
+++ b/src/wallwell/soak/caller_process.py
@@ -1,4 +1,7 @@
-"""The callers of a run: sends the planned requests at their times and records what comes back."""
+"""The callers of a run, one process: sends the planned requests at their times and records the answers.
+
+Callers retry nothing: each request is sent once, so that what ran twice is the routers' doing.
+"""
 
 from __future__ import annotations
 
@@ -27,10 +30,11 @@
 GIVE_UP_SLACK_S = 1.0
 """How much longer than its deadline a caller waits for the end of an answer that has begun."""
 CONNECT_TIMEOUT_S = 1.0
+"""Seconds that a caller gives a new connection to come up."""
 
 
 class CallerSettings(msgspec.Struct, frozen=True):
-    """What the callers' process is told. ``nodes`` are the callers' addresses of the routers."""
+    """Settings of the callers' process. ``nodes`` are the routers' addresses for callers."""
 
     history: str
     nodes: tuple[str, ...]
@@ -74,18 +78,18 @@
             )
         )
         collected = Collected(planned)
-        patience_s = planned.leaves_after_s or planned.deadline_s + GIVE_UP_SLACK_S
+        timeout_s = planned.leaves_after_s or planned.deadline_s + GIVE_UP_SLACK_S
         try:
-            async with asyncio.timeout(patience_s):
+            async with asyncio.timeout(timeout_s):
                 url = f"http://{node}{path}{planned.content or planned.request}"
-                await self._exchange(planned, url, collected)
+                await self._round_trip(planned, url, collected)
         except TimeoutError:
             self._history.add(Left(time.monotonic(), planned.request))
         except (aiohttp.ClientError, OSError):
-            pass  # The answer ended early or never came; what was collected says how far it got.
+            pass  # The answer ended early or never came. The record says how far it got.
         self._history.add(collected.answered(time.monotonic()))
 
-    async def _exchange(self, planned: PlannedRequest, url: str, collected: Collected) -> None:
+    async def _round_trip(self, planned: PlannedRequest, url: str, collected: Collected) -> None:
         target = yarl.URL(url, encoded=True)
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
         headers = _headers(planned)
@@ -100,7 +104,7 @@
 
 
 class Collected:
-    """What came back for one request so far."""
+    """What has arrived of one answer so far."""
 
     def __init__(self, planned: PlannedRequest) -> None:
         self._planned = planned
--- a/src/wallwell/soak/configuration.py
+++ b/src/wallwell/soak/configuration.py
@@ -1,4 +1,4 @@
-"""What the operator of a run puts in force, and the bounds that its routers are told."""
+"""What the operator of a run puts in force, and the bounds in the routers' settings."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     "rollback_ms": ROLLBACK_S * 1000,
     "grace_s": GRACE_S,
 }
-"""Bounds that routers are told; shorter than a deployment's, so that runs of seconds reach them."""
+"""Bounds of the routers' settings; shorter than a deployment's, so that runs of seconds reach them."""
 
 
 def configuration(version: int, keys: tuple[str, ...]) -> dict[str, object]:
--- a/src/wallwell/soak/control.py
+++ b/src/wallwell/soak/control.py
@@ -1,4 +1,5 @@
-"""What the run tells its processes, and how one tells that it is ready: :mod:`wallwell.cluster.peer_link`."""
+"""Messages from the run to its processes over :mod:`wallwell.cluster.peer_link`, and how a process reports
+ready."""
 
 from __future__ import annotations
 
@@ -15,14 +16,14 @@
 
 
 class Announcement(msgspec.Struct, frozen=True):
-    """First line of a process's standard output: where it answers, and where it takes what the run tells it."""
+    """First line of a process's standard output: where it serves, and where it takes messages of the run."""
 
     addresses: tuple[str, ...]
     control: str = ""
 
 
 class LinkAddress(msgspec.Struct, frozen=True):
-    """Where a link is entered."""
+    """Where a link accepts connections."""
 
     address: str
 
@@ -72,7 +73,7 @@
 
 
 class OpenLink(PeerMessage, frozen=True):
-    """Make a link that is entered at ``host``; it leads nowhere yet. ``region`` is that of its far end."""
+    """Make a link that accepts connections at ``host``; it leads nowhere yet. ``region`` is that of its far end."""
 
     link: str
     host: str
@@ -98,7 +99,7 @@
 class HarmLink(PeerMessage, frozen=True):
     """What a link does to its connections from now on. All off: it is sound again.
 
-    ``delay_s`` holds back each piece, ``bytes_per_s`` (0: any) narrows each direction of the whole link,
+    ``delay_s`` holds back each chunk, ``bytes_per_s`` (0: any) narrows each direction of the whole link,
     ``reset`` ends connections and refuses new ones, ``silence`` makes the open ones carry nothing for good,
     ``hold_forth`` and ``hold_back`` keep back what goes one way until they are off.
     """
@@ -115,6 +116,6 @@
 
 
 def announce(announcement: Announcement) -> None:
-    """Tell the run that this process is ready."""
+    """Report to the run that this process is ready."""
     sys.stdout.buffer.write(msgspec.json.encode(announcement) + b"\n")
     sys.stdout.buffer.flush()
--- a/src/wallwell/soak/drawing.py
+++ b/src/wallwell/soak/drawing.py
@@ -1,4 +1,8 @@
-"""Draws the schedule of a run from its seed alone."""
+"""Draws the schedule of a run from its seed alone.
+
+The same seed and shape give the same schedule, byte for byte: kept runs depend on the order of the draws. Requests,
+faults and operations draw from generators of their own, so that one does not change the others.
+"""
 
 from __future__ import annotations
 
@@ -32,27 +36,42 @@
 from wallwell.soak.versions import ROLLOUT_AT_S, ROLLOUTS
 
 FIRST_FAULT_S = 1.0
+"""Seconds before the first fault, and between two faults of one target. Chosen, not measured: some requests have
+been served by then."""
 SETTLE_S = 3.5
 """Time between the last single fault's begin and the end of all nodes: the longest fault and some more."""
 SHORTEST_RUN_S = 15.0
+"""Seconds of the shortest run: single faults, and the recovery of all nodes at its end."""
+KILL_ALL_LASTS_S = 0.3
+"""Seconds from the end of all nodes to their start."""
 FAULT_PERIODS_S = (1.0, 3.0, 1000.0)
 """Mean time between two faults, one drawn for each run; a fault lasts 0.3 to 2.5 s, so that some overlap.
 
-The last leaves one fault before all nodes are killed: bounds that count for nodes in touch need quiet spans."""
+The last leaves one fault before all nodes are killed: invariants with a time bound need fault-free spans."""
 FAULT_LASTS_S = (0.3, 2.5)
+"""Shortest and longest fault, in seconds. Chosen, not measured: below and beyond the time-outs of connections."""
 KIND_WEIGHTS = {
     RequestKind.SAFE: 2.0,
     RequestKind.UNSAFE: 3.0,
     RequestKind.STREAM: 3.0,
     RequestKind.RESUMABLE: 2.0,
 }
-LEAVE_SHARE = 0.08
-"""Part of the callers that leave before the end."""
+LEAVE_FRACTION = 0.08
+"""Fraction of the callers that leave before the end."""
 LEAVE_AFTER_S = (0.02, 0.4)
+"""Seconds after which they leave: before the first event, or in the middle of a stream."""
+DEADLINE_S = (1.0, 4.0)
+"""Seconds that callers wait; the longest is the routes' own time-out."""
 STREAM_EVENTS = (3, 120)
+"""Events of a stream: up to 1.8 s at a worker."""
 PROMPT_TOKENS = (50, 1500)
+"""Tokens of a prompt's own part."""
 SHARED_PARTS = 6
+"""Parts of prompts that requests share."""
+SHARED_PART_TOKENS = 400
+"""Tokens of each of them."""
 CRASHING_FROM_S = (1.0, 3.0)
+"""Seconds after which a caller first sends a request that crashes workers."""
 CRASHING_PERIOD_S = (0.2, 1.0)
 """Time between two sendings of a request that crashes workers; one is drawn for each of its callers."""
 
@@ -97,7 +116,7 @@
             faults.append(PlannedFault(round(at_s, 2), lasts_s, kind, target))
             busy[target] = at_s + lasts_s + FIRST_FAULT_S
         at_s += generator.expovariate(1 / period_s)
-    faults.append(PlannedFault(round(kill_at_s, 2), 0.3, FaultKind.KILL_ALL_NODES, ALL_NODES))
+    faults.append(PlannedFault(round(kill_at_s, 2), KILL_ALL_LASTS_S, FaultKind.KILL_ALL_NODES, ALL_NODES))
     return faults
 
 
@@ -140,7 +159,7 @@
 
 def _draw_request(generator: random.Random, request: str, at_s: float, shape: Shape) -> PlannedRequest:
     kind = generator.choices(list(KIND_WEIGHTS), list(KIND_WEIGHTS.values()))[0]
-    leaves_after_s = generator.uniform(*LEAVE_AFTER_S) if generator.random() < LEAVE_SHARE else 0.0
+    leaves_after_s = generator.uniform(*LEAVE_AFTER_S) if generator.random() < LEAVE_FRACTION else 0.0
     shared = generator.randrange(SHARED_PARTS)
     tokens = generator.randint(*PROMPT_TOKENS)
     events = generator.randint(*STREAM_EVENTS)
@@ -150,9 +169,11 @@
         kind=kind,
         node=generator.randrange(shape.nodes),
         key=generator.choices(list(KEY_WEIGHTS), list(KEY_WEIGHTS.values()))[0],
-        deadline_s=round(generator.uniform(1.0, 4.0), 2),
+        deadline_s=round(generator.uniform(*DEADLINE_S), 2),
         events=events if kind.is_stream else 0,
-        prompt_parts=f"5a{shared:02x}:400,{generator.getrandbits(32):08x}:{tokens}" if kind.is_stream else "",
-        prompt_tokens=400 + tokens if kind.is_stream else 0,
+        prompt_parts=f"5a{shared:02x}:{SHARED_PART_TOKENS},{generator.getrandbits(32):08x}:{tokens}"
+        if kind.is_stream
+        else "",
+        prompt_tokens=SHARED_PART_TOKENS + tokens if kind.is_stream else 0,
         leaves_after_s=round(leaves_after_s, 3),
     )
--- a/src/wallwell/soak/faults.py
+++ b/src/wallwell/soak/faults.py
@@ -1,4 +1,7 @@
-"""Carries out the faults of a schedule on the processes of a run."""
+"""Carries out the faults of a schedule on the processes of a run, and records when each begins and ends.
+
+Relies on :class:`wallwell.soak.fleet.RunProcesses` for processes, store and links.
+"""
 
 from __future__ import annotations
 
@@ -18,13 +21,19 @@
 
 Action = Callable[[PlannedFault], Awaitable[None]]
 LOST_ANSWERS = 5
+"""Writes whose answer is lost or late. Chosen, not measured: more than one node retries."""
 AWAY_S = 1.0
-"""How long a worker that a request has crashed is away."""
-LOOK_S = 0.05
-"""Time between two looks for a worker's next incarnation."""
+"""How long a worker that a request has crashed stays away."""
+NEXT_CHECK_S = 0.05
+"""Seconds between two checks for a worker's next incarnation."""
 SLOW_STORE_S = 0.6
+"""Seconds that a slow store holds each call: below the time-out of a call, beyond what routers are used to."""
 SLOW_LINK_S = 0.1
+"""Seconds by which a slow link delays each chunk."""
 NARROW_LINK_BYTES_PER_S = 20_000.0
+"""Width of a slow link. Chosen, not measured: a stream passes, a listing of rows takes long."""
+NARROW_REGIONS_FRACTION = 0.01
+"""What is left of the width between regions while they are narrow."""
 STORE_SWITCHES: dict[FaultKind, tuple[dict[str, Any], dict[str, Any]]] = {
     FaultKind.STORE_DOWN: ({"refuse_status": 503}, {"refuse_status": 0}),
     FaultKind.STORE_SILENT: ({"silent": True}, {"silent": False}),
@@ -40,8 +49,12 @@
     FaultKind.LINK_CUT_FORTH: {"hold_forth": True},
     FaultKind.LINK_CUT_BACK: {"hold_back": True},
     FaultKind.REGIONS_CUT: {"hold_forth": True, "hold_back": True},
-    FaultKind.REGIONS_NARROW: {"delay_s": REGION_DELAY_S, "bytes_per_s": REGION_BYTES_PER_S / 100},
+    FaultKind.REGIONS_NARROW: {
+        "delay_s": REGION_DELAY_S,
+        "bytes_per_s": REGION_BYTES_PER_S * NARROW_REGIONS_FRACTION,
+    },
 }
+"""Fields of :class:`HarmLink` while a fault lasts."""
 
 
 class FaultRunner:
@@ -50,7 +63,7 @@
     def __init__(self, fleet: RunProcesses) -> None:
         self._fleet = fleet
         shape = fleet.schedule.shape
-        self._turns = {name: asyncio.Lock() for name in (*shape.node_names(), *shape.worker_names())}
+        self._locks = {name: asyncio.Lock() for name in (*shape.node_names(), *shape.worker_names())}
         """Held while a process is ended and started again: a leave or a planned stop may outlast its fault."""
         self._actions: dict[FaultKind, Action] = {
             FaultKind.KILL_NODE: self._kill_node,
@@ -81,43 +94,43 @@
     # --- routers ---------------------------------------------------------------------------------------
 
     async def _kill_node(self, fault: PlannedFault) -> None:
-        async with self._turns[fault.target]:
+        async with self._locks[fault.target]:
             await self._fleet.node(fault.target).end(signal.SIGKILL)
             await asyncio.sleep(fault.lasts_s)
             await self._fleet.start_node(fault.target)
 
     async def _kill_all_nodes(self, fault: PlannedFault) -> None:
         nodes = self._fleet.schedule.shape.node_names()
-        async with contextlib.AsyncExitStack() as turns:
+        async with contextlib.AsyncExitStack() as locks:
             for node in nodes:
-                await turns.enter_async_context(self._turns[node])
+                await locks.enter_async_context(self._locks[node])
             await asyncio.gather(*(self._fleet.node(node).end(signal.SIGKILL) for node in nodes))
             await asyncio.sleep(fault.lasts_s)
             for node in nodes:
                 await self._fleet.start_node(node)
 
     async def _pause_node(self, fault: PlannedFault) -> None:
-        async with self._turns[fault.target]:
+        async with self._locks[fault.target]:
             node = self._fleet.node(fault.target)
             node.send(signal.SIGSTOP)
             await asyncio.sleep(fault.lasts_s)
             node.send(signal.SIGCONT)
 
     async def _stop_node(self, fault: PlannedFault) -> None:
-        async with self._turns[fault.target]:
+        async with self._locks[fault.target]:
             await self._fleet.node(fault.target).end(signal.SIGTERM)
             await self._fleet.start_node(fault.target)
 
     # --- workers ---------------------------------------------------------------------------------------
 
     async def _crash_worker(self, fault: PlannedFault) -> None:
-        async with self._turns[fault.target]:
+        async with self._locks[fault.target]:
             await self._fleet.worker(fault.target).end(signal.SIGKILL)
             await self._replace_worker(fault.target, fault.lasts_s)
 
     async def _replace_worker(self, name: str, away_s: float) -> None:
         """Start a new incarnation of a worker that has ended; its link refuses connections meanwhile."""
-        await self._fleet.tell_proxy(AimLink(name, ""))
+        await self._fleet.control_proxy(AimLink(name, ""))
         await asyncio.sleep(away_s)
         await self._fleet.start_worker(name)
 
@@ -142,13 +155,13 @@
         while True:
             worker = self._fleet.worker(name)
             status = await worker.wait()
-            async with self._turns[name]:
+            async with self._locks[name]:
                 if status == CRASH_STATUS and self._fleet.worker(name) is worker:
                     await self._replace_worker(name, AWAY_S)
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(NEXT_CHECK_S)
 
     async def _drain_worker(self, fault: PlannedFault) -> None:
-        async with self._turns[fault.target]:
+        async with self._locks[fault.target]:
             worker = self._fleet.worker(fault.target)
             worker.send(signal.SIGUSR1)
             await worker.wait()
@@ -158,24 +171,24 @@
 
     async def _switch_store(self, fault: PlannedFault) -> None:
         begin, end = STORE_SWITCHES[fault.kind]
-        await self._fleet.tell_store(SwitchStore(begin))
+        await self._fleet.control_store(SwitchStore(begin))
         await asyncio.sleep(fault.lasts_s)
-        await self._fleet.tell_store(SwitchStore(end))
+        await self._fleet.control_store(SwitchStore(end))
 
     async def _refuse_node(self, fault: PlannedFault) -> None:
         host = store_host(self._fleet.schedule.shape.node_names().index(fault.target))
-        await self._fleet.tell_store(SwitchStore({"refused_listeners": [host]}))
+        await self._fleet.control_store(SwitchStore({"refused_listeners": [host]}))
         await asyncio.sleep(fault.lasts_s)
-        await self._fleet.tell_store(SwitchStore({"refused_listeners": []}))
+        await self._fleet.control_store(SwitchStore({"refused_listeners": []}))
 
     async def _forget(self, _fault: PlannedFault) -> None:
-        await self._fleet.tell_store(ForgetHistory())
+        await self._fleet.control_store(ForgetHistory())
 
     async def _harm_link(self, fault: PlannedFault) -> None:
         link, node = link_of(fault.target)
-        await self._fleet.tell_proxy(HarmLink(link, node, **LINK_HARMS[fault.kind]))
+        await self._fleet.control_proxy(HarmLink(link, node, **LINK_HARMS[fault.kind]))
         await asyncio.sleep(fault.lasts_s)
-        await self._fleet.tell_proxy(sound_link(link, node))
+        await self._fleet.control_proxy(sound_link(link, node))
 
 
 def link_of(target: str) -> tuple[str, str]:
--- a/src/wallwell/soak/fleet.py
+++ b/src/wallwell/soak/fleet.py
@@ -1,4 +1,7 @@
-"""The processes of one run and how they are wired; routers start as a deployment starts them."""
+"""The processes of one run and how they are wired; routers start as a deployment starts them.
+
+Owns addresses, settings files, incarnations and links. Relies on :mod:`wallwell.soak.supervisor` for processes.
+"""
 
 from __future__ import annotations
 
@@ -27,18 +30,25 @@
 from wallwell.soak.worker_process import WorkerSettings
 
 FIRST_VERSION = "v1"
+"""Software of the workers that a run starts with."""
 REGION_DELAY_S = 0.02
+"""Seconds of one way between regions."""
 REGION_BYTES_PER_S = 30e6 / 8
-"""One way and width each way between regions, for all traffic of nodes with what stands there."""
+"""Width each way between regions, for all connections of nodes to the other region: 30 Mbit/s."""
 CALL_S = 0.15
-"""Time of a call: long enough that faults on its worker strike some under way."""
+"""Time of a call: long enough that faults on its worker strike some that run."""
 PROMPT_S = 0.02
 """Time to a stream's first event."""
 HEARTBEAT_S = 0.5
+"""Seconds between two heartbeats of a worker; an entry goes after three without one."""
 CONTROL_TIMEOUT_S = 3.0
+"""Seconds for a message to the store or the proxy. Chosen, not measured: the machine may be busy."""
 READY_TIMEOUT_S = 20.0
+"""Seconds until every router must be ready. Chosen, not measured: processes start together on a busy machine."""
 READY_PERIOD_S = 0.05
+"""Seconds between two readiness checks."""
 PEER_PORTS = 8
+"""Ports after the first one that a node may use for its peers."""
 
 
 class RunProcesses:
@@ -55,9 +65,9 @@
         self.weights = 1
         """Newest weights version that was named."""
         self.software: dict[str, tuple[str, Badness]] = {}
-        """Software of the places that do not run the first version."""
+        """Software and badness by worker's name, of those that do not run the first version."""
         self.retired: set[str] = set()
-        """Places whose workers a rollout has replaced; none is started there any more."""
+        """Names of workers that a rollout has replaced; none is started under them any more."""
         self._incarnations: dict[str, int] = {}
         self._links: dict[str, str] = {}
         self._front: dict[str, str] = {}
@@ -70,7 +80,7 @@
         return tuple(self._front[node] for node in self.schedule.shape.node_names())
 
     async def start(self) -> None:
-        """Start everything and wait until every router says that it is ready. Raises :class:`SoakError`."""
+        """Start everything and wait until every router is ready. Raises :class:`SoakError`."""
         await self._start_store()
         self._proxy = PeerLink((await self.supervisor.start_own("proxy", "proxy")).control)
         await self._open_links()
@@ -99,22 +109,22 @@
         self._store_addresses = dict(zip(nodes, announced.addresses, strict=True))
         self._store_control = announced.control
         self._store = PeerLink(announced.control)
-        self._store_turn = asyncio.Lock()
-        self._proxy_turn = asyncio.Lock()
+        self._store_lock = asyncio.Lock()
+        self._proxy_lock = asyncio.Lock()
 
-    async def tell_store(self, message: PeerMessage) -> None:
-        """Tell the store; returns when it has done so."""
-        async with self._store_turn:
+    async def control_store(self, message: PeerMessage) -> None:
+        """Send the store a message; returns when it has been carried out."""
+        async with self._store_lock:
             await self._store.ask(message, Done, CONTROL_TIMEOUT_S)
 
-    async def tell_proxy(self, message: PeerMessage) -> None:
-        """Tell the proxy; returns when it has done so."""
-        async with self._proxy_turn:
+    async def control_proxy(self, message: PeerMessage) -> None:
+        """Send the proxy a message; returns when it has been carried out."""
+        async with self._proxy_lock:
             await self._proxy.ask(message, Done, CONTROL_TIMEOUT_S)
 
     async def put_row(self, table: str, key: str, text: str) -> float:
         """Write a row as the operator; returns when it was acknowledged."""
-        await self.tell_store(PutRow(table, key, text))
+        await self.control_store(PutRow(table, key, text))
         return time.monotonic()
 
     async def put_configuration(self, version: int, keys: tuple[str, ...]) -> None:
@@ -126,7 +136,7 @@
 
     async def read_row(self, table: str, key: str) -> str | None:
         """Read a row as the operator."""
-        async with self._store_turn:
+        async with self._store_lock:
             return (await self._store.ask(ReadRow(table, key), RowText, CONTROL_TIMEOUT_S)).text
 
     async def _open_links(self) -> None:
@@ -137,26 +147,27 @@
             request = OpenLink(link, f"127.1.1.{index + 1}", shape.region_of(end))
             self._links[link] = (await self._proxy.ask(request, LinkAddress, CONTROL_TIMEOUT_S)).address
         for node, address in self._store_addresses.items():
-            await self.tell_proxy(AimLink(f"{node}>{STORE}", address))
-        await self.tell_proxy(sound_link(BETWEEN_REGIONS))
+            await self.control_proxy(AimLink(f"{node}>{STORE}", address))
+        await self.control_proxy(sound_link(BETWEEN_REGIONS))
 
     # --- workers ---------------------------------------------------------------------------------------
 
     async def start_worker(self, name: str) -> None:
-        """Start a new incarnation of a worker behind its link, with the newest weights and its place's software."""
+        """Start a new incarnation of a worker behind its link, with the newest weights and the software of its
+        name."""
         if name in self.retired:
             return
         software, badness = self.software.get(name, (FIRST_VERSION, Badness()))
         number = self._incarnations[name] = self._incarnations.get(name, 0) + 1
         incarnation = f"{name}.{number}"
         service = ENGINES if name.startswith("engine") else ORDERS
-        places = self.schedule.shape.worker_names() + self.schedule.shape.target_names()
+        worker_names = self.schedule.shape.worker_names() + self.schedule.shape.target_names()
         settings = WorkerSettings(
             incarnation=incarnation,
             service=service,
             model=MODEL,
-            host=f"127.1.2.{places.index(name) + 1}",
-            told_address=self._links[name],
+            host=f"127.1.2.{worker_names.index(name) + 1}",
+            listed_address=self._links[name],
             store_control=self._store_control,
             history=str(self.folder / f"{incarnation}{HISTORY_SUFFIX}"),
             seed=self.schedule.seed,
@@ -168,7 +179,7 @@
             heartbeat_s=HEARTBEAT_S,
         )
         announced = await self.supervisor.start_own("worker", incarnation, settings)
-        await self.tell_proxy(AimLink(name, announced.addresses[0]))
+        await self.control_proxy(AimLink(name, announced.addresses[0]))
 
     def worker(self, name: str) -> ChildProcess:
         """Return the newest incarnation's process."""
@@ -201,7 +212,7 @@
         """Start a router with the settings file that was written for it."""
         environment = {names.SETTINGS_VARIABLE: str(self.folder / f"{node}.toml")}
         child = await self.supervisor.start(node, (sys.executable, str(self._router)), environment)
-        await self.tell_proxy(KnowNode(node, child.pid, self.schedule.shape.region_of(node)))
+        await self.control_proxy(KnowNode(node, child.pid, self.schedule.shape.region_of(node)))
         self._watchers.begin(self._watch(child))
 
     async def _watch(self, child: ChildProcess) -> None:
@@ -237,7 +248,7 @@
 
 
 def sound_link(link: str, node: str = "") -> HarmLink:
-    """Return what a link does without a fault: nothing, but for what lies between regions."""
+    """Return what a link does without a fault: nothing, but for the delay and width between regions."""
     if link == BETWEEN_REGIONS:
         return HarmLink(link, delay_s=REGION_DELAY_S, bytes_per_s=REGION_BYTES_PER_S)
     return HarmLink(link, node)
--- a/src/wallwell/soak/history.py
+++ b/src/wallwell/soak/history.py
@@ -1,6 +1,7 @@
 """What callers, workers, the store and the run saw, as records. Times are seconds of the machine's steady clock.
 
-Each process appends its records to a file of its own, one JSON line each, written before it acts on what they tell.
+Each process appends its records to a file of its own, one JSON line each, written before it acts on what they say.
+The names of records and fields are the format of kept runs.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class RequestKind(enum.Enum):
-    """What may be repeated."""
+    """What may be retried, and the form of the answer."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -51,7 +52,7 @@
     content: str = ""
     """What a request that is sent several times holds each time."""
     deadline_s: float = 0.0
-    """How long its caller waits; 0 if it does not tell."""
+    """How long its caller waits; 0 if it does not say."""
 
 
 class Answered(Record, frozen=True):
@@ -176,7 +177,7 @@
 
 
 class NodeExited(Record, frozen=True):
-    """A router process ended. ``asked`` names the signal by which the run had told it to, empty for none."""
+    """A router process ended. ``asked`` names the signal by which the run asked it to, empty for none."""
 
     node: str
     status: int
@@ -203,7 +204,8 @@
 
 
 class HistoryWriter:
-    """Appends records to one file; a record is with the system when :meth:`add` returns, so a kill loses none."""
+    """Appends records to one file; a record has reached the system when :meth:`add` returns, so a kill loses
+    none."""
 
     def __init__(self, path: Path) -> None:
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
--- a/src/wallwell/soak/operator.py
+++ b/src/wallwell/soak/operator.py
@@ -19,13 +19,13 @@
 
 LATER_VERSION = 2
 """Of the configuration and of the weights."""
-STATUS_TABLE = "status"
-ROLLOUT_KEY = f"rollout/{ROLLOUT_SERVICE}"
-LOOK_AGAIN_S = 0.1
-LOOK_BEYOND_S = 2.0
-"""Time after a rollout's deadline in which its state is still looked at."""
+ROLLOUT_KEY = names.ROLLOUT_KEY_PREFIX + ROLLOUT_SERVICE
+POLL_INTERVAL_S = 0.1
+"""Seconds between two readings of a rollout's state."""
+POLL_BEYOND_S = 2.0
+"""Seconds after a rollout's deadline in which its state is still read."""
 DRAIN_AFTER_S = 1.0
-"""Time from a roll-back to the target workers' leave."""
+"""Seconds from a rollback to the drain of the target workers."""
 
 
 class Operator:
@@ -70,7 +70,7 @@
         for name in shape.target_names():
             self._fleet.software[name] = (TARGET_VERSION, badness)
         await asyncio.gather(*(self._fleet.start_worker(name) for name in shape.target_names()))
-        state = await self._follow(at_s + duration_s + LOOK_BEYOND_S)
+        state = await self._follow(at_s + duration_s + POLL_BEYOND_S)
         if state == "complete":
             await self._stop_old()
         elif state == "rolled_back":
@@ -82,7 +82,7 @@
         """Record each state of the rollout until a final one, which is returned; empty if none comes."""
         last = ""
         while time.monotonic() < until_s:
-            text = await self._fleet.read_row(STATUS_TABLE, ROLLOUT_KEY)
+            text = await self._fleet.read_row(names.STATUS_TABLE, ROLLOUT_KEY)
             status: dict[str, Any] = json.loads(text) if text else {}
             state = status.get("state", "") if status.get("target_version") == TARGET_VERSION else ""
             if state != last:
@@ -91,14 +91,14 @@
                 self._fleet.history.add(record)
             if state in ("complete", "rolled_back"):
                 return str(state)
-            await asyncio.sleep(LOOK_AGAIN_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return ""
 
     async def _stop_old(self) -> None:
-        """Stop the current workers at once; what they have under way is cut."""
+        """Stop the current workers at once; their requests in flight are cut."""
         shape = self._fleet.schedule.shape
         for name in shape.worker_names():
             if name.startswith(ROLLOUT_SERVICE):
                 self._fleet.retired.add(name)
                 await self._fleet.worker(name).end(signal.SIGTERM)
-                await self._fleet.tell_proxy(AimLink(name, ""))
+                await self._fleet.control_proxy(AimLink(name, ""))
--- a/src/wallwell/soak/process.py
+++ b/src/wallwell/soak/process.py
@@ -1,4 +1,7 @@
-"""Entry point of a run's own processes: ``python -m wallwell.soak.process KIND SETTINGS``."""
+"""Entry point of a run's own processes: ``python -m wallwell.soak.process KIND SETTINGS``.
+
+Each kind imports only what it needs, which keeps a run of 40 processes within its memory.
+"""
 
 from __future__ import annotations
 
--- a/src/wallwell/soak/proxy.py
+++ b/src/wallwell/soak/proxy.py
@@ -1,4 +1,9 @@
-"""Loopback links that can be harmed: connections are taken at one address and passed on to another."""
+"""Loopback links that faults can slow down, cut or reset: connections are accepted at one address and passed on.
+
+One process carries all links of a run. It knows by the kernel's tables which node a connection belongs to, so
+that the links of one node can be harmed alone. The kernel acknowledges what a cut link holds back: keep-alives do
+not notice it.
+"""
 
 from __future__ import annotations
 
@@ -21,16 +26,18 @@
 from wallwell.soak.schedule import BETWEEN_REGIONS
 from wallwell.soak.socket_owner import owner_of
 
-PIECE_BYTES = 65536
-QUEUE_PIECES = 64
-"""Pieces that wait in one direction of a connection; beyond that its sender is held back."""
+CHUNK_BYTES = 65536
+"""Most bytes that are read at once."""
+QUEUE_CHUNKS = 64
+"""Chunks that wait in one direction of a connection; beyond that its sender is held back."""
 CONNECT_TIMEOUT_S = 1.0
-LOOK_AGAIN_S = 0.01
-"""How often a direction that is held back looks whether it may go on."""
+"""Seconds for a connection to the far end, which is on this machine."""
+HELD_CHECK_S = 0.01
+"""Seconds between two checks whether a direction that is held back may go on."""
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """End a connection by a reset. Without the option the system ends it as if all had been said."""
+    """End a connection by a reset. Without the option the system ends it as a normal close."""
     raw = writer.get_extra_info("socket")
     if raw is not None and not writer.transport.is_closing():
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -45,7 +52,7 @@
         self._free_from_s = {True: 0.0, False: 0.0}
 
     def due_s(self, at_s: float, size: int, forth: bool) -> float:
-        """Return when a piece that comes at ``at_s`` leaves."""
+        """Return when a chunk that comes at ``at_s`` leaves."""
         begin_s = max(at_s, self._free_from_s[forth])
         takes_s = size / self.harm.bytes_per_s if self.harm.bytes_per_s else 0.0
         self._free_from_s[forth] = begin_s + takes_s
@@ -85,7 +92,7 @@
             writer.close()
 
     async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, forth: bool) -> None:
-        waiting: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(QUEUE_PIECES)
+        waiting: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(QUEUE_CHUNKS)
         async with asyncio.TaskGroup() as ends:
             ends.create_task(self._take(reader, waiting, forth))
             ends.create_task(self._hand_out(waiting, writer, forth))
@@ -93,7 +100,7 @@
     async def _take(
         self, reader: asyncio.StreamReader, waiting: asyncio.Queue[tuple[float, bytes]], forth: bool
     ) -> None:
-        while data := await reader.read(PIECE_BYTES):
+        while data := await reader.read(CHUNK_BYTES):
             await waiting.put((self._due_s(len(data), forth), data))
         await waiting.put((self._due_s(0, forth), b""))
 
@@ -111,7 +118,7 @@
             due_s, data = await waiting.get()
             await asyncio.sleep(due_s - loop.time())
             while self.silent or any(wire.holds(forth) for wire in self._wires):
-                await asyncio.sleep(LOOK_AGAIN_S)
+                await asyncio.sleep(HELD_CHECK_S)
             if not data:
                 writer.write_eof()
                 return
@@ -228,7 +235,7 @@
         )
 
     async def start(self) -> None:
-        """Take what the run tells."""
+        """Take messages of the run."""
         await self._control.start("127.0.0.1", 0)
         announce(Announcement((), self._control.address))
 
--- a/src/wallwell/soak/run.py
+++ b/src/wallwell/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: start the fleet, play the schedule, stop, check the invariants over what was recorded."""
+"""One run: start the processes, play the schedule, stop, and check the invariants over what was recorded."""
 
 from __future__ import annotations
 
@@ -28,13 +28,14 @@
 TAIL_S = 10.0
 """Time that the last callers get after the schedule's end: the longest deadline and some more."""
 MEMORY_PERIOD_S = 1.0
+"""Seconds between two checks of the processes' memory."""
 LATE_WORK_S = 0.5
 """Time that workers get after the nodes' end, so that work that should have been cancelled still shows."""
 
 
 @dataclass(frozen=True)
 class RunResult:
-    """What one run saw."""
+    """What one run found."""
 
     schedule: Schedule
     folder: Path
--- a/src/wallwell/soak/schedule.py
+++ b/src/wallwell/soak/schedule.py
@@ -1,4 +1,7 @@
-"""What a run does and when, drawn from its seed alone. Times count from the load's start."""
+"""What a run does and when: the types of a schedule, and the figures that drawing and checks share.
+
+Times count from the first request. A schedule is drawn in :mod:`wallwell.soak.drawing`.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
     PAUSE_NODE = "pause_node"  # a node: SIGSTOP, SIGCONT at the end
     STOP_NODE = "stop_node"  # a node: SIGTERM, started again at the end
     CRASH_WORKER = "crash_worker"  # a worker: SIGKILL, a new incarnation at the end
-    DRAIN_WORKER = "drain_worker"  # a worker: says that it leaves, serves on, ends; a new incarnation at the end
+    DRAIN_WORKER = "drain_worker"  # a worker: announces its leave, serves on, ends; a new incarnation at the end
     STORE_DOWN = "store_down"  # the store: 503 to all
     STORE_REFUSES_NODE = "store_refuses_node"  # a node: 503 at the store
     STORE_SILENT = "store_silent"  # the store: calls get no answer
@@ -30,7 +33,7 @@
     LINK_SLOW = "link_slow"  # a link: delayed and narrow
     LINK_SILENT = "link_silent"  # a link: open connections carry nothing more; new ones work
     LINK_CUT_FORTH = "link_cut_forth"  # a link: nothing reaches the far end, answers would come
-    LINK_CUT_BACK = "link_cut_back"  # a link: nothing comes back
+    LINK_CUT_BACK = "link_cut_back"  # a link: nothing reaches the near end
     REGIONS_CUT = "regions_cut"  # all links between regions: nothing passes
     REGIONS_NARROW = "regions_narrow"  # all links between regions: a hundredth of their width
 
@@ -62,16 +65,26 @@
 """Keys of the second configuration: one is taken away, one is new."""
 KEY_WEIGHTS = {"key-a": 3.0, "key-b": 3.0, "key-c": 2.0, "key-d": 2.0, LIMITED_KEY: 4.0}
 LIMIT_RATE_PER_S = 3.0
+"""Requests a second that one tenant may have; its callers ask for about three times as many."""
 LIMIT_BURST = 6.0
-"""Limit of one tenant; its callers ask for about three times as much."""
+"""Requests that it may save up."""
+
+# Bounds of the routers' settings, shorter than a deployment's where runs of seconds would not reach them.
 REVOKE_S = 4.0
+"""Seconds after which a key that was taken away must not be accepted."""
 VERSION_S = 6.0
+"""Seconds after which named weights must be in place wherever generations begin."""
 DRAIN_BOUND_S = 2.0
+"""Seconds after which a worker that leaves must get nothing more."""
 GRACE_S = 5.0
+"""Seconds that a planned stop is given."""
 EXPOSURE_SHARE = 0.1
+"""Fraction of a service's requests that a bad version may get."""
 EXPOSURE_REQUESTS = 50.0
+"""Requests beyond that fraction."""
 ROLLBACK_S = 5.0
-"""Bounds that routers are told; shorter than a deployment's where runs of seconds would not reach them."""
+"""Seconds after its 50th bad answer after which a bad version must get nothing more."""
+
 RECOVERY_S = 5.0
 """Time after which a fleet whose nodes were all killed serves again, counted from their start."""
 SHOWN_RECOVERED_S = 3.0
@@ -133,7 +146,7 @@
     engines: int = 4
     instances: int = 2
     regions: int = 1
-    """Nodes and workers stand in regions by turns; the store stands in the first."""
+    """Nodes and workers are assigned to regions in rotation; the store is in the first."""
     requests_per_s: float = 40.0
     crashing: int = 0
     """Callers that send, again and again, a request under which each worker that begins to run it crashes."""
@@ -145,12 +158,12 @@
         return tuple(f"node-{index}" for index in range(self.nodes))
 
     def worker_names(self) -> tuple[str, ...]:
-        """Names of the workers' places; an incarnation's name has a number more."""
+        """Names of the workers; each incarnation has this name and a number."""
         engines = tuple(f"engine-{index}" for index in range(self.engines))
         return engines + tuple(f"orders-{index}" for index in range(self.instances))
 
     def target_names(self) -> tuple[str, ...]:
-        """Names of the places of a rollout's target workers."""
+        """Names of a rollout's target workers."""
         return tuple(f"orders-new-{index}" for index in range(self.instances)) if self.rollout else ()
 
     def rollout_duration_s(self) -> float:
--- a/src/wallwell/soak/socket_owner.py
+++ b/src/wallwell/soak/socket_owner.py
@@ -9,6 +9,7 @@
 
 Address = tuple[str, int]
 
+# Constants of linux/netlink.h, linux/sock_diag.h and linux/inet_diag.h.
 _NETLINK_SOCK_DIAG = 4
 _SOCK_DIAG_BY_FAMILY = 20
 _NLM_F_REQUEST = 1
@@ -21,6 +22,7 @@
 _INODE_OFFSET = _HEADER.size + 4 + 48 + 16
 """Of the inode in an answer: after the message's header, four bytes, the socket's id and four figures."""
 _ANSWER_BYTES = 8192
+"""More than the answer about one socket."""
 
 
 def owner_of(near: Address, far: Address, processes: Mapping[str, int]) -> str:
@@ -54,7 +56,7 @@
     try:
         return any(_target(entry) == link for entry in os.scandir(f"/proc/{pid}/fd"))
     except OSError:
-        return False
+        return False  # The process has ended.
 
 
 def _target(entry: os.DirEntry[str]) -> str:
--- a/src/wallwell/soak/store_process.py
+++ b/src/wallwell/soak/store_process.py
@@ -1,4 +1,7 @@
-"""The store of a run: an address for each node, and entries of workers that heartbeats keep."""
+"""The store of a run: an address for each node, and entries of workers that heartbeats keep.
+
+Relies on :class:`wallwell.emulator.platform_store.PlatformStoreEmulator` for the store's calls and faults.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +35,7 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True):
-    """What the store's process is told: an address of its own for each node, so that it knows who calls."""
+    """Settings of the store's process: an address of its own for each node, so that it knows who calls."""
 
     history: str
     hosts: tuple[str, ...]
@@ -40,14 +43,14 @@
 
 
 class StoreProcess:
-    """The emulated store, told by the run and by workers."""
+    """The emulated store, with messages of the run and of workers."""
 
     def __init__(self, settings: StoreSettings) -> None:
         self._settings = settings
         self._history = HistoryWriter(Path(settings.history))
         self.store = PlatformStoreEmulator(closed_tables=frozenset((names.BACKENDS_TABLE, names.OPERATOR_TABLE)))
         self._entries: dict[str, dict[str, object]] = {}
-        self._heard_s: dict[str, float] = {}
+        self._last_heartbeat_s: dict[str, float] = {}
         self._control = PeerServer(
             {
                 SwitchStore: self._switch,
@@ -86,14 +89,14 @@
 
     async def _heartbeat(self, request: Heartbeat) -> Done:
         if self.store.refuse_status or self.store.silent:
-            return Done()  # A store that is down hears nobody.
+            return Done()  # A store that is down takes no heartbeat.
         worker, entry = request.worker, request.entry
-        self._heard_s[worker] = asyncio.get_running_loop().time()
+        self._last_heartbeat_s[worker] = asyncio.get_running_loop().time()
         known = self._entries.get(worker)
         if known is None or {**known, "seq": 0} != {**entry, "seq": 0}:
             self._entries[worker] = entry
             self.store.put(names.BACKENDS_TABLE, worker, json.dumps(entry))
-            self._tell(worker, str(entry["state"]))
+            self._record(worker, str(entry["state"]))
         return Done()
 
     async def _farewell(self, request: Farewell) -> Done:
@@ -105,17 +108,19 @@
         while True:
             await asyncio.sleep(self._settings.heartbeat_s / 2)
             now_s = asyncio.get_running_loop().time()
-            for worker in [worker for worker, heard_s in self._heard_s.items() if now_s - heard_s > bound_s]:
+            for worker in [
+                worker for worker, beaten_s in self._last_heartbeat_s.items() if now_s - beaten_s > bound_s
+            ]:
                 self._remove(worker)
 
     def _remove(self, worker: str) -> None:
         if self._entries.get(worker) is None:
             return
         self.store.put(names.BACKENDS_TABLE, worker, None)
-        self._tell(worker, "gone")
-        del self._entries[worker], self._heard_s[worker]
+        self._record(worker, "gone")
+        del self._entries[worker], self._last_heartbeat_s[worker]
 
-    def _tell(self, worker: str, state: str) -> None:
+    def _record(self, worker: str, state: str) -> None:
         entry = self._entries[worker]
         now_s = asyncio.get_running_loop().time()
         software = str(entry.get("version", ""))
--- a/src/wallwell/soak/supervisor.py
+++ b/src/wallwell/soak/supervisor.py
@@ -16,9 +16,11 @@
 from wallwell.soak.control import Announcement
 
 MAX_PROCESSES = 40
+"""Processes at which a run is given up: a bound on what a wrong option can start."""
 MAX_MEMORY_BYTES = 2 * 1024**3
 """Resident memory of all processes together at which a run is given up."""
 START_TIMEOUT_S = 20.0
+"""Seconds that a process is given to report ready. Chosen, not measured: many start together."""
 END_TIMEOUT_S = 15.0
 """Time that a process is given to end by SIGTERM: the routers' grace and some more."""
 _SET_PARENT_DEATH_SIGNAL = 1
@@ -70,7 +72,7 @@
         return await self._process.wait()
 
     async def announcement(self) -> Announcement:
-        """Return what the process tells when it is ready. Raises :class:`SoakError`."""
+        """Return what the process reports when it is ready. Raises :class:`SoakError`."""
         assert self._process.stdout is not None
         try:
             async with asyncio.timeout(START_TIMEOUT_S):
--- a/src/wallwell/soak/timeline.py
+++ b/src/wallwell/soak/timeline.py
@@ -1,4 +1,4 @@
-"""A run's records by request and by time, as the invariants look at them."""
+"""A run's records by request and by time, as the invariants need them. Pure."""
 
 from __future__ import annotations
 
@@ -18,8 +18,9 @@
 )
 
 CONTACT_S = 2.0
-"""Time after a fault until the nodes count as in touch again."""
+"""Seconds after a fault until the nodes count as connected again."""
 PLANNED_STOP = "stop_node"
+"""Name of the fault that stops a node as planned."""
 FAULTS_OF_WORKERS = frozenset(("crash_worker", "drain_worker"))
 """Faults that leave nodes, links and the store alone."""
 
@@ -41,7 +42,7 @@
         self._disturbed = _disturbances(self.records)
 
     def ended_s(self, began: Began) -> float | None:
-        """Return when a worker stopped working on what it began, None if it never said so."""
+        """Return when a worker stopped working on what it began, None if it recorded no end."""
         return self._ended_s.get((began.request, began.worker))
 
     def is_fault_free(self, from_s: float, until_s: float, besides: FaultBegan | None = None) -> bool:
--- a/src/wallwell/soak/versions.py
+++ b/src/wallwell/soak/versions.py
@@ -24,7 +24,7 @@
         return self.failure_share > 0 or self.slowness > 1
 
     def strikes(self, age_s: float, running: int, path: str) -> bool:
-        """Whether a request that begins now is struck."""
+        """Whether a request that begins now is failed or slowed down."""
         is_due = age_s >= self.after_s and running >= self.under_load
         return self.is_bad and is_due and path.startswith(self.path)
 
@@ -41,3 +41,4 @@
 ROLLOUT_SERVICE = "orders"
 TARGET_VERSION = "v2"
 ROLLOUT_AT_S = 2.0
+"""Seconds from the first request to a rollout's order."""
--- a/src/wallwell/soak/worker_process.py
+++ b/src/wallwell/soak/worker_process.py
@@ -1,4 +1,7 @@
-"""A worker of a run: an engine that streams or an instance that answers calls, with switches for bad software."""
+"""A worker of a run: an engine that streams or an instance that answers calls, with switches for bad software.
+
+Records each request before it works on it, so that a kill hides nothing.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +10,7 @@
 import random
 import signal
 import time
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
@@ -23,25 +27,26 @@
 from wallwell.soak.versions import Badness
 
 CONTROL_TIMEOUT_S = 1.0
-MISDIRECTED = 421
-FULL = 503
-FAILED = 500
-BUSY = 409
-FENCED = 412
+"""Seconds for a heartbeat, twice the time between two."""
+MISDIRECTED = HTTPStatus.MISDIRECTED_REQUEST.value
+FULL = HTTPStatus.SERVICE_UNAVAILABLE.value
+FAILED = HTTPStatus.INTERNAL_SERVER_ERROR.value
+BUSY = HTTPStatus.CONFLICT.value
+FENCED = HTTPStatus.PRECONDITION_FAILED.value
 CRASH_AFTER_S = 0.05
-"""How long a worker runs a request that crashes it: other requests are under way beside it."""
-QUEUE_PLACES = 4
-"""Requests that a worker takes beyond its slots before it says that it is full."""
+"""How long a worker runs a request that crashes it: other requests run beside it."""
+QUEUE_LENGTH = 4
+"""Requests that a worker queues beyond its slots before it refuses."""
 
 
 class WorkerSettings(msgspec.Struct, frozen=True):
-    """What a worker's process is told. ``told_address`` stands in its entry; it is the link's and not its own."""
+    """Settings of a worker's process. ``listed_address`` stands in its entry; it is the link's and not its own."""
 
     incarnation: str
     service: str
     model: str
     host: str
-    told_address: str
+    listed_address: str
     store_control: str
     history: str
     seed: int
@@ -75,11 +80,11 @@
         self._highest_fence = 0
         self._started_s = time.monotonic()
         self._store = PeerLink(settings.store_control)
-        self._telling = asyncio.Lock()
+        self._store_lock = asyncio.Lock()
 
     def entry(self) -> dict[str, Any]:
         """See :class:`PlatformWorkerEmulator`."""
-        return {**super().entry(), "addr": self._settings.told_address}
+        return {**super().entry(), "addr": self._settings.listed_address}
 
     async def run(self) -> None:
         """Serve until SIGTERM; SIGUSR1 begins a planned leave. The entry is kept by heartbeats."""
@@ -94,27 +99,27 @@
         await ending.wait()
         beating.cancel()
         leave.cancel()
-        await self._tell(Farewell(self.incarnation))
+        await self._report(Farewell(self.incarnation))
         await self.stop()
 
     async def _leave(self, leaving: asyncio.Event, ending: asyncio.Event) -> None:
         await leaving.wait()
         self.draining = True
-        await self._tell(Heartbeat(self.incarnation, self.entry()))
+        await self._report(Heartbeat(self.incarnation, self.entry()))
         await asyncio.sleep(self._settings.drain_s)
         ending.set()
 
     async def _beat(self) -> None:
         while True:
-            await self._tell(Heartbeat(self.incarnation, self.entry()))
+            await self._report(Heartbeat(self.incarnation, self.entry()))
             await asyncio.sleep(self._settings.heartbeat_s)
 
-    async def _tell(self, message: Heartbeat | Farewell) -> None:
+    async def _report(self, message: Heartbeat | Farewell) -> None:
         try:
-            async with self._telling:
+            async with self._store_lock:
                 await self._store.ask(message, Done, CONTROL_TIMEOUT_S)
         except PeerUnavailableError:
-            pass  # The run is over or the store is being ended; the next heartbeat tells again.
+            pass  # The run is over or the store is being ended; the next heartbeat reports again.
 
     # --- requests --------------------------------------------------------------------------------------
 
@@ -150,7 +155,7 @@
             return MISDIRECTED
         if request.headers.get(names.EXPECT_VERSION, str(self.version)) != str(self.version):
             return MISDIRECTED
-        if self.busy or self._running >= self.slots + QUEUE_PLACES:
+        if self.busy or self._running >= self.slots + QUEUE_LENGTH:
             return FULL
         return 0
 
@@ -193,7 +198,7 @@
     # --- orders ----------------------------------------------------------------------------------------
 
     async def take_order(self, order: dict[str, Any]) -> web.Response:
-        """Load new weights after a while, unless another order is under way or a later fence was seen."""
+        """Load new weights after a while, unless another order is being carried out or a later fence was seen."""
         fence, version = int(order["fence"]), int(order["version"])
         holder = str(order["holder"])
         self._history.add(OrderTaken(time.monotonic(), self.incarnation, holder, fence, version))
@@ -212,7 +217,7 @@
         await asyncio.sleep(self._settings.load_s)
         self.version = version
         self.busy = False
-        await self._tell(Heartbeat(self.incarnation, self.entry()))
+        await self._report(Heartbeat(self.incarnation, self.entry()))
 
 
 def _events(request: web.BaseRequest) -> int:
--- a/tests/unit/soak/test_faults.py
+++ b/tests/unit/soak/test_faults.py
@@ -58,7 +58,7 @@
     async def wait(self):
         return self._status
 
-    async def tell_proxy(self, message):
+    async def control_proxy(self, message):
         pass
 
     async def start_worker(self, name):
