--- a/tests/platform/test_caller_gone.py
+++ b/tests/platform/test_caller_gone.py
@@ -10,8 +10,8 @@
 
 from tests.platform.conftest import config, route
 from tests.unit.serving.fakes import event
+from wallwell.backend_connection import BackendConnection
 from wallwell.clock import boot_time_s
-from wallwell.http_connection import BackendConnection
 
 STOPS_WITHIN_S = 0.5
 STREAM_HEADERS = {"X_Model": "m", "X_Prefix_Hash": "aa:100,bb:50", "X_Token_Usage": "150,10"}
@@ -23,14 +23,14 @@
 @pytest.fixture
 def sent(monkeypatch):
     """What the node writes to its workers; a worker may not see what is written just before a reset."""
-    exchange, written = BackendConnection.exchange, []
+    round_trip, written = BackendConnection.round_trip, []
 
     def recorded(self, request_id, *args, **more):
         if request_id:  # Calls of control carry none.
             written.append(request_id)
-        return exchange(self, request_id, *args, **more)
+        return round_trip(self, request_id, *args, **more)
 
-    monkeypatch.setattr(BackendConnection, "exchange", recorded)
+    monkeypatch.setattr(BackendConnection, "round_trip", recorded)
     return written
 
 
