--- a/src/wallwell/routing/retry/first_token.py
+++ b/src/wallwell/routing/retry/first_token.py
@@ -1,9 +1,9 @@
-"""How soon the fleet's engines begin to answer, against what callers want. Pure.
+"""Whether engines of the whole fleet are behind: how soon they begin to answer, against callers' objectives. Pure.
 
-An engine that is silent for long is either broken or behind. One that is broken is best left for another one. One
-that is behind is not: the others are behind as well, and what it has read of the prompt is read again. Which of the
-two it is shows in how soon answers begin everywhere, so nodes tell each other.
-"""
+An engine that is silent for long is either broken or behind. One that is broken is best left for another one.
+One that is behind is not: the others are behind as well, and what it has prefilled of the prompt would be
+prefilled again. Which of the two it is shows in how soon answers begin everywhere, so nodes report their delays
+to each other."""
 
 from __future__ import annotations
 
@@ -15,14 +15,16 @@
 from wallwell.routing.sliding_window import SlidingWindow
 
 DELAY_WINDOW_S = 2.0
-"""Time over which delays are counted: long enough for some answers a node, short against an overload."""
-BEHIND = 0.4
-"""Part of answers that begin after their objective from which the fleet counts as behind.
-
-Fleets that keep up have less than 0.1, those that do not about a half. While some engines hang, each attempt there
-is late and its repeat elsewhere is not: with half of all engines hanging a third of the answers would be late."""
+"""Seconds over which delays are counted: long enough for some answers a node, short against an overload.
+Chosen, not measured."""
+BEHIND_FRACTION = 0.4
+"""Fraction of answers beginning after their objective from which the fleet counts as behind.
+
+Fleets that keep up have less than 0.1, those that do not about a half. While some engines are unresponsive,
+each attempt there is late and its retry elsewhere is not: with half of all engines unresponsive, a third of the
+answers would be late."""
 MIN_ANSWERS = 5
-"""Answers from which that part says anything."""
+"""Answers below which that fraction is not relied on. Chosen, not measured."""
 
 
 class Delays(msgspec.Struct, frozen=True, array_like=True):
@@ -43,7 +45,7 @@
     """Delays of generations, of this node and of all others. Times are on this node's clock."""
 
     peers: Delays = field(default_factory=Delays)
-    """Of all other nodes as they told lately."""
+    """Of all other nodes, as they last reported them."""
     _own: SlidingWindow = field(default_factory=lambda: SlidingWindow(DELAY_WINDOW_S))
 
     def observe(self, delay_s: float, objective_s: float, now_s: float) -> None:
@@ -61,4 +63,4 @@
     def is_fleet_behind(self, now_s: float) -> bool:
         """Whether answers begin late everywhere."""
         fleet = sum_delays((self.own(now_s), self.peers))
-        return fleet.answers >= MIN_ANSWERS and fleet.late >= BEHIND * fleet.answers
+        return fleet.answers >= MIN_ANSWERS and fleet.late >= BEHIND_FRACTION * fleet.answers
--- a/src/wallwell/routing/retry/retry_policy.py
+++ b/src/wallwell/routing/retry/retry_policy.py
@@ -93,7 +93,7 @@
         """Whether the attempt in flight may be abandoned for another back end once it has been silent for long.
 
         ``has_untried`` says whether a usable back end was not tried yet. It is called only if the route allows
-        another run, since the answer takes a look at all back ends of the service.
+        another run, since finding out takes a pass over all back ends of the service.
         """
         if not self.may_interrupt(route, history):
             return False
--- a/src/wallwell/serving/active_request.py
+++ b/src/wallwell/serving/active_request.py
@@ -1,4 +1,9 @@
-"""State of one request on its way through the pipeline."""
+"""State of one request on its way through the pipeline.
+
+Owned by the pipeline that serves the request, from its admission to its one answer, and shared with nobody
+else. What decides on further attempts is kept in
+:class:`~wallwell.routing.retry.attempt_history.AttemptHistory`, what is proved of all attempts in
+:class:`~wallwell.routing.retry.attempt_outcome.AttemptLog`."""
 
 from __future__ import annotations
 
@@ -18,20 +23,23 @@
 
 @dataclass
 class AnswerTiming:
-    """When the pieces of an answer came, for the log. Times are on this node's clock."""
+    """When the events of an answer came, for the log and for learning. Times in seconds on this node's clock."""
 
     first_s: float | None = None
+    """When the first event of the whole answer came."""
     last_s: float = 0.0
     max_gap_s: float = 0.0
+    """Longest pause between two events, over all runs."""
     sent_s: float | None = None
-    """When the current attempt was sent, None once its first piece has come."""
+    """When the current attempt was sent; None once its first event has come or it was given up."""
     attempt_s: float = 0.0
     """When the current attempt was sent."""
     load_when_sent: int = 0
-    """Load of its back end then, its own among it."""
+    """Load of its back end then, its own included."""
     run_first_s: float | None = None
-    """When the first piece of the current attempt came."""
+    """When the first event of the current attempt came."""
     run_events: int = 0
+    """Reads of the current attempt that held whole events."""
 
     def on_sent(self, now_s: float, load: int) -> None:
         """Note that an attempt is sent."""
@@ -41,7 +49,7 @@
         self.run_events = 0
 
     def on_token(self, now_s: float) -> None:
-        """Note that a piece was passed on."""
+        """Note that events are passed on."""
         if self.first_s is None:
             self.first_s = now_s
         else:
@@ -64,7 +72,7 @@
     deadline_s: float
     log: AttemptLog
     admitted: Admitted | None = None
-    """What was taken of the tenant's limit; None if it has none."""
+    """What was taken of the tenant's limit; None if it has no limit."""
     history: AttemptHistory = field(default_factory=AttemptHistory)
     position: StreamPosition = field(default_factory=StreamPosition)
     timing: AnswerTiming = field(default_factory=AnswerTiming)
@@ -80,7 +88,8 @@
 
     @cached_property
     def placement(self) -> int:
-        """The key that places a generation: its longest shared prefix, within the tenant if that shares none."""
+        """The key that places a generation: its longest shared prefix, within the tenant if that shares no
+        cache."""
         assert self.request.generation is not None
         scope = self.tenant.name if self.tenant is not None and self.tenant.isolated else ""
         return placement_key(self.request.generation.parts, scope)
--- a/src/wallwell/serving/alternatives.py
+++ b/src/wallwell/serving/alternatives.py
@@ -9,5 +9,6 @@
 
 def has_untried_backend(state: NodeState, active: ActiveRequest, now_s: float) -> bool:
     """Whether a usable back end is left to which the request was not sent yet."""
+    tried = active.history.tried
     usable = candidates_for(state, active, now_s).usable
-    return any(each.incarnation not in active.history.tried for each in usable)
+    return any(each.incarnation not in tried for each in usable)
--- a/src/wallwell/serving/attempt.py
+++ b/src/wallwell/serving/attempt.py
@@ -84,20 +84,20 @@
         """Count an attempt as in flight and return when it is sent."""
         if active.history.runs and active.admitted is not None:
             self._state.load.limits.charge_retry(active.admitted)
+        sent_s = boot_time_s()
         if not backend.in_flight:
-            backend.silence.on_idle_ended(boot_time_s())
+            backend.silence.on_idle_ended(sent_s)
         backend.in_flight += 1
         backend.load += load
         active.history.tried.add(backend.incarnation)
-        sent_s = boot_time_s()
         active.timing.on_sent(sent_s, backend.fleet_load(self._state.node_count))
         return sent_s
 
     def _watch(self, active: ActiveRequest, backend: Backend) -> AbstractAsyncContextManager[None]:
         """Return what ends the attempt early if its back end has stopped and another may be asked."""
-        if self._liveness is None:
+        if self._liveness is None or not self._policy.may_interrupt(active.route, active.history):
             return nullcontext()
-        return self._liveness.watch(backend, self._policy.may_interrupt(active.route, active.history))
+        return self._liveness.watch(backend)
 
     # --- the request -----------------------------------------------------------------------------------
 
--- a/src/wallwell/serving/counted_answer.py
+++ b/src/wallwell/serving/counted_answer.py
@@ -1,4 +1,7 @@
-"""Answers that come over the link between regions, counted as they pass."""
+"""Answers that come over the link between regions, counted as they pass.
+
+Owns nothing: the bytes go into the node's :class:`RegionTraffic`, which reports what the link carries and why.
+"""
 
 from __future__ import annotations
 
@@ -26,5 +29,5 @@
                 yield chunk
 
     def close(self) -> None:
-        """Give the exchange up if it has not ended."""
+        """Abort the request if it has not ended."""
         self._answer.close()
--- a/src/wallwell/serving/counters.py
+++ b/src/wallwell/serving/counters.py
@@ -1,4 +1,4 @@
-"""What one node has done, as plain numbers: cheap to count, rendered only when somebody asks. Pure."""
+"""What one node has done, as plain numbers: cheap to count, rendered only when metrics are fetched. Pure."""
 
 from __future__ import annotations
 
@@ -7,6 +7,8 @@
 from dataclasses import dataclass, field
 
 LATENCY_BOUNDS_S = (0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3.0, 6.0, 15.0)
+"""Upper bounds of the buckets, in seconds: each about twice the one before, from the fastest calls to the longest
+generations. Chosen, not measured; the metrics page shows them as they are, so changing them changes metrics."""
 
 
 @dataclass
--- a/src/wallwell/serving/event_stream.py
+++ b/src/wallwell/serving/event_stream.py
@@ -12,6 +12,8 @@
 from wallwell.errors import StreamOrderError
 
 MAX_EVENT_BYTES = 256 * 1024
+"""Bytes of one unfinished event beyond which the stream counts as broken, so that a back end that never ends an
+event cannot fill this node's memory. Chosen, not measured."""
 _EVENT_END = re.compile(rb"\r?\n\r?\n")
 _ID_FIELD = b"id:"
 
@@ -37,9 +39,10 @@
 
 @dataclass
 class StreamPosition:
-    """How far an answer has got, over all of its runs."""
+    """How far an answer has come, over all of its runs."""
 
     last_number: int | None = None
+    """Number of the last event passed on; the next run resumes after it."""
     events_passed: int = 0
     _remainder: bytes = field(default=b"")
 
--- a/src/wallwell/serving/liveness.py
+++ b/src/wallwell/serving/liveness.py
@@ -1,4 +1,11 @@
-"""Finds back ends that have stopped without a word, and ends the attempts there that may be made elsewhere."""
+"""Finds back ends that stopped without closing their connections, and ends the attempts there that may go
+elsewhere.
+
+A machine without power sends nothing: its connections stay open and its streams stop. Back ends that are silent
+for long while requests are in flight are probed with a new connection, and one of each zone that may be cut
+off. Owns the probes and the attempts that may be ended; when a silence is long is decided by the back end's
+silence record, which zone is probed by the zones' record, and which attempts may be ended by the retry policy.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +22,13 @@
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.messages import AttemptError
 
-TICK_S = 0.04
+PROBE_TICK_S = 0.04
+"""Seconds between two looks at which back ends are to be probed. Chosen, not measured: a fraction of the
+shortest silence that counts as long."""
 
 
 class ReachabilityCheck(Protocol):
-    """Tells whether a back end's machine answers."""
+    """Finds out whether a back end's machine answers."""
 
     async def is_reachable(self, backend: BackendRecord) -> bool:
         """Make a new connection; returns False if there is no answer to that, not even a refusal."""
@@ -27,41 +36,41 @@
 
 
 class Liveness:
-    """Asks back ends that are silent for long while requests are under way there whether they live."""
+    """Probes back ends that are silent for long while requests are in flight there."""
 
     def __init__(self, state: NodeState, check: ReachabilityCheck) -> None:
         self._state = state
         self._check = check
-        self._repeatable: dict[str, set[asyncio.Timeout]] = {}
-        """Attempts under way that may be made elsewhere, by back end."""
-        self._asking = BackgroundTasks()
+        self._interruptible: dict[str, set[asyncio.Timeout]] = {}
+        """Attempts in flight that may be ended for another back end, by the incarnation of theirs."""
+        self._probes = BackgroundTasks()
 
     async def run(self) -> None:
         """Watch until cancelled."""
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(PROBE_TICK_S)
             self.step()
 
     def step(self) -> None:
-        """Ask every back end that has been silent for long, and one of each zone that may be cut off."""
+        """Probe every back end that has been silent for long, and one of each zone that may be cut off."""
         now_s = boot_time_s()
-        for incarnation in list(self._repeatable):
+        for incarnation in list(self._interruptible):
             backend = self._state.backends.get(incarnation)
             if backend is not None and backend.silence.should_ask(now_s):
-                self._asking.begin(self._ask(backend))
+                self._probes.begin(self._probe(backend))
         for backend in self._state.zones.to_ask(self._state.backends.all(), now_s):
-            self._asking.begin(self._ask_zone(backend))
+            self._probes.begin(self._probe_zone(backend))
 
-    async def _ask_zone(self, backend: Backend) -> None:
-        """Ask one back end for all of its zone."""
+    async def _probe_zone(self, backend: Backend) -> None:
+        """Probe one back end on behalf of its whole zone."""
         if await self._check.is_reachable(backend.record):
             self._state.on_sign_of_life(backend, boot_time_s())
         else:
             self._state.on_connect_timeout(backend, boot_time_s())
 
-    async def _ask(self, backend: Backend) -> None:
-        asked_s = boot_time_s()
-        if await self._check.is_reachable(backend.record) or backend.silence.heard_s >= asked_s:
+    async def _probe(self, backend: Backend) -> None:
+        probed_s = boot_time_s()
+        if await self._check.is_reachable(backend.record) or backend.silence.heard_s >= probed_s:
             return
         now_s = boot_time_s()
         backend.on_failure(now_s, unreachable=True)
@@ -70,19 +79,19 @@
             Event.BACKEND_SILENT,
             backend=backend.incarnation,
             silent_ms=round((now_s - backend.silence.heard_s) * 1000),
-            attempts=len(self._repeatable.get(backend.incarnation, ())),
+            attempts=len(self._interruptible.get(backend.incarnation, ())),
         )
-        for attempt in self._repeatable.get(backend.incarnation, set()):
+        for attempt in self._interruptible.get(backend.incarnation, set()):
             attempt.reschedule(asyncio.get_running_loop().time())
 
     @asynccontextmanager
-    async def watch(self, backend: Backend, may_repeat: bool) -> AsyncIterator[None]:
-        """Watch one attempt. Raises :class:`AttemptError` in it if its back end turns out to have stopped."""
-        if not may_repeat:
-            yield
-            return
+    async def watch(self, backend: Backend) -> AsyncIterator[None]:
+        """Watch one attempt, and end it with :class:`AttemptError` if its back end turns out to have stopped.
+
+        Only for attempts that may be interrupted; the retry policy says which.
+        """
         attempt = asyncio.timeout(None)
-        watched = self._repeatable.setdefault(backend.incarnation, set())
+        watched = self._interruptible.setdefault(backend.incarnation, set())
         watched.add(attempt)
         try:
             async with attempt:
@@ -94,4 +103,4 @@
         finally:
             watched.discard(attempt)
             if not watched:
-                self._repeatable.pop(backend.incarnation, None)
+                self._interruptible.pop(backend.incarnation, None)
--- a/src/wallwell/serving/messages.py
+++ b/src/wallwell/serving/messages.py
@@ -70,7 +70,7 @@
 
 @dataclass
 class SendProgress:
-    """How far the sending of an attempt has come, for who may give it up."""
+    """How far the sending of an attempt has come, for whoever abandons it."""
 
     connecting: bool = False
     """Whether a connection is being made, so that nothing can have reached the back end."""
@@ -130,7 +130,7 @@
         ...
 
     def close(self) -> None:
-        """Give the exchange up if it has not ended; the back end then stops working on it."""
+        """Abort the request if it has not ended; the back end then stops working on it."""
         ...
 
 
@@ -143,7 +143,7 @@
 
 
 class CrashObserver(Protocol):
-    """Takes what attempts show of crashed back ends."""
+    """Receives what attempts show of crashed back ends."""
 
     def on_broken_run(self, content: str, backend: Backend) -> None:
         """The connection of a run of this content ended before its answer was whole."""
@@ -163,7 +163,7 @@
         ...
 
     def is_caller_gone(self) -> bool:
-        """Whether the caller has closed its connection, though the event loop may not have told yet."""
+        """Whether the caller has closed its connection; asks the system, which knows before the event loop does."""
         ...
 
     async def answer(self, head: AnswerHead, body: bytes) -> None:
@@ -179,7 +179,7 @@
         ...
 
     async def write(self, data: bytes) -> None:
-        """Send a piece of a streamed answer; waits while the caller is slow."""
+        """Send whole events of a streamed answer; waits while the caller is slow."""
         ...
 
     async def finish(self) -> None:
--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -133,7 +133,8 @@
         if refusal is not None:
             raise refusal
         listed, usable = candidates_for(self._state, active, now_s)
-        untried = [each for each in usable if each.incarnation not in active.history.tried]
+        tried = active.history.tried
+        untried = [each for each in usable if each.incarnation not in tried]
         candidates = untried or (usable if self._is_proved_unrun(active) else [])
         if not candidates:
             raise self._errors.none_usable(active, now_s)
--- a/src/wallwell/serving/request_errors.py
+++ b/src/wallwell/serving/request_errors.py
@@ -1,4 +1,9 @@
-"""The error of a request for which no attempt is made any more: what is proved of all, and when to come back."""
+"""The error of a request for which no further attempt is made.
+
+The error's class states what is proved of all attempts together: that the request never ran (then it says when to
+retry), that it failed, or that its outcome is unknown. Owns the choice of the class and the text; what is proved is
+kept in :class:`~wallwell.routing.retry.attempt_outcome.AttemptLog`, the wait follows from the cause.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +25,7 @@
 
 
 class RequestErrors:
-    """Errors from what one node knows."""
+    """Builds errors from what one node knows. Nothing is raised here."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
@@ -54,8 +59,8 @@
     def none_usable(self, active: ActiveRequest, now_s: float) -> RequestError:
         """Return the error where no back end may be asked: none is listed, or none has weights new enough."""
         listed = self._state.backends.of_service(active.service)
-        is_any_there = any(not each.is_leaving(now_s) for each in listed)
-        cause = RefusalCause.WEIGHTS_TOO_OLD if is_any_there else RefusalCause.NO_BACKEND_LISTED
+        is_any_present = any(not each.is_leaving(now_s) for each in listed)
+        cause = RefusalCause.WEIGHTS_TOO_OLD if is_any_present else RefusalCause.NO_BACKEND_LISTED
         return self.exhausted(active, "no back end can take the request", cause)
 
     def quarantined(self, active: ActiveRequest, now_s: float) -> RequestError | None:
--- a/tests/unit/serving/test_liveness.py
+++ b/tests/unit/serving/test_liveness.py
@@ -59,7 +59,7 @@
         await RequestPipeline(state, client, liveness=liveness).serve(request, reply)
         watching.cancel()
         suspended = [each.suspended_until_s > boot_time_s() for each in state.backends.all()]
-        assert not liveness._repeatable
+        assert not liveness._interruptible
         return reply, client, check, reply.ended_at_s - started_s, suspended
 
     return run_virtual(work())
