--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -1,4 +1,25 @@
-"""What one node of a fleet knows and counts: configuration, back ends, weights, budgets. No I/O."""
+"""What one node of a fleet knows and has counted. No I/O, and no decisions: those are in ``routing/``.
+
+Each part is a type of its own, with one writer; everybody reads. All of them run in the process's one event loop,
+so no part needs a lock. Times are on this node's clock (``wallwell.clock.boot_time_s``).
+
+==========================================  ================================  ====================================
+part                                        written by                        read by
+==========================================  ================================  ====================================
+config, weights, rollouts, members,         ``node`` (rows of the store)      ``serving``, ``placement``,
+quarantine, backends_known, freshness                                         ``rollout``, metrics
+load (back ends, demand, first tokens,      ``cluster`` (loads of other       ``routing`` through ``serving``,
+tenants' limits)                            nodes), ``serving`` (own ones)    metrics
+kv_store_contents                           ``node/kv_store_watch.py``        ``serving/cache_planning.py``
+prefill_rate, generation_time, call_time,   ``serving/backend_choice.py``     ``serving``
+shortest_answers
+zones                                       methods below, called by          ``serving``, ``node``
+                                            ``serving``
+retry budgets, split                        ``serving``                       ``serving``, metrics
+region_traffic                              ``serving``, ``cluster``          metrics
+node, zone, bounds, topology, started_s     the wiring, at the start          everybody
+==========================================  ================================  ====================================
+"""
 
 from __future__ import annotations
 
@@ -29,9 +50,11 @@
 from wallwell.routing.selection.split import WeightedSplit
 
 DEFAULT_CALL_S = 0.05
-"""Time of a call until some have been observed."""
+"""Seconds of a call until some have been observed. Chosen, not measured."""
 START_FRACTION = 0.8
-"""Part of the time given to a started machine after which estimated ages count."""
+"""Fraction of the time given to a started machine after which versions of estimated age count as due.
+
+Chosen, not measured."""
 
 
 @dataclass(frozen=True)
@@ -41,11 +64,17 @@
     revocation_s: float = 5.0
     """How long after its removal a credential may still be accepted."""
     revocation_margin_s: float = 0.4
+    """How much earlier this node stops relying on what the store confirmed. Chosen, not measured."""
     strict_revocation: bool = True
+    """Whether requests with credentials are refused when ``revocation_s`` cannot be kept."""
     retry_ratio: float = 0.2
+    """Retries allowed per request of a service."""
     retry_extra: float = 50.0
+    """Retries of a service that the whole fleet may send in a window beside that ratio."""
     retry_window_s: float = 10.0
+    """Window over which requests and retries are counted."""
     lease_s: float = 3.0
+    """How long a lease on a share of the control work holds."""
     contact_s: float = 3.0
     """How long a machine that has started is given before bounds in time hold for it."""
     version_s: float = 8.0
@@ -55,38 +84,53 @@
 
 @dataclass
 class NodeState:
-    """One node's state. Owners of its parts change them; the pipeline reads and counts."""
+    """One node's state. The writers of its parts change them; see the module."""
 
+    # --- who this node is, fixed at its start ----------------------------------------------------------
     node: str
     zone: str
     bounds: FleetBounds
     rng: random.Random
+    """Random numbers of decisions on requests; tenants' limits have a generator of their own."""
+    # --- what the store says ---------------------------------------------------------------------------
     config: DeploymentConfig | None = None
+    """The configuration in force; None before the first one."""
     load: FleetLoad = field(default_factory=FleetLoad)
+    """Back ends and what is in flight at them, here and at other nodes; tenants' limits."""
     backends_known: bool = False
+    """Whether the listing of back ends has been read once."""
     weights: WeightsTargets = field(default_factory=WeightsTargets)
+    """Weights versions that operators have named."""
     freshness: Freshness = field(default_factory=Freshness)
+    """When the store last confirmed the configuration."""
     split: WeightedSplit = field(default_factory=WeightedSplit)
+    """Where each route over several services stands in its round."""
     members: set[str] = field(default_factory=set)
+    """Names of the live nodes."""
+    # --- what was learnt from answers ------------------------------------------------------------------
     prefill_rate: PrefillRate = field(default_factory=PrefillRate)
     generation_time: GenerationTime = field(default_factory=GenerationTime)
+    """How long generations take from their sending to their end."""
     call_time: GenerationTime = field(default_factory=lambda: GenerationTime(DEFAULT_CALL_S))
-    """How long calls take from their sending to their end."""
+    """The same of calls."""
     shortest_answers: dict[str, ShortestAnswer] = field(default_factory=dict)
     """By route."""
     kv_store_contents: dict[str, KvStoreContents] = field(default_factory=dict)
-    """What the stores of kept KV cache hold, by address."""
+    """What each KV store holds, by address."""
     _budgets: dict[str, FleetRetryBudget] = field(default_factory=dict)
+    """Retry budgets by service."""
     zones: ZoneSuspicion = field(init=False)
     """Which zones are cut off from this node."""
     rollouts: RolloutBook = field(default_factory=RolloutBook)
     """Rollouts of services' software."""
     split_offset: float = 0.0
+    """Where in [0, 1) this node begins in the round of a split, drawn at its start."""
     started_s: float = float("-inf")
-    """When this node started, on its own clock."""
+    """When this node started."""
     topology: Topology = ONE_REGION
     """Which zones are near; without a map of regions all of them are of one."""
     region_traffic: RegionTraffic = field(default_factory=RegionTraffic)
+    """What has crossed the link to other regions."""
     quarantine: Quarantine = field(default_factory=Quarantine)
     """Requests that crash the back ends that run them."""
 
@@ -154,7 +198,7 @@
         return budget
 
     def budgets_left(self, now_s: float) -> dict[str, float]:
-        """Return this node's repeats left, by service."""
+        """Return this node's retries left, by service."""
         return {service: budget.left(now_s, self.node_count) for service, budget in self._budgets.items()}
 
     def on_connect_timeout(self, backend: Backend, now_s: float) -> None:
@@ -180,10 +224,14 @@
         """
         return now_s - (self.bounds.version_s * OVERDUE_FRACTION - self.bounds.contact_s * START_FRACTION)
 
-    def on_version_refused(self, backend: Backend, model: str, told: int) -> None:
-        """A back end refused the expected weights version: believe what it told, else the newest named."""
-        if told:
-            backend.learn_version(model, told)
+    def on_version_refused(self, backend: Backend, model: str, reported: int) -> None:
+        """A back end refused the expected weights version: believe the one it reports, else the newest named.
+
+        ``reported`` is 0 if it reports none. If the newest was expected and refused, the listed one is believed
+        again.
+        """
+        if reported:
+            backend.learn_version(model, reported)
             return
         newest = self.weights.newest(model)
         listed = backend.record.versions.get(model, 0)
--- a/src/wallwell/routing/admission/quarantine.py
+++ b/src/wallwell/routing/admission/quarantine.py
@@ -1,9 +1,16 @@
 """Which requests crash the back ends that run them, so that they get no back end any more. Pure.
 
-A request is known by what it holds, since it comes again under other ids at other nodes. Each crash makes suspects
-of all requests that the back end was running; what is answered with success anywhere is cleared. One that is left
-with crashes of ``CRASHES_TO_QUARANTINE`` back ends is quarantined: the others under a crash go on to other back
-ends, and only one that crashes those as well stays a suspect.
+A request is known by the digest of its content (``request_content``), since it comes again under other ids at other
+nodes. A crash makes suspects of all requests that the back end was running, most of which are harmless. Three rules
+tell them apart:
+
+1. A request answered with success anywhere is cleared, also of crashes in the next ``CLEARED_S``.
+2. One that is left with crashes of ``CRASHES_TO_QUARANTINE`` different back ends is quarantined until
+   ``QUARANTINE_S`` after its last crash. It is refused unsent before each attempt, with the time that is left.
+3. A suspect that is not quarantined is forgotten ``SUSPECT_S`` after its last crash.
+
+Every node counts by itself, from its own attempts and from the rows and reports of other nodes
+(``node/crash_watch.py``, ``cluster/crash_count.py``); nothing here is agreed on, so nodes may differ for a moment.
 """
 
 from __future__ import annotations
@@ -12,19 +19,28 @@
 from dataclasses import dataclass, field
 
 CRASHES_TO_QUARANTINE = 3
-"""Crashed back ends after which a request gets none. Where engines go down and up by turns, each 10 s, a stream of
-2 s meets an end by chance one time in 5: two in a row are one in 25 and too many to refuse, three one in 125."""
+"""Crashed back ends after which a request gets none.
+
+Arithmetic: where every engine goes down once in 10 s, a stream of 2 s meets an end by chance one time in 5. Two in
+a row are one in 25 and too many to refuse, three one in 125."""
 SUSPECT_S = 300.0
-"""How long a crash counts against a request that is not quarantined: one that comes back less often does little."""
+"""Seconds that a crash counts against a request that is not quarantined.
+
+Chosen, not measured: a request that is sent again less often than every five minutes crashes few back ends."""
 QUARANTINE_S = 600.0
-"""How long a quarantine lasts from its last crash. After it, the request may crash some back ends again."""
+"""Seconds that a quarantine lasts from its last crash.
+
+Chosen, not measured: after it the request may crash three back ends again, so it loses the fleet three of them each
+ten minutes at most, and a harmless one that was quarantined by chance is served again."""
 CLEARED_S = 30.0
-"""How long an answer clears a request beforehand. Many back ends can end at once under one that many callers send;
-within this time some of them have been answered."""
+"""Seconds for which an answer clears a request beforehand.
+
+Chosen, not measured: many back ends can end at once under a request that many callers send, and within this time
+some of these callers have been answered."""
 MAX_CLEARED = 2048
-"""Answered requests remembered; 30 s of 70 requests a second, some ten times what a node serves."""
+"""Answered requests remembered. Arithmetic: 30 s of 68 requests a second, some ten times what a node serves."""
 MAX_SUSPECTS = 4096
-"""Suspects remembered, 1.9 MB by allocations; the oldest that are not quarantined give way."""
+"""Suspects remembered, 1.9 MB as measured by allocations; the oldest that are not quarantined are dropped first."""
 
 
 @dataclass
@@ -34,7 +50,7 @@
     crashed: set[str] = field(default_factory=set)
     """Their incarnations."""
     last_s: float = float("-inf")
-    """When the last of them was learnt of."""
+    """When this node learnt of the last of them."""
 
     @property
     def is_quarantined(self) -> bool:
--- a/src/wallwell/routing/rendezvous.py
+++ b/src/wallwell/routing/rendezvous.py
@@ -1,4 +1,8 @@
-"""Rendezvous hashing: every node computes the same owner of a key from the same set of members."""
+"""Rendezvous hashing: every node computes the same owner of a key from the same set of members. Pure.
+
+When a member goes, only its own keys move. The scores are part of what nodes of different versions agree on, so the
+hash must not change.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +11,7 @@
 import xxhash
 
 _MASK = (1 << 64) - 1
+"""Keys are the seeds of the hash, which are 64 bits wide."""
 
 
 def rendezvous_score(name: str, key: int) -> int:
--- a/src/wallwell/routing/selection/kv_store.py
+++ b/src/wallwell/routing/selection/kv_store.py
@@ -1,7 +1,10 @@
-"""What a store of kept KV cache holds, from the events that it tells, and which prompts it lacks. Pure.
+"""What a KV store holds, from the events that it sends, and which prompts it lacks. Pure.
 
 A store drops the parts that were used least recently. A prompt is therefore saved only if the store lacks a part
 that others may share: each save takes the whole prompt there, and its own part displaces parts that are shared.
+
+``node/kv_store_watch.py`` brings the pages, from a store itself or from a peer; ``kv_store_choice`` asks. A copy
+with gaps is still used: at worst a fetch finds less than expected, or a prompt is saved twice.
 """
 
 from __future__ import annotations
@@ -15,12 +18,15 @@
 from wallwell.routing.selection.prefix_home import PromptPart, shared_parts
 
 MAX_JOURNAL = 4000
-"""Changes remembered for peers; a peer that is further behind takes everything anew."""
+"""Changes remembered for peers; a peer that is further behind takes everything anew. Chosen, not measured."""
 SAVE_UNDER_WAY_S = 1.5
-"""How long a save is expected to take until the store tells of it; nobody else saves the same meanwhile."""
+"""Seconds that a save is expected to take until the store reports it; this node saves the same again only then.
+
+Chosen, not measured."""
 MAX_SAVES_KNOWN = 1000
+"""Saves remembered as under way before those that are over are dropped. Chosen, not measured: it bounds memory."""
 BLOCK_TOKENS = 16
-"""Caches are kept in blocks; a part may be kept without its last, incomplete block."""
+"""Tokens of a block of KV cache; a store may hold a part without its last, incomplete block."""
 
 
 class CachePosition(msgspec.Struct, frozen=True, array_like=True):
@@ -31,7 +37,7 @@
 
 
 class CacheEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Tokens kept now of a part under a scope, 0 if it was dropped. ``number`` counts the store's events."""
+    """Tokens held now of a part under a scope, 0 if it was dropped. ``number`` counts the store's events."""
 
     number: int
     scope: str
@@ -40,7 +46,7 @@
 
 
 class CachePage(msgspec.Struct, frozen=True):
-    """Changes up to ``position``, or everything kept if ``whole``."""
+    """Changes up to ``position``, or everything held if ``whole``."""
 
     position: CachePosition
     entries: tuple[CacheEntry, ...] = ()
@@ -54,13 +60,13 @@
 
 
 class KvStoreContents:
-    """One store's parts as far as its events have told."""
+    """One store's parts as far as its events are known."""
 
     def __init__(self) -> None:
         self.position = CachePosition()
         self.reachable = True
         self.has_gaps = False
-        """Whether an event is missing, so that the copy may differ from what the store keeps."""
+        """Whether an event is missing, so that the copy may differ from what the store holds."""
         self._tokens: dict[_Key, int] = {}
         self._journal: deque[CacheEntry] = deque(maxlen=MAX_JOURNAL)
         self._saving_until_s: dict[_Key, float] = {}
@@ -117,16 +123,16 @@
     # --- questions -------------------------------------------------------------------------------------
 
     def holds(self, scope: str, parts: Sequence[PromptPart]) -> bool:
-        """Whether every part is kept but for an incomplete block."""
+        """Whether every part is held but for an incomplete block."""
         return all(self._tokens.get(_Key(scope, part.identity), 0) > part.tokens - BLOCK_TOKENS for part in parts)
 
-    def kept_tokens(self, scope: str, parts: Sequence[PromptPart]) -> int:
-        """Return how many tokens of a prompt are kept, from its beginning to the first that are missing."""
+    def held_tokens(self, scope: str, parts: Sequence[PromptPart]) -> int:
+        """Return how many tokens of a prompt are held, from its beginning to the first that are missing."""
         total = 0
         for part in parts:
-            kept = self._tokens.get(_Key(scope, part.identity), 0)
-            total += kept
-            if kept <= part.tokens - BLOCK_TOKENS:
+            held = self._tokens.get(_Key(scope, part.identity), 0)
+            total += held
+            if held <= part.tokens - BLOCK_TOKENS:
                 break
         return total
 
--- a/src/wallwell/routing/selection/kv_store_choice.py
+++ b/src/wallwell/routing/selection/kv_store_choice.py
@@ -90,7 +90,7 @@
         address = store.kv_store_address
         contents = stores.contents.get(address)
         if contents is not None and contents.known and contents.reachable:
-            saved[address] = contents.kept_tokens(scope, shared) * _weight(stores, engine_zone, store)
+            saved[address] = contents.held_tokens(scope, shared) * _weight(stores, engine_zone, store)
     if home not in saved:
         return home
     return max(saved, key=lambda address: (saved[address], address == home))
--- a/src/wallwell/routing/selection/split.py
+++ b/src/wallwell/routing/selection/split.py
@@ -1,4 +1,8 @@
-"""Smooth weighted choice among the services of a route: deterministic, so shares hold over short times. Pure."""
+"""Smooth weighted choice among the services of a route: deterministic, so shares hold over short times. Pure.
+
+Each choice adds every service its weight as credit; the service with most credit is chosen and pays the sum of all
+weights. So after a round each service has been chosen in proportion to its weight, evenly spaced.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +12,7 @@
 from wallwell.deployment.routes import Route, WeightedService
 
 ROUND = 100
-"""Choices after which whole percentages repeat; other weights come close. Worked out once for a route and node."""
+"""Choices after which whole percentages recur; other weights come close. Computed once for a route and node."""
 
 
 @dataclass
@@ -41,7 +45,7 @@
 
 
 def _initial_credit(services: Sequence[WeightedService], offset: float) -> dict[str, float]:
-    """Return the credit of a node that joins a round under way at ``offset`` of it.
+    """Return the credit of a node that joins a round at ``offset`` of it.
 
     So nodes that have served one or two requests each since they started keep the shares together. Where only the
     first service's credit differed, the first requests of 64 nodes on a route of 50, 30 and 20 went to its services
--- a/src/wallwell/serving/version_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -3,7 +3,7 @@
 This is the adapter between the node's state and the decisions: ``routing/selection/candidates.py`` says which back
 ends may get a request, ``rollout/sides.py`` which side of a rollout a request is drawn for, once for all its
 attempts (``ActiveRequest.prefers_target``). Attempts are counted for the node that holds the rollout's lease, which
-compares the versions by them. A service without a rollout costs one look-up here.
+compares the versions by them. For a service without a rollout that is one lookup.
 """
 
 from __future__ import annotations
--- a/tests/unit/node/test_kv_store_choice.py
+++ b/tests/unit/node/test_kv_store_choice.py
@@ -1,4 +1,4 @@
-"""Which store of kept KV cache a prompt's parts go to and come from."""
+"""Which KV store a prompt's parts are saved to and fetched from."""
 
 import dataclasses
 
--- a/tests/unit/routing/admission/test_overload.py
+++ b/tests/unit/routing/admission/test_overload.py
@@ -1,4 +1,4 @@
-"""Generations are refused in part while engines have too much under way, the less urgent first."""
+"""A fraction of generations is refused while engines have too much in flight, the less urgent first."""
 
 import random
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("per_slot", "rank", "part"),
+    ("per_slot", "rank", "fraction"),
     [
         (0.5, 0, 0.0),
         (BEGIN_REFUSING, 0, 0.0),
@@ -32,8 +32,8 @@
         (BEGIN_REFUSING - 3 * RANK_STEP, 9, 0.0),
     ],
 )
-def test_part_refused(per_slot, rank, part):
-    assert refused_fraction(Occupancy(round(per_slot * 1_000), 1_000), rank) == pytest.approx(part, abs=1e-6)
+def test_fraction_refused(per_slot, rank, fraction):
+    assert refused_fraction(Occupancy(round(per_slot * 1_000), 1_000), rank) == pytest.approx(fraction, abs=1e-6)
 
 
 def test_engines_without_slots_refuse_nothing():
--- a/tests/unit/routing/admission/test_tenant_limits.py
+++ b/tests/unit/routing/admission/test_tenant_limits.py
@@ -92,7 +92,7 @@
     (relay_is_cut_off, SMALL_LOSS),
     (all_nodes_restart, SMALL_LOSS),
     (third_is_stopped, 0.05),
-    # A node that hears nobody keeps to its equal part, whatever it is asked for: nothing is known of the others.
+    # A node that hears nobody keeps to its equal share, whatever it is asked for: nothing is known of the others.
     (cut_off_third, 0.18),
     (excess_while_a_third_is_cut_off, 0.18),
 ]
@@ -144,7 +144,7 @@
     assert limits.levels(100.0)[TENANT] == LARGE.burst - 200
 
 
-def test_what_a_relay_gives_back_is_given_back_elsewhere_too():
+def test_what_a_relay_refunds_is_refunded_elsewhere_too():
     """A total that had become smaller looked like a new life of the relay: what others spent was not counted."""
     limits = FleetLimits(random.Random(5))
     limits.set_limits({TENANT: LARGE, "other": LARGE})
@@ -207,7 +207,7 @@
     assert isinstance(limits.admit(TENANT, 40_000, 100.0), Admitted)
 
 
-def test_what_has_not_run_is_given_back():
+def test_what_has_not_run_is_refunded():
     limits = filled(SMALL)
     admitted = limits.admit(TENANT, 10_000, 100.0)
     before = limits.levels(100.0)[TENANT]
@@ -215,7 +215,7 @@
     assert (before, limits.levels(100.0)) == (19_000, {})
 
 
-def test_a_repeat_of_what_may_have_run_counts_again():
+def test_a_retry_of_what_may_have_run_counts_again():
     limits = filled(SMALL)
     limits.charge_retry(limits.admit(TENANT, 10_000, 100.0))
     assert limits.levels(100.0)[TENANT] == 9_000
@@ -239,7 +239,7 @@
     assert limits.admit("other", 10**9, 0.0) is None
 
 
-def test_a_lost_report_is_told_again():
+def test_a_lost_report_is_sent_again():
     limits = filled(LARGE)
     limits.admit(TENANT, 1_000, 100.0)
     first = limits.begin_report()
@@ -354,7 +354,7 @@
     limits.take_relay("near", 1, {TENANT: 200}, now_s=100.0)
     limits.take_relay("far", 1, {TENANT: 70}, now_s=100.0, is_near=False)
     limits.on_region_lost("west", 2.0, now_s=100.0)
-    # Spent here and told by the other side, and twice what was spent in this region since its last word.
+    # Spent here and reported by the other side, and twice what was spent in this region since its last report.
     assert before - limits.levels(100.0)[TENANT] == 1_070 + 2 * 1_000
     limits.on_region_lost("west", 2.0, now_s=100.0)
     assert before - limits.levels(100.0)[TENANT] == 3_070
--- a/tests/unit/routing/selection/test_engine_choice.py
+++ b/tests/unit/routing/selection/test_engine_choice.py
@@ -58,7 +58,7 @@
 
 
 def test_requests_overflow_to_the_next_tier_when_the_first_is_full():
-    """Found by a hunt: 109 short prompts of 2 s went to the one engine of their pool while others stood idle."""
+    """Before, 109 short prompts of 2 s went to the one engine of their pool while others stood idle."""
     first, second = engines(4)[:1], engines(4)[1:]
     assert choose_from_tiers((first, second), 1, nodes=7) is first[0]
     first[0].load = first[0].record.slots // 7 + 1
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("idle", [0, 1, 3, 10])
 def test_prompts_that_fit_nowhere_spread_over_the_engines(idle):
-    """Found on a deployment of 59 engines: 23 prompts in 0.4 s went to the one engine that looked idle."""
+    """Before, in a deployment of 59 engines, 23 prompts in 0.4 s went to the one engine that looked idle."""
     listed = engines(59)
     for number, engine in enumerate(listed):
         engine.peers_load = 70 + number % 7 if number >= idle else 1
@@ -101,8 +101,8 @@
     assert choose_from_tiers((listed,), key, nodes=79) is home
 
 
-def test_a_prefix_stays_at_its_home_in_a_large_fleet_while_the_home_has_room():
-    """Found on a deployment of 79 nodes: one request of a node's own counted as 79 and moved the next one away."""
+def test_a_prefix_stays_at_its_home_in_a_large_fleet_while_the_home_has_headroom():
+    """Before, in a deployment of 79 nodes, one own request counted as 79 and moved the next one away."""
     listed = engines(45)
     for engine in listed:
         engine.peers_load = 1
@@ -124,7 +124,7 @@
     assert choose_from_tiers((pool, listed), 7, 1, load_limit=11.0) in pool
 
 
-def test_without_room_anywhere_an_engine_within_the_load_bound_is_taken():
+def test_without_headroom_anywhere_an_engine_within_the_load_bound_is_taken():
     listed = engines(6)
     for engine in listed:
         engine.load = 20
--- a/tests/unit/routing/selection/test_kv_store.py
+++ b/tests/unit/routing/selection/test_kv_store.py
@@ -1,4 +1,4 @@
-"""What a store of kept KV cache holds: from events with gaps, through peers, over restarts."""
+"""What a KV store holds: from events with gaps, through peers, over restarts."""
 
 import random
 
@@ -27,9 +27,9 @@
 
 
 def cache(*entries, last=10):
-    kept = KvStoreContents()
-    kept.take(page(*((last, *each) for each in entries), last=last, whole=True))
-    return kept
+    contents = KvStoreContents()
+    contents.take(page(*((last, *each) for each in entries), last=last, whole=True))
+    return contents
 
 
 @pytest.mark.parametrize(
@@ -45,38 +45,38 @@
     ids=["nothing", "first part", "both", "without the last block", "evicted in part", "another scope"],
 )
 def test_a_prefix_is_held_if_every_shared_part_is(held, expected):
-    kept = cache(*held)
-    assert kept.holds("s", PROMPT[:-1]) is expected
-    assert kept.begin_save("s", PROMPT, 0.0) is not expected
+    contents = cache(*held)
+    assert contents.holds("s", PROMPT[:-1]) is expected
+    assert contents.begin_save("s", PROMPT, 0.0) is not expected
 
 
 def test_one_save_at_a_time_and_another_if_it_was_not_told_of():
-    kept = cache()
-    answers = [kept.begin_save("s", PROMPT, now_s) for now_s in (0.0, 0.1, SAVE_UNDER_WAY_S + 0.1)]
+    contents = cache()
+    answers = [contents.begin_save("s", PROMPT, now_s) for now_s in (0.0, 0.1, SAVE_UNDER_WAY_S + 0.1)]
     assert answers == [True, False, True]
 
 
 def test_an_own_part_alone_is_saved_only_if_it_is_the_whole_prompt():
-    kept = cache(("s", "guide", 2520), ("s", "case", 3780))
-    assert not kept.begin_save("s", PROMPT, 0.0)
-    assert kept.begin_save("s", (OWN,), 0.0)
+    contents = cache(("s", "guide", 2520), ("s", "case", 3780))
+    assert not contents.begin_save("s", PROMPT, 0.0)
+    assert contents.begin_save("s", (OWN,), 0.0)
 
 
 def test_saves_under_way_do_not_grow_without_bound():
-    kept = cache()
+    contents = cache()
     for index in range(3 * MAX_SAVES_KNOWN):
-        kept.begin_save("s", (PromptPart(str(index), 100), OWN), index * 0.01)
-    assert len(kept._saving_until_s) <= MAX_SAVES_KNOWN
+        contents.begin_save("s", (PromptPart(str(index), 100), OWN), index * 0.01)
+    assert len(contents._saving_until_s) <= MAX_SAVES_KNOWN
 
 
 def test_events_change_what_is_held():
-    kept = cache()
-    kept.take(page((11, "s", "guide", 2520), (12, "s", "case", 3780)))
-    assert kept.holds("s", PROMPT[:-1])
-    kept.take(page((13, "s", "case", 128)))
-    assert not kept.holds("s", PROMPT[:-1])
-    kept.take(page((14, "s", "case", 0)))
-    assert (kept.position, kept.has_gaps) == (CachePosition(7, 14), False)
+    contents = cache()
+    contents.take(page((11, "s", "guide", 2520), (12, "s", "case", 3780)))
+    assert contents.holds("s", PROMPT[:-1])
+    contents.take(page((13, "s", "case", 128)))
+    assert not contents.holds("s", PROMPT[:-1])
+    contents.take(page((14, "s", "case", 0)))
+    assert (contents.position, contents.has_gaps) == (CachePosition(7, 14), False)
 
 
 @pytest.mark.parametrize(
@@ -85,11 +85,11 @@
     ids=["first", "all", "between"],
 )
 def test_a_missing_event_is_noticed_until_everything_is_read(missing):
-    kept = cache()
-    kept.take(missing)
-    assert kept.has_gaps
-    kept.take(page((13, "s", "guide", 2520), whole=True))
-    assert not kept.has_gaps
+    contents = cache()
+    contents.take(missing)
+    assert contents.has_gaps
+    contents.take(page((13, "s", "guide", 2520), whole=True))
+    assert not contents.has_gaps
 
 
 @pytest.mark.parametrize(
@@ -98,17 +98,17 @@
     ids=["events", "listing", "another life"],
 )
 def test_an_older_word_changes_nothing(old):
-    kept = cache(("s", "guide", 2520), ("s", "case", 3780))
-    kept.take(old)
-    assert kept.holds("s", PROMPT[:-1])
-    assert kept.position == CachePosition(7, 10)
+    contents = cache(("s", "guide", 2520), ("s", "case", 3780))
+    contents.take(old)
+    assert contents.holds("s", PROMPT[:-1])
+    assert contents.position == CachePosition(7, 10)
 
 
 def test_a_restarted_store_is_empty():
-    kept = cache(("s", "guide", 2520), ("s", "case", 3780))
-    kept.take(page(epoch=8, last=0, whole=True))
-    assert not kept.holds("s", PROMPT[:-1])
-    assert kept.begin_save("s", PROMPT, 0.0)
+    contents = cache(("s", "guide", 2520), ("s", "case", 3780))
+    contents.take(page(epoch=8, last=0, whole=True))
+    assert not contents.holds("s", PROMPT[:-1])
+    assert contents.begin_save("s", PROMPT, 0.0)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -146,7 +146,7 @@
     ],
 )
 def test_what_is_kept_of_a_prompt_counts_from_its_beginning(entries, tokens):
-    kept = KvStoreContents()
-    kept.take(page(*((1, "s", part, kept_now) for part, kept_now in entries), last=1, whole=True))
+    contents = KvStoreContents()
+    contents.take(page(*((1, "s", part, kept_now) for part, kept_now in entries), last=1, whole=True))
     parts = (PromptPart("a", 100), PromptPart("b", 200))
-    assert (kept.kept_tokens("s", parts), kept.kept_tokens("other", parts)) == (tokens, 0)
+    assert (contents.held_tokens("s", parts), contents.held_tokens("other", parts)) == (tokens, 0)
--- a/tests/unit/serving/test_cache_planning.py
+++ b/tests/unit/serving/test_cache_planning.py
@@ -1,4 +1,4 @@
-"""What an engine takes from a store of kept KV cache and leaves there, beside changes of weights."""
+"""What an engine fetches from a KV store and saves there, beside changes of weights."""
 
 import dataclasses
 
@@ -29,9 +29,11 @@
 
 
 def cache_of(*parts):
-    kept = KvStoreContents()
-    kept.take(CachePage(CachePosition(1, 1), tuple(CacheEntry(1, "m:1", each, 2000) for each in parts), whole=True))
-    return kept
+    contents = KvStoreContents()
+    contents.take(
+        CachePage(CachePosition(1, 1), tuple(CacheEntry(1, "m:1", each, 2000) for each in parts), whole=True)
+    )
+    return contents
 
 
 def plan(prepare, tokens=2000):
@@ -62,7 +64,7 @@
     fleet.backends.get("i-0").loading = LoadInProgress("m", 2, boot_time_s() + 1.0)
 
 
-def old_word_of_the_store(fleet):
+def old_confirmation(fleet):
     fleet.freshness.confirmed_at_s = boot_time_s() - 2.5
 
 
@@ -74,9 +76,9 @@
         (known("shared"), True, False),
         (known("shared", reachable=False), False, False),
         (loading, True, False),
-        (old_word_of_the_store, True, False),
+        (old_confirmation, True, False),
     ],
-    ids=["unknown", "lacking", "held", "unreachable", "about to load", "old word"],
+    ids=["unknown", "lacking", "held", "unreachable", "about to load", "old confirmation"],
 )
 def test_what_is_fetched_and_saved(prepare, fetches, saves):
     assert plan(prepare) == (STORE if fetches else "", STORE if saves else "")
@@ -110,8 +112,8 @@
     ],
     ids=["short, in time", "short, behind", "long, behind"],
 )
-def test_shared_parts_that_are_read_in_no_time_do_not_wait_for_a_busy_link(prepare, tokens, fetches):
-    """Found on a deployment of 195 nodes: prompts of 800 tokens waited 2 s for their turn to move 200 of them."""
+def test_shared_parts_that_are_prefilled_at_once_do_not_wait_for_a_busy_link(prepare, tokens, fetches):
+    """Before, in a deployment of 195 nodes, prompts of 800 tokens waited 2 s for their turn to move 200 of them."""
     assert plan(prepare, tokens)[0] == (STORE if fetches else "")
 
 
@@ -151,7 +153,7 @@
 def test_parts_are_fetched_from_the_store_that_has_them_and_saved_at_their_home(
     home_parts, other_parts, other_reachable, from_home
 ):
-    """After a change of weights, engines read a part again that another store already had."""
+    """After a change of weights, engines prefilled a part again that another store already held."""
     homes = []
 
     def prepare(fleet):
--- a/tests/unit/serving/test_call_placement.py
+++ b/tests/unit/serving/test_call_placement.py
@@ -32,13 +32,13 @@
     return run_virtual(work())
 
 
-def test_nodes_with_the_same_old_news_do_not_all_take_the_same_back_end():
+def test_nodes_with_the_same_old_reports_do_not_all_take_the_same_back_end():
     shares = picks((0, 1, 2))
     assert max(shares.values()) < 0.65 * PICKS
     assert shares["b0"] > shares["b1"] > shares["b2"] > 0.1 * PICKS
 
 
-def test_a_full_back_end_gets_next_to_nothing_while_others_have_room():
+def test_a_full_back_end_gets_next_to_nothing_while_others_have_free_slots():
     shares = picks((SLOTS + 3, 1, 1))
     assert shares["b0"] < 0.01 * PICKS
     assert abs(shares["b1"] - shares["b2"]) < 0.15 * PICKS
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(("near_load", "stays_near"), [(0, True), (2, True), (3, False), (9, False)])
-def test_calls_stay_in_their_zone_while_half_of_the_places_there_are_free(near_load, stays_near):
+def test_calls_stay_in_their_zone_while_half_of_the_slots_there_are_free(near_load, stays_near):
     shares = picks((near_load, 0, 0), zones=("z1", "z2", "z2"))
     assert (shares["b0"] == PICKS) is stays_near
 
@@ -60,7 +60,7 @@
     assert shares["b0"] < PICKS
 
 
-def test_without_word_of_other_nodes_they_are_taken_to_send_as_much():
+def test_without_reports_of_other_nodes_they_are_taken_to_send_as_much():
     async def work():
         state = make_state(backends=0)
         state.members = {f"n{index}" for index in range(4)}
--- a/tests/unit/serving/test_limited_requests.py
+++ b/tests/unit/serving/test_limited_requests.py
@@ -1,4 +1,4 @@
-"""Requests of a tenant with a limit: what is taken of it, what is given back, and what a refused caller is told."""
+"""What a request takes of its tenant's limit, what is refunded, and when a refused caller may retry."""
 
 import dataclasses
 
@@ -42,7 +42,7 @@
         ((OK,), 700, 300),
         ((OK,), None, 800),
         ((OK,), 0, 1_000),
-        # Not run: given back. May have run once, runs once more: counts twice. Refused first, then run: once.
+        # Not run: refunded. May have run once, runs once more: counts twice. Refused first, then run: once.
         ((SHED,), 700, 1_000),
         ((RESET, OK), 300, 400),
         ((SHED, OK), 300, 700),
@@ -60,7 +60,7 @@
     assert level == 700
 
 
-def test_what_is_beyond_the_limit_is_refused_at_once_and_told_when_to_return():
+def test_what_is_beyond_the_limit_is_refused_at_once_with_a_time_to_retry():
     replies, _ = play((OK,), 900, requests=6)
     refused = [reply for reply in replies if reply.error is not None]
     assert replies[0].ended == "answered"
--- a/tests/unit/serving/test_overload_refusals.py
+++ b/tests/unit/serving/test_overload_refusals.py
@@ -37,7 +37,7 @@
     return run_virtual(work())
 
 
-def test_a_new_generation_is_refused_at_once_and_told_when_to_return():
+def test_a_new_generation_is_refused_at_once_with_a_time_to_retry():
     reply, client = serve(3 * SLOTS, make_generation())
     assert (reply.status, reply.error.outcome, client.sent) == (503, Outcome.NOT_RUN, [])
     assert reply.error.code == "WW3019"
--- a/tests/unit/serving/test_regions.py
+++ b/tests/unit/serving/test_regions.py
@@ -1,4 +1,4 @@
-"""Requests and kept KV cache stay within a region, unless the other one is better by more than the way."""
+"""Requests and KV cache stay within a region, unless the other one is better by more than the way."""
 
 import asyncio
 import dataclasses
@@ -70,7 +70,7 @@
     return run_virtual(work())
 
 
-def kept(*parts, tokens=2000):
+def holding(*parts, tokens=2000):
     cache = KvStoreContents()
     entries = tuple(CacheEntry(1, "m:1", part, tokens) for part in parts)
     cache.take(CachePage(CachePosition(1, 1), entries, whole=True))
@@ -94,11 +94,11 @@
 
 @pytest.mark.parametrize("engine_zone", ["a2", "b1"])
 def test_a_node_saves_in_both_regions_what_their_stores_lack(engine_zone):
-    """Half of an engine's long prompts come from the other region; what these alone had read was read again."""
+    """Half of an engine's long prompts come from the other region; these alone were prefilled again."""
 
     def prepare(state):
         for address in STORES.values():
-            state.kv_store_contents[address] = kept("known")
+            state.kv_store_contents[address] = holding("known")
 
     known, lacking = cache_plans("a1", engine_zone, ["known", "lacking"], prepare)
     assert known.save_to == ""
@@ -120,9 +120,9 @@
 
     def prepare(state):
         for address in STORES.values():
-            state.kv_store_contents[address] = kept()
-        state.kv_store_contents[STORES["a1"]] = kept("shared", tokens=tokens_near)
-        state.kv_store_contents[STORES[source_zone]] = kept("shared")
+            state.kv_store_contents[address] = holding()
+        state.kv_store_contents[STORES["a1"]] = holding("shared", tokens=tokens_near)
+        state.kv_store_contents[STORES[source_zone]] = holding("shared")
 
     (plan,) = cache_plans("a1", "a1", ["shared"], prepare)
     assert plan.fetch_from == STORES["a1" if from_near else source_zone]
@@ -169,7 +169,7 @@
 
 
 def exchange_of(prompt, tokens=100, own=9):
-    """Return the exchange of a generation with a shared part of this name."""
+    """Return the active request of a generation with a shared part of this name."""
     parts = (PromptPart(prompt, tokens), PromptPart("own", own))
     request = make_request(generation=dataclasses.replace(make_generation(), parts=parts))
     return ActiveRequest(request, None, STREAM, None, "svc", 1e9, AttemptLog(repeatable=True))
@@ -204,7 +204,7 @@
 
 @pytest.mark.parametrize("tokens", [100, LONG])
 @pytest.mark.parametrize(("zone", "region"), [("a1", "a"), ("b2", "b")])
-def test_prompts_stay_in_the_region_while_it_has_room(zone, region, tokens):
+def test_prompts_stay_in_the_region_while_it_has_headroom(zone, region, tokens):
     assert set(chosen_regions(zone, {"a": 2, "b": 2}, tokens)) == {region}
 
 
@@ -216,9 +216,9 @@
         ({"a": SLOTS, "b": SLOTS - 1}, "a"),
         ({"a": 3 * SLOTS, "b": 3 * SLOTS}, "a"),
     ],
-    ids=["one place left", "full", "other nearly full", "both full"],
+    ids=["one free slot", "full", "other nearly full", "both full"],
 )
-def test_prompts_go_to_the_other_region_only_while_it_has_more_room(loads, region):
+def test_prompts_go_to_the_other_region_only_while_it_has_more_headroom(loads, region):
     assert set(chosen_regions("a1", loads)) == {region}
 
 
--- a/tests/unit/serving/test_split_shares.py
+++ b/tests/unit/serving/test_split_shares.py
@@ -1,4 +1,4 @@
-"""A route over two services keeps their shares when one refuses, repeats are made and refused callers come back."""
+"""A route over two services keeps their shares while one refuses, attempts are retried and callers return."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class Services(FakeClient):
-    """One service does as it is told, the other answers well."""
+    """One service follows a script, the other answers well."""
 
     def __init__(self, troubled, script):
         super().__init__(OK)
@@ -31,7 +31,7 @@
 
 
 def first_sends(weights, troubled, script, each, returns):
-    """Serve so many requests at each node; refused callers come back at another. Return first sends by service."""
+    """Serve so many requests at each node; refused callers return at another. Return first sends by service."""
 
     async def work():
         rng = random.Random(11)
