--- a/src/wallwell/routing/admission/tenant_limits.py
+++ b/src/wallwell/routing/admission/tenant_limits.py
@@ -6,8 +6,8 @@
 more than its limit gives, each node admits the same fraction of what it is asked for. Nodes need not agree on
 shares, and a tenant may use its whole limit through a single node.
 
-A node that hears nobody keeps to an equal share, and those that miss nodes leave these their shares. So the shares
-of a fleet that is cut in two never add up to more than the limit.
+A node that hears nobody keeps to an equal share, and those that miss nodes leave these their shares, so that a
+fleet that is cut in two does not spend the limit twice (``fleet_share``).
 
 Until a cut between regions is noticed, each side spends what both of them had saved up. Each then takes the other
 one to have spent as it did itself, and works that debt off.
@@ -23,6 +23,7 @@
 from dataclasses import dataclass
 
 from wallwell.deployment.routes import TenantLimit
+from wallwell.routing.admission.fleet_share import spendable_fraction
 from wallwell.routing.admission.relay_spending import RelaySpending
 from wallwell.routing.admission.tenant_bucket import ASKED_WINDOW_S, TenantBucket
 
@@ -31,16 +32,6 @@
 
 Longer than the age of what nodes know of each other. With twice as much, the fleet refuses up to 1% more of what
 the limit allows, in a model of 79 nodes with four reports a second."""
-TOLERATED_MISSING = 0.05
-"""Fraction of the nodes that may be unheard without the others giving up their rate: stopped or replaced ones.
-
-Chosen, not measured. Only for a majority, so that two halves of a fleet cannot both use it."""
-MAJORITY = 0.5
-"""Fraction of the nodes above which those that hear each other are a majority."""
-ASSUMED_NODES = 100
-"""Size of the fleet for a node that knows of no others yet; it knows them within a second of its start.
-
-Chosen, not measured: a larger figure lets nodes that start admit less in that second."""
 LIFE_BITS = 48
 """Random bits of a life's number: two lives of a node do not get the same one, and it is exact in any JSON."""
 LEVELS_VALID_S = 0.3
@@ -98,7 +89,7 @@
         """By region, what had been spent in this one when the other was last heard, by tenant."""
         self._heard_nodes: int | None = None
         """Nodes of which anything is known, this one among them; None if no other is heard."""
-        self._fraction = 1.0 / ASSUMED_NODES
+        self._fraction = spendable_fraction(None, 0)
         """Fraction of each limit that the nodes which hear each other may spend together."""
         self._levels_received_s: float | None = None
         """When a relay last reported the levels, None if this node follows none. When they are too old, nothing is
@@ -120,20 +111,13 @@
             self._buckets[tenant] = bucket
 
     def _set_fraction(self, nodes: int) -> None:
-        """Work out which fraction of each limit may be spent here. ``nodes`` is the size of the fleet, 0 if
-        unknown."""
+        """Set which fraction of each limit may be spent here, in a fleet of ``nodes``, 0 if unknown."""
         before = self._fraction
-        self._fraction = self._fraction_of(nodes)
+        self._fraction = spendable_fraction(self._heard_nodes, nodes)
         for bucket in self._all.values():
             if bucket.level < 0:  # The rate that works a debt off has become smaller.
                 bucket.level *= min(1.0, self._fraction / before)
 
-    def _fraction_of(self, nodes: int) -> float:
-        if self._heard_nodes is None:
-            return 1.0 / (nodes or ASSUMED_NODES)
-        heard_fraction = min(1.0, self._heard_nodes / (nodes or ASSUMED_NODES))
-        return min(1.0, heard_fraction + TOLERATED_MISSING) if heard_fraction > MAJORITY else heard_fraction
-
     # --- requests --------------------------------------------------------------------------------------
 
     def admit(self, tenant: str, tokens: int, now_s: float) -> Admitted | OverLimit | None:
