--- a/src/wallwell/cluster/load_reporter.py
+++ b/src/wallwell/cluster/load_reporter.py
@@ -22,7 +22,7 @@
 from wallwell.cluster.peer_link import PeerLinks
 from wallwell.cluster.region_load_reporter import RegionLoadReporter
 from wallwell.cluster.region_traffic import RegionTraffic
-from wallwell.cluster.upstream import UpstreamOrder
+from wallwell.cluster.upstream import Peer, UpstreamOrder
 from wallwell.errors import PeerUnavailableError
 
 INTERVAL_S = 0.05
@@ -72,8 +72,8 @@
 
     def _interval_s(self, now_s: float) -> float:
         """Return how long to wait for the next exchange, by the link of the node whose answers fill it."""
-        candidates = self._order.in_zone(now_s)
-        relay = self._order.members.get(candidates[0][0] if candidates else self._node)
+        candidates = self._order.followed_in_zone(now_s)
+        relay = self._order.members.get(candidates[0].name if candidates else self._node)
         is_thin = relay is not None and 0 < relay.link_mbps < THIN_LINK_MBPS
         interval_s = THIN_LINK_INTERVAL_S if is_thin else INTERVAL_S
         return interval_s if candidates else interval_s * max(1, len(self._order.relays(now_s)))
@@ -81,10 +81,10 @@
     async def step(self) -> None:
         """Exchange once, and take what other nodes have in flight."""
         now_s = boot_time_s()
-        candidates = self._order.in_zone(now_s)
+        candidates = self._order.followed_in_zone(now_s)
         if candidates:
             self.between_regions.stand_down()
-            await self._report_to(*candidates[0])
+            await self._report_to(candidates[0])
         else:
             await self._exchange_with(self._order.relays(now_s))
         if boot_time_s() - self._received_at_s >= REPORT_LIFETIME_S:
@@ -92,9 +92,9 @@
 
     # --- as a member -------------------------------------------------------------------------------------
 
-    async def _report_to(self, name: str, address: str) -> None:
-        self._links.keep({name})
-        reply = await self._send_report(name, address)
+    async def _report_to(self, relay: Peer) -> None:
+        self._links.keep({relay.name})
+        reply = await self._send_report(relay)
         if reply is None:
             return
         now_s = boot_time_s()
@@ -102,7 +102,7 @@
         self._load.limits.learn_levels(reply.levels, now_s)
         self._crashes.receive_from_relay(reply.crashes, now_s)
 
-    async def _send_report(self, name: str, address: str) -> OthersLoad | None:
+    async def _send_report(self, relay: Peer) -> OthersLoad | None:
         """Report to the relay and return its reply, None if there is none: what was spent is then reported
         again."""
         limits = self._load.limits
@@ -111,7 +111,7 @@
         )
         taken = False
         try:
-            reply = await self._links.to(name, address).ask(message, OthersLoad, ANSWER_TIMEOUT_S)
+            reply = await self._links.to(relay.name, relay.address).ask(message, OthersLoad, ANSWER_TIMEOUT_S)
             taken = True
             return reply
         except PeerUnavailableError:
@@ -122,21 +122,21 @@
 
     # --- as a relay --------------------------------------------------------------------------------------
 
-    async def _exchange_with(self, relays: list[tuple[str, str]]) -> None:
-        self._links.keep({name for name, _ in relays})
+    async def _exchange_with(self, relays: list[Peer]) -> None:
+        self._links.keep({relay.name for relay in relays})
         message = self._known.zone_message(boot_time_s(), self.between_regions.to_pass_on())
-        await asyncio.gather(*(self._exchange_sums(name, address, message) for name, address in relays))
+        await asyncio.gather(*(self._exchange_sums(relay, message) for relay in relays))
         now_s = boot_time_s()
         self.between_regions.forget_silent_regions(now_s)
         self._learn(self._known.others(now_s))
 
-    async def _exchange_sums(self, name: str, address: str, message: ZoneLoad) -> None:
+    async def _exchange_sums(self, relay: Peer, message: ZoneLoad) -> None:
         try:
-            reply = await self._links.to(name, address).ask(message, ZoneLoad, ANSWER_TIMEOUT_S)
+            reply = await self._links.to(relay.name, relay.address).ask(message, ZoneLoad, ANSWER_TIMEOUT_S)
         except PeerUnavailableError:
-            self._order.on_failure(name, boot_time_s())  # The link has logged it.
+            self._order.on_failure(relay.name, boot_time_s())  # The link has logged it.
             return
-        self._order.on_success(name)
+        self._order.on_success(relay.name)
         self._on_relay(reply)
 
     def _on_relay(self, message: ZoneLoad) -> None:
@@ -147,7 +147,7 @@
     def _region_sum(self) -> RegionSum | None:
         """Return what this node knows of its region; None if it relays for nobody."""
         now_s = boot_time_s()
-        if self._order.in_zone(now_s) or not self._order.fleet_size():
+        if self._order.followed_in_zone(now_s) or not self._order.fleet_size():
             return None
         return self._known.region_sum(self._order.topology.own_region, now_s)
 
--- a/src/wallwell/cluster/region_load_reporter.py
+++ b/src/wallwell/cluster/region_load_reporter.py
@@ -25,7 +25,7 @@
 from wallwell.cluster.load_reports import REPORT_LIFETIME_S
 from wallwell.cluster.peer_link import PeerLinks
 from wallwell.cluster.region_traffic import RegionTraffic
-from wallwell.cluster.upstream import UpstreamOrder
+from wallwell.cluster.upstream import Peer, UpstreamOrder
 from wallwell.errors import PeerUnavailableError
 from wallwell.events import Event, emit
 
@@ -93,7 +93,7 @@
         await asyncio.gather(*(self._ask_region(region, message) for region in regions))
         # The last nodes of a region may have gone while they were asked.
         left = [region for region in regions if self._order.delegates_of(region)]
-        self._links.keep({self._next_asked(region)[0] for region in left})
+        self._links.keep({self._next_asked(region).name for region in left})
 
     def is_delegate_to(self, region: str, now_s: float) -> bool:
         """Whether it is this node that exchanges with a region now."""
@@ -104,7 +104,7 @@
         silent_s = now_s - self._passed_on_at_s.get(region, self._started_s)
         return rank is not None and silent_s >= rank * TAKE_OVER_S
 
-    def _next_asked(self, region: str) -> tuple[str, str]:
+    def _next_asked(self, region: str) -> Peer:
         delegates = self._order.delegates_of(region)
         return delegates[self._asked.get(region, 0) % len(delegates)]
 
--- a/src/wallwell/cluster/relay.py
+++ b/src/wallwell/cluster/relay.py
@@ -86,7 +86,7 @@
     async def _from_peer(self, after: int | None, wait_s: float) -> FeedPage | None:
         """Return a peer's page, None if the store is to be asked. Raises :class:`HistoryLostError`."""
         candidates = self._order.candidates(boot_time_s())
-        self.links.keep({name for name, _ in candidates})
+        self.links.keep({peer.name for peer in candidates})
         for name, address in candidates[:MAX_PEERS_ASKED]:
             try:
                 held_s = min(wait_s, OTHER_ZONE_WAIT_S) if self._order.is_in_other_zone(name) else wait_s
--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -17,6 +17,7 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import msgspec
 
@@ -46,9 +47,16 @@
     link_mbps: float = 0.0
 
 
+class Peer(NamedTuple):
+    """Another node, and where it serves its peers: ``IP:port``."""
+
+    name: str
+    address: str
+
+
 @dataclass
 class UpstreamOrder:
-    """One node's choice among its peers."""
+    """One node's choice among its peers, by the rows of all nodes and by which peers work."""
 
     node: str
     zone: str
@@ -56,9 +64,9 @@
     topology: Topology = ONE_REGION
     health: PeersHealth = field(default_factory=PeersHealth)
 
-    def candidates(self, now_s: float) -> list[tuple[str, str]]:
-        """Return names and addresses of the peers to follow, best first; empty if the store is to be followed."""
-        in_zone = self.in_zone(now_s)
+    def candidates(self, now_s: float) -> list[Peer]:
+        """Return the peers to follow, best first; empty if the store is to be followed."""
+        in_zone = self.followed_in_zone(now_s)
         own = self.members.get(self.node)
         if in_zone or own is None or not own.relay:
             return in_zone
@@ -68,16 +76,16 @@
         """Return how many nodes are registered; 0 while this one is not: it may not know the others then."""
         return len(self.members) if self.node in self.members else 0
 
-    def _of_earlier_zones(self, now_s: float) -> list[tuple[str, str]]:
+    def _of_earlier_zones(self, now_s: float) -> list[Peer]:
         """Return the relays that this node follows for its zone."""
         earlier = [zone for zone in self._zones()[:FOLLOWING_ZONES] if _zone_rank(zone) < _zone_rank(self.zone)]
         has_regions = self.topology.has_regions
         if len(earlier) < (FOLLOWING_ZONES_OF_REGION if has_regions else FOLLOWING_ZONES):
             return []
-        relays = [found for zone in earlier for found in self._relays_of(zone, now_s)]
-        relays.sort(key=lambda found: rendezvous_score(found[0], key_of(self.zone)))
+        relays = [peer for zone in earlier for peer in self._relays_of(zone, now_s)]
+        relays.sort(key=lambda peer: rendezvous_score(peer.name, key_of(self.zone)))
         if has_regions:
-            relays.sort(key=lambda found: _zone_rank(self.members[found[0]].zone))
+            relays.sort(key=lambda peer: _zone_rank(self.members[peer.name].zone))
         return relays
 
     def _zones(self) -> list[str]:
@@ -89,11 +97,11 @@
         return sorted((zone for zone in zones if self.topology.region_of(zone) == region), key=_zone_rank)
 
     def is_in_other_zone(self, name: str) -> bool:
-        """Whether a peer stands in another zone."""
+        """Whether a peer is in another zone."""
         member = self.members.get(name)
         return member is not None and member.zone != self.zone
 
-    def in_zone(self, now_s: float) -> list[tuple[str, str]]:
+    def followed_in_zone(self, now_s: float) -> list[Peer]:
         """Return the peers of the own zone that this node follows; empty if it relays for others."""
         same_zone = self._reachable_in(self.zone)
         if self.node not in same_zone:
@@ -104,26 +112,26 @@
         if len(working) < relays:
             return []
         working.sort(key=lambda name: rendezvous_score(name, key_of(self.node)))
-        return [(name, self.members[name].relay) for name in working]
+        return [self._peer(name) for name in working]
 
-    def relays(self, now_s: float) -> list[tuple[str, str]]:
-        """Return names and addresses of the other nodes of this region that relay for their members."""
+    def relays(self, now_s: float) -> list[Peer]:
+        """Return the other nodes of this region that relay for their members."""
         found = [each for zone in self._zones() for each in self._relays_of(zone, now_s)]
-        return [(name, address) for name, address in found if name != self.node]
+        return [peer for peer in found if peer.name != self.node]
 
-    def _relays_of(self, zone: str, now_s: float) -> list[tuple[str, str]]:
-        """Return names and addresses of the working nodes that stand first in a zone, this node among them."""
+    def _relays_of(self, zone: str, now_s: float) -> list[Peer]:
+        """Return the working nodes that stand first in a zone, this node among them."""
         ordered, relays = self._order_of(zone, self._reachable_in(zone))
         working = [name for name in ordered if name == self.node or self.health.is_working(name, now_s)][:relays]
-        return [(name, self.members[name].relay) for name in working]
+        return [self._peer(name) for name in working]
 
     def other_regions(self) -> list[str]:
         """Return the regions beside the own one that have members."""
         zones = {member.zone for member in self.members.values() if member.relay}
         return sorted({self.topology.region_of(zone) for zone in zones} - {self.topology.own_region})
 
-    def delegates_of(self, region: str) -> list[tuple[str, str]]:
-        """Return names and addresses of the nodes that may be a region's delegate, in their order.
+    def delegates_of(self, region: str) -> list[Peer]:
+        """Return the nodes that may be a region's delegate, in their order.
 
         These are the relays of its zones, then those who replace them; which of them work is not known here.
         """
@@ -134,20 +142,23 @@
                 (index // relays, name) for index, name in enumerate(ordered[: relays * DELEGATES_PER_RELAY])
             ]
         ranked.sort(key=lambda entry: entry[0])
-        return [(name, self.members[name].relay) for _, name in ranked]
+        return [self._peer(name) for _, name in ranked]
 
     def delegate_rank(self, now_s: float) -> int | None:
         """Return this node's rank among the working delegates of its region, from 0; None if it is none of them."""
-        names = [name for name, _ in self.delegates_of(self.topology.own_region)]
+        names = [peer.name for peer in self.delegates_of(self.topology.own_region)]
         working = [name for name in names if name == self.node or self.health.is_working(name, now_s)]
         return working.index(self.node) if self.node in working else None
 
+    def _peer(self, name: str) -> Peer:
+        return Peer(name, self.members[name].relay)
+
     def _reachable_in(self, zone: str) -> list[str]:
         """Return the members of a zone that peers can reach."""
         return [name for name, member in self.members.items() if member.zone == zone and member.relay]
 
     def _order_of(self, zone: str, names: list[str]) -> tuple[list[str], int]:
-        """Return a zone's members in their order, and how many of them relay for the others."""
+        """Return a zone's members in their order, and how many of them relay for the others: the first ones."""
         key = key_of(zone)
         ordered = sorted(
             names, key=lambda name: (self.members[name].link_mbps, rendezvous_score(name, key), name), reverse=True
--- a/tests/unit/cluster/test_lease_turn.py
+++ b/tests/unit/cluster/test_lease_turn.py
@@ -7,8 +7,11 @@
 from tests.faulty_table import FaultyTable
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
+from wallwell.cluster import lease_turn
 from wallwell.cluster.lease_turn import CANDIDATE_DELAY_S, CANDIDATE_STEP_S, LeaseTurn
 from wallwell.cluster.leases import LEASE_PREFIX, LeaseKeeper
+from wallwell.errors import PlatformUnavailableError
+from wallwell.events import Event
 from wallwell.storage.feed import FeedRow
 
 VALID_S = 1.5
@@ -132,3 +135,32 @@
         return kept == [first], turns.holders()
 
     assert play(scenario) == (True, [])
+
+
+def test_a_store_that_does_not_answer_is_logged_once_until_it_does(monkeypatch):
+    events = []
+    monkeypatch.setattr(lease_turn, "emit", lambda event, **fields: events.append(event))
+
+    async def scenario(turns):
+        holder, _ = await turns.until_held()
+        turns.away = set(NAMES) - {holder}
+        table, keeper = turns.table, turns.turns[holder]._keeper
+        for _ in range(2):
+            keeper._table = SilentTable()
+            for _ in range(60):
+                await turns.step()
+            assert not turns.turns[holder].is_held()
+            keeper._table = table
+            for _ in range(60):
+                await turns.step()
+        return holder
+
+    play(scenario)
+    assert events.count(Event.LEASE_UNCONFIRMED) == 2
+
+
+class SilentTable:
+    """A store that does not answer."""
+
+    async def get(self, key):
+        raise PlatformUnavailableError("no answer")
--- a/tests/unit/cluster/test_load_reporter.py
+++ b/tests/unit/cluster/test_load_reporter.py
@@ -1,4 +1,4 @@
-"""Every node learns what all others have under way, over sockets, whichever nodes stand between."""
+"""Every node learns what all others have in flight, over sockets, whichever nodes stand between."""
 
 import asyncio
 
@@ -31,8 +31,8 @@
             self.backends.upsert(BackendRecord(engine, "s", f"{engine}:1", zone, 16))
         self.unwritten = []
         self.heard = set()
-        told = CrashReports(lambda: self.unwritten, self.heard.add)
-        self.exchange = LoadReporter(name, self.load, self.order, crashes=told)
+        reports = CrashReports(lambda: self.unwritten, self.heard.add)
+        self.exchange = LoadReporter(name, self.load, self.order, crashes=reports)
         self.server = PeerServer({MemberLoad: self.exchange.on_member, ZoneLoad: self.exchange.on_zone})
 
     def put_load(self, engine, load):
@@ -138,7 +138,7 @@
 
 
 def test_everyone_knows_what_is_left_of_a_limit(with_nodes):
-    """Two nodes spend; members are told what is left, relays work it out."""
+    """Two nodes spend; members learn what is left, relays work it out."""
 
     async def scenario(nodes):
         for node in nodes:
@@ -178,14 +178,14 @@
     ],
     ids=["fast relay", "unknown link", "thin relay", "thin and alone", "fast and alone"],
 )
-def test_nodes_with_a_thin_link_are_told_less_often(own_mbps, relay_mbps, interval_s):
+def test_nodes_with_a_thin_link_get_reports_less_often(own_mbps, relay_mbps, interval_s):
     order = UpstreamOrder("n1", "a")
     order.members = {"n1": NodeRecord("a", "10.0.0.1:1", own_mbps)}
     if relay_mbps is not None:
         # The node that stands first in its zone has the fastest link.
         order.members["n0"] = NodeRecord("a", "10.0.0.2:1", relay_mbps)
     exchange = LoadReporter("n1", FleetLoad(), order)
-    assert relay_mbps == 0.0 or (not order.in_zone(0.0)) == (relay_mbps is None)
+    assert relay_mbps == 0.0 or (not order.followed_in_zone(0.0)) == (relay_mbps is None)
     assert exchange._interval_s(0.0) == interval_s
 
 
@@ -234,14 +234,14 @@
     assert all(heard == {("c", "e0")} for heard in with_nodes(zones, scenario))
 
 
-def test_a_crash_is_told_on_for_a_while_only_once_it_is_written():
+def test_a_crash_is_reported_on_for_a_while_only_once_it_is_written():
     heard = []
-    told = CrashReports(tuple, heard.append)
-    told.receive_from_member([("c", "e0")], 10.0)
-    told.receive_from_relay([("d", "e1")], 10.0)
-    assert told.for_relays(10.0) == (("c", "e0"),)
-    assert set(told.for_members(10.0 + RELAYED_FOR_S)) == {("c", "e0"), ("d", "e1")}
-    assert told.for_members(10.1 + RELAYED_FOR_S) == told.for_relays(10.1 + RELAYED_FOR_S) == ()
+    reports = CrashReports(tuple, heard.append)
+    reports.receive_from_member([("c", "e0")], 10.0)
+    reports.receive_from_relay([("d", "e1")], 10.0)
+    assert reports.for_relays(10.0) == (("c", "e0"),)
+    assert set(reports.for_members(10.0 + RELAYED_FOR_S)) == {("c", "e0"), ("d", "e1")}
+    assert reports.for_members(10.1 + RELAYED_FOR_S) == reports.for_relays(10.1 + RELAYED_FOR_S) == ()
     assert heard == [("c", "e0"), ("d", "e1")]
 
 
@@ -257,7 +257,7 @@
 
 def test_crashes_in_a_message_are_bounded_and_own_ones_go_first():
     own = [(f"c{number}", "e0") for number in range(MAX_REPORTED - 1)]
-    told = CrashReports(lambda: own, lambda crash: None)
-    told.receive_from_member([("m1", "e0"), ("m2", "e0")], 0.0)
-    assert told.for_members(0.0) == (*own, ("m1", "e0"))
-    assert told.for_relay() == tuple(own)
+    reports = CrashReports(lambda: own, lambda crash: None)
+    reports.receive_from_member([("m1", "e0"), ("m2", "e0")], 0.0)
+    assert reports.for_members(0.0) == (*own, ("m1", "e0"))
+    assert reports.for_relay() == tuple(own)
--- a/tests/unit/cluster/test_region_load_reporter.py
+++ b/tests/unit/cluster/test_region_load_reporter.py
@@ -1,4 +1,4 @@
-"""Regions tell each other their loads through one pair of nodes, whoever of them is lost, in virtual time."""
+"""Regions report their loads to each other through one pair of nodes, whoever of them is lost, in virtual time."""
 
 import asyncio
 from collections import Counter
@@ -249,8 +249,8 @@
     assert len([each for each in events if each[0] is Event.REGION_LOST]) <= 6
 
 
-def test_limits_are_counted_for_both_regions_through_a_change_of_speakers():
-    """Sums of a region that began anew with each speaker lost what was spent between them."""
+def test_limits_are_counted_for_both_regions_through_a_change_of_delegates():
+    """Sums of a region that began anew with each delegate lost what was spent between them."""
 
     async def scenario(network):
         await asyncio.sleep(3.0)
--- a/tests/unit/cluster/test_relay.py
+++ b/tests/unit/cluster/test_relay.py
@@ -105,7 +105,7 @@
 
 def test_one_node_asks_the_store_and_all_know(with_nodes):
     async def scenario(store, nodes):
-        # Every node may have one call of its own under way from before it knew its peers.
+        # Every node may have one call of its own in flight from before it knew its peers.
         await until(lambda: all(node.rows.links for node in nodes[1:]))
         before = store.calls
         for number in range(20):
--- a/tests/unit/cluster/test_relay_network.py
+++ b/tests/unit/cluster/test_relay_network.py
@@ -146,7 +146,7 @@
 
 
 def test_what_is_known_in_the_last_zone_is_as_fresh_as_bounds_need():
-    """The oldest word of the store from which prompts are saved is two seconds old (``SAVE_FRESHNESS_S``)."""
+    """The oldest page of the store from which prompts are saved is two seconds old (``SAVE_FRESHNESS_S``)."""
 
     async def work():
         network = Network("aabbccddeeffgg")
@@ -298,7 +298,7 @@
 
 @pytest.mark.parametrize(("round_trip_s", "lost_part"), [(0.044, 0.05), (0.3, 0.0), (0.3, 0.05)])
 def test_what_a_region_knows_over_a_slow_and_lossy_link_stays_fresh(round_trip_s, lost_part):
-    """Prompts are saved on a word of the store that is two seconds old; a lost call is found after 1.5 s."""
+    """Prompts are saved by a page of the store that is two seconds old; a lost call is found after 1.5 s."""
 
     async def work():
         network = Network(BOTH_REGIONS, REGIONS)
--- a/tests/unit/routing/health/test_backend_registry.py
+++ b/tests/unit/routing/health/test_backend_registry.py
@@ -34,7 +34,7 @@
     assert backend.believed_version("m") == 3
 
 
-def test_a_whole_listing_tells_what_it_does_not_name():
+def test_a_whole_listing_shows_what_it_does_not_name():
     registry = BackendRegistry()
     gone = registry.upsert(record("i-1"))
     registry.upsert(record("i-2"))
@@ -174,5 +174,5 @@
     assert not registry.get("i-1").superseded
 
 
-def test_back_ends_are_told_apart_by_identity_so_that_looking_one_up_in_a_list_costs_little():
+def test_back_ends_are_compared_by_identity_so_that_looking_one_up_in_a_list_costs_little():
     assert Backend(record()) not in [Backend(record())]
--- a/tests/unit/storage/test_feed.py
+++ b/tests/unit/storage/test_feed.py
@@ -11,6 +11,8 @@
 from tests.virtual_time import run_virtual
 from wallwell.deployment.freshness import StoreClock
 from wallwell.errors import PlatformUnavailableError
+from wallwell.events import Event
+from wallwell.storage import feed
 from wallwell.storage.feed import RowFollower
 
 
@@ -105,3 +107,22 @@
 
     took_s = run_virtual(work())
     assert 0.03 * failures <= took_s <= 0.7 * failures
+
+
+def test_a_store_that_has_forgotten_is_read_whole_again_and_that_is_logged(monkeypatch):
+    events = []
+    monkeypatch.setattr(feed, "emit", lambda event, **fields: events.append((event, fields["version"])))
+
+    async def work():
+        source, mirror = MemoryRows(), Mirror()
+        source.write("a", b"1")
+        task = asyncio.create_task(follower_of(source, mirror).run())
+        await asyncio.sleep(2.0)
+        source.write("a", b"2")
+        source.forget()
+        await asyncio.sleep(5.0)
+        task.cancel()
+        return mirror.rows
+
+    assert run_virtual(work()) == {"a": b"2"}
+    assert events == [(Event.FEED_RESTARTED, 1)]
