--- a/src/wallwell/node/adapter.py
+++ b/src/wallwell/node/adapter.py
@@ -13,7 +13,7 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import DeploymentConfig
 from wallwell.http_connection import ConnectionPool
-from wallwell.node.crash_watch import CrashCheck
+from wallwell.node.crash_probe import CrashCheck
 from wallwell.node.kv_store_watch import CacheEventSource
 from wallwell.placement.weights_roll_driver import EngineControl
 from wallwell.rollout.model import RolloutOrder
--- a/src/wallwell/node/crash_watch.py
+++ b/src/wallwell/node/crash_watch.py
@@ -1,12 +1,10 @@
 """Finds back ends that have crashed, and keeps in the store which requests they were running.
 
-A broken attempt alone is no proof of a crash: connections are reset on the way, by a back end with too many of
-them, and at the end of a planned stop. A back end counts as crashed when its address refuses connections, still
-does so a moment later, and nothing has come from it in between, or when another incarnation has taken its address.
-One row for each request and crash goes to the store, without a condition: writing it twice changes nothing, every
-node counts the rows, and a node that starts reads them.
+Whether a back end has crashed is found out by :mod:`wallwell.node.crash_probe`. One row for each request and crash
+goes to the store, without a condition: writing it twice changes nothing, every node counts the rows, and a node
+that starts reads them.
 
-Owns the probes that are under way and the rows that the store has not taken yet. The counts are in
+Owns the examinations in progress and the rows that the store has not taken yet. The counts are in
 ``NodeState.quarantine``, which decides what is refused. Relies on attempts being reported
 (:meth:`CrashWatch.on_broken_run`, :meth:`CrashWatch.on_answered`) and on the followed rows of this product's table.
 """
@@ -15,15 +13,15 @@
 
 import asyncio
 from collections.abc import Callable, Iterable, Sequence
-from typing import Protocol
 
 from wallwell.background import BackgroundTasks
 from wallwell.clock import boot_time_s, bounded
 from wallwell.cluster.crash_count import count_crash
 from wallwell.cluster.crash_reports import Crash
-from wallwell.deployment.backends import Backend, BackendRecord
+from wallwell.deployment.backends import Backend
 from wallwell.errors import PlatformUnavailableError, TableConflictError
 from wallwell.events import Event, emit
+from wallwell.node.crash_probe import CrashCheck, CrashProbe
 from wallwell.node.state import NodeState
 from wallwell.routing.rendezvous import key_of, owner
 from wallwell.storage.feed import FeedRow
@@ -31,21 +29,6 @@
 
 CRASH_PREFIX = "crash/"
 """Rows ``crash/CONTENT/INCARNATION``; the value names the node that saw it."""
-FIRST_PROBE_DELAY_S = 0.02
-"""Seconds from a broken attempt to the first probe: those that break with it are then known, and cost one write.
-Chosen, not measured."""
-PROBE_INTERVAL_S = 0.3
-"""Seconds between two probes. A back end that only has too many connections has sent something by then: its other
-streams pause for less than half a second, and with many streams some are always about to send."""
-MAX_PROBES = 5
-"""Probes of one back end. On a busy node, what it had sent before its end can be read after the first refusal; then
-one more probe is needed. The rest is a margin, chosen, not measured."""
-PROBES_TO_LIVE = 2
-"""Probes in a row that find it listening, after which it counts as alive. A process that ends, or a proxy before
-it, may still take a connection after those of its attempts are reset."""
-SUCCESSOR_S = 3.0
-"""Seconds for which a back end that listens may yet turn out to have been a successor: one that is back within 0.3
-s is listed at its address within about a second; three times that is chosen, not measured."""
 MAX_WRITES = 100
 """Entries of one transaction (the store's bound)."""
 RETRY_S = 0.4
@@ -57,15 +40,6 @@
 for."""
 
 
-class CrashCheck(Protocol):
-    """Finds out whether a back end's process is gone."""
-
-    async def is_refused(self, backend: BackendRecord) -> bool:
-        """Connect unless a connection is idle; returns True only if the machine answers that nothing listens
-        there."""
-        ...
-
-
 class CrashWatch:
     """One node's part: probes back ends, counts crashes, writes them to the store and removes expired ones."""
 
@@ -74,7 +48,7 @@
     ) -> None:
         """``members`` names the nodes that share the removal of old rows."""
         self._state = state
-        self._check = check
+        self._probe = CrashProbe(check)
         self._table = table
         self._members = members
         self._broken: dict[str, set[str]] = {}
@@ -97,49 +71,31 @@
             broken.add(content)
             return
         self._broken[backend.incarnation] = {content}
-        self._probes.begin(self._probe(backend))
+        self._probes.begin(self._examine(backend))
 
     def on_answered(self, content: str) -> None:
         """A request was answered with success: whatever crashed beside it, it was not the cause."""
         crashes = self._state.quarantine.on_answered(content, boot_time_s())
         self._write({_key(content, incarnation): False for incarnation in crashes})
 
-    async def _probe(self, backend: Backend) -> None:
+    async def _examine(self, backend: Backend) -> None:
         try:
-            has_crashed = await self._has_crashed(backend)
+            has_crashed = await self._probe.has_crashed(backend)
         finally:
             # Attempts that break from now on start probes of their own.
             contents = self._broken.pop(backend.incarnation)
         if not has_crashed:
-            await asyncio.sleep(SUCCESSOR_S)
-            has_crashed = backend.superseded and not backend.record.draining
+            has_crashed = await self._probe.is_replaced_soon(backend)
         if has_crashed:
             emit(Event.BACKEND_CRASHED, backend=backend.incarnation, runs=len(contents))
             for content in contents:
                 self._count(content, backend.incarnation)
 
-    async def _has_crashed(self, backend: Backend) -> bool:
-        refused_s = None
-        listening = 0
-        for probe in range(MAX_PROBES):
-            await asyncio.sleep(PROBE_INTERVAL_S if probe else FIRST_PROBE_DELAY_S)
-            if backend.superseded:
-                return True
-            if await self._check.is_refused(backend.record):
-                if refused_s is not None and backend.silence.sent_s <= refused_s:
-                    return True
-                refused_s, listening = boot_time_s(), 0
-            else:
-                refused_s, listening = None, listening + 1
-            if listening >= PROBES_TO_LIVE:
-                return False
-        return False
-
     def _count(self, content: str, incarnation: str) -> None:
         if count_crash(self._state.quarantine, content, incarnation, boot_time_s()):
             self._write({_key(content, incarnation): True})
 
-    # --- rows and reports of other nodes----------------------------------------------------------------
+    # --- rows and reports of other nodes ---------------------------------------------------------------
 
     def on_row(self, row: FeedRow, now_s: float) -> None:
         """Apply a row of this product's own table; other kinds than crashes are ignored."""
--- a/src/wallwell/node/kv_store_watch.py
+++ b/src/wallwell/node/kv_store_watch.py
@@ -157,7 +157,7 @@
             cache.reachable = False
             return None
         except CacheEventsRefusedError as error:
-            # Logged once until the store sends events again, since the call is repeated twice a second.
+            # Logged once until the store sends events again, since the call is made twice a second.
             if address not in self._refusing:
                 self._refusing.add(address)
                 emit(Event.CACHE_EVENTS_REFUSED, address=address, reason=error.detail)
--- a/src/wallwell/node/metrics.py
+++ b/src/wallwell/node/metrics.py
@@ -47,33 +47,49 @@
         yield _histogram("wallwell_largest_gap_seconds", "Largest pause of a stream.", counters.largest_gap)
 
     def _collect_state(self) -> Iterator[Metric]:
-        state, now_s = self._state, boot_time_s()
+        now_s = boot_time_s()
+        yield from self._collect_freshness(now_s)
+        yield from self._collect_backends(now_s)
+        yield from self._collect_quarantine()
+        yield from self._collect_limits(now_s)
+        yield from self._collect_region_traffic()
+        yield from self._collect_rollouts()
+        yield self._retry_budgets(now_s)
+
+    def _collect_freshness(self, now_s: float) -> Iterator[Metric]:
+        state = self._state
         age_s = now_s - state.freshness.confirmed_at_s
         yield GaugeMetricFamily("wallwell_store_age_seconds", "Age of the store's last word.", value=age_s)
         version = state.config.version if state.config is not None else 0
         yield GaugeMetricFamily("wallwell_config_version", "Configuration in force.", value=version)
         yield GaugeMetricFamily("wallwell_ready", "Whether the node is ready.", value=float(state.is_ready(now_s)))
         yield GaugeMetricFamily("wallwell_nodes", "Nodes that share budgets.", value=state.node_count)
-        listed = list(state.backends.all())
+
+    def _collect_backends(self, now_s: float) -> Iterator[Metric]:
+        listed = list(self._state.backends.all())
         opened = sum(each.is_open(now_s) for each in listed)
         yield GaugeMetricFamily("wallwell_backends", "Listed back ends.", value=len(listed))
         yield GaugeMetricFamily("wallwell_backends_open", "Back ends that get new requests.", value=opened)
         in_flight = sum(each.in_flight for each in listed)
         yield GaugeMetricFamily("wallwell_in_flight", "Attempts under way.", value=in_flight)
-        suspects, quarantined = state.quarantine.suspects, state.quarantine.quarantined
+
+    def _collect_quarantine(self) -> Iterator[Metric]:
+        suspects, quarantined = self._state.quarantine.suspects, self._state.quarantine.quarantined
         yield GaugeMetricFamily("wallwell_crash_suspects", "Requests that back ends crashed under.", value=suspects)
         yield GaugeMetricFamily("wallwell_quarantined", "Requests that get no back end.", value=quarantined)
-        yield from self._collect_limits(now_s)
-        traffic = state.region_traffic
+
+    def _collect_region_traffic(self) -> Iterator[Metric]:
+        traffic = self._state.region_traffic
         yield _counter("wallwell_region_exchanges", "Exchanges with other regions.", "cause", traffic.exchanges)
         yield _counter(
             "wallwell_region_bytes", "Bytes exchanged with other regions, bodies only.", "cause", traffic.bytes
         )
-        yield from self._collect_rollouts()
+
+    def _retry_budgets(self, now_s: float) -> Metric:
         budget = GaugeMetricFamily("wallwell_retry_budget_left", "Repeats left by service.", labels=["service"])
-        for service, left in state.budgets_left(now_s).items():
+        for service, left in self._state.budgets_left(now_s).items():
             budget.add_metric([service], left)
-        yield budget
+        return budget
 
     def _collect_limits(self, now_s: float) -> Iterator[Metric]:
         left = GaugeMetricFamily("wallwell_limit_left", "What is left of a tenant's limit.", labels=["tenant"])
@@ -135,7 +151,7 @@
     return family
 
 
-def render(counters: FleetCounters, state: NodeState) -> bytes:
+def metrics_text(counters: FleetCounters, state: NodeState) -> bytes:
     """Return the text exposition of one node."""
     registry = CollectorRegistry()
     registry.register(FleetCollector(counters, state))
--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class NodeIdentity:
+class NodeProfile:
     """Who a node is and where it stands."""
 
     name: str
@@ -65,19 +65,19 @@
     """One node of a fleet whose lasting state lies in a store."""
 
     def __init__(
-        self, identity: NodeIdentity, bounds: FleetBounds, adapter: NodeAdapter, seed: int | None = None
+        self, profile: NodeProfile, bounds: FleetBounds, adapter: NodeAdapter, seed: int | None = None
     ) -> None:
         """``seed`` fixes the node's random draws; by default each start draws differently."""
-        rng = random.Random(seed if seed is not None else f"{identity.name}/{time.time_ns()}")
+        rng = random.Random(seed if seed is not None else f"{profile.name}/{time.time_ns()}")
         self.state = NodeState(
-            identity.name, identity.zone, bounds, rng, started_s=boot_time_s(), places=identity.topology
+            profile.name, profile.zone, bounds, rng, started_s=boot_time_s(), places=profile.topology
         )
         self.in_flight = 0
         """Callers' requests that are not answered yet."""
-        self._identity = identity
+        self._profile = profile
         self._pool = adapter.pool
         self._clock = StoreClock()
-        self._order = UpstreamOrder(identity.name, identity.zone, places=identity.topology)
+        self._order = UpstreamOrder(profile.name, profile.zone, places=profile.topology)
         self.state.zones.on_return = self._order.on_zone_returned
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -146,7 +146,7 @@
         )
 
     def _own_member(self) -> Member:
-        return Member(self._identity.zone, self._peers.address, self._identity.link_mbps)
+        return Member(self._profile.zone, self._peers.address, self._profile.link_mbps)
 
     # --- start -----------------------------------------------------------------------------------------
 
@@ -169,7 +169,7 @@
         loops: list[Loop] = [each.run for each in self._tables.followers]
         loops += [self._weights_roll.run, self._load_reporter.run, self._kv_store_watch.run, self._liveness.run]
         loops += [self._housekeeping.run, self.readiness.watch_event_loop, self._crashes.run]
-        if self._identity.topology.has_regions:
+        if self._profile.topology.has_regions:
             loops.append(self._load_reporter.between_regions.run)
         loops += [self._rollouts.run, self._reporter.run]
         self._tasks = [asyncio.create_task(run_for_life(loop)) for loop in loops]
@@ -187,9 +187,9 @@
     def metrics_text(self) -> bytes:
         """Return this node's metrics in Prometheus's text format."""
         # Imported here: a node whose settings name no address for metrics need not load the library.
-        from wallwell.node.metrics import render
+        from wallwell.node.metrics import metrics_text
 
-        return render(self._pipeline.counters, self.state)
+        return metrics_text(self._pipeline.counters, self.state)
 
     def is_ready(self) -> bool:
         """Whether callers' new connections should come here."""
--- a/src/wallwell/node/readiness.py
+++ b/src/wallwell/node/readiness.py
@@ -1,7 +1,7 @@
 """Whether a node takes callers' new connections, and whether it keeps those it has.
 
 Owns the node's ``draining`` flag and the measure of its event loop's delay. Relies on the rows that the node
-follows: before they are read, it cannot tell which callers and back ends are allowed.
+follows: before they are read, it does not know which callers and back ends are allowed.
 """
 
 from __future__ import annotations
--- a/src/wallwell/platform/main.py
+++ b/src/wallwell/platform/main.py
@@ -12,7 +12,7 @@
 from wallwell.errors import WallwellError
 from wallwell.events import Event, configure_logging, emit
 from wallwell.node.adapter import NodeAdapter, NodeSources
-from wallwell.node.node import FleetNode, NodeIdentity
+from wallwell.node.node import FleetNode, NodeProfile
 from wallwell.platform import names
 from wallwell.platform.cache_events import CacheEventsClient
 from wallwell.platform.callers import CallersListener
@@ -44,9 +44,9 @@
         rollouts=PlatformRollouts(store),
         cache_events=CacheEventsClient(workers.pool),
     )
-    identity = NodeIdentity(settings.node, places, settings.limits.link_mbps)
+    profile = NodeProfile(settings.node, places, settings.limits.link_mbps)
     adapter = NodeAdapter(sources, client=workers, control=workers, check=workers, pool=workers.pool)
-    return FleetNode(identity, settings.fleet_bounds(), adapter)
+    return FleetNode(profile, settings.fleet_bounds(), adapter)
 
 
 async def _listen(server: web.Server, address: str) -> web.ServerRunner:
--- a/src/wallwell/platform/workers.py
+++ b/src/wallwell/platform/workers.py
@@ -109,7 +109,7 @@
         return failure is None or not failure.timed_out
 
     async def is_refused(self, backend: BackendRecord) -> bool:
-        """See :class:`wallwell.node.crash_watch.CrashCheck`; a connection that is made is kept."""
+        """See :class:`wallwell.node.crash_probe.CrashCheck`; a connection that is made is kept."""
         if self.pool.has_resting(backend.address):
             return False  # The end of its process would have reset it.
         failure = await self._knock(backend)
--- a/tests/unit/node/test_crash_watch.py
+++ b/tests/unit/node/test_crash_watch.py
@@ -13,15 +13,8 @@
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind
-from wallwell.node.crash_watch import (
-    CRASH_PREFIX,
-    FIRST_PROBE_DELAY_S,
-    MAX_PROBES,
-    PROBE_INTERVAL_S,
-    SUCCESSOR_S,
-    SWEEP_S,
-    CrashWatch,
-)
+from wallwell.node.crash_probe import FIRST_PROBE_DELAY_S, MAX_PROBES, PROBE_INTERVAL_S, SUCCESSOR_S
+from wallwell.node.crash_watch import CRASH_PREFIX, SWEEP_S, CrashWatch
 from wallwell.outcomes import Outcome
 from wallwell.routing.admission.quarantine import CRASHES_TO_QUARANTINE, QUARANTINE_S, SUSPECT_S
 from wallwell.routing.retry.attempt_outcome import TransportEvent as T
--- a/tests/unit/node/test_kv_store_watch.py
+++ b/tests/unit/node/test_kv_store_watch.py
@@ -10,11 +10,14 @@
 from wallwell.cluster.upstream import Member, UpstreamOrder
 from wallwell.deployment.routes import Service
 from wallwell.errors import CacheEventsRefusedError, CacheStoreSilentError
+from wallwell.events import Event
+from wallwell.node import kv_store_watch
 from wallwell.node.kv_store_watch import CacheRequest, KvStoreWatch
 from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
 from wallwell.routing.selection.prefix_home import PromptPart
 
 ADDRESS = "10.9.0.1:80"
+REFUSED = CacheEventsRefusedError("status 503")
 
 
 class Store:
@@ -226,3 +229,18 @@
         assert store.calls == calls
 
     with_nodes(scenario)
+
+
+def test_a_store_that_sends_no_events_is_logged_once_until_it_sends_some(monkeypatch):
+    events = []
+    monkeypatch.setattr(kv_store_watch, "emit", lambda event, **fields: events.append(event))
+
+    async def scenario():
+        store = Store()
+        node = Node("a", store)
+        for trouble in (REFUSED, REFUSED, None, REFUSED):
+            store.trouble = trouble
+            await node.watch.step(ADDRESS)
+
+    asyncio.run(scenario())
+    assert events == [Event.CACHE_EVENTS_REFUSED] * 2
--- a/tests/unit/serving/test_regions.py
+++ b/tests/unit/serving/test_regions.py
@@ -24,7 +24,7 @@
 from wallwell.deployment.routes import RouteKind, Service
 from wallwell.deployment.topology import Topology
 from wallwell.node.kv_store_watch import KvStoreWatch
-from wallwell.node.metrics import render
+from wallwell.node.metrics import metrics_text
 from wallwell.placement.weights_roll import pools_by_prompt_length
 from wallwell.routing.retry.attempt_outcome import AttemptLog
 from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
@@ -365,7 +365,7 @@
         client = FakeClient(Script(chunks=(event(1), event(2)), stream=True))
         request = make_request(generation=make_generation(), body=b"x" * 100)
         await RequestPipeline(state, client).serve(request, FakeReply())
-        return state, render(FleetCounters(), state).decode()
+        return state, metrics_text(FleetCounters(), state).decode()
 
     state, text = run_virtual(work())
     size = 100 + len(event(1)) + len(event(2))
