--- a/src/wallwell/node/followers.py
+++ b/src/wallwell/node/followers.py
@@ -34,7 +34,9 @@
 """The same wait for the same bound. The pause joins the entries of back ends that change together; 0.1 s is chosen,
 not measured."""
 OWN_TIMING = FeedTiming(wait_s=2.0, pause_s=0.2)
-"""No bound depends on the age of these rows, so the store is called less often; chosen, not measured."""
+"""A change ends a reading at once, so a longer wait delays nothing while the store answers, and costs fewer calls.
+A relay that has lost the store is noticed after 2.7 s instead of 1.5 s (``relay.STALE_MARGIN_S``). Chosen, not
+measured."""
 
 
 class TableFollowers:
--- a/src/wallwell/placement/weights_roll.py
+++ b/src/wallwell/placement/weights_roll.py
@@ -54,7 +54,7 @@
     versions: Mapping[str, int]
     """Weights versions by model."""
     busy: bool
-    """Whether it is loading."""
+    """Whether it is carrying out an order."""
     orders_taken: int
     """Number of orders accepted so far: the precondition of the next one."""
 
--- a/src/wallwell/placement/weights_roll_driver.py
+++ b/src/wallwell/placement/weights_roll_driver.py
@@ -37,7 +37,7 @@
 """Seconds between two reports that a loading engine is asked for. Chosen, not measured."""
 LOAD_TIMEOUT_S = 6.0
 """Seconds from an order's settle time to the load's end, after which the load counts as failed. Chosen, not
-measured: longer than a load takes."""
+measured."""
 MAX_SILENT_REPORTS = 2
 """Unanswered reports in a row after which the load counts as failed and another engine may load. Chosen, not
 measured."""
--- a/src/wallwell/placement/weights_roll_timing.py
+++ b/src/wallwell/placement/weights_roll_timing.py
@@ -18,10 +18,10 @@
 """Seconds from a version's naming to its first load at the earliest: every node knows the version by then, and
 generations on older weights still have their full value."""
 FREE_AGE_S = 1.5
-"""Age in seconds of the newer version from which a generation on older weights loses value. Given by the operators'
-price list."""
+"""Age in seconds of the newer version from which a generation on older weights loses value. Given by the
+operators, who value generations by the age of their weights."""
 STALE_LOSS = 0.2
-"""Fraction of a generation's value that is lost on older weights. Given by the operators' price list."""
+"""Fraction of a generation's value that is lost on older weights. Given by the operators as well."""
 LOAD_COST = 1.4
 """Cost of a load and its order, in generations: 1.3 to 1.5 in most of the operators' price lists, 0.8 in two."""
 NAMING_TOLERANCE_S = 0.5
--- a/src/wallwell/rollout/planner.py
+++ b/src/wallwell/rollout/planner.py
@@ -4,6 +4,9 @@
 record. Inputs: the record, all nodes' counts, the slots of both versions and the store's time. Owns rates and past
 totals of each order; all that must last is in the record, so that a new holder can go on with less of both.
 Decisions show in the log as ``ROLLOUT_DECIDED`` (7008) with their inputs.
+
+Thresholds that are marked as chosen were not measured one by one. Together they ended 398 of 400 good versions
+in time and rolled back 318 of 400 bad ones in simulated rollouts (``docs/design/rollouts.md``).
 """
 
 from __future__ import annotations
@@ -28,7 +31,8 @@
 """Evidence that rolls back. By Ville's inequality a good version reaches it in at most 1 of 2,000 rollouts."""
 LOG_SUSPECT = -3.5
 """Evidence, after all weights, that delays the switch and the end, but does not roll back. In simulated rollouts
-fewer than 1 in 100 good versions have as much at their end."""
+fewer than 1 in 100 good versions have as much at their end. With 0.01 in place of 0.03 (the likelihood ratio), 5 in
+place of 2 of 400 good versions ended late, and 75 in place of 82 of 400 bad ones were completed."""
 LOG_BAD_MANY = math.log(3_000)
 """Evidence of a single test, without its weight, that rolls back together with :data:`MANY_BAD`. Chosen, not
 measured."""
