--- a/src/wallwell/bench/experiment.py
+++ b/src/wallwell/bench/experiment.py
@@ -18,6 +18,7 @@
 from wallwell.bench.load import latency_histogram
 from wallwell.bench.policy_run import PolicyRun, run_policy
 from wallwell.bench.workload import PROFILES, TraceBuilder
+from wallwell.emulator.engine_model import EngineProfile
 from wallwell.errors import BenchError
 from wallwell.outcomes import Outcome
 from wallwell.standalone.typed import load_document
@@ -77,7 +78,9 @@
     return spec
 
 
-def run_experiment(spec: ExperimentSpec, examples: Path, progress: Callable[[str], None]) -> ExperimentResult:
+def run_experiment(
+    spec: ExperimentSpec, examples: Path, progress: Callable[[str], None], engines: EngineProfile | None = None
+) -> ExperimentResult:
     """Run every policy on every seed, one after another."""
     profile = PROFILES[spec.deployment]
     traces = [TraceBuilder(profile, seed).build(spec.requests, spec.rate_per_s) for seed in spec.seeds]
@@ -85,7 +88,7 @@
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         for policy in spec.policies:
             runs = [
-                runner.run(run_policy(examples / spec.deployment, policy, trace, progress, spec.warm_up_s))
+                runner.run(run_policy(examples / spec.deployment, policy, trace, progress, spec.warm_up_s, engines))
                 for trace in traces
             ]
             results.append(_summarise(policy, runs, profile.top_priority))
--- a/src/wallwell/bench/policy_run.py
+++ b/src/wallwell/bench/policy_run.py
@@ -9,6 +9,7 @@
 from wallwell.bench.load import LoadDriver, LoadResult
 from wallwell.bench.workload import ServiceRequest, TraceRequest
 from wallwell.emulator.deployment import Fleet
+from wallwell.emulator.engine_model import EngineProfile
 from wallwell.emulator.engine_server import generated_word
 
 
@@ -40,9 +41,13 @@
     trace: Sequence[TraceRequest],
     progress: Callable[[str], None],
     warm_up_s: float = 0.0,
+    engines: EngineProfile | None = None,
 ) -> PolicyRun:
-    """Start the deployment whose operators' files are in ``directory``, send the trace and stop it."""
-    fleet = Fleet(directory, policy=policy)
+    """Start the deployment whose operators' files are in ``directory``, send the trace and stop it.
+
+    ``engines`` is the speed of its stand-in engines, that of the emulator by default.
+    """
+    fleet = Fleet(directory, policy=policy, profile=engines)
     progress(f"{directory.name}, {policy}: starting")
 
     def show_count(done: int) -> None:
