--- a/src/wallwell/cluster/leases.py
+++ b/src/wallwell/cluster/leases.py
@@ -10,8 +10,6 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-
 import msgspec
 
 from wallwell.errors import LeaseLostError, PlatformUnavailableError, TableConflictError
@@ -30,8 +28,7 @@
     released: bool = False
 
 
-@dataclass(frozen=True)
-class HeldLease:
+class HeldLease(msgspec.Struct, frozen=True):
     """A lease this node holds. ``valid_until_s`` is on this node's clock."""
 
     name: str
--- a/src/wallwell/deployment/routes.py
+++ b/src/wallwell/deployment/routes.py
@@ -10,6 +10,8 @@
 from dataclasses import dataclass, field
 from functools import cached_property
 
+import msgspec
+
 
 class RouteKind(enum.Enum):
     """Whether requests of a route may be retried, and the form of its answers."""
@@ -22,16 +24,14 @@
     """Generations answered as a series of events."""
 
 
-@dataclass(frozen=True)
-class WeightedService:
+class WeightedService(msgspec.Struct, frozen=True):
     """A service that gets a share of a route's requests: ``weight`` by the sum of the weights."""
 
     service: str
     weight: float
 
 
-@dataclass(frozen=True)
-class Route:
+class Route(msgspec.Struct, frozen=True):
     """Requests of one host under one path prefix. Times are in seconds."""
 
     name: str
@@ -57,8 +57,7 @@
         return self.kind is RouteKind.SAFE or (self.kind is RouteKind.STREAM and self.resumable)
 
 
-@dataclass(frozen=True)
-class EngineTraits:
+class EngineTraits(msgspec.Struct, frozen=True):
     """What the operator says of a service's engines. ``kv_tokens`` is the memory of one engine."""
 
     slots: int
@@ -66,8 +65,7 @@
     models: tuple[str, ...]
 
 
-@dataclass(frozen=True)
-class Service:
+class Service(msgspec.Struct, frozen=True):
     """A group of back ends that run the same requests."""
 
     name: str
@@ -79,8 +77,7 @@
     zone: str = ""
 
 
-@dataclass(frozen=True)
-class TenantLimit:
+class TenantLimit(msgspec.Struct, frozen=True):
     """What all nodes together may serve of a tenant: ``rate_per_s``, and ``burst`` saved up from quieter times."""
 
     rate_per_s: float
@@ -97,8 +94,7 @@
         return self.plain_tokens if declared_tokens is None else declared_tokens
 
 
-@dataclass(frozen=True)
-class TenantAccess:
+class TenantAccess(msgspec.Struct, frozen=True):
     """A tenant, its credentials, its limit, and whether its cache is shared with no other tenant."""
 
     name: str
@@ -108,8 +104,7 @@
     limit: TenantLimit | None = None
 
 
-@dataclass(frozen=True)
-class CallerBounds:
+class CallerBounds(msgspec.Struct, frozen=True):
     """What a caller may send and how long a connection may rest."""
 
     max_body_bytes: int = 4 * 1024 * 1024
--- a/src/wallwell/deployment/weights.py
+++ b/src/wallwell/deployment/weights.py
@@ -9,13 +9,14 @@
 
 from dataclasses import dataclass, field
 
+import msgspec
+
 OVERDUE_FRACTION = 0.85
 """Fraction of the time allowed for a version, from which on an engine on older weights is overdue: it gets no new
 generation while others are on newer ones, and its order to load is due. Chosen, not measured."""
 
 
-@dataclass(frozen=True)
-class NamedVersion:
+class NamedVersion(msgspec.Struct, frozen=True):
     """A weights version and the local time since when it counts as named.
 
     ``estimated``: the name was found when this node started, so that its age is only a guess.
--- a/src/wallwell/node/adapter.py
+++ b/src/wallwell/node/adapter.py
@@ -7,9 +7,10 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Protocol
 
+import msgspec
+
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import DeploymentConfig
 from wallwell.http_connection import ConnectionPool
@@ -28,8 +29,7 @@
     """Finds out by new connections whether back ends can be reached and whether their processes are gone."""
 
 
-@dataclass(frozen=True)
-class NodeSources:
+class NodeSources(msgspec.Struct, frozen=True):
     """The store as a node sees it. Decoders raise :class:`msgspec.MsgspecError` for a row they cannot read."""
 
     operators: RowSource
@@ -55,8 +55,7 @@
     """Events of the KV stores."""
 
 
-@dataclass(frozen=True)
-class NodeAdapter:
+class NodeAdapter(msgspec.Struct, frozen=True):
     """All that a node needs from outside. One object may serve as several of the clients."""
 
     sources: NodeSources
--- a/src/wallwell/node/followers.py
+++ b/src/wallwell/node/followers.py
@@ -7,7 +7,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+
+import msgspec
 
 from wallwell.cluster.relay import RelayedRows
 from wallwell.cluster.upstream import UpstreamOrder
@@ -16,8 +17,7 @@
 from wallwell.storage.feed import FollowedPage, RowFollower, RowSource
 
 
-@dataclass(frozen=True)
-class FeedTiming:
+class FeedTiming(msgspec.Struct, frozen=True):
     """How a table is read. Seconds."""
 
     wait_s: float
--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -11,7 +11,8 @@
 import random
 import time
 from collections.abc import Awaitable, Callable, Iterable
-from dataclasses import dataclass
+
+import msgspec
 
 from wallwell.clock import boot_time_s
 from wallwell.cluster.crash_reports import CrashReports
@@ -46,8 +47,7 @@
 from wallwell.serving.pipeline import RequestPipeline
 
 
-@dataclass(frozen=True)
-class NodeProfile:
+class NodeProfile(msgspec.Struct, frozen=True):
     """Who a node is and where it stands."""
 
     name: str
--- a/src/wallwell/placement/weights_roll.py
+++ b/src/wallwell/placement/weights_roll.py
@@ -16,6 +16,8 @@
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 
+import msgspec
+
 from wallwell.deployment.topology import ONE_REGION, Topology
 from wallwell.deployment.weights import OVERDUE_FRACTION, NamedVersion, WeightsTargets
 from wallwell.placement.weights_roll_timing import RollCircumstances, start_delay_s
@@ -47,8 +49,7 @@
     """No answer: the order may have been accepted, or may take effect later."""
 
 
-@dataclass(frozen=True)
-class EngineReport:
+class EngineReport(msgspec.Struct, frozen=True):
     """What an engine reports of itself."""
 
     versions: Mapping[str, int]
@@ -59,8 +60,7 @@
     """Number of orders accepted so far: the precondition of the next one."""
 
 
-@dataclass(frozen=True)
-class WeightsOrder:
+class WeightsOrder(msgspec.Struct, frozen=True):
     """An order to load weights, fenced by the lease under which it is given.
 
     Streams in flight go on under the new weights: an engine that waited for them to end would serve nobody else.
@@ -76,8 +76,7 @@
     """Orders the engine must have accepted so far, so that an order that is sent twice is accepted once."""
 
 
-@dataclass(frozen=True)
-class LoadTask:
+class LoadTask(msgspec.Struct, frozen=True):
     """An engine that is to load a version now."""
 
     backend: Backend
--- a/src/wallwell/placement/weights_roll_timing.py
+++ b/src/wallwell/placement/weights_roll_timing.py
@@ -9,7 +9,8 @@
 
 import itertools
 from collections.abc import Sequence
-from dataclasses import dataclass
+
+import msgspec
 
 from wallwell.deployment.weights import NamedVersion
 
@@ -30,8 +31,7 @@
 the operators' habit counts soon."""
 
 
-@dataclass(frozen=True)
-class RollCircumstances:
+class RollCircumstances(msgspec.Struct, frozen=True):
     """The fleet's state that a weights roll of one model would meet now."""
 
     generations_per_s: float
--- a/src/wallwell/platform/settings.py
+++ b/src/wallwell/platform/settings.py
@@ -8,7 +8,6 @@
 
 import os
 import tomllib
-from dataclasses import dataclass
 
 import msgspec
 
@@ -71,8 +70,7 @@
     """Bandwidth in megabits a second; 0 if it is not named."""
 
 
-@dataclass(frozen=True)
-class MetricsAddress:
+class MetricsAddress(msgspec.Struct, frozen=True):
     """Where metrics are served."""
 
     address: str
--- a/src/wallwell/rollout/bad_answers.py
+++ b/src/wallwell/rollout/bad_answers.py
@@ -8,6 +8,8 @@
 
 from dataclasses import dataclass
 
+import msgspec
+
 from wallwell.rollout.measures import Measure, count_bad
 from wallwell.rollout.model import Source
 from wallwell.rollout.totals import Totals
@@ -40,8 +42,7 @@
         self.allowed += null_rate * answers
 
 
-@dataclass(frozen=True)
-class RouteBasis:
+class RouteBasis(msgspec.Struct, frozen=True):
     """What one measure counts of a route by now: bucket beyond which answers are bad, the rate of bad answers that
     is allowed, and bad and all answers of each target back end."""
 
--- a/src/wallwell/rollout/exposure.py
+++ b/src/wallwell/rollout/exposure.py
@@ -9,7 +9,8 @@
 
 import math
 from collections import deque
-from dataclasses import dataclass
+
+import msgspec
 
 from wallwell.rollout.model import RolloutBounds
 
@@ -57,8 +58,7 @@
 distribution."""
 
 
-@dataclass(frozen=True)
-class Traffic:
+class Traffic(msgspec.Struct, frozen=True):
     """Requests sent since the order, and rates in requests a second: the mean, the highest and the lowest of
     late."""
 
@@ -106,8 +106,7 @@
         return rates
 
 
-@dataclass(frozen=True)
-class Exposure:
+class Exposure(msgspec.Struct, frozen=True):
     """The plan. ``bound``, ``spent`` and ``coming`` count requests; ``switch_fits`` if ``coming`` may all go to the
     target."""
 
--- a/src/wallwell/rollout/measures.py
+++ b/src/wallwell/rollout/measures.py
@@ -6,7 +6,8 @@
 from __future__ import annotations
 
 import math
-from dataclasses import dataclass
+
+import msgspec
 
 from wallwell.rollout.model import Source
 from wallwell.rollout.totals import Totals
@@ -23,8 +24,7 @@
 """What the target version's rate of failures may exceed the current one's by. Chosen, not measured."""
 
 
-@dataclass(frozen=True)
-class Measure:
+class Measure(msgspec.Struct, frozen=True):
     """One kind of bad answer. Delays count as late from ``factor_buckets`` beyond the usual bucket.
 
     ``cold_buckets`` are added for generations while the whole service moves to back ends with empty caches.
@@ -53,8 +53,7 @@
 """Buckets added for generations' first tokens: a cold cache alone may make them later by a factor of up to 1.4."""
 
 
-@dataclass(frozen=True)
-class VersionEvidence:
+class VersionEvidence(msgspec.Struct, frozen=True):
     """Evidence that the target version is bad, by the test in which it is greatest.
 
     ``log_evidence`` is the logarithm of a likelihood ratio, weighted by the number of tests. ``excess`` is how many
--- a/src/wallwell/rollout/model.py
+++ b/src/wallwell/rollout/model.py
@@ -33,8 +33,7 @@
         return self in (Phase.COMPLETE, Phase.ROLLED_BACK)
 
 
-@dataclass(frozen=True)
-class RolloutOrder:
+class RolloutOrder(msgspec.Struct, frozen=True):
     """An operator's order. ``store_version`` is the version of its row, so a later order has a larger one."""
 
     service: str
@@ -73,8 +72,7 @@
         return self.ordered_at_s + self.duration_s
 
 
-@dataclass(frozen=True)
-class RolloutBounds:
+class RolloutBounds(msgspec.Struct, frozen=True):
     """What a target version may get that turns out to be bad, whenever it does. Set by operators.
 
     Of all requests that reach its service between order and deadline it may get the fraction ``exposure_share``,
@@ -128,8 +126,7 @@
     answers: tuple[AnswerCounts, ...] = ()
 
 
-@dataclass(frozen=True)
-class Capacity:
+class Capacity(msgspec.Struct, frozen=True):
     """Slots of the back ends that can take requests, of the current and of the target version.
 
     ``current_in_flight`` counts requests in flight at current back ends; negative if that is not known.
--- a/src/wallwell/rollout/planner.py
+++ b/src/wallwell/rollout/planner.py
@@ -14,6 +14,8 @@
 import math
 from dataclasses import dataclass, field
 
+import msgspec
+
 from wallwell.rollout.evidence import EvidenceLog
 from wallwell.rollout.exposure import LAST_DECISION_S, Exposure, Traffic, TrafficLog, plan_exposure
 from wallwell.rollout.measures import FAILURES, SLOWNESS, VersionEvidence
@@ -85,8 +87,7 @@
     switching_since_s: float = math.inf
 
 
-@dataclass(frozen=True)
-class _Situation:
+class _Situation(msgspec.Struct, frozen=True):
     """All inputs of one decision. ``since_s`` is the time since the order, ``left_s`` until the deadline."""
 
     record: RolloutRecord
--- a/src/wallwell/rollout/service_rollout.py
+++ b/src/wallwell/rollout/service_rollout.py
@@ -12,6 +12,8 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
+import msgspec
+
 from wallwell.rollout.model import Phase, RolloutRecord
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.rendezvous import key_of, rendezvous_score
@@ -27,8 +29,7 @@
 chosen, not measured."""
 
 
-@dataclass(frozen=True)
-class BackendGroups:
+class BackendGroups(msgspec.Struct, frozen=True):
     """Listed back ends of a service by their version's role in its rollout. Those of excluded versions are in none.
 
     Once the rollout is complete, all that may get requests are in ``target``: a version that is listed later
--- a/src/wallwell/rollout/store.py
+++ b/src/wallwell/rollout/store.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import Protocol
 
+import msgspec
+
 from wallwell.rollout.model import RolloutRecord
 
 LEASE_NAME = "software"
@@ -13,8 +14,7 @@
 """Keys of records in this product's own table, before the service's name."""
 
 
-@dataclass(frozen=True)
-class StoredRollout:
+class StoredRollout(msgspec.Struct, frozen=True):
     """A service's rows as they were read or written. A version of 0 means that there is no such row."""
 
     record: RolloutRecord | None = None
--- a/src/wallwell/routing/admission/overload.py
+++ b/src/wallwell/routing/admission/overload.py
@@ -16,6 +16,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
+import msgspec
+
 from wallwell.routing.health.backend import Backend
 
 BEGIN_REFUSING = 1.1
@@ -38,8 +40,7 @@
 """Weight of the newest observation in the average: some twenty decide. Chosen, not measured."""
 
 
-@dataclass(frozen=True)
-class Occupancy:
+class Occupancy(msgspec.Struct, frozen=True):
     """Requests of all nodes under way at the engines that may be used, long prompts counted several times."""
 
     load: int
--- a/src/wallwell/routing/admission/relay_spending.py
+++ b/src/wallwell/routing/admission/relay_spending.py
@@ -7,7 +7,8 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass
+
+import msgspec
 
 RELAY_SILENCE_S = 1.5
 """Seconds after which a relay's last totals count no more: the lifetime of the loads that it reports.
@@ -15,8 +16,7 @@
 What was spent in a longer silence was earned in it too; counted at once it would refuse everybody for as long."""
 
 
-@dataclass(frozen=True)
-class _Report:
+class _Report(msgspec.Struct, frozen=True):
     """What a relay reported in one life, and when."""
 
     life: int
--- a/src/wallwell/routing/admission/tenant_limits.py
+++ b/src/wallwell/routing/admission/tenant_limits.py
@@ -20,7 +20,8 @@
 
 import random
 from collections.abc import Mapping
-from dataclasses import dataclass
+
+import msgspec
 
 from wallwell.deployment.routes import TenantLimit
 from wallwell.routing.admission.fleet_share import spendable_fraction
@@ -47,23 +48,20 @@
 Chosen, not measured."""
 
 
-@dataclass(frozen=True)
-class Admitted:
+class Admitted(msgspec.Struct, frozen=True):
     """Tokens taken for a request; refunded if it turns out not to have run."""
 
     tenant: str
     tokens: int
 
 
-@dataclass(frozen=True)
-class OverLimit:
+class OverLimit(msgspec.Struct, frozen=True):
     """The tenant's limit is used up; ``wait_s`` is when the tokens can be expected to be there."""
 
     wait_s: float
 
 
-@dataclass(frozen=True)
-class TenantUse:
+class TenantUse(msgspec.Struct, frozen=True):
     """How one tenant stands against its limit, for operators. Amounts are tokens, or requests if those count."""
 
     tenant: str
--- a/src/wallwell/routing/retry/retry_after.py
+++ b/src/wallwell/routing/retry/retry_after.py
@@ -17,7 +17,8 @@
 
 import enum
 import random
-from dataclasses import dataclass
+
+import msgspec
 
 from wallwell.routing.admission.overload import BEGIN_REFUSING, Occupancy, rank_steps
 
@@ -73,8 +74,7 @@
     TOO_LITTLE_TIME = "too little time left"
 
 
-@dataclass(frozen=True)
-class RefusalCircumstances:
+class RefusalCircumstances(msgspec.Struct, frozen=True):
     """What a node knows when it refuses a request. Times in seconds."""
 
     remaining_s: float
--- a/src/wallwell/routing/retry/retry_policy.py
+++ b/src/wallwell/routing/retry/retry_policy.py
@@ -15,7 +15,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+
+import msgspec
 
 from wallwell.deployment.routes import Route
 from wallwell.routing.retry.attempt_history import UNREACHABLE, AttemptHistory
@@ -32,13 +33,11 @@
 node's side of the network, and its caller reaches another node. Chosen, not measured."""
 
 
-@dataclass(frozen=True)
-class Retry:
+class Retry(msgspec.Struct, frozen=True):
     """Another attempt may be made; it is paid for if it costs anything."""
 
 
-@dataclass(frozen=True)
-class GiveUp:
+class GiveUp(msgspec.Struct, frozen=True):
     """No further attempt is made."""
 
     cause: RefusalCause
--- a/src/wallwell/routing/selection/kv_store.py
+++ b/src/wallwell/routing/selection/kv_store.py
@@ -11,7 +11,6 @@
 
 from collections import deque
 from collections.abc import Sequence
-from dataclasses import dataclass
 
 import msgspec
 
@@ -53,8 +52,7 @@
     whole: bool = False
 
 
-@dataclass(frozen=True)
-class _Key:
+class _Key(msgspec.Struct, frozen=True):
     scope: str
     part: str
 
--- a/src/wallwell/routing/selection/prefix_home.py
+++ b/src/wallwell/routing/selection/prefix_home.py
@@ -10,7 +10,8 @@
 
 import itertools
 from collections.abc import Sequence
-from dataclasses import dataclass
+
+import msgspec
 
 from wallwell.deployment.topology import Topology
 from wallwell.routing.health.backend import Backend
@@ -31,8 +32,7 @@
 ms, where the way to the other region and back takes 40 ms)."""
 
 
-@dataclass(frozen=True)
-class PromptPart:
+class PromptPart(msgspec.Struct, frozen=True):
     """A stretch of a prompt. Equal identities mean equal text after equal earlier parts."""
 
     identity: str
--- a/src/wallwell/routing/sliding_window.py
+++ b/src/wallwell/routing/sliding_window.py
@@ -5,9 +5,10 @@
 from collections import deque
 from dataclasses import dataclass, field
 
+import msgspec
 
-@dataclass(frozen=True)
-class _Entry:
+
+class _Entry(msgspec.Struct, frozen=True):
     at_s: float
     value: float
 
--- a/src/wallwell/serving/messages.py
+++ b/src/wallwell/serving/messages.py
@@ -10,6 +10,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+import msgspec
+
 from wallwell.deployment.backends import BackendRecord
 from wallwell.errors import RequestError
 from wallwell.routing.health.backend import Backend
@@ -19,8 +21,7 @@
 Headers = tuple[tuple[str, str], ...]
 
 
-@dataclass(frozen=True)
-class Generation:
+class Generation(msgspec.Struct, frozen=True):
     """What a caller says of a generation: its model, its prompt's parts and where to resume."""
 
     model: str
@@ -34,8 +35,7 @@
         return sum(part.tokens for part in self.parts)
 
 
-@dataclass(frozen=True)
-class CallerRequest:
+class CallerRequest(msgspec.Struct, frozen=True):
     """One request as a caller sent it. ``arrived_s`` is on this node's clock."""
 
     request_id: str
@@ -60,8 +60,7 @@
         return self.target.partition("?")[0]
 
 
-@dataclass(frozen=True)
-class CachePlan:
+class CachePlan(msgspec.Struct, frozen=True):
     """Where an engine may take and leave cached parts. ``scope`` separates caches that must not mix."""
 
     scope: str
@@ -92,8 +91,7 @@
     progress: SendProgress = field(default_factory=SendProgress)
 
 
-@dataclass(frozen=True)
-class AnswerHead:
+class AnswerHead(msgspec.Struct, frozen=True):
     """Status and headers of a back end's answer, to be passed on unchanged."""
 
     status: int
--- a/src/wallwell/storage/feed.py
+++ b/src/wallwell/storage/feed.py
@@ -12,9 +12,10 @@
 import asyncio
 import random
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Protocol
 
+import msgspec
+
 from wallwell.clock import boot_time_s
 from wallwell.deployment.freshness import StoreClock
 from wallwell.errors import HistoryLostError, PlatformUnavailableError
@@ -28,8 +29,7 @@
 """Bound of the exponent, so that it stays small however long failures go on; three pass ``MAX_RETRY_S``."""
 
 
-@dataclass(frozen=True)
-class FeedRow:
+class FeedRow(msgspec.Struct, frozen=True):
     """A row as of ``version``; ``value`` is None if it was deleted."""
 
     key: str
@@ -37,8 +37,7 @@
     version: int
 
 
-@dataclass(frozen=True)
-class FeedPage:
+class FeedPage(msgspec.Struct, frozen=True):
     """Rows of one answer. ``store_s`` is the store's steady clock when the answer was made.
 
     ``relayed``: a peer passed it on, so that the times of the call say nothing of the store's clock.
@@ -50,8 +49,7 @@
     relayed: bool = False
 
 
-@dataclass(frozen=True)
-class FollowedPage:
+class FollowedPage(msgspec.Struct, frozen=True):
     """A page as a follower hands it on. Times are on this node's clock."""
 
     page: FeedPage
--- a/tests/platform/test_send_progress.py
+++ b/tests/platform/test_send_progress.py
@@ -1,8 +1,8 @@
 """The workers' client tells whether a request can have left: only once its connection is up."""
 
 import asyncio
-import dataclasses
 
+import msgspec
 import pytest
 
 from tests.platform.stand_ins import WorkerStandIn
@@ -24,7 +24,7 @@
                 await asyncio.sleep(3600)
 
             pool._connect = never
-        request = dataclasses.replace(make_request(), headers=(("Host", "h"),))
+        request = msgspec.structs.replace(make_request(), headers=(("Host", "h"),))
         dispatch = Dispatch(BackendRecord("i-1", "svc", worker.address, "z", 8), request, "", 5.0, 0)
         sending = asyncio.ensure_future(WorkerClient(pool).send(dispatch))
         while not (worker.requests if comes_up else dispatch.progress.connecting):
--- a/tests/unit/node/test_fleet_recovery.py
+++ b/tests/unit/node/test_fleet_recovery.py
@@ -12,6 +12,7 @@
 import statistics
 from collections import Counter, OrderedDict, deque
 
+import msgspec
 import pytest
 
 from tests.unit.serving.fakes import make_request, make_route
@@ -40,7 +41,7 @@
 DARK_ENGINES = 15
 DARK_FROM_S, DARK_TO_S = 2.0, 9.0
 RECOVERED_S = DARK_TO_S + 3.0
-ROUTE = dataclasses.replace(make_route(RouteKind.STREAM, timeout_s=5.0), objective_s=OBJECTIVE_S)
+ROUTE = msgspec.structs.replace(make_route(RouteKind.STREAM, timeout_s=5.0), objective_s=OBJECTIVE_S)
 
 
 class Recent:
--- a/tests/unit/node/test_kv_store_choice.py
+++ b/tests/unit/node/test_kv_store_choice.py
@@ -2,6 +2,7 @@
 
 import dataclasses
 
+import msgspec
 import pytest
 
 from tests.unit.serving.fakes import (
@@ -37,7 +38,7 @@
         state.freshness.confirm(boot_time_s())
         client = FakeClient(ANSWER)
         for prompt in prompts:
-            generation = dataclasses.replace(
+            generation = msgspec.structs.replace(
                 make_generation(), parts=(PromptPart(prompt, 100), PromptPart("own", 9))
             )
             await RequestPipeline(state, client).serve(make_request(generation=generation), FakeReply())
--- a/tests/unit/routing/admission/test_request_content.py
+++ b/tests/unit/routing/admission/test_request_content.py
@@ -1,6 +1,6 @@
 """What a request holds: the same each time it is sent, and different for all else."""
 
-import dataclasses
+import msgspec
 
 from tests.unit.serving.fakes import FakeReply, make_request, make_route
 from wallwell.deployment.routes import TenantAccess
@@ -24,7 +24,7 @@
 
 def test_a_request_that_is_sent_again_under_another_id_and_deadline_holds_the_same():
     def content(**changes):
-        request = dataclasses.replace(make_request(body=b"body"), **changes)
+        request = msgspec.structs.replace(make_request(body=b"body"), **changes)
         tenant = TenantAccess("t", ("key", "key2"))
         return ActiveRequest(request, FakeReply(), make_route(), tenant, "svc", 0.0, AttemptLog(True)).content
 
--- a/tests/unit/serving/test_limited_requests.py
+++ b/tests/unit/serving/test_limited_requests.py
@@ -1,7 +1,6 @@
 """What a request takes of its tenant's limit, what is refunded, and when a refused caller may retry."""
 
-import dataclasses
-
+import msgspec
 import pytest
 
 from tests.unit.serving.fakes import FakeClient, FakeReply, Script, make_request, make_route, make_state
@@ -30,7 +29,7 @@
         pipeline = RequestPipeline(state, FakeClient(*scripts))
         replies = [FakeReply() for _ in range(requests)]
         for reply in replies:
-            await pipeline.serve(dataclasses.replace(make_request(), declared_tokens=declared_tokens), reply)
+            await pipeline.serve(msgspec.structs.replace(make_request(), declared_tokens=declared_tokens), reply)
         return replies, state.load.limits.levels(now_s).get("t", LIMIT.burst)
 
     return run_virtual(work())
--- a/tests/unit/serving/test_regions.py
+++ b/tests/unit/serving/test_regions.py
@@ -5,6 +5,7 @@
 import random
 from collections import Counter
 
+import msgspec
 import pytest
 
 from tests.unit.serving.fakes import (
@@ -63,7 +64,7 @@
         client = FakeClient(Script(chunks=(event(1),), stream=True))
         for prompt in prompts:
             parts = (PromptPart(prompt, 2000), PromptPart("own", 9))
-            generation = dataclasses.replace(make_generation(), parts=parts)
+            generation = msgspec.structs.replace(make_generation(), parts=parts)
             await RequestPipeline(state, client).serve(make_request(generation=generation), FakeReply())
         return [sent.cache for sent in client.sent]
 
@@ -171,7 +172,7 @@
 def exchange_of(prompt, tokens=100, own=9):
     """Return the active request of a generation with a shared part of this name."""
     parts = (PromptPart(prompt, tokens), PromptPart("own", own))
-    request = make_request(generation=dataclasses.replace(make_generation(), parts=parts))
+    request = make_request(generation=msgspec.structs.replace(make_generation(), parts=parts))
     return ActiveRequest(request, None, STREAM, None, "svc", 1e9, AttemptLog(repeatable=True))
 
 
--- a/tests/unit/serving/test_rollout_requests.py
+++ b/tests/unit/serving/test_rollout_requests.py
@@ -2,6 +2,7 @@
 
 from dataclasses import replace
 
+import msgspec
 import pytest
 
 from tests.unit.serving.fakes import (
@@ -177,7 +178,7 @@
         state.rollouts.active["svc"].record_written_s -= 1.0
 
     slow = Script(fails=T.RESET_AFTER_SEND, head_after_s=3.0)
-    route = replace(SAFE, objective_s=4.0)
+    route = msgspec.structs.replace(SAFE, objective_s=4.0)
     assert serve([slow, OK], phase=Phase.SWITCHING, route=route, prepare=prepare)[0] == ["v1", "v1"]
 
 
@@ -223,7 +224,7 @@
 
 def test_a_silent_target_back_end_counts_as_late():
     silent = Script(head_after_s=60.0)
-    route = replace(SAFE, timeout_s=2.0, max_attempts=1)
+    route = msgspec.structs.replace(SAFE, timeout_s=2.0, max_attempts=1)
     _, reply, state = serve([silent], phase=Phase.SWITCHING, route=route)
     (target,) = counts_of(state).answers
     assert (reply.status, target.broken, target.first_delays) == (504, 1, {delay_bucket(2.0): 1})
