--- a/src/wallwell/bench/overhead.py
+++ b/src/wallwell/bench/overhead.py
@@ -17,7 +17,7 @@
 import msgspec
 import numpy
 
-from wallwell.emulator.deployment import Fleet
+from wallwell.emulator.deployment import EmulatedDeployment
 from wallwell.emulator.engine_model import EngineProfile
 
 PAIRS = 200
@@ -48,7 +48,7 @@
 
 async def measure_overhead(examples: Path, quick: bool, progress: Callable[[str], None]) -> OverheadResult:
     """Measure with one router and one engine of the pharmacy example."""
-    fleet = Fleet(examples / "pharmacy", profile=_FAST)
+    fleet = EmulatedDeployment(examples / "pharmacy", profile=_FAST)
     await fleet.start()
     pairs = QUICK_PAIRS if quick else PAIRS
     progress(f"{pairs} pairs of streams of {CHUNKS} chunks")
--- a/src/wallwell/bench/policy_run.py
+++ b/src/wallwell/bench/policy_run.py
@@ -8,8 +8,8 @@
 
 from wallwell.bench.load import LoadDriver, LoadResult
 from wallwell.bench.workload import ServiceRequest, TraceRequest
-from wallwell.emulator.deployment import Fleet
-from wallwell.emulator.engine_server import generated_word
+from wallwell.emulator.deployment import EmulatedDeployment
+from wallwell.emulator.engine_output import generated_word
 
 
 @dataclass(frozen=True)
@@ -42,7 +42,7 @@
     warm_up_s: float = 0.0,
 ) -> PolicyRun:
     """Start the deployment whose operators' files are in ``directory``, send the trace and stop it."""
-    fleet = Fleet(directory, policy=policy)
+    fleet = EmulatedDeployment(directory, policy=policy)
     progress(f"{directory.name}, {policy}: starting")
 
     def show_count(done: int) -> None:
@@ -68,7 +68,7 @@
         await fleet.stop()
 
 
-def _measure(fleet: Fleet, policy: str, load: LoadResult, trace: Sequence[TraceRequest]) -> PolicyRun:
+def _measure(fleet: EmulatedDeployment, policy: str, load: LoadResult, trace: Sequence[TraceRequest]) -> PolicyRun:
     models = [fleet.engine(name).model for name in fleet.engines]
     keys = fleet.journal()
     sent = {request.key for request in trace if isinstance(request, ServiceRequest) and request.key}
--- a/src/wallwell/emulator/deployment.py
+++ b/src/wallwell/emulator/deployment.py
@@ -1,7 +1,7 @@
 """A deployment in one process: routers, engines, services and the platform over loopback sockets.
 
-Used by the demo, the load tool and tests. The operators' files are those of
-``examples/``; only the back ends' addresses are replaced by ports the system chose.
+Used by the demo, the load tool and tests. The operators' files are those of ``examples/``; only the back ends'
+addresses are replaced by ports the system chose.
 """
 
 from __future__ import annotations
@@ -31,7 +31,23 @@
 CLUSTER_KEY = "fleet-cluster-key-0123456789"
 HOST = "127.0.0.1"
 AWAY_S = 1.2
-"""How long a stand-in's process is away after a crash."""
+"""Seconds until a stand-in that has crashed listens again."""
+SHUTDOWN_TIMEOUT_S = 0.05
+"""Seconds for which handlers are waited for: a stand-in has nothing to finish."""
+CALLS_PER_S = 2000.0
+"""Calls a second that the platform serves, so that its limit is none for a deployment in one process."""
+SYNC_INTERVAL_S = 0.2
+"""Seconds between two reconciliations of routers. Chosen, not measured: short, so that tests need not wait."""
+SUSPICION_TIMEOUT_S = 1.0
+"""Seconds until a suspected router counts as failed. Chosen, not measured: short, so that tests need not wait."""
+READY_TIMEOUT_S = 15.0
+"""Seconds until all routers must be ready. Chosen, not measured: one process starts them all."""
+READY_CHECK_S = 0.05
+"""Seconds between two checks of that."""
+APPLY_ID_BYTES = 12
+"""Random bytes of the id of a change."""
+_ADDRESS = re.compile(r"\d+(?:\.\d+){3}:\d+")
+"""``IP:PORT`` in an operators' file."""
 
 
 class EmulatedBackend:
@@ -48,7 +64,7 @@
     async def start(self, port: int = 0) -> str:
         """Listen; returns ``IP:port``."""
         self._runner = web.AppRunner(
-            self.server.app(), handler_cancellation=True, access_log=None, shutdown_timeout=0.05
+            self.server.app(), handler_cancellation=True, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S
         )
         await self._runner.setup()
         await web.TCPSite(self._runner, HOST, port).start()
@@ -73,7 +89,7 @@
             self._runner = None
 
 
-class Fleet:
+class EmulatedDeployment:
     """One deployment. ``start`` brings everything up, applies the operators' files and waits for readiness."""
 
     def __init__(
@@ -85,7 +101,7 @@
         self._directory = directory
         self._policy = policy
         self._profile = profile or EngineProfile()
-        self.platform = EmulatedBackend(PlatformServer(calls_per_s=2000.0))
+        self.platform = EmulatedBackend(PlatformServer(calls_per_s=CALLS_PER_S))
         self.engines: dict[str, EmulatedBackend] = {}
         self.services: dict[str, EmulatedBackend] = {}
         self.routers: list[RouterNode] = []
@@ -142,7 +158,7 @@
         return replaced
 
     def _with_addresses(self, file: ConfigFile, replaced: dict[str, str]) -> ConfigFile:
-        body = re.sub(r"\d+(?:\.\d+){3}:\d+", lambda found: replaced.get(found.group(), found.group()), file.body)
+        body = _ADDRESS.sub(lambda found: replaced.get(found.group(), found.group()), file.body)
         changed, _ = parse_file(body)
         assert changed is not None
         return changed
@@ -157,7 +173,12 @@
             region=region,
             operator_token=OPERATOR_TOKEN,
             policy=self._policy,
-            cluster=ClusterSettings(key=CLUSTER_KEY, seeds=seeds, sync_interval_s=0.2, suspicion_timeout_s=1.0),
+            cluster=ClusterSettings(
+                key=CLUSTER_KEY,
+                seeds=seeds,
+                sync_interval_s=SYNC_INTERVAL_S,
+                suspicion_timeout_s=SUSPICION_TIMEOUT_S,
+            ),
             platform=PlatformAddresses(table=platform, machines=platform),
         )
         router = RouterNode(settings, seed=1 + len(self.routers))
@@ -171,7 +192,7 @@
         async with aiohttp.ClientSession() as session:
             client = self.operator(router, session)
             for file in files:
-                answer = await client.apply(ApplyRequest(secrets.token_hex(12), "fleet", file.body))
+                answer = await client.apply(ApplyRequest(secrets.token_hex(APPLY_ID_BYTES), "fleet", file.body))
                 revision = max(revision, answer.revision)
         return revision
 
@@ -179,11 +200,11 @@
         """Return an operators' client of one router."""
         return OperatorClient(f"http://{self.routers[router].operators_address}", OPERATOR_TOKEN, session)
 
-    async def wait_ready(self, timeout_s: float = 15.0) -> None:
-        """Wait until every router serves the highest revision and every engine is being read."""
+    async def wait_ready(self, timeout_s: float = READY_TIMEOUT_S) -> None:
+        """Wait until every router serves the highest revision and reads the events of every engine."""
         async with asyncio.timeout(timeout_s):
             while not self._is_ready():
-                await asyncio.sleep(0.05)
+                await asyncio.sleep(READY_CHECK_S)
 
     def _is_ready(self) -> bool:
         head = max(router.context.node.config.head for router in self.routers)
--- a/src/wallwell/emulator/engine_model.py
+++ b/src/wallwell/emulator/engine_model.py
@@ -1,8 +1,7 @@
 """Timing and cache model of a model engine: continuous batching with a prefix cache.
 
-Pure: the caller passes time in and runs the steps. One step prefills up
-to ``max_prefill_tokens`` tokens of the waiting requests, in priority order, and decodes one token of every
-running request. Its duration grows with both.
+Pure: the caller passes time in and runs the steps. One step prefills up to ``max_prefill_tokens`` tokens of the
+waiting requests, in priority order, and decodes one token of every running request. Its duration grows with both.
 """
 
 from __future__ import annotations
@@ -17,16 +16,24 @@
 
 @dataclass(frozen=True)
 class EngineProfile:
-    """Speed and size of one engine."""
+    """Speed and size of one engine. Chosen, not measured: in the order of a small model on one accelerator."""
 
     block_tokens: int = 16
+    """Tokens of one cached block."""
     bytes_per_token: int = 4
+    """Bytes of text that count as one token."""
     cache_blocks: int = 4000
+    """Blocks that the cache holds."""
     max_batch: int = 32
+    """Requests that decode at the same time."""
     max_prefill_tokens: int = 1024
+    """Prompt tokens that one step computes at most."""
     step_base_s: float = 0.008
+    """Seconds of an empty step."""
     decode_s_per_request: float = 0.0004
+    """Seconds that each decoding request adds to a step."""
     prefill_s_per_token: float = 1 / 16_000
+    """Seconds that each prompt token adds to a step."""
 
     @property
     def block_bytes(self) -> int:
@@ -61,8 +68,8 @@
         return self.prompt_tokens - self.cached_tokens - self.prefilled_tokens
 
 
-class BlockPlace(NamedTuple):
-    """Where a block stands: the first block of its chain, and its index in it."""
+class BlockPosition(NamedTuple):
+    """A block's position: the first block of its chain, and its index in it."""
 
     root: int
     depth: int
@@ -96,7 +103,7 @@
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
-        self._blocks: OrderedDict[int, BlockPlace] = OrderedDict()
+        self._blocks: OrderedDict[int, BlockPosition] = OrderedDict()
         self.evicted_once: set[int] = set()
 
     def __len__(self) -> int:
@@ -120,12 +127,14 @@
             if block in self._blocks:
                 self._blocks.move_to_end(block)
 
-    def insert(self, chain: Sequence[int]) -> tuple[list[tuple[int, BlockPlace]], list[tuple[int, BlockPlace]]]:
-        """Store a chain; returns the blocks ``(stored, evicted)`` with their places."""
+    def insert(
+        self, chain: Sequence[int]
+    ) -> tuple[list[tuple[int, BlockPosition]], list[tuple[int, BlockPosition]]]:
+        """Store a chain; returns the blocks ``(stored, evicted)`` with their positions."""
         stored = []
         for depth, block in enumerate(chain):
             if block not in self._blocks:
-                self._blocks[block] = BlockPlace(chain[0], depth)
+                self._blocks[block] = BlockPosition(chain[0], depth)
                 stored.append((block, self._blocks[block]))
         self.touch(chain)
         evicted = []
@@ -134,11 +143,15 @@
         self.evicted_once.update(block for block, _ in evicted)
         return stored, evicted
 
-    def items(self) -> list[tuple[int, BlockPlace]]:
-        """Every cached block with its place."""
+    def items(self) -> list[tuple[int, BlockPosition]]:
+        """Every cached block with its position."""
         return list(self._blocks.items())
 
 
+MAX_EVENTS = 100_000
+"""Cache events kept for readers that lag behind; far more than one run makes."""
+
+
 class EngineModel:
     """One incarnation of one engine."""
 
@@ -147,7 +160,7 @@
         self.cache = PrefixCache(profile.cache_blocks)
         self.waiting: list[EngineRequest] = []
         self.running: list[EngineRequest] = []
-        self.events: deque[CacheEvent] = deque(maxlen=100_000)
+        self.events: deque[CacheEvent] = deque(maxlen=MAX_EVENTS)
         self._sequence = 0
         self.prefill_tokens_total = 0
         self.cached_tokens_total = 0
@@ -243,17 +256,17 @@
         stored, evicted = self.cache.insert(chain)
         for run in _consecutive_runs(stored):
             self._publish(True, run)
-        by_root: dict[int, list[tuple[int, BlockPlace]]] = {}
-        for block, place in evicted:
-            by_root.setdefault(place.root, []).append((block, place))
+        by_root: dict[int, list[tuple[int, BlockPosition]]] = {}
+        for block, position in evicted:
+            by_root.setdefault(position.root, []).append((block, position))
         for group in by_root.values():
             self._publish(False, group)
 
-    def _publish(self, stored: bool, blocks: Sequence[tuple[int, BlockPlace]]) -> None:
+    def _publish(self, stored: bool, blocks: Sequence[tuple[int, BlockPosition]]) -> None:
         self._sequence += 1
-        place = blocks[0][1]
+        position = blocks[0][1]
         hashes = tuple(block for block, _ in blocks)
-        self.events.append(CacheEvent(self._sequence, stored, place.root, place.depth, hashes))
+        self.events.append(CacheEvent(self._sequence, stored, position.root, position.depth, hashes))
 
     @property
     def last_sequence(self) -> int:
@@ -261,9 +274,9 @@
         return self._sequence
 
 
-def _consecutive_runs(stored: Sequence[tuple[int, BlockPlace]]) -> list[list[tuple[int, BlockPlace]]]:
+def _consecutive_runs(stored: Sequence[tuple[int, BlockPosition]]) -> list[list[tuple[int, BlockPosition]]]:
     """Split stored blocks where their depths do not follow on."""
-    runs: list[list[tuple[int, BlockPlace]]] = []
+    runs: list[list[tuple[int, BlockPosition]]] = []
     for entry in stored:
         if runs and runs[-1][-1][1].depth + 1 == entry[1].depth:
             runs[-1].append(entry)
--- /dev/null
+++ b/src/wallwell/emulator/engine_output.py
@@ -0,0 +1,46 @@
+"""What a stand-in engine generates and sends: tokens, stream events, cache events and entries of a snapshot.
+Pure."""
+
+from __future__ import annotations
+
+import msgspec
+import xxhash
+
+from wallwell.emulator.engine_model import BlockPosition, CacheEvent
+from wallwell.standalone.backends import engine_protocol as wire
+
+_WORDS = ("take", "with", "food", "daily", "dose", "check", "hut", "trail", "ridge", "permit", "bed", "safe")
+
+
+def generated_word(prompt: bytes, index: int) -> str:
+    """Return the token at ``index`` that every stand-in engine generates for ``prompt``."""
+    return _WORDS[xxhash.xxh3_64_intdigest(prompt, index) % len(_WORDS)] + " "
+
+
+def stream_event(request_id: str, index: int, payload: bytes) -> bytes:
+    """Return one event of a stream."""
+    return b"id: %s/%d\ndata: %s\n\n" % (request_id.encode(), index, payload)
+
+
+def snapshot_entry(block: int, position: BlockPosition) -> wire.SnapshotEntry:
+    """Return a cached block as it travels in a snapshot."""
+    return wire.SnapshotEntry(wire.hash_text(position.root), position.depth, wire.pack_hashes([block]))
+
+
+def cache_line(event: CacheEvent) -> wire.CacheLine:
+    """Return a cache event as it travels."""
+    return wire.CacheLine(
+        sequence=event.sequence,
+        stored=event.stored,
+        root=wire.hash_text(event.root),
+        depth=event.depth,
+        blocks=wire.pack_hashes(event.blocks),
+    )
+
+
+def chunk(model: str, request_id: str, text: str, chat: bool, last: bool) -> bytes:
+    """Return the JSON of one token in the callers' format."""
+    choice: dict[str, object] = {"index": 0, "finish_reason": "stop" if last else None}
+    choice |= {"delta": {"content": text}} if chat else {"text": text}
+    kind = "chat.completion.chunk" if chat else "text_completion"
+    return msgspec.json.encode({"id": request_id, "object": kind, "model": model, "choices": [choice]})
--- a/src/wallwell/emulator/engine_server.py
+++ b/src/wallwell/emulator/engine_server.py
@@ -1,4 +1,8 @@
-"""Stand-in for a model engine over HTTP: drives :class:`EngineModel` in real time."""
+"""Stand-in for a model engine over HTTP: drives :class:`EngineModel` in real time.
+
+Owns the streams of requests, the incarnation and the orders. What it sends is made in
+:mod:`wallwell.emulator.engine_output`.
+"""
 
 from __future__ import annotations
 
@@ -8,23 +12,33 @@
 from dataclasses import dataclass, field
 
 import msgspec
-import xxhash
 from aiohttp import web
 
 from wallwell.emulator.engine_model import CacheEvent, EngineModel, EngineProfile, EngineRequest, StepResult
+from wallwell.emulator.engine_output import cache_line, chunk, generated_word, snapshot_entry, stream_event
 from wallwell.emulator.faults import FaultControl, cut_connection, reset_connection
 from wallwell.standalone.backends import engine_protocol as wire
 from wallwell.standalone.callers.openai_format import ChatBody, CompletionBody, parse_generation, render_prompt
 from wallwell.standalone.routing.blocks import hash_chain
 
-_WORDS = ("take", "with", "food", "daily", "dose", "check", "hut", "trail", "ridge", "permit", "bed", "safe")
+EVENT_DELAY_S = 0.1
+"""Seconds between two batches of cache events."""
+LOAD_LAG_S = 0.2
+"""Age, in seconds, that load reports state."""
+WEIGHT_LOAD_S = 0.3
+"""Seconds that new weights take to load."""
+MAX_BODY_BYTES = 16 * 1024 * 1024
+"""Bytes of a request's body."""
 _LOAD_INTERVAL_S = 0.5
+"""Seconds between two load reports."""
 _CUT_DELAY_S = 0.02
-
-
-def generated_word(prompt: bytes, index: int) -> str:
-    """Return the token at ``index`` that every stand-in engine generates for ``prompt``."""
-    return _WORDS[xxhash.xxh3_64_intdigest(prompt, index) % len(_WORDS)] + " "
+"""Seconds from the last chunk to the close of a stream that is cut."""
+_STALL_CHECK_S = 0.02
+"""Seconds between two checks whether a pause or a stall is over."""
+_IDLE_CHECK_S = 0.01
+"""Seconds between two checks whether the running requests have ended."""
+_GOLDEN_FRACTION = 0.618034
+"""Fractional part of the golden ratio: its multiples spread dropped events evenly, and the same ones each time."""
 
 
 @dataclass
@@ -41,8 +55,8 @@
         name: str,
         weights: dict[str, str],
         profile: EngineProfile | None = None,
-        event_delay_s: float = 0.1,
-        load_lag_s: float = 0.2,
+        event_delay_s: float = EVENT_DELAY_S,
+        load_lag_s: float = LOAD_LAG_S,
     ) -> None:
         self.name = name
         self.weights = dict(weights)
@@ -51,7 +65,7 @@
         self.state = wire.EngineState.SERVING
         self.journal: list[str] = []
         self.highest_fence = 0
-        self.weight_load_s = 0.3
+        self.weight_load_s = WEIGHT_LOAD_S
         self._load_task: asyncio.Task[None] | None = None
         self.refused = 0
         self.validity_violations: list[str] = []
@@ -70,7 +84,7 @@
 
     def app(self) -> web.Application:
         """Return the aiohttp application."""
-        app = web.Application(client_max_size=16 * 1024 * 1024)
+        app = web.Application(client_max_size=MAX_BODY_BYTES)
         self.faults.install(app)
         app.router.add_post("/v1/completions", self._generate)
         app.router.add_post("/v1/chat/completions", self._generate)
@@ -92,7 +106,7 @@
             self._loop_task.cancel()
 
     def crash(self) -> None:
-        """Lose everything: reset all connections and come back as a new, empty incarnation."""
+        """Lose everything: reset all connections and begin a new, empty incarnation."""
         for stream in self._streams.values():
             stream.tokens.put_nowait(None)
         self._streams.clear()
@@ -110,7 +124,7 @@
             result = model.step()
             await asyncio.sleep(result.duration_s)
             while self.faults.switches.paused:
-                await asyncio.sleep(0.02)
+                await asyncio.sleep(_STALL_CHECK_S)
             if model is self.model:
                 self._hand_out(result)
 
@@ -213,8 +227,8 @@
         faults = self.faults
         while index is not None:
             last = index + 1 >= body.max_tokens
-            payload = _chunk(body.model, request_id, generated_word(prompt, index), chat, last)
-            event = b"id: %s/%d\ndata: %s\n\n" % (request_id.encode(), index, payload)
+            payload = chunk(body.model, request_id, generated_word(prompt, index), chat, last)
+            event = stream_event(request_id, index, payload)
             await response.write(event * (2 if faults.switches.duplicate_chunks else 1))
             sent += 1
             if faults.switches.cut_streams_after and sent >= faults.switches.cut_streams_after:
@@ -222,7 +236,7 @@
                 await asyncio.sleep(_CUT_DELAY_S)
                 return cut_connection(request)
             while faults.switches.stall_streams_after and sent >= faults.switches.stall_streams_after:
-                await asyncio.sleep(0.02)
+                await asyncio.sleep(_STALL_CHECK_S)
             if last:
                 await response.write(wire.DONE_EVENT + b"\n\n")
                 await response.write_eof()
@@ -282,7 +296,7 @@
                     await asyncio.sleep(self._event_delay_s)
                 await response.write(msgspec.json.encode(load) + b"\n")
         except (ConnectionError, asyncio.CancelledError):
-            return response
+            return response  # The reader or the stand-in has ended.
         finally:
             self._event_connections.pop(id(request), None)
 
@@ -292,20 +306,17 @@
             if event.sequence > after:
                 after = event.sequence
                 if not self._drops(event):
-                    lines.append(msgspec.json.encode(_cache_line(event)))
+                    lines.append(msgspec.json.encode(cache_line(event)))
         if lines:
             await response.write(b"\n".join(lines) + b"\n")
         return after
 
     def _drops(self, event: CacheEvent) -> bool:
         ratio = self.faults.switches.drop_event_ratio
-        return ratio > 0 and (event.sequence * 0.618034) % 1.0 < ratio
+        return ratio > 0 and (event.sequence * _GOLDEN_FRACTION) % 1.0 < ratio
 
     async def _snapshot(self, _request: web.Request) -> web.Response:
-        entries = tuple(
-            wire.SnapshotEntry(wire.hash_text(place.root), place.depth, wire.pack_hashes([block]))
-            for block, place in self.model.cache.items()
-        )
+        entries = tuple(snapshot_entry(block, position) for block, position in self.model.cache.items())
         snapshot = wire.CacheSnapshot(self.incarnation, self.model.last_sequence, entries)
         return web.Response(body=msgspec.json.encode(snapshot))
 
@@ -321,7 +332,7 @@
     async def _load_weights(self, order: wire.LoadOrder) -> None:
         """Finish what runs, load, and serve the new weights with an empty cache."""
         while not self.model.idle:
-            await asyncio.sleep(0.01)
+            await asyncio.sleep(_IDLE_CHECK_S)
         await asyncio.sleep(self.weight_load_s)
         self.weights[order.model] = order.weights_version
         self._begin_incarnation()
@@ -334,20 +345,3 @@
     async def _leave(self, _request: web.Request) -> web.Response:
         self.state = wire.EngineState.LEAVING
         return web.Response()
-
-
-def _cache_line(event: CacheEvent) -> wire.CacheLine:
-    return wire.CacheLine(
-        sequence=event.sequence,
-        stored=event.stored,
-        root=wire.hash_text(event.root),
-        depth=event.depth,
-        blocks=wire.pack_hashes(event.blocks),
-    )
-
-
-def _chunk(model: str, request_id: str, text: str, chat: bool, last: bool) -> bytes:
-    choice: dict[str, object] = {"index": 0, "finish_reason": "stop" if last else None}
-    choice |= {"delta": {"content": text}} if chat else {"text": text}
-    kind = "chat.completion.chunk" if chat else "text_completion"
-    return msgspec.json.encode({"id": request_id, "object": kind, "model": model, "choices": [choice]})
--- a/src/wallwell/emulator/faults.py
+++ b/src/wallwell/emulator/faults.py
@@ -1,4 +1,7 @@
-"""Fault switches shared by every stand-in, as an aiohttp middleware and one control endpoint."""
+"""Fault switches shared by every stand-in, as an aiohttp middleware and one control endpoint.
+
+Owns the switches; a stand-in asks for those that concern its own answers. All are off at start.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,14 @@
 from wallwell.events import Event, emit
 
 FAULTS_PATH = "/_faults"
+"""Takes a JSON object of switches to change; the others stay."""
+PAUSE_CHECK_S = 0.02
+"""Seconds between two checks whether a pause is over."""
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 class FaultSwitches(msgspec.Struct, forbid_unknown_fields=True):
-    """Faults a stand-in can be told to have. All are off at start."""
+    """Faults of a stand-in. All are off at start."""
 
     down: bool = False
     """Reset every connection before doing anything."""
@@ -79,7 +85,7 @@
         if self.switches.down:
             return reset_connection(request)
         while self.switches.paused:
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(PAUSE_CHECK_S)
         if self.switches.slow_s > 0:
             await asyncio.sleep(self.switches.slow_s)
         if self.switches.crash_on and self.on_crash and self.switches.crash_on.encode() in await request.read():
--- a/src/wallwell/emulator/platform_server.py
+++ b/src/wallwell/emulator/platform_server.py
@@ -1,9 +1,11 @@
-"""Stand-in for the platform: table service, object store, weight store and machine list."""
+"""Stand-in for the services that a router without the platform's store needs: table, objects, weights, machine
+list."""
 
 from __future__ import annotations
 
 import asyncio
 import time
+from http import HTTPStatus
 
 import msgspec
 from aiohttp import web
@@ -13,6 +15,15 @@
 from wallwell.standalone.routing.limits import TokenBucket
 from wallwell.storage.table import Commit, Row, Scan, Transaction
 
+CALLS_PER_S = 500.0
+"""Calls a second that are served; more get 429. Chosen, not measured: far above what three routers make."""
+WEIGHT_LOAD_S = 0.2
+"""Seconds that one engine needs to load weights."""
+WEIGHT_SLOTS = 2
+"""Engines that load side by side without slowing each other down."""
+MAX_BODY_BYTES = 64 * 1024 * 1024
+"""Bytes of one object."""
+
 
 class ConditionFailed(Exception):
     """A condition of a transaction did not hold."""
@@ -40,14 +51,19 @@
 
     def scan(self, prefix: str, after_version: int) -> Scan:
         """Return rows under ``prefix`` with a version above ``after_version``."""
-        rows = [r for k, r in self.rows.items() if k.startswith(prefix) and r.version > after_version]
+        rows = [row for key, row in self.rows.items() if key.startswith(prefix) and row.version > after_version]
         return Scan(self.commit, tuple(sorted(rows, key=lambda row: row.version)))
 
 
 class PlatformServer:
     """The platform's four services on one listener, each with its own path."""
 
-    def __init__(self, calls_per_s: float = 500.0, weight_load_s: float = 0.2, weight_slots: int = 2) -> None:
+    def __init__(
+        self,
+        calls_per_s: float = CALLS_PER_S,
+        weight_load_s: float = WEIGHT_LOAD_S,
+        weight_slots: int = WEIGHT_SLOTS,
+    ) -> None:
         self.table = TableModel()
         self.objects: dict[str, bytes] = {}
         self.machines: dict[str, MachineState] = {}
@@ -60,7 +76,7 @@
 
     def app(self) -> web.Application:
         """Return the aiohttp application."""
-        app = web.Application(client_max_size=64 * 1024 * 1024)
+        app = web.Application(client_max_size=MAX_BODY_BYTES)
         self.faults.install(app)
         app.middlewares.append(self._rate_limit)
         app.router.add_post("/transact", self._transact)
@@ -77,7 +93,7 @@
         if not request.path.startswith("/_"):
             self.calls += 1
             if not self._bucket.try_take(time.monotonic()):
-                return web.Response(status=429)
+                return web.Response(status=HTTPStatus.TOO_MANY_REQUESTS)
         return await handler(request)  # type: ignore[operator, no-any-return]
 
     async def _transact(self, request: web.Request) -> web.Response:
@@ -85,7 +101,7 @@
         try:
             commit = self.table.transact(transaction)
         except ConditionFailed as failed:
-            return web.Response(status=409, text=str(failed))
+            return web.Response(status=HTTPStatus.CONFLICT, text=str(failed))
         return _json(Commit(commit))
 
     async def _row(self, request: web.Request) -> web.Response:
--- a/src/wallwell/emulator/platform_store.py
+++ b/src/wallwell/emulator/platform_store.py
@@ -1,4 +1,7 @@
-"""Stand-in for the users' platform's store over HTTP: rows, conditions, a feed of changes, and fault switches."""
+"""Stand-in for the platform's store over HTTP: rows, conditions, a feed of changes, and fault switches.
+
+Relies on the names and the transaction's form of :mod:`wallwell.platform`; rows and their order are its own.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +10,7 @@
 import json
 from collections.abc import Iterable
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 
 import msgspec
@@ -18,22 +22,25 @@
 from wallwell.platform.store_wire import TransactBody
 
 MAX_PAGE_ROWS = 500
-CONFLICT = 412
-HISTORY_GONE = 410
-FORBIDDEN = 403
-UNAVAILABLE = 503
+"""Rows of one answer: the most that the store's protocol allows."""
+CONFLICT = HTTPStatus.PRECONDITION_FAILED.value
+HISTORY_GONE = HTTPStatus.GONE.value
+FORBIDDEN = HTTPStatus.FORBIDDEN.value
+UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE.value
+SHUTDOWN_TIMEOUT_S = 0.01
+"""Seconds for which handlers are waited for: a stand-in has nothing to finish."""
 _SILENCE_S = 3600.0
 """Longer than any caller waits."""
 
 
 @dataclass
 class StoreSwitches:
-    """Faults a store can be told to have. All are off at start."""
+    """Faults of a store. All are off at start."""
 
     refuse_status: int = 0
     """Answer every call with this status and do nothing."""
     silent: bool = False
-    """Take calls and never answer them."""
+    """Accept calls and never answer them."""
     slow_s: float = 0.0
     """Wait this long before doing anything."""
     lose_writes: int = 0
@@ -76,7 +83,7 @@
 
     async def start(self, hosts: Iterable[str] = ("127.0.0.1",)) -> None:
         """Listen on a port of the system's choice of every host."""
-        self._runner = web.AppRunner(self.app(), shutdown_timeout=0.01, access_log=None)
+        self._runner = web.AppRunner(self.app(), shutdown_timeout=SHUTDOWN_TIMEOUT_S, access_log=None)
         await self._runner.setup()
         for host in hosts:
             await web.TCPSite(self._runner, host, 0).start()
@@ -116,6 +123,7 @@
     # --- calls -----------------------------------------------------------------------------------------
 
     async def _before(self, request: web.Request) -> web.Response | None:
+        """Count a call and apply the switches of all calls; returns the answer if the call is refused."""
         self.calls += 1
         if self.silent:
             await asyncio.sleep(_SILENCE_S)
@@ -189,23 +197,31 @@
         if refused is not None:
             return refused
         table, after = request.query["table"], int(request.query["after"])
-        give_up_s = asyncio.get_running_loop().time() + int(request.query["wait_ms"]) / 1000
-        while True:
-            if after < self.forgotten:
-                return web.Response(status=HISTORY_GONE)
+        changed = await self._wait_for_changes(table, after, int(request.query["wait_ms"]) / 1000)
+        if changed is None:
+            return web.Response(status=HISTORY_GONE)
+        rows = []
+        for key, gone in changed.items():
+            rows.append({"key": key, "gone": True, "ver": self.version} if gone else self._row(table, key))
+        return self._answer(rows)
+
+    async def _wait_for_changes(self, table: str, after: int, wait_s: float) -> dict[str, bool] | None:
+        """Return the keys that changed after a version, and whether each is gone; none of them after ``wait_s``.
+
+        Returns None if the history from that version on is no longer known.
+        """
+        give_up_s = asyncio.get_running_loop().time() + wait_s
+        while after >= self.forgotten:
             changed = {key: gone for version, each, key, gone in self.history if each == table and version > after}
             left_s = give_up_s - asyncio.get_running_loop().time()
             if changed or left_s <= 0:
-                break
+                return changed
             try:
                 async with asyncio.timeout(left_s):
                     await self._changed.wait()
             except TimeoutError:
-                continue
-        rows = []
-        for key, gone in changed.items():
-            rows.append({"key": key, "gone": True, "ver": self.version} if gone else self._row(table, key))
-        return self._answer(rows)
+                continue  # The time is over; what has changed by now is still answered.
+        return None
 
 
 def _listener_of(request: web.Request) -> str:
--- a/src/wallwell/emulator/platform_worker.py
+++ b/src/wallwell/emulator/platform_worker.py
@@ -1,8 +1,9 @@
-"""Stand-in for a worker of the users' platform over HTTP: entry, reports and orders; a subclass serves requests."""
+"""Stand-in for a worker of the platform over HTTP: entry, reports and orders; a subclass serves requests."""
 
 from __future__ import annotations
 
 import json
+from http import HTTPStatus
 from typing import Any
 
 from aiohttp import web
@@ -10,7 +11,10 @@
 from wallwell.emulator.faults import end_at_once
 from wallwell.platform import names
 
-ACCEPTED = 202
+ACCEPTED = HTTPStatus.ACCEPTED.value
+"""Status of an order that is being carried out."""
+SHUTDOWN_TIMEOUT_S = 0.01
+"""Seconds for which handlers are waited for: a stand-in has nothing to finish."""
 
 
 class PlatformWorkerEmulator:
@@ -27,14 +31,14 @@
         """Weights version of ``model``."""
         self.draining = False
         self.busy = False
-        """Whether an order is under way."""
+        """Whether an order is being carried out."""
         self.orders: list[dict[str, Any]] = []
         self.address = ""
 
     async def start(self, host: str = "127.0.0.1") -> None:
         """Listen on a port of the system's choice."""
         server = web.Server(self._handle, handler_cancellation=True, auto_decompress=False, access_log=None)
-        self._runner = web.ServerRunner(server, shutdown_timeout=0.01)
+        self._runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
         await self._runner.setup()
         await web.TCPSite(self._runner, host, 0).start()
         self.address = f"{host}:{self._runner.addresses[0][1]}"
@@ -44,7 +48,8 @@
         await self._runner.cleanup()
 
     def crash(self) -> None:
-        """End as a killed process does: every connection is reset, and nothing listens at the address any more."""
+        """End as a killed process does: every connection is reset, and nothing listens at the address from then
+        on."""
         end_at_once(self._runner)
 
     def entry(self) -> dict[str, Any]:
@@ -61,7 +66,7 @@
         }
 
     def headers(self, request: web.BaseRequest, **more: str) -> dict[str, str]:
-        """Return what every answer to a request carries."""
+        """Return the headers of every answer to a request."""
         return {names.REQUEST_ID: request.headers[names.REQUEST_ID], names.SEAL: f"seal-{self.incarnation}", **more}
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
--- a/src/wallwell/emulator/service_server.py
+++ b/src/wallwell/emulator/service_server.py
@@ -1,4 +1,4 @@
-"""Stand-in for an order or booking service with a journal of everything it ran."""
+"""Stand-in for a service that runs calls, with a journal of everything it ran."""
 
 from __future__ import annotations
 
@@ -12,6 +12,9 @@
 
 IDEMPOTENCY_KEY = "Idempotency-Key"
 REFUSED_HEADER = "X-Not-Run"
+"""Header of an answer that states that the call did not run."""
+WORK_S = 0.005
+"""Seconds that a call takes."""
 
 
 class JournalEntry(msgspec.Struct, frozen=True):
@@ -27,7 +30,7 @@
 class ServiceServer:
     """One instance. Every call that reaches the handler runs once and is written to the journal."""
 
-    def __init__(self, name: str, work_s: float = 0.005) -> None:
+    def __init__(self, name: str, work_s: float = WORK_S) -> None:
         self.name = name
         self.journal: list[JournalEntry] = []
         self.faults = FaultControl()
--- a/src/wallwell/emulator/settings.py
+++ b/src/wallwell/emulator/settings.py
@@ -1,4 +1,4 @@
-"""Settings files of the stand-ins."""
+"""Settings files of the stand-ins, and the applications that they describe."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from aiohttp import web
 
 from wallwell.emulator.engine_model import EngineProfile
-from wallwell.emulator.engine_server import EngineServer
-from wallwell.emulator.platform_server import PlatformServer
-from wallwell.emulator.service_server import ServiceServer
+from wallwell.emulator.engine_server import EVENT_DELAY_S, LOAD_LAG_S, EngineServer
+from wallwell.emulator.platform_server import CALLS_PER_S, WEIGHT_LOAD_S, PlatformServer
+from wallwell.emulator.service_server import WORK_S, ServiceServer
 from wallwell.errors import SettingsError
 from wallwell.standalone.settings import Listener
 from wallwell.standalone.typed import load_document
@@ -23,8 +23,8 @@
     listener: Listener
     weights: dict[str, str]
     cache_blocks: int = 4000
-    event_delay_s: float = 0.1
-    load_lag_s: float = 0.2
+    event_delay_s: float = EVENT_DELAY_S
+    load_lag_s: float = LOAD_LAG_S
 
 
 class EnginesSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -38,7 +38,7 @@
 
     name: str
     listener: Listener
-    work_s: float = 0.005
+    work_s: float = WORK_S
 
 
 class ServicesSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -47,12 +47,12 @@
     instances: tuple[ServiceEntry, ...]
 
 
-class PlatformSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class PlatformServerSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The platform's services on one listener."""
 
     listener: Listener
-    calls_per_s: float = 500.0
-    weight_load_s: float = 0.2
+    calls_per_s: float = CALLS_PER_S
+    weight_load_s: float = WEIGHT_LOAD_S
 
 
 def emulated_apps(kind: str, path: Path) -> list[tuple[web.Application, Listener]]:
@@ -63,7 +63,7 @@
     if kind == "service":
         instances = load_document(path, ServicesSettings, SettingsError).instances
         return [(ServiceServer(entry.name, entry.work_s).app(), entry.listener) for entry in instances]
-    settings = load_document(path, PlatformSettings, SettingsError)
+    settings = load_document(path, PlatformServerSettings, SettingsError)
     return [(PlatformServer(settings.calls_per_s, settings.weight_load_s).app(), settings.listener)]
 
 
--- a/src/wallwell/platform/__init__.py
+++ b/src/wallwell/platform/__init__.py
@@ -2,5 +2,5 @@
 
 Owns every name of the platform's protocol and decodes it once. Takes no decision, keeps no state machine and
 retries nothing; those stand in ``routing``, ``serving``, ``placement`` and ``rollout``, which know none of these
-names. Only ``cli``, ``soak`` and ``emulator`` import this package.
+names. Besides its entry point, only ``soak`` and ``emulator`` import this package.
 """
--- a/tests/contract/conftest.py
+++ b/tests/contract/conftest.py
@@ -8,9 +8,9 @@
 import pytest
 
 from tests.conftest import EXAMPLES
-from wallwell.emulator.deployment import Fleet
+from wallwell.emulator.deployment import EmulatedDeployment
 from wallwell.emulator.engine_model import EngineProfile
-from wallwell.emulator.engine_server import generated_word
+from wallwell.emulator.engine_output import generated_word
 from wallwell.emulator.faults import FaultSwitches
 from wallwell.standalone.config.parse import parse_file
 
@@ -31,7 +31,7 @@
 
     def __init__(self):
         self.loop = asyncio.new_event_loop()
-        self.fleet = Fleet(EXAMPLES / "pharmacy", profile=FAST)
+        self.fleet = EmulatedDeployment(EXAMPLES / "pharmacy", profile=FAST)
         self.run(self.start())
 
     def run(self, work):
--- a/tests/contract/test_policies.py
+++ b/tests/contract/test_policies.py
@@ -10,14 +10,14 @@
 from wallwell.bench.experiment import ExperimentResult, ExperimentSpec, run_experiment, table
 from wallwell.bench.load import LoadDriver
 from wallwell.bench.workload import PHARMACY, TraceBuilder
-from wallwell.emulator.deployment import Fleet
-from wallwell.emulator.engine_server import generated_word
+from wallwell.emulator.deployment import EmulatedDeployment
+from wallwell.emulator.engine_output import generated_word
 
 
 @pytest.mark.parametrize("policy", ["expected_first_token", "round_robin", "least_loaded", "prefix_affinity"])
 def test_every_policy_serves_everything_through_crashes_and_lost_events(policy):
     async def play():
-        fleet = Fleet(EXAMPLES / "pharmacy", policy=policy, profile=FAST)
+        fleet = EmulatedDeployment(EXAMPLES / "pharmacy", policy=policy, profile=FAST)
         try:
             await fleet.start()
             for name in fleet.engines:
