--- a/deploy/router.py
+++ b/deploy/router.py
@@ -1,4 +1,7 @@
-"""Starts a router from a checkout; the dependencies are on the path already."""
+"""Starts a router from a checkout, with the dependencies of ``deploy/requirements.lock`` on the path.
+
+aiohttp is loaded before anything else imports it, see :mod:`wallwell.plain_http`.
+"""
 
 import sys
 from pathlib import Path
--- a/src/wallwell/backend_connection.py
+++ b/src/wallwell/backend_connection.py
@@ -40,7 +40,7 @@
     """One connection; carries one round trip at a time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, id_header: str) -> None:
-        """``id_header`` names the header in which an answer repeats its request's id."""
+        """``id_header`` names the header in which an answer carries its request's id."""
         super().__init__(loop)
         self._id_header = id_header
         self._expected_id: str | None = None
--- a/src/wallwell/cli/config_commands.py
+++ b/src/wallwell/cli/config_commands.py
@@ -27,7 +27,7 @@
 DEFAULT_WAIT_S = 10.0
 """Seconds that ``apply --wait`` waits by default. Chosen, not measured: a person waits at a terminal."""
 DIGEST_LENGTH = 12
-"""Characters of a file's digest that are printed: enough to tell two revisions apart."""
+"""Characters of a file's digest that are printed: enough to distinguish two revisions."""
 APPLY_ID_BYTES = 12
 """Random bytes of an apply id, by which a router recognises a retry of the same change."""
 _KIND_ORDER = {kind: index for index, kind in enumerate(Kind)}
--- a/src/wallwell/soak/invariants_requests.py
+++ b/src/wallwell/soak/invariants_requests.py
@@ -43,7 +43,7 @@
 
 
 def at_most_once(history: History) -> Cases:
-    """A request that may not be repeated runs once at most."""
+    """A request of a kind that must not run twice runs once at most."""
     for request, began in history.began.items():
         sent = history.sent.get(request)
         if sent is None or not sent.kind.at_most_once:
@@ -65,7 +65,7 @@
 
 
 def refused_not_run(history: History) -> Cases:
-    """A request that may not be repeated and was refused has not run and never will."""
+    """A request of a kind that must not run twice and was refused has not run and never will."""
     for answer in history.answers.values():
         if answer.status not in NOT_RUN_STATUSES:
             continue
@@ -146,7 +146,7 @@
 
 
 def nodes_stay(history: History) -> Cases:
-    """A router process ends only when it is told to, and then with status 0."""
+    """A router process ends only when the run stops it, and then with status 0."""
     for record in history.records:
         if not isinstance(record, NodeExited):
             continue
--- /dev/null
+++ b/tests/unit/platform/test_request_parsing.py
@@ -0,0 +1,96 @@
+"""Callers' headers: what is understood of them, what is passed on, and what counts as absent."""
+
+from __future__ import annotations
+
+import pytest
+from multidict import CIMultiDict, CIMultiDictProxy
+
+from wallwell.errors import MalformedRequestError
+from wallwell.platform.request_parsing import expects_continue, parse_request
+from wallwell.routing.selection.prefix_home import PromptPart
+
+
+def parse(*headers):
+    proxy = CIMultiDictProxy(CIMultiDict([("X-Request-Id", "r1"), *headers]))
+    return parse_request("POST", "/a/b?c=%20d", proxy, b"body", 5.0)
+
+
+def test_a_request_keeps_target_body_and_arrival():
+    request = parse(("Host", "H.Example:80"), ("X-Credential", "key"))
+    assert (request.method, request.target, request.body, request.arrived_s) == (
+        "POST",
+        "/a/b?c=%20d",
+        b"body",
+        5.0,
+    )
+    assert (request.request_id, request.host, request.credential) == ("r1", "h.example", "key")
+
+
+def test_a_request_without_an_id_is_refused():
+    with pytest.raises(MalformedRequestError, match="X-Request-Id is required"):
+        parse_request("GET", "/", CIMultiDictProxy(CIMultiDict()), b"", 0.0)
+
+
+@pytest.mark.parametrize(
+    ("text", "allowance_s"),
+    [
+        ("1500", 1.5),
+        ("0.5", 0.0005),
+        ("0", None),
+        ("-3", None),
+        ("", None),
+        ("soon", None),
+        ("inf", None),
+        ("nan", None),
+    ],
+)
+def test_the_time_that_a_caller_waits(text, allowance_s):
+    assert parse(("X-Deadline-Ms", text)).allowance_s == allowance_s
+
+
+@pytest.mark.parametrize(
+    ("text", "tokens"),
+    [("1460,80", 1540), (" 1 , 2 ", 3), ("1460", None), ("1,2,3", None), ("1,-2", None), ("a,b", None), ("", None)],
+)
+def test_declared_tokens(text, tokens):
+    assert parse(("X-Token-Usage", text)).declared_tokens == tokens
+
+
+def test_a_generation_names_model_parts_and_where_it_resumes():
+    generation = parse(
+        ("X-Model", "m"), ("X-Prefix-Hash", "5c:800, 91:410,x:many,"), ("Last-Event-Id", "12")
+    ).generation
+    assert generation is not None
+    assert (generation.model, generation.resume_after) == ("m", 12)
+    assert generation.parts == (PromptPart("5c", 800), PromptPart("91", 410), PromptPart("x", 0))
+
+
+@pytest.mark.parametrize("resume", ["", "-1", "last"])
+def test_an_event_number_that_is_none_resumes_nowhere(resume):
+    generation = parse(("X-Model", "m"), ("Last-Event-Id", resume)).generation
+    assert generation is not None
+    assert generation.resume_after is None
+
+
+def test_a_call_has_no_generation():
+    assert parse(("X-Prefix-Hash", "5c:800")).generation is None
+
+
+def test_headers_of_the_connection_and_of_the_router_stay_behind():
+    request = parse(
+        ("Accept", "a"),
+        ("Connection", "keep-alive, X-Own, X-Model"),
+        ("X-Own", "1"),
+        ("Keep-Alive", "1"),
+        ("X-Tenant", "t"),
+        ("X-Cache-Salt", "s"),
+        ("X-Hold", "h"),
+        ("X-Model", "m"),
+        ("Accept", "b"),
+    )
+    assert request.headers == (("Accept", "a"), ("X-Model", "m"), ("Accept", "b"))
+
+
+@pytest.mark.parametrize(("text", "expected"), [("100-continue", True), ("100-Continue", True), ("", False)])
+def test_a_caller_that_waits_before_its_body(text, expected):
+    assert expects_continue(CIMultiDictProxy(CIMultiDict({"Expect": text}))) is expected
