--- a/tests/unit/routing/admission/limit_fleet.py
+++ b/tests/unit/routing/admission/limit_fleet.py
@@ -1,8 +1,8 @@
 """A fleet of nodes that keep a tenant's limit together, in virtual time, with the callers that press on it.
 
-The nodes are the product's; what they tell each other goes the way of :mod:`wallwell.cluster.load_reporter`:
-members report to their zone's relay four times a second, relays tell each other their sums. Between regions one
-pair of relays exchanges the sums of its region, over a link with a delay that may be cut or lose exchanges, as
+The nodes are the product's; what they report to each other goes the way of :mod:`wallwell.cluster.load_reporter`:
+members report to their zone's relay four times a second, relays report their sums to each other. Between regions
+one pair of relays exchanges the sums of its region, over a link with a delay that may be cut or lose exchanges, as
 :mod:`wallwell.cluster.region_load_reporter` does.
 """
 
@@ -20,13 +20,13 @@
 
 INTERVAL_S = 0.25
 PASSED_ON_S = 0.1
-"""Time in which the relay that hears another region tells the others of its own."""
+"""Time in which the relay that hears another region reports to the others of its own."""
 TENANT = "t"
 WINDOW_S = 8.0
 OVERAGE = 0.1
 SLACK_TOKENS = 110_000
 USUAL_FRACTION = 1 / 1.8
-"""Part of its limit that a tenant usually asks for."""
+"""Fraction of its limit that a tenant usually asks for."""
 
 
 @dataclass
@@ -42,7 +42,7 @@
     heard_at_s: float = float("-inf")
     members: dict[str, tuple[Load, float]] = field(default_factory=dict)
     regions: dict[int, tuple[int, float]] = field(default_factory=dict)
-    """Other regions' nodes and when they were heard, while they are in touch."""
+    """Other regions' nodes and when they were heard, while they are connected."""
 
     def recent(self, now_s, without=""):
         items = self.members.items()
@@ -65,7 +65,7 @@
         self.regions = regions
         self.link_delay_s = 0.02
         self.link_is_cut = False
-        self.link_lost_part = 0.0
+        self.link_lost_fraction = 0.0
         self.link_rng = random.Random(seed)
         self.factor = lambda now_s: 1.0
         self.pick = lambda now_s: self.rng.choice([node for node in self.nodes if not node.down])
@@ -113,7 +113,7 @@
         per_s = self.limit.rate_per_s * USUAL_FRACTION * self.factor(now_s) / 3_600
         self.at(now_s + self.rng.expovariate(per_s), self._arrive)
 
-    # --- what nodes tell each other --------------------------------------------------------------------
+    # --- what nodes report to each other --------------------------------------------------------------------
 
     def _relay_of(self, zone, now_s):
         return next((n for n in self.nodes if n.zone == zone and not n.down and not n.unreachable), None)
@@ -171,7 +171,7 @@
     def _exchange_between_regions(self, now_s):
         """The first relays of all regions tell each other; a request and its answer pass the link."""
         self.at(now_s + REGION_INTERVAL_S, self._exchange_between_regions)
-        if self.link_is_cut or self.link_rng.random() < self.link_lost_part:
+        if self.link_is_cut or self.link_rng.random() < self.link_lost_fraction:
             return
         for region in range(self.regions):
             relays = self._relays_of_region(region, now_s)
@@ -211,7 +211,7 @@
     # --- measures --------------------------------------------------------------------------------------
 
     def largest_overrun(self, limit=None, from_s=0.0):
-        """Return the largest sum over a window as a part of what the rule allows in one."""
+        """Return the largest sum over a window as a fraction of what the rule allows in one."""
         limit = limit or self.limit
         allowed = (limit.rate_per_s * WINDOW_S + limit.burst) * (1 + OVERAGE) + SLACK_TOKENS
         window, total, largest = deque(), 0, 0
@@ -225,8 +225,8 @@
             largest = max(largest, total)
         return largest / allowed
 
-    def refused_part(self, from_s=0.0, to_s=float("inf")):
-        """Return the part of the tokens within the limit that were refused all the same."""
+    def refused_fraction(self, from_s=0.0, to_s=float("inf")):
+        """Return the fraction of the tokens within the limit that were refused all the same."""
         level, updated_s, allowed, admitted_tokens = self.limit.burst, 0.0, 0.0, 0.0
         for at_s, tokens, admitted in self.sent:
             level = min(self.limit.burst, level + (at_s - updated_s) * self.limit.rate_per_s)
--- a/tests/unit/routing/admission/test_tenant_limits.py
+++ b/tests/unit/routing/admission/test_tenant_limits.py
@@ -105,7 +105,7 @@
     scenario(fleet)
     fleet.run(20.0)
     assert fleet.largest_overrun() <= 1.0
-    assert fleet.refused_part(from_s=2.0) <= refused
+    assert fleet.refused_fraction(from_s=2.0) <= refused
 
 
 def test_a_fleet_of_410_nodes_keeps_the_limit():
@@ -113,7 +113,7 @@
     excess(fleet)
     fleet.run(14.0)
     assert fleet.largest_overrun() <= 1.0
-    assert fleet.refused_part(from_s=2.0) <= QUIET
+    assert fleet.refused_fraction(from_s=2.0) <= QUIET
 
 
 def test_a_limit_lowered_while_nodes_are_cut_off_holds_one_window_after_all_can_know_it():
@@ -286,9 +286,9 @@
     return scenario
 
 
-def link(delay_s=0.02, lost_part=0.0):
+def link(delay_s=0.02, lost_fraction=0.0):
     def scenario(fleet):
-        fleet.link_delay_s, fleet.link_lost_part = delay_s, lost_part
+        fleet.link_delay_s, fleet.link_lost_fraction = delay_s, lost_fraction
 
     return scenario
 
@@ -317,7 +317,7 @@
     "excess, cut again and again": ((excess, cut_again_and_again), 0.045),
     "excess, slow link": ((excess, link(delay_s=0.5)), SMALL_LOSS),
     "excess, very slow link": ((excess, link(delay_s=1.0)), 0.1),
-    "excess, lossy link": ((excess, link(lost_part=0.3)), 0.045),
+    "excess, lossy link": ((excess, link(lost_fraction=0.3)), 0.045),
 }
 
 
@@ -331,7 +331,7 @@
         part(fleet)
     fleet.run(20.0)
     assert fleet.largest_overrun() <= 1.0
-    assert fleet.refused_part(from_s=2.0) <= refused
+    assert fleet.refused_fraction(from_s=2.0) <= refused
 
 
 def test_410_nodes_in_two_regions_keep_the_limit():
