--- a/src/wallwell/routing/retry/attempt_outcome.py
+++ b/src/wallwell/routing/retry/attempt_outcome.py
@@ -1,4 +1,4 @@
-"""From what the transport saw of an attempt to an outcome and whether a retry is allowed.
+"""What is proved of an attempt by how it ended, and whether a retry is allowed by that alone. Pure.
 
 ``NOT_RUN`` needs proof: the connection was never made, or the back end itself said that it ran nothing.
 Everything that happened after bytes may have left and that the back end did not answer is ``UNKNOWN``.
@@ -30,7 +30,7 @@
     ANSWERED = "answered"
 
 
-class Verdict(NamedTuple):
+class AttemptVerdict(NamedTuple):
     """Outcome of one attempt; ``retry_repeatable`` and ``retry_once_only`` say who may try again."""
 
     outcome: Outcome
@@ -38,10 +38,10 @@
     retry_once_only: bool
 
 
-_NEVER_RAN = Verdict(Outcome.NOT_RUN, retry_repeatable=True, retry_once_only=True)
-_MAY_HAVE_RUN = Verdict(Outcome.UNKNOWN, retry_repeatable=True, retry_once_only=False)
+_NEVER_RAN = AttemptVerdict(Outcome.NOT_RUN, retry_repeatable=True, retry_once_only=True)
+_MAY_HAVE_RUN = AttemptVerdict(Outcome.UNKNOWN, retry_repeatable=True, retry_once_only=False)
 
-VERDICTS: dict[TransportEvent, Verdict] = {
+VERDICTS: dict[TransportEvent, AttemptVerdict] = {
     TransportEvent.CONNECT_REFUSED: _NEVER_RAN,
     TransportEvent.CONNECT_TIMEOUT: _NEVER_RAN,
     TransportEvent.RESET_BEFORE_SEND: _NEVER_RAN,
@@ -53,8 +53,8 @@
     TransportEvent.CANCELLED_NEVER_STARTED: _NEVER_RAN,
     TransportEvent.CANCEL_UNACKNOWLEDGED: _MAY_HAVE_RUN,
     TransportEvent.FOREIGN_ANSWER: _MAY_HAVE_RUN,
-    TransportEvent.ERROR_ANSWER: Verdict(Outcome.FAILED, retry_repeatable=False, retry_once_only=False),
-    TransportEvent.ANSWERED: Verdict(Outcome.COMPLETED, retry_repeatable=False, retry_once_only=False),
+    TransportEvent.ERROR_ANSWER: AttemptVerdict(Outcome.FAILED, retry_repeatable=False, retry_once_only=False),
+    TransportEvent.ANSWERED: AttemptVerdict(Outcome.COMPLETED, retry_repeatable=False, retry_once_only=False),
 }
 
 REFUSED_BY_BACKEND = (
@@ -62,7 +62,7 @@
     TransportEvent.BACKEND_OVERLOADED,
     TransportEvent.BACKEND_LEAVING,
 )
-"""A back end that works said itself that it ran nothing."""
+"""Events by which a working back end itself states that it ran nothing."""
 
 
 def allows_retry(event: TransportEvent, repeatable: bool) -> bool:
--- a/src/wallwell/routing/retry/first_token.py
+++ b/src/wallwell/routing/retry/first_token.py
@@ -3,7 +3,8 @@
 An engine that is silent for long is either broken or behind. One that is broken is best left for another one.
 One that is behind is not: the others are behind as well, and what it has prefilled of the prompt would be
 prefilled again. Which of the two it is shows in how soon answers begin everywhere, so nodes report their delays
-to each other."""
+to each other.
+"""
 
 from __future__ import annotations
 
--- a/src/wallwell/routing/retry/retry_after.py
+++ b/src/wallwell/routing/retry/retry_after.py
@@ -126,7 +126,8 @@
     """Return the wait in seconds after which a generation refused in an overload can expect to be served.
 
     ``generation_s`` is a generation's usual duration. The load beyond the threshold is served in as many of
-    these as it is larger, by slot. Callers are spread around that, the urgent ones (rank 0) first."""
+    these as it is larger, by slot. Callers are spread around that, the urgent ones (rank 0) first.
+    """
     excess = max(0.0, occupancy.per_slot - BEGIN_REFUSING)
     order = 1.0 + OVERLOAD_RANK_DELAY * rank_steps(rank)
     return generation_s * order * (OVERLOAD_FREE_SLOTS_FRACTION + excess) * rng.uniform(*OVERLOAD_SPREAD)
--- a/src/wallwell/serving/active_request.py
+++ b/src/wallwell/serving/active_request.py
@@ -3,7 +3,8 @@
 Owned by the pipeline that serves the request, from its admission to its one answer, and shared with nobody
 else. What decides on further attempts is kept in
 :class:`~wallwell.routing.retry.attempt_history.AttemptHistory`, what is proved of all attempts in
-:class:`~wallwell.routing.retry.attempt_outcome.AttemptLog`."""
+:class:`~wallwell.routing.retry.attempt_outcome.AttemptLog`.
+"""
 
 from __future__ import annotations
 
@@ -88,8 +89,10 @@
 
     @cached_property
     def placement(self) -> int:
-        """The key that places a generation: its longest shared prefix, within the tenant if that shares no
-        cache."""
+        """The key that places a generation: its longest shared prefix.
+
+        Within the tenant only if the tenant shares no cache with others.
+        """
         assert self.request.generation is not None
         scope = self.tenant.name if self.tenant is not None and self.tenant.isolated else ""
         return placement_key(self.request.generation.parts, scope)
--- a/src/wallwell/serving/attempt.py
+++ b/src/wallwell/serving/attempt.py
@@ -4,7 +4,8 @@
 undoes it when the attempt ends in any way, cancellation included. Relies on the retry policy for whether the
 attempt may be ended early or its error answer retried, on
 :class:`~wallwell.serving.response_timeout.ResponseWait` for the waiting, and on
-:class:`~wallwell.serving.stream_passing.StreamPassing` for streams."""
+:class:`~wallwell.serving.stream_passing.StreamPassing` for streams.
+"""
 
 from __future__ import annotations
 
--- a/src/wallwell/serving/response_timeout.py
+++ b/src/wallwell/serving/response_timeout.py
@@ -1,6 +1,6 @@
 """Waits for the head of an answer, and abandons a silent back end where another one may be asked.
 
-Owns the waiting only: how long it lasts is reckoned in :mod:`wallwell.routing.retry.response_timeout`, whether the
+Owns the waiting only: how long it lasts is decided in :mod:`wallwell.routing.retry.response_timeout`, whether the
 attempt may be abandoned in :mod:`wallwell.routing.retry.retry_policy`.
 """
 
@@ -30,8 +30,10 @@
         self._policy = policy
 
     async def await_response(self, active: ActiveRequest, backend: Backend, dispatch: Dispatch) -> BackendAnswer:
-        """Wait for the head as long as that is better than asking another back end. Raises
-        :class:`AttemptError`."""
+        """Wait for the head as long as that is better than asking another back end.
+
+        Raises :class:`AttemptError`, also if the engine does not begin before its weights are too old.
+        """
         timeout_s = self._response_timeout_s(active)
         begin_within_s = self._begin_timeout_s(active, backend)
         sending = asyncio.create_task(self._send(dispatch))
@@ -42,6 +44,7 @@
                     await _withdraw(sending)
                     raise _response_timed_out(dispatch)
             if not sending.done() and begin_within_s is not None:
+                # Anew, since the wait above took of it; a bound that is gone by now counts as nearly reached.
                 begin_within_s = self._begin_timeout_s(active, backend) or MIN_REMAINING_S
                 if not await is_done_within(sending, begin_within_s):
                     raise AttemptError(TransportEvent.ANSWER_TIMEOUT, "its weights are too old to begin")
--- a/src/wallwell/serving/retry_after.py
+++ b/src/wallwell/serving/retry_after.py
@@ -1,7 +1,8 @@
 """Gathers what this node knows when it refuses a request, and asks for the wait that goes into Retry-After.
 
 The wait itself is decided in :mod:`wallwell.routing.retry.retry_after`. Each call but those for too little time
-left draws from the node's random generator."""
+left draws from the node's random generator.
+"""
 
 from __future__ import annotations
 
--- a/src/wallwell/serving/stream_passing.py
+++ b/src/wallwell/serving/stream_passing.py
@@ -2,7 +2,8 @@
 
 Only whole events are passed on, each number once and in order, also when the stream is continued by another
 run: the position of the request (:class:`~wallwell.serving.event_stream.StreamPosition`) covers all of its
-runs. Owns when a stream counts as stalled or broken off; by how long a pause, the retry policy says."""
+runs. Owns when a stream counts as stalled or broken off; by how long a pause, the retry policy says.
+"""
 
 from __future__ import annotations
 
