--- a/src/wallwell/bench/policy_run.py
+++ b/src/wallwell/bench/policy_run.py
@@ -9,6 +9,7 @@
 from wallwell.bench.load import LoadDriver, LoadResult
 from wallwell.bench.workload import ServiceRequest, TraceRequest
 from wallwell.emulator.deployment import EmulatedDeployment
+from wallwell.emulator.engine_model import EngineProfile
 from wallwell.emulator.engine_output import generated_word
 
 
