--- a/tests/unit/routing/retry/test_first_token.py
+++ b/tests/unit/routing/retry/test_first_token.py
@@ -6,10 +6,10 @@
 
 
 def observed(*delays_s):
-    pieces = FirstTokenDelays()
+    delays = FirstTokenDelays()
     for delay_s in delays_s:
-        pieces.observe(delay_s, 0.8, 10.0)
-    return pieces
+        delays.observe(delay_s, 0.8, 10.0)
+    return delays
 
 
 @pytest.mark.parametrize(
@@ -22,18 +22,18 @@
         ([0.1], Delays(100, 60), True),
         ([5.0] * 15 + [0.2] * 30, Delays(), False),
     ],
-    ids=["in time", "late", "too few", "late here only", "late elsewhere", "half of the engines hang"],
+    ids=["in time", "late", "too few", "late here only", "late elsewhere", "half of the engines unresponsive"],
 )
 def test_the_fleet_is_behind_if_answers_begin_late_everywhere(delays_s, peers, expected):
-    pieces = observed(*delays_s)
-    pieces.peers = peers
-    assert pieces.is_fleet_behind(10.0) is expected
+    delays = observed(*delays_s)
+    delays.peers = peers
+    assert delays.is_fleet_behind(10.0) is expected
 
 
 def test_delays_are_forgotten():
-    pieces = observed(*[2.0] * 10)
-    assert pieces.is_fleet_behind(10.0 + DELAY_WINDOW_S / 2)
-    assert not pieces.is_fleet_behind(10.0 + DELAY_WINDOW_S)
+    delays = observed(*[2.0] * 10)
+    assert delays.is_fleet_behind(10.0 + DELAY_WINDOW_S / 2)
+    assert not delays.is_fleet_behind(10.0 + DELAY_WINDOW_S)
 
 
 def test_an_answer_is_late_beyond_its_own_objective():
--- a/tests/unit/routing/retry/test_retry_after.py
+++ b/tests/unit/routing/retry/test_retry_after.py
@@ -1,4 +1,4 @@
-"""How long refused callers are told to wait: by the cause, spread, and never longer than they honour."""
+"""How long refused callers wait: by the cause, spread, and never longer than they honour."""
 
 import random
 
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("remaining_s", [0.06, 0.663, 4.47])
 @pytest.mark.parametrize("cause", [each for each in RefusalCause if each is not RefusalCause.TOO_LITTLE_TIME])
 def test_no_wait_is_longer_than_callers_honour_and_cut_ones_are_still_spread(cause, remaining_s):
-    """All callers that would wait longer would otherwise come back at one part of their time."""
+    """All callers that would wait longer would otherwise retry at the same fraction of their time."""
     known = {
         "store_silence_s": 60.0,
         "receives_peer_loads": True,
--- a/tests/unit/routing/retry/test_retry_budget.py
+++ b/tests/unit/routing/retry/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Any number of nodes together never repeat more than the fleet's budget."""
+"""Any number of nodes together never retry more than the fleet's budget."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -30,7 +30,7 @@
             assert sum(at_s > start_s for at_s in retries) <= allowed
 
 
-def test_a_quiet_node_may_repeat_its_share():
+def test_a_quiet_node_may_retry_its_share():
     budget = FleetRetryBudget(RATIO, EXTRA, WINDOW_S)
     granted = sum(budget.try_retry(1.0, nodes=6) for _ in range(100))
     assert 5 <= granted <= EXTRA / 6
@@ -45,7 +45,7 @@
 
 
 def test_nodes_restarted_in_turn_do_not_spend_their_share_twice():
-    """Found by a hunt: seven nodes restarted within one window each spent their share of the extra anew."""
+    """Seven nodes restarted within one window each spent their share of the extra anew."""
     nodes, spent = 7, 0
     for node in range(nodes):
         before = FleetRetryBudget(RATIO, EXTRA, WINDOW_S)
--- a/tests/unit/serving/fakes.py
+++ b/tests/unit/serving/fakes.py
@@ -59,7 +59,7 @@
 
 
 class FakeClient:
-    """Plays scripts in order; the last one repeats."""
+    """Plays scripts in order; the last one is played again and again."""
 
     def __init__(self, *scripts):
         self.scripts = list(scripts)
--- a/tests/unit/serving/test_liveness.py
+++ b/tests/unit/serving/test_liveness.py
@@ -82,14 +82,14 @@
 
 
 @pytest.mark.parametrize("route", [ONCE, UNSAFE], ids=["stream", "call"])
-def test_what_may_run_once_is_neither_given_up_nor_repeated(route):
+def test_what_may_run_once_is_neither_abandoned_nor_retried(route):
     """A back end's silence alone is no reason to end such an answer sooner."""
     reply, client, check, took_s, _ = play([MUTE], route, reachable=False, generation=route is ONCE)
     assert (len(client.sent), check.asked) == (1, 0)
     assert (reply.error.outcome, round(took_s, 1)) == (Outcome.UNKNOWN, route.timeout_s)
 
 
-def test_a_call_that_waits_at_a_stopped_back_end_is_repeated():
+def test_a_call_that_waits_at_a_stopped_back_end_is_retried():
     reply, client, _, took_s, _ = play([MUTE, OK], SAFE, reachable=False, generation=False)
     assert (reply.status, len(client.sent)) == (200, 2)
     assert took_s < 1.3
--- a/tests/unit/serving/test_pipeline.py
+++ b/tests/unit/serving/test_pipeline.py
@@ -1,4 +1,4 @@
-"""The pipeline in virtual time: what is repeated, what is proved, and when the caller is told.
+"""The pipeline in virtual time: what is retried, what is proved, and when the caller is answered.
 
 The tables list the sequence of what back ends do and what the caller must get.
 """
@@ -77,7 +77,7 @@
     assert (reply.body, reply.heads[0].headers) == (b"broken", (("X-Mark", "kept"),))
 
 
-def test_a_request_that_never_ran_is_refused_at_once_with_a_time_to_come_back():
+def test_a_request_that_never_ran_is_refused_at_once_with_a_retry_after():
     reply, _, took_s = play([SHED], UNSAFE)
     assert reply.error.retry_after_ms > 0
     assert took_s < 0.1
@@ -112,13 +112,13 @@
     assert took_s < SAFE.objective_s
 
 
-def test_a_silent_back_end_is_waited_for_when_nothing_may_be_repeated():
+def test_a_silent_back_end_is_waited_for_when_nothing_may_be_retried():
     reply, client, _ = play([Script(chunks=(b"late",), head_after_s=1.5)], UNSAFE)
     assert (reply.status, reply.body, len(client.sent)) == (200, b"late", 1)
 
 
-def test_a_late_answer_is_waited_for_when_the_budget_allows_no_repeat():
-    """Found in an incident: attempts were given up for repeats that the budget then refused."""
+def test_a_late_answer_is_waited_for_when_the_budget_allows_no_retry():
+    """Attempts were once abandoned for retries that the budget then refused."""
 
     def use_up_while_waiting(fleet):
         budget = fleet.budget_of("svc")
@@ -129,7 +129,7 @@
     assert (reply.status, reply.body, len(client.sent), client.cancelled) == (200, b"late", 1, 0)
 
 
-def test_a_repeat_after_a_silence_is_paid_once():
+def test_a_retry_after_a_silence_is_paid_once():
     async def work():
         fleet = make_state(SAFE)
         budget = fleet.budget_of("svc")
@@ -152,7 +152,7 @@
     assert run_virtual(work()) == [0, 0]
 
 
-def test_the_fleets_budget_bounds_repeats():
+def test_the_fleets_budget_bounds_retries():
     def serve_many(count):
         async def work():
             fleet = make_state(SAFE, retry_extra=0.0, retry_ratio=0.2)
@@ -168,10 +168,10 @@
     assert 1 <= serve_many(100) <= 20
 
 
-# --- when to come back --------------------------------------------------------------------------------
+# --- Retry-After --------------------------------------------------------------------------------------
 
 
-def come_back(scripts, route=SAFE, **more):
+def retry_after_s(scripts, route=SAFE, **more):
     return play(scripts, route, **more)[0].error.retry_after_ms / 1000
 
 
@@ -190,20 +190,20 @@
         fleet.config = None
         fleet.started_s = boot_time_s() - 0.5
 
-    assert come_back([SHED], UNSAFE, prepare=know_calls) > 0.3
-    assert come_back([SHED], UNSAFE) < 0.1
-    assert come_back([OK], backends=0) > 0.6
-    assert 0.5 < come_back([NOBODY_LISTENS], UNSAFE) < 0.7
-    assert come_back([NOBODY_LISTENS], UNSAFE, backends=9) < 0.1
-    # Connections that hang make the whole zone suspected, for longer than this caller would wait.
-    assert 0.6 < come_back([UNREACHABLE], UNSAFE, backends=9) < 1.4
-    assert come_back([OK], prepare=hear_fleet) > 0.6
-    assert come_back([OK], prepare=hear_nobody) < 0.1
-    assert come_back([OK], prepare=start_without_configuration) < 0.1
+    assert retry_after_s([SHED], UNSAFE, prepare=know_calls) > 0.3
+    assert retry_after_s([SHED], UNSAFE) < 0.1
+    assert retry_after_s([OK], backends=0) > 0.6
+    assert 0.5 < retry_after_s([NOBODY_LISTENS], UNSAFE) < 0.7
+    assert retry_after_s([NOBODY_LISTENS], UNSAFE, backends=9) < 0.1
+    # Connections that time out make the whole zone suspected, for longer than this caller would wait.
+    assert 0.6 < retry_after_s([UNREACHABLE], UNSAFE, backends=9) < 1.4
+    assert retry_after_s([OK], prepare=hear_fleet) > 0.6
+    assert retry_after_s([OK], prepare=hear_nobody) < 0.1
+    assert retry_after_s([OK], prepare=start_without_configuration) < 0.1
 
 
-def test_no_wait_is_told_beyond_a_third_of_the_callers_time():
-    assert come_back([OK], backends=0, request=lambda: make_request(allowance_s=0.3)) <= 0.1
+def test_no_wait_is_sent_beyond_a_third_of_the_callers_time():
+    assert retry_after_s([OK], backends=0, request=lambda: make_request(allowance_s=0.3)) <= 0.1
 
 
 def test_a_request_with_less_time_than_any_answer_took_is_refused_unsent():
--- a/tests/unit/serving/test_pipeline_generations.py
+++ b/tests/unit/serving/test_pipeline_generations.py
@@ -84,7 +84,7 @@
     assert client.sent[0].resume_after == 12
 
 
-def test_a_silent_stream_that_may_not_be_repeated_is_waited_for():
+def test_a_silent_stream_that_may_not_be_retried_is_waited_for():
     reply, _, _ = play([stream(event(1), 3.0, event(2))], ONCE, generate(), versions={"m": 1})
     assert reply.ended == "finished"
 
@@ -118,12 +118,12 @@
     assert client.sent[0].cache.scope == "m:3:t"
 
 
-@pytest.mark.parametrize(("told", "expected"), [(5, 5), (0, 4)], ids=["told by the engine", "newest named"])
-def test_a_refused_version_is_corrected_for_the_next_attempt(told, expected):
+@pytest.mark.parametrize(("reported", "expected"), [(5, 5), (0, 4)], ids=["reported by the engine", "newest named"])
+def test_a_refused_version_is_corrected_for_the_next_attempt(reported, expected):
     def name_newer(fleet):
         fleet.weights.name("m", 4, boot_time_s())
 
-    refused = Script(fails=T.PRECONDITION_REFUSED, refused_version=told)
+    refused = Script(fails=T.PRECONDITION_REFUSED, refused_version=reported)
     _, client, _ = play(
         [refused, stream(event(1))], ONCE, generate(), versions={"m": 3}, backends=1, prepare=name_newer
     )
@@ -196,14 +196,14 @@
 
 
 def test_a_stream_goes_on_over_a_change_of_weights():
-    """The engine tells in an event's first line that its weights have changed."""
+    """The engine reports in an event's first line that its weights have changed."""
     changed = b"x-weight-versions: 2\n" + event(2)
     reply, _, _ = play([stream(event(1), changed, event(3))], ONCE, generate(), versions={"m": 1})
     assert (reply.ended, reply.body) == ("finished", event(1) + changed + event(3))
 
 
 @pytest.mark.parametrize(("tokens", "learns"), [(9000, True), (500, False)], ids=["long prompt", "short prompt"])
-def test_the_pace_of_reading_is_learned_from_first_pieces_of_long_prompts(tokens, learns):
+def test_the_prefill_rate_is_learned_from_first_tokens_of_long_prompts(tokens, learns):
     states = []
     slow = stream(event(1), 1.0, event(2), head_after_s=2.0)
     play([slow], ONCE, generate(tokens=tokens), versions={"m": 1}, prepare=states.append)
--- a/tests/unit/serving/test_response_timeout.py
+++ b/tests/unit/serving/test_response_timeout.py
@@ -78,27 +78,27 @@
     assert delays == Delays(2, 1)
 
 
-class HangingNetwork(FakeClient):
-    """The first connections hang for longer than a caller's patience; the others come up."""
+class UnresponsiveNetwork(FakeClient):
+    """The first connections are unresponsive beyond the response timeout; the others come up."""
 
-    def __init__(self, hanging):
+    def __init__(self, unresponsive):
         super().__init__(Script(chunks=(b"ok",)))
-        self.hanging = hanging
+        self.unresponsive = unresponsive
 
     async def send(self, dispatch):
-        if self.hanging:
-            self.hanging -= 1
+        if self.unresponsive:
+            self.unresponsive -= 1
             dispatch.progress.connecting = True
             await asyncio.sleep(5.0)
         return await super().send(dispatch)
 
 
 def test_attempts_given_up_while_connecting_have_not_run():
-    """With an objective of 0.16 s patience ends before a connection's time-out, and no attempt was left: 504."""
+    """With an objective of 0.16 s the response timeout ends before a connection's: no attempt was left then."""
 
     async def work():
         state, reply = make_state(make_route(attempts=2)), FakeReply()
-        client = HangingNetwork(hanging=2)
+        client = UnresponsiveNetwork(unresponsive=2)
         await RequestPipeline(state, client).serve(make_request(), reply)
         return reply.status, len(client.sent), sum(each.suspended_until_s > 0 for each in state.backends.all())
 
--- a/tests/unit/serving/test_zone_cut.py
+++ b/tests/unit/serving/test_zone_cut.py
@@ -1,4 +1,4 @@
-"""A zone that is cut off, in virtual time: what its back ends cost callers meanwhile, and how they come back."""
+"""A zone that is cut off, in virtual time: what its back ends cost callers meanwhile, and how they return."""
 
 import asyncio
 import random
@@ -24,16 +24,16 @@
 
 
 class Network(FakeClient):
-    """Back ends that answer soon, behind zones that can be cut off: connections into them hang."""
+    """Back ends that answer soon, behind zones that can be cut off: connections into them time out."""
 
     def __init__(self):
         super().__init__(Script(chunks=(b"ok",), head_after_s=WORK_S))
         self.cut = set()
-        self.hung = []
+        self.timed_out = []
 
     async def send(self, dispatch):
         if dispatch.backend.zone in self.cut:
-            self.hung.append(boot_time_s())
+            self.timed_out.append(boot_time_s())
             dispatch.progress.connecting = True
             await asyncio.sleep(CONNECT_S)
             raise AttemptError(TransportEvent.CONNECT_TIMEOUT, "scripted")
@@ -77,7 +77,7 @@
             (at_s - started_s, each.backend.zone)
             for at_s, each in zip(network.sent_at_s, network.sent, strict=True)
         ]
-        return took, sent, [at_s - started_s for at_s in network.hung]
+        return took, sent, [at_s - started_s for at_s in network.timed_out]
 
     return run_virtual(work())
 
@@ -89,10 +89,10 @@
 )
 def test_requests_run_into_a_cut_zone_for_less_than_a_second_only(cut, zone):
     """Measured from the first; a request runs into each cut zone once at most, and none is given back."""
-    took, _, hung = play(cut, zone)
-    settled_s = min(hung) + 1.0
-    assert max(hung) < settled_s
-    assert len(hung) <= REQUESTS_PER_S
+    took, _, timed_out = play(cut, zone)
+    settled_s = min(timed_out) + 1.0
+    assert max(timed_out) < settled_s
+    assert len(timed_out) <= REQUESTS_PER_S
     settled = [(status, seconds) for at_s, status, seconds in took if at_s >= settled_s]
     assert {status for status, _ in settled} == {200}
     assert max(seconds for _, seconds in settled) < 2 * WORK_S
