--- a/src/wallwell/platform/worker_probes.py
+++ b/src/wallwell/platform/worker_probes.py
@@ -28,7 +28,7 @@
         return failure is None or not failure.timed_out
 
     async def is_refused(self, backend: BackendRecord) -> bool:
-        """See :class:`wallwell.node.crash_watch.CrashCheck`."""
+        """See :class:`wallwell.node.crash_probe.CrashCheck`."""
         if self._pool.has_idle(backend.address):
             return False  # The end of its process would have reset it.
         failure = await self._open_connection(backend)
--- a/src/wallwell/serving/version_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -1,9 +1,9 @@
 """Which back ends may get a request, by what this node knows, and what is counted of its attempts. No I/O.
 
 This is the adapter between the node's state and the decisions: ``routing/selection/candidates.py`` says which back
-ends may get a request, ``rollout/sides.py`` which side of a rollout a request is drawn for, once for all its
-attempts (``ActiveRequest.prefers_target``). Attempts are counted for the node that holds the rollout's lease, which
-compares the versions by them. For a service without a rollout that is one lookup.
+ends may get a request, ``rollout/service_rollout.py`` which version of a rollout a request is drawn for, once for
+all its attempts (``ActiveRequest.prefers_target``). Attempts are counted for the node that holds the rollout's
+lease, which compares the versions by them. For a service without a rollout that is one lookup.
 """
 
 from __future__ import annotations
