--- a/tests/platform/test_busy_node.py
+++ b/tests/platform/test_busy_node.py
@@ -13,9 +13,9 @@
 from aiohttp import web
 
 from tests.platform.conftest import config, route
-from wallwell.cli.emulate import listen
 from wallwell.clock import boot_time_s
 from wallwell.node.loop_lag import LATE_S, LoopLag
+from wallwell.platform.main import listen
 
 LOOPS = pytest.mark.parametrize("loop", [asyncio.new_event_loop, uvloop.new_event_loop], ids=["asyncio", "uvloop"])
 CALLERS = 7
