--- a/src/wallwell/serving/event_stream.py
+++ b/src/wallwell/serving/event_stream.py
@@ -53,21 +53,22 @@
     def feed(self, data: bytes) -> list[bytes]:
         """Take bytes of the current run and return the events to pass on.
 
-        Raises :class:`StreamOrderError` if numbers do not rise or an event grows out of bounds.
+        Raises :class:`StreamOrderError` if numbers do not rise or an event grows out of bounds. Nothing of ``data``
+        is then passed on, and the position stays where it was, so that the next run sends it again.
         """
         events, self._remainder = split_events(self._remainder + data)
         if len(self._remainder) > MAX_EVENT_BYTES:
             raise StreamOrderError("an event exceeds its bound")
-        passed = []
+        last_number = self.last_number
         for event in events:
             number = event_number(event)
             if number is not None:
-                if self.last_number is not None and number <= self.last_number:
-                    raise StreamOrderError(f"event {number} after {self.last_number}")
-                self.last_number = number
-            passed.append(event)
-            self.events_passed += 1
-        return passed
+                if last_number is not None and number <= last_number:
+                    raise StreamOrderError(f"event {number} after {last_number}")
+                last_number = number
+        self.last_number = last_number
+        self.events_passed += len(events)
+        return events
 
     @property
     def has_remainder(self) -> bool:
--- a/tests/unit/serving/test_event_stream.py
+++ b/tests/unit/serving/test_event_stream.py
@@ -34,6 +34,17 @@
             position.feed(event(number))
 
 
+def test_what_is_not_passed_on_because_of_a_wrong_number_is_sent_again_by_the_next_run():
+    """One read may hold good events before the wrong one; the next run resumes after what the caller really has."""
+    position = StreamPosition()
+    assert position.feed(event(4)) == [event(4)]
+    with pytest.raises(StreamOrderError):
+        position.feed(event(5) + event(6) + event(6))
+    assert (position.last_number, position.events_passed) == (4, 1)
+    position.begin_run()
+    assert position.feed(event(5) + event(6)) == [event(5), event(6)]
+
+
 def test_a_broken_event_is_never_passed_on_and_the_next_run_starts_clean():
     position = StreamPosition()
     assert position.feed(event(1) + b"id: 2\nda") == [event(1)]
