--- a/src/wallwell/serving/response_timeout.py
+++ b/src/wallwell/serving/response_timeout.py
@@ -11,7 +11,6 @@
 from wallwell.clock import boot_time_s
 from wallwell.late_loop import is_done_within
 from wallwell.node.state import NodeState
-from wallwell.routing.admission.remaining_time import MIN_REMAINING_S
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.routing.retry.response_timeout import begin_timeout_s, response_timeout_s
@@ -44,16 +43,23 @@
                 if is_silent and self._abandon(active):
                     await _withdraw(sending)
                     raise _response_timed_out(dispatch)
-            if not sending.done() and begin_within_s is not None:
-                # Anew, since the wait above took of it; a bound that is gone by now counts as nearly reached.
-                begin_within_s = self._begin_timeout_s(active, backend) or MIN_REMAINING_S
-                if not await is_done_within(sending, begin_within_s):
-                    raise AttemptError(TransportEvent.ANSWER_TIMEOUT, "its weights are too old to begin")
+            if begin_within_s is not None and not await self._begins_in_time(active, backend, sending):
+                raise AttemptError(TransportEvent.ANSWER_TIMEOUT, "its weights are too old to begin")
             return await sending
         except BaseException:
             await _withdraw(sending)
             raise
 
+    async def _begins_in_time(
+        self, active: ActiveRequest, backend: Backend, sending: asyncio.Task[BackendAnswer]
+    ) -> bool:
+        """Wait for an engine until its weights are too old to begin; returns whether it has begun by then."""
+        if sending.done():
+            return True
+        # Asked anew: an earlier wait took of this time, and the engine may have got the newest weights meanwhile.
+        begin_within_s = self._begin_timeout_s(active, backend)
+        return begin_within_s is None or await is_done_within(sending, begin_within_s)
+
     async def _send(self, dispatch: Dispatch) -> BackendAnswer:
         return await self._client.send(dispatch)
 
--- a/tests/unit/serving/test_response_timeout.py
+++ b/tests/unit/serving/test_response_timeout.py
@@ -103,3 +103,30 @@
         return reply.status, len(client.sent), sum(each.suspended_until_s > 0 for each in state.backends.all())
 
     assert run_virtual(work()) == (200, 1, 2)
+
+
+class LoadedMeanwhile(FakeClient):
+    """Its engine gets the newest weights while it works on the request, before its answer begins."""
+
+    def __init__(self, state):
+        super().__init__(Script(chunks=(event(1),), head_after_s=1.5, stream=True))
+        self.state = state
+
+    async def send(self, dispatch):
+        backend = self.state.backends.get(dispatch.backend.incarnation)
+        asyncio.get_running_loop().call_later(0.2, backend.learn_version, "m", 2)
+        return await super().send(dispatch)
+
+
+def test_an_engine_whose_weights_are_the_newest_by_now_is_waited_for():
+    """Its weights would have been too old 1 s after the sending; a silence of 0.4 s is looked into before."""
+
+    async def work():
+        state = make_state(make_route(RouteKind.STREAM, resumable=True), versions={"m": 1})
+        state.weights.name("m", 2, boot_time_s() - 6.75)
+        state.first_token_delays.peers = Delays(100, 60)
+        client, reply = LoadedMeanwhile(state), FakeReply()
+        await RequestPipeline(state, client).serve(make_request(generation=make_generation()), reply)
+        return len(client.sent), reply.ended
+
+    assert run_virtual(work()) == (1, "finished")
