--- a/src/wallwell/events.py
+++ b/src/wallwell/events.py
@@ -84,6 +84,7 @@
     CONFIG_NOT_SERVED = (5020, "INFO", "configuration was not given to a peer: it sent nothing usable or went away")
     MEMBER_NOT_REGISTERED = (5021, "WARNING", "store did not take this node's member row; tried again each second")
     MEMBER_ROW_UNREADABLE = (5022, "WARNING", "member row cannot be decoded; it shares budgets but is not followed")
+    OWN_ROW_UNREADABLE = (5024, "WARNING", "row of the nodes' own table cannot be decoded; it is ignored")
     PEER_PORTS_REFUSED = (5023, "INFO", "ports for peers could not be listened on; the next ones were tried")
 
     # 6001 and on: back ends, engines' caches, KV stores and zones.
--- a/src/wallwell/node/member_rows.py
+++ b/src/wallwell/node/member_rows.py
@@ -62,11 +62,18 @@
             if row.key.startswith(MEMBER_PREFIX):
                 self._on_member(members, row)
             else:
-                for listener in self._listeners:
-                    listener.on_row(row, now_s)
+                self._on_other_row(row, now_s)
         self._order.members = members
         self._state.members = set(members)
 
+    def _on_other_row(self, row: FeedRow, now_s: float) -> None:
+        for listener in self._listeners:
+            try:
+                listener.on_row(row, now_s)
+            except msgspec.MsgspecError as error:
+                # The other rows of the page hold all the same.
+                emit(Event.OWN_ROW_UNREADABLE, row=row.key, error=str(error))
+
     def _on_member(self, members: dict[str, NodeRecord], row: FeedRow) -> None:
         name = row.key[len(MEMBER_PREFIX) :]
         if name == self._state.node:
--- a/tests/unit/node/test_member_rows.py
+++ b/tests/unit/node/test_member_rows.py
@@ -2,6 +2,8 @@
 
 import asyncio
 
+import msgspec
+
 from tests.unit.serving.fakes import make_state
 from wallwell.cluster.upstream import NodeRecord, UpstreamOrder
 from wallwell.errors import PlatformUnavailableError
@@ -26,12 +28,12 @@
             raise PlatformUnavailableError("away")
 
 
-def make_rows(monkeypatch, table):
+def make_rows(monkeypatch, table, listeners=()):
     events = []
     monkeypatch.setattr(member_rows, "emit", lambda event, **fields: events.append(event))
     state = make_state(backends=0)
     order = UpstreamOrder(state.node, state.zone)
-    return MemberRows(state, table, order, ()), order, events
+    return MemberRows(state, table, order, listeners), order, events
 
 
 def page(*rows):
@@ -65,3 +67,25 @@
     rows.apply(page(FeedRow(MEMBER_PREFIX + "other", b"{", 1)))
     assert order.members == {"other": NodeRecord(zone="")}
     assert events == [Event.MEMBER_ROW_UNREADABLE]
+
+
+class Listener:
+    """Cannot decode some rows."""
+
+    def __init__(self):
+        self.taken = []
+
+    def on_row(self, row, now_s):
+        if row.value == b"not to be read":
+            raise msgspec.ValidationError("not as expected")
+        self.taken.append(row.key)
+
+
+def test_a_row_that_cannot_be_decoded_takes_no_other_row_with_it(monkeypatch):
+    first, second = Listener(), Listener()
+    rows, order, events = make_rows(monkeypatch, Table(failures=0), (first, second))
+    bad = FeedRow("progress/m", b"not to be read", 1)
+    rows.apply(page(bad, FeedRow("lease/x", b"{}", 2), FeedRow(MEMBER_PREFIX + "n2", msgspec.json.encode(OWN), 3)))
+    assert first.taken == second.taken == ["lease/x"]
+    assert set(order.members) == {"n2"}
+    assert events == [Event.OWN_ROW_UNREADABLE] * 2
