--- a/src/wallwell/cluster/lease_turn.py
+++ b/src/wallwell/cluster/lease_turn.py
@@ -84,7 +84,8 @@
         try:
             self._keeper.check(boot_time_s())
         except LeaseLostError:
-            return False  # This is the question; that a held lease was lost is logged by ``hold``.
+            # This is the question. ``hold`` logs a loss that the store shows; an unconfirmed one has its own event.
+            return False
         return True
 
     def _on_unconfirmed(self, error: PlatformUnavailableError) -> None:
--- a/src/wallwell/deployment/weights.py
+++ b/src/wallwell/deployment/weights.py
@@ -1,8 +1,8 @@
 """Weights versions that operators have named, and since when this node knows them. Pure.
 
-Owns the named versions of each model. Relies on ``node/rows.py`` to pass each name on as its row arrives. Read by
-the choice of engines and by the weights roll: both decide by how long ago a version was named. Times are seconds
-on this node's clock.
+Owns the named versions of each model. Relies on ``node/operator_rows.py`` to pass each name on as its row arrives.
+Read by the choice of engines and by the weights roll: both decide by how long ago a version was named. Times are
+seconds on this node's clock.
 """
 
 from __future__ import annotations
--- a/src/wallwell/events.py
+++ b/src/wallwell/events.py
@@ -40,7 +40,7 @@
 
     # 3001 and on: single requests, by X-Request-Id.
     REQUEST_ENDED = (3001, "INFO", "request ended")
-    REQUEST_RETRIED = (3002, "INFO", "attempt failed and is retried")
+    REQUEST_RETRIED = (3002, "INFO", "attempt failed")
     STREAM_RESUMED = (3003, "INFO", "stream resumed after a fault")
     STREAM_BROKEN = (3004, "WARNING", "stream could not be continued")
     PROTOCOL_VIOLATION = (3005, "WARNING", "back end broke the protocol; its connection is closed")
--- a/src/wallwell/node/metrics.py
+++ b/src/wallwell/node/metrics.py
@@ -42,7 +42,7 @@
         yield requests
         yield _counter("wallwell_refusals", "Own errors by code.", "code", counters.refusals)
         yield _counter("wallwell_attempts", "Attempts by result.", "result", counters.attempts)
-        yield _histogram("wallwell_first_piece_seconds", "Time to the first piece.", counters.first_token)
+        yield _histogram("wallwell_first_piece_seconds", "Time to the first token.", counters.first_token)
         yield _histogram("wallwell_answer_seconds", "Time to the whole answer.", counters.whole_answer)
         yield _histogram("wallwell_largest_gap_seconds", "Largest pause of a stream.", counters.largest_gap)
 
@@ -59,7 +59,7 @@
     def _collect_freshness(self, now_s: float) -> Iterator[Metric]:
         state = self._state
         age_s = now_s - state.freshness.confirmed_at_s
-        yield GaugeMetricFamily("wallwell_store_age_seconds", "Age of the store's last word.", value=age_s)
+        yield GaugeMetricFamily("wallwell_store_age_seconds", "Time since the store last answered.", value=age_s)
         version = state.config.version if state.config is not None else 0
         yield GaugeMetricFamily("wallwell_config_version", "Configuration in force.", value=version)
         yield GaugeMetricFamily("wallwell_ready", "Whether the node is ready.", value=float(state.is_ready(now_s)))
@@ -71,7 +71,7 @@
         yield GaugeMetricFamily("wallwell_backends", "Listed back ends.", value=len(listed))
         yield GaugeMetricFamily("wallwell_backends_open", "Back ends that get new requests.", value=opened)
         in_flight = sum(each.in_flight for each in listed)
-        yield GaugeMetricFamily("wallwell_in_flight", "Attempts under way.", value=in_flight)
+        yield GaugeMetricFamily("wallwell_in_flight", "Attempts in flight.", value=in_flight)
 
     def _collect_quarantine(self) -> Iterator[Metric]:
         suspects, quarantined = self._state.quarantine.suspects, self._state.quarantine.quarantined
@@ -80,13 +80,15 @@
 
     def _collect_region_traffic(self) -> Iterator[Metric]:
         traffic = self._state.region_traffic
-        yield _counter("wallwell_region_exchanges", "Exchanges with other regions.", "cause", traffic.exchanges)
+        yield _counter(
+            "wallwell_region_exchanges", "Messages to and from other regions.", "cause", traffic.exchanges
+        )
         yield _counter(
             "wallwell_region_bytes", "Bytes exchanged with other regions, bodies only.", "cause", traffic.bytes
         )
 
     def _retry_budgets(self, now_s: float) -> Metric:
-        budget = GaugeMetricFamily("wallwell_retry_budget_left", "Repeats left by service.", labels=["service"])
+        budget = GaugeMetricFamily("wallwell_retry_budget_left", "Retries left by service.", labels=["service"])
         for service, left in self._state.budgets_left(now_s).items():
             budget.add_metric([service], left)
         return budget
@@ -112,7 +114,7 @@
             "wallwell_rollout_phase", "1 for the phase a service's last rollout is in.", labels=["service", "phase"]
         )
         share = GaugeMetricFamily(
-            "wallwell_rollout_share", "Part of new requests for the target version.", labels=["service"]
+            "wallwell_rollout_share", "Share of new requests for the target version.", labels=["service"]
         )
         requests = CounterMetricFamily(
             "wallwell_rollout_requests", "Attempts of this node by side.", labels=["service", "side"]
--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -129,7 +129,7 @@
         self._relayed = self._tables.relayed
 
     def _build_peers(self, sources: NodeSources) -> None:
-        """Build what nodes say to each other."""
+        """Build the exchange with peers."""
         crash_reports = CrashReports(self._crashes.unwritten, self._crashes.on_peer_report)
         self._load_reporter = LoadReporter(
             self.state.node, self.state.load, self._order, self.state.region_traffic, crash_reports
--- a/src/wallwell/placement/weights_roll_driver.py
+++ b/src/wallwell/placement/weights_roll_driver.py
@@ -252,7 +252,7 @@
         try:
             fence = self._lease.check(boot_time_s())
         except LeaseLostError:
-            # No order without a lease, as if the engine had refused it. The loss itself is logged where it is seen.
+            # No order without a lease, as if the engine had refused it. The lease turn logs what became of it.
             return OrderReply.FENCED
         order = WeightsOrder(task.model, task.version, self._state.node, fence, report.orders_taken)
         reply = await self._control.order(task.backend.record, order)
--- a/src/wallwell/routing/admission/overload.py
+++ b/src/wallwell/routing/admission/overload.py
@@ -1,4 +1,4 @@
-"""Which generations are refused while engines have more under way than they can serve in time. Pure.
+"""Which generations are refused while engines have more in flight than they can serve in time. Pure.
 
 An engine serves a bounded number of generations at once, the rest wait in its queue. Once that wait is longer than
 callers' objectives, all answers are late, and late ones hold slots for as long as others: the queue then lasts
@@ -25,9 +25,10 @@
 
 Long prompts count several times in a load (see ``request_load``), so a fleet in time may be at 1. In the simulated
 day above 71% of the value was served from 1.2, 74% from 1.2 with returning callers preferred, and 75% from 1.05; in
-a day with crashes of a third of the engines 74%, 74% and 72%."""
+a day with crashes of a third of the engines 74%, 74% and 72%. 1.1 itself was chosen between them, not measured."""
 REFUSE_ALL = 1.7
-"""Load by slot from which all of them are refused: most of a batch waits behind the one being served."""
+"""Load by slot from which all of them are refused: most of a batch waits behind the one being served. Chosen, not
+measured."""
 RANK_STEP = 0.1
 """How much earlier each less urgent rank is refused, in load by slot. Chosen, not measured."""
 MAX_RANK_STEPS = 3
@@ -41,7 +42,7 @@
 
 
 class Occupancy(msgspec.Struct, frozen=True):
-    """Requests of all nodes under way at the engines that may be used, long prompts counted several times."""
+    """Requests of all nodes in flight at the engines that may be used, long prompts counted several times."""
 
     load: int
     slots: int
--- a/src/wallwell/routing/admission/tenant_limits.py
+++ b/src/wallwell/routing/admission/tenant_limits.py
@@ -36,7 +36,8 @@
 LIFE_BITS = 48
 """Random bits of a life's number: two lives of a node do not get the same one, and it is exact in any JSON."""
 LEVELS_VALID_S = 0.3
-"""Seconds for which reported levels hold: the 0.25 s between two reports, and a little more."""
+"""Seconds for which reported levels hold: the time between two reports over a thin link (0.25 s; 0.05 s over
+others) and a little more."""
 SHORTEST_WAIT_S = 0.2
 """Least Retry-After of a refused caller, in seconds. Chosen, not measured: sooner, what others spend is unknown."""
 LONGEST_WAIT_S = 5.0
--- a/src/wallwell/routing/health/backend_registry.py
+++ b/src/wallwell/routing/health/backend_registry.py
@@ -1,8 +1,8 @@
 """The back ends of every service by incarnation, reconciled with the rows of the store. Pure.
 
 Owns which incarnations are listed, superseded or lapsed; what was observed of each is in :mod:`.backend`. Relies on
-rows being applied in the order of the store, by ``node/rows.py``. A back end whose entry is missing stays for some
-time, since entries go and return with a single missed heartbeat.
+rows being applied in the order of the store, by ``node/backend_rows.py``. A back end whose entry is missing stays
+for some time, since entries go and return with a single missed heartbeat.
 """
 
 from __future__ import annotations
--- a/src/wallwell/routing/health/silence.py
+++ b/src/wallwell/routing/health/silence.py
@@ -3,7 +3,7 @@
 Inputs are the times at which the back end was sent something after an idle time, and at which it sent anything.
 Times are seconds on this node's clock.
 
-A machine without power says nothing: its connections stay open and its streams stop. An engine that reads a long
+A machine without power says nothing: its connections stay open and its streams stop. An engine that prefills a long
 prompt between the tokens of its streams is silent for a while too. So what counts as a long silence follows from
 the silences seen at the back end itself, and even then it is only probed with a new connection; it is suspended if
 that one gets no answer.
--- a/src/wallwell/routing/health/suspension.py
+++ b/src/wallwell/routing/health/suspension.py
@@ -9,7 +9,7 @@
 and are bounded, so that one that has returned is used again within seconds.
 
 A request that ends by silence alone is no failure while the back end answers others: it is busy, and suspending it
-moves its load to back ends that are as busy. Engines that were suspended for being slow made the others slower.
+moves its load to back ends that are as busy. Suspending engines for being slow makes the others slower.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 ANSWERING_S = 1.5
 """Seconds for which an answer shows that a back end works. The figure is chosen, not measured: longer than the gap
 between two answers of a busy engine. The rule was measured together with drawing the retry budget before an attempt
-is given up: in simulated days of 173 engines the share of requests' value served was 0.96 before and 0.98 after,
-1.00 and 1.00, 0.80 and 0.76, which is within the noise of single days."""
+is given up: in simulated days of 173 engines the share of requests' value served was 0.96, 1.00 and 0.80 without
+both and 0.98, 1.00 and 0.76 with them, which is within the noise of single days."""
 
 
 def suspended_until_s(consecutive_failures: int, unreachable: bool, now_s: float) -> float | None:
--- a/src/wallwell/routing/retry/attempt_history.py
+++ b/src/wallwell/routing/retry/attempt_history.py
@@ -26,7 +26,7 @@
     runs: int = 0
     """Attempts that may have been executed; the route bounds them."""
     arrivals: int = 0
-    """Failed attempts that arrived at a back end, whether it ran them or refused them."""
+    """Failed attempts for which a connection came up, whether the back end ran them, refused them or broke off."""
     prepaid_retries: int = 0
     """Retries drawn from the budget before the attempt that they follow was abandoned."""
     unresponsive_zones: set[str] = field(default_factory=set)
--- a/src/wallwell/routing/retry/response_timeout.py
+++ b/src/wallwell/routing/retry/response_timeout.py
@@ -18,8 +18,8 @@
 next one. Chosen, not measured."""
 SLOWEST_PREFILL_TOKENS_PER_S = 10_000.0
 """Prefill rate, in tokens per second, below which an engine counts as silent: a prompt is allowed the time of its
-whole prefill at this rate. Chosen, not measured: about a ninth of the rate observed of engines, which is 94 tokens
-per ms."""
+whole prefill at this rate. Chosen, not measured: about a ninth of the fastest engines known, 94 tokens per ms, and
+a quarter of the slowest, 38."""
 STALL_TIMEOUT_FACTOR = 2.0
 """Multiple of a route's largest allowed gap after which a silent stream is continued elsewhere. Chosen, not
 measured: a gap of up to the allowed length is normal, one of twice that is late whatever follows."""
--- a/src/wallwell/routing/retry/retry_budget.py
+++ b/src/wallwell/routing/retry/retry_budget.py
@@ -34,7 +34,7 @@
         self._retries = SlidingWindow(self.window_s)
 
     def on_request(self, now_s: float) -> None:
-        """Count a request's first dispatch."""
+        """Count an admitted request, also one that is then refused before it is sent."""
         self._requests.add(now_s)
 
     def left(self, now_s: float, nodes: int) -> float:
--- a/src/wallwell/routing/retry/retry_policy.py
+++ b/src/wallwell/routing/retry/retry_policy.py
@@ -30,7 +30,8 @@
 Chosen, not measured."""
 MAX_UNREACHABLE = 3
 """Back ends that could not be connected to, after which the request is refused: the cause is then probably on this
-node's side of the network, and its caller reaches another node. Chosen, not measured."""
+node's side of the network, and its caller reaches another node. Error answers that were retried count as well,
+since they are attempts that failed without counting as arrivals. Chosen, not measured."""
 
 
 class Retry(msgspec.Struct, frozen=True):
--- a/src/wallwell/routing/selection/candidates.py
+++ b/src/wallwell/routing/selection/candidates.py
@@ -102,7 +102,8 @@
 ) -> Sequence[Backend]:
     """Leave out the zones into which this request's connections timed out; then the node's own zone goes first.
 
-    Each such connection costs the request 0.25 s, and nothing is less likely to be cut off than the own zone.
+    Each such connection costs the request the connect timeout (0.25 s on the platform), and nothing is less likely
+    to be cut off than the own zone.
     """
     if not unresponsive_zones:
         return candidates
--- a/src/wallwell/routing/selection/kv_store_choice.py
+++ b/src/wallwell/routing/selection/kv_store_choice.py
@@ -29,8 +29,8 @@
 MIN_FETCH_TOKENS = 1024
 """Shared tokens from which a prompt's parts are fetched also while the fleet is behind its objectives.
 
-Engines prefill fewer in some 25 ms (38 to 57 tokens a ms); a move may wait 2 s for its turn. In a deployment of 195
-nodes prompts of 800 tokens waited that long to move 200 of them."""
+Engines prefill fewer in some 25 ms (38 to 57 tokens a ms, by the deployment); a move may wait 2 s for its turn. In
+a deployment of 195 nodes prompts of 800 tokens waited that long to move 200 of them."""
 DISTANCE_WEIGHTS = {Distance.SAME_ZONE: 1.0, Distance.SAME_REGION: 0.95, Distance.OTHER_REGION: 0.5}
 """What a token in a store counts for by the distance of the store from the engine.
 
--- a/src/wallwell/routing/selection/prefix_home.py
+++ b/src/wallwell/routing/selection/prefix_home.py
@@ -28,8 +28,8 @@
 SHARED_TOKENS_WORTH_THE_WAY = 1024
 """Shared tokens from which a prompt has one home in all regions.
 
-It parts short prompts (some 200 shared tokens) from long ones (6,300, which take 67 ms to prefill at 94 tokens a
-ms, where the way to the other region and back takes 40 ms)."""
+It parts short prompts (some 200 shared tokens) from long ones (6,300, which take 67 ms to prefill at the 94
+tokens a ms of the deployment with two regions, where the way to the other region and back takes 40 ms)."""
 
 
 class PromptPart(msgspec.Struct, frozen=True):
--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -1,9 +1,9 @@
 """The request pipeline: admit, choose a back end, attempt, and again where that is safe, until the request has
 ended.
 
-This module owns the loop over the attempts of one request and the one answer that its caller gets: exactly one,
-sent as soon as it is decided. A refusal that proves that the request never ran says when to retry. The pipeline
-knows no wire format and decides nothing itself: it asks
+This module owns the loop over the attempts of one request and the answer that its caller gets: exactly one, sent as
+soon as it is decided, and none once the caller has left. A refusal that proves that the request never ran says when
+to retry. The pipeline knows no wire format and decides nothing itself: it asks
 
 - :class:`~wallwell.serving.admission.Admission` who may send what, and for how long;
 - :class:`~wallwell.serving.backend_choice.BackendChoice` which back end is next;
--- a/src/wallwell/serving/version_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -31,13 +31,13 @@
     listed = state.backends.of_service(active.service)
     generation = active.request.generation
     requirement = None if generation is None else _weights_requirement(state, generation.model)
-    sides = state.rollouts.active.get(active.service)
-    if sides is None:
+    rollout = state.rollouts.active.get(active.service)
+    if rollout is None:
         return Candidates(listed, usable_backends(listed, requirement, now_s))
     if active.prefers_target is None:
-        active.prefers_target = sides.draws_target(state.rng, now_s)
-    prefers_target = active.prefers_target and _may_prefer_target(sides, now_s)
-    return candidates_of_tiers(sides.tiers(listed, prefers_target, now_s), requirement, now_s)
+        active.prefers_target = rollout.draws_target(state.rng, now_s)
+    prefers_target = active.prefers_target and _may_prefer_target(rollout, now_s)
+    return candidates_of_tiers(rollout.tiers(listed, prefers_target, now_s), requirement, now_s)
 
 
 def begin_by_s(state: NodeState, backend: Backend, model: str) -> float:
@@ -49,25 +49,25 @@
     return WeightsRequirement(state.weights, model, state.bounds.version_s)
 
 
-def _may_prefer_target(sides: ServiceRollout, now_s: float) -> bool:
+def _may_prefer_target(rollout: ServiceRollout, now_s: float) -> bool:
     """Whether a request that was drawn for the target version may still go there at its next attempt."""
-    record = sides.record
-    return record is not None and (record.phase.is_final or sides.has_fresh_record(now_s))
+    record = rollout.record
+    return record is not None and (record.phase.is_final or rollout.has_fresh_record(now_s))
 
 
 def eligible_backends(state: NodeState, service: str, now_s: float) -> Sequence[Backend]:
     """Return the back ends that new requests of a service are meant for."""
     listed = state.backends.of_service(service)
-    sides = state.rollouts.active.get(service)
-    return listed if sides is None else sides.eligible_backends(listed, now_s)
+    rollout = state.rollouts.active.get(service)
+    return listed if rollout is None else rollout.eligible_backends(listed, now_s)
 
 
 def begin_attempt(state: NodeState, active: ActiveRequest, backend: Backend, now_s: float) -> CountedAttempt | None:
     """Count an attempt that is sent during a rollout; a retry after it goes to the current version."""
-    sides = state.rollouts.active.get(active.service)
-    if sides is None:
+    rollout = state.rollouts.active.get(active.service)
+    if rollout is None:
         return None
-    is_target = sides.is_target(backend)
+    is_target = rollout.is_target(backend)
     if is_target:
         active.prefers_target = False
     tally = state.rollouts.tally.by_service.get(active.service)
