--- a/src/wallwell/standalone/callers/caller.py
+++ b/src/wallwell/standalone/callers/caller.py
@@ -50,7 +50,7 @@
 _MAX_DEADLINE_DIGITS = 10
 """Digits of a deadline that are read, so that a long one is not parsed; more than the largest allowed one has."""
 MAX_NAME_IN_ERROR = 64
-"""Characters of an unknown name that an error repeats, so that an answer doesn't grow with the request."""
+"""Characters of an unknown name that an error contains, so that an answer doesn't grow with the request."""
 _REQUEST_ID = re.compile(r"^[A-Za-z0-9._:-]{1,128}$")
 _IDEMPOTENCY_KEY = re.compile(r"^[\x21-\x7e]{1,255}$")
 
--- a/src/wallwell/standalone/callers/claimed_call.py
+++ b/src/wallwell/standalone/callers/claimed_call.py
@@ -32,7 +32,7 @@
 """Step of the backoff at which these tries begin (a pause of up to 0.32 s), since several tries have just failed.
 Chosen, not measured."""
 CLAIM_ID_BYTES = 12
-"""Random bytes that tell one claim from another of the same key."""
+"""Random bytes by which one claim differs from another of the same key."""
 
 Settle = Callable[[], Awaitable[bool]]
 """Settles a claim; returns whether that is certain."""
--- a/src/wallwell/standalone/callers/engine_choice.py
+++ b/src/wallwell/standalone/callers/engine_selection.py
@@ -17,7 +17,7 @@
 from wallwell.standalone.routing.selector import EngineView
 
 
-async def choose_engine(context: NodeContext, run: GenerationRun) -> tuple[Engine, Choice]:
+async def select_engine(context: NodeContext, run: GenerationRun) -> tuple[Engine, Choice]:
     """Return the engine to send to, and what the policy expects of it.
 
     Raises :class:`NoBackendError` if no engine may be tried, and :class:`DeadlineUnreachableError` if a generation
--- a/src/wallwell/standalone/callers/generation.py
+++ b/src/wallwell/standalone/callers/generation.py
@@ -1,6 +1,6 @@
 """The life of a generation request: admit, choose an engine, attempt, resume elsewhere after a fault, answer.
 
-Each step has its own module: ``generation_run`` (admission and state), ``engine_choice``, ``engine_attempt``,
+Each step has its own module: ``generation_run`` (admission and state), ``engine_selection``, ``engine_attempt``,
 ``generation_retry`` and ``generation_answer``; this one holds their order.
 """
 
@@ -15,7 +15,7 @@
 from wallwell.standalone.callers.caller import CheckedCaller, admitted, read_body
 from wallwell.standalone.callers.context import NodeContext
 from wallwell.standalone.callers.engine_attempt import EngineAttempt
-from wallwell.standalone.callers.engine_choice import choose_engine
+from wallwell.standalone.callers.engine_selection import select_engine
 from wallwell.standalone.callers.generation_answer import GenerationAnswer, count_generation
 from wallwell.standalone.callers.generation_retry import await_generation_retry, generation_exhausted
 from wallwell.standalone.callers.generation_run import GenerationRun, admit_generation
@@ -53,7 +53,7 @@
         """Make attempts until the generation is complete. Raises :class:`RequestError`."""
         while True:
             self._refuse_if_quarantined(run)
-            engine, choice = await choose_engine(self._context, run)
+            engine, choice = await select_engine(self._context, run)
             try:
                 await EngineAttempt(self._context, run, engine, choice).perform(answer.forward)
                 return
--- a/src/wallwell/standalone/callers/generation_retry.py
+++ b/src/wallwell/standalone/callers/generation_retry.py
@@ -18,7 +18,7 @@
 from wallwell.standalone.callers.generation_run import GenerationRun
 from wallwell.standalone.callers.retry_after import NO_BACKEND_RETRY_AFTER_MS
 from wallwell.standalone.config.compiled import Engine
-from wallwell.standalone.routing.retry_decision import GiveUp, GiveUpCause, after_failed_generation
+from wallwell.standalone.routing.retry_decision import NoRetry, NoRetryCause, after_failed_generation
 
 
 async def await_generation_retry(
@@ -34,8 +34,8 @@
     decision = after_failed_generation(
         before, run.progress, permitted, remaining_s, context.retry_budget, context.rng
     )
-    if isinstance(decision, GiveUp):
-        if decision.cause is GiveUpCause.FORBIDDEN_BY_OUTCOME:
+    if isinstance(decision, NoRetry):
+        if decision.cause is NoRetryCause.FORBIDDEN_BY_OUTCOME:
             raise BackendFailedError(failure.detail)
         raise generation_exhausted(run)
     _report_retry(context, run, engine, failure.event)
--- a/src/wallwell/standalone/callers/service_call.py
+++ b/src/wallwell/standalone/callers/service_call.py
@@ -28,7 +28,7 @@
 from wallwell.standalone.callers.retry_after import NO_BACKEND_RETRY_AFTER_MS, UNKNOWN_OUTCOME_RETRY_AFTER_MS
 from wallwell.standalone.config.schema import ServiceInstance
 from wallwell.standalone.routing.retry import CircuitBreaker
-from wallwell.standalone.routing.retry_decision import GiveUp, after_failed_service_call
+from wallwell.standalone.routing.retry_decision import NoRetry, after_failed_service_call
 
 LEAVING_PAUSE_S = 30.0
 """Seconds for which an instance that reported that it is leaving gets no calls. Chosen, not measured."""
@@ -120,7 +120,7 @@
         decision = after_failed_service_call(
             self._log.attempts, permitted, remaining_s, context.retry_budget, context.rng
         )
-        if isinstance(decision, GiveUp):
+        if isinstance(decision, NoRetry):
             raise self._error(failure.detail or failure.event.value)
         context.metrics.retries.labels("service").inc()
         await asyncio.sleep(decision.delay_s)
--- a/src/wallwell/standalone/routing/retry_decision.py
+++ b/src/wallwell/standalone/routing/retry_decision.py
@@ -2,10 +2,12 @@
 
 Inputs are what the earlier attempts of the request brought, what is proved of the failed one, the time left until
 the caller's deadline, the node's retry budget and a random generator. A decision takes at most one retry out of the
-budget and draws at most one random number; sending, waiting and errors are the callers' handlers' part.
+budget and draws at most one random number; sending, waiting and errors are left to the handlers in
+``standalone.callers``.
 
-Generations and service calls differ: an engine continues a stream after the tokens that were received, so progress
-is worth more than the budget, while a service's whole answer is lost with its connection.
+Generations and service calls differ: an engine continues a stream after the tokens that were received, so an
+attempt with progress is not charged to the budget; of a service's answer nothing is kept when its connection
+breaks.
 """
 
 from __future__ import annotations
@@ -25,7 +27,7 @@
 """Attempts of one service call. Chosen, not measured."""
 
 
-class GiveUpCause(enum.Enum):
+class NoRetryCause(enum.Enum):
     """Why a request is not sent again."""
 
     FORBIDDEN_BY_OUTCOME = "what is proved of the failed attempt forbids another one"
@@ -34,16 +36,16 @@
     NO_TIME_LEFT = "the pause would reach the caller's deadline"
 
 
-class Retry(NamedTuple):
+class RetryAfterPause(NamedTuple):
     """Send again after ``delay_s`` seconds."""
 
     delay_s: float
 
 
-class GiveUp(NamedTuple):
+class NoRetry(NamedTuple):
     """Answer with an error."""
 
-    cause: GiveUpCause
+    cause: NoRetryCause
 
 
 class GenerationProgress(NamedTuple):
@@ -70,7 +72,7 @@
     remaining_s: float,
     budget: RetryBudget,
     rng: random.Random,
-) -> Retry | GiveUp:
+) -> RetryAfterPause | NoRetry:
     """Decide on another attempt of a generation.
 
     ``before`` and ``after`` are its progress before and after the failed attempt; ``permitted`` says whether the
@@ -79,31 +81,31 @@
     has begun is continued also beyond the deadline.
     """
     if not permitted:
-        return GiveUp(GiveUpCause.FORBIDDEN_BY_OUTCOME)
+        return NoRetry(NoRetryCause.FORBIDDEN_BY_OUTCOME)
     if after.resumes > before.resumes:
         if after.resumes > MAX_RESUMES:
-            return GiveUp(GiveUpCause.ATTEMPTS_USED_UP)
+            return NoRetry(NoRetryCause.ATTEMPTS_USED_UP)
     elif after.fruitless_attempts >= MAX_GENERATION_ATTEMPTS:
-        return GiveUp(GiveUpCause.ATTEMPTS_USED_UP)
+        return NoRetry(NoRetryCause.ATTEMPTS_USED_UP)
     elif not budget.try_retry():
-        return GiveUp(GiveUpCause.BUDGET_USED_UP)
+        return NoRetry(NoRetryCause.BUDGET_USED_UP)
     delay_s = full_jitter_delay_s(after.fruitless_attempts, rng)
     if after.tokens == 0 and remaining_s <= delay_s:
-        return GiveUp(GiveUpCause.NO_TIME_LEFT)
-    return Retry(delay_s)
+        return NoRetry(NoRetryCause.NO_TIME_LEFT)
+    return RetryAfterPause(delay_s)
 
 
 def after_failed_service_call(
     attempts: int, permitted: bool, remaining_s: float, budget: RetryBudget, rng: random.Random
-) -> Retry | GiveUp:
+) -> RetryAfterPause | NoRetry:
     """Decide on another attempt of a service call after ``attempts`` failed ones."""
     delay_s = full_jitter_delay_s(attempts, rng)
     if not permitted:
-        return GiveUp(GiveUpCause.FORBIDDEN_BY_OUTCOME)
+        return NoRetry(NoRetryCause.FORBIDDEN_BY_OUTCOME)
     if attempts >= MAX_SERVICE_ATTEMPTS:
-        return GiveUp(GiveUpCause.ATTEMPTS_USED_UP)
+        return NoRetry(NoRetryCause.ATTEMPTS_USED_UP)
     if remaining_s <= delay_s:
-        return GiveUp(GiveUpCause.NO_TIME_LEFT)
+        return NoRetry(NoRetryCause.NO_TIME_LEFT)
     if not budget.try_retry():
-        return GiveUp(GiveUpCause.BUDGET_USED_UP)
-    return Retry(delay_s)
+        return NoRetry(NoRetryCause.BUDGET_USED_UP)
+    return RetryAfterPause(delay_s)
--- a/tests/platform/test_time_of_day.py
+++ b/tests/platform/test_time_of_day.py
@@ -39,7 +39,7 @@
     "standalone.cluster.transport",
     "standalone.callers.claimed_call",
     "standalone.callers.engine_attempt",
-    "standalone.callers.engine_choice",
+    "standalone.callers.engine_selection",
     "standalone.callers.generation",
     "standalone.callers.generation_answer",
     "standalone.callers.generation_retry",
--- a/tests/unit/standalone/routing/test_retry_decision.py
+++ b/tests/unit/standalone/routing/test_retry_decision.py
@@ -14,9 +14,9 @@
     MAX_RESUMES,
     MAX_SERVICE_ATTEMPTS,
     GenerationProgress,
-    GiveUp,
-    GiveUpCause,
-    Retry,
+    NoRetry,
+    NoRetryCause,
+    RetryAfterPause,
     after_failed_generation,
     after_failed_service_call,
 )
@@ -24,10 +24,10 @@
 SEED = 7
 LONG_S = 60.0
 RESERVE = 4
-FORBIDDEN = GiveUp(GiveUpCause.FORBIDDEN_BY_OUTCOME)
-NO_ATTEMPTS = GiveUp(GiveUpCause.ATTEMPTS_USED_UP)
-NO_BUDGET = GiveUp(GiveUpCause.BUDGET_USED_UP)
-NO_TIME = GiveUp(GiveUpCause.NO_TIME_LEFT)
+FORBIDDEN = NoRetry(NoRetryCause.FORBIDDEN_BY_OUTCOME)
+NO_ATTEMPTS = NoRetry(NoRetryCause.ATTEMPTS_USED_UP)
+NO_BUDGET = NoRetry(NoRetryCause.BUDGET_USED_UP)
+NO_TIME = NoRetry(NoRetryCause.NO_TIME_LEFT)
 
 
 def budget_of(retries: int) -> RetryBudget:
@@ -45,9 +45,9 @@
     return left
 
 
-def retry_of_step(step: int) -> Retry:
+def retry_of_step(step: int) -> RetryAfterPause:
     """Return a retry with the pause that the generator gives for a step of the backoff."""
-    return Retry(full_jitter_delay_s(step, random.Random(SEED)))
+    return RetryAfterPause(full_jitter_delay_s(step, random.Random(SEED)))
 
 
 @pytest.mark.parametrize(
@@ -140,7 +140,7 @@
     for new_tokens, remaining_s in failures:
         before, progress = progress, progress.after_attempt(progress.tokens + new_tokens)
         decision = after_failed_generation(before, progress, True, remaining_s, budget, rng)
-        if isinstance(decision, GiveUp):
+        if isinstance(decision, NoRetry):
             break
         assert progress.tokens or decision.delay_s < remaining_s
         resumed += new_tokens > 0
