--- a/src/wallwell/emulator/deployment.py
+++ b/src/wallwell/emulator/deployment.py
@@ -212,7 +212,7 @@
             node = router.context.node
             if not router.context.ready or node.config.head < head or head == 0:
                 return False
-            if len(node.serving_engines()) < len(self.engines):
+            if len(node.engines.serving()) < len(self.engines):
                 return False
         return True
 
--- /dev/null
+++ b/src/wallwell/standalone/cluster/anti_entropy.py
@@ -0,0 +1,124 @@
+"""Reconciliation between two members: a sample of what one knows, and what the other one answers.
+
+Owns nothing but the figures of a sample. Relies on :class:`.member_table.MemberTable` for what is known, and on
+:mod:`.reconcile` for what fits into a datagram.
+"""
+
+from __future__ import annotations
+
+import heapq
+import random
+from collections.abc import Iterable, Mapping, Sequence
+
+from wallwell.standalone.cluster.member_table import MemberTable
+from wallwell.standalone.cluster.messages import DigestEntry, MemberStatus, Sync, SyncReply
+from wallwell.standalone.cluster.reconcile import ReplyContent, is_newer
+
+DIGEST_SAMPLE = 20
+"""Members in one digest beside the sender and the target, so that a datagram does not grow with the fleet.
+Chosen, not measured."""
+DIGEST_RECENT = 6
+"""Of these, members whose status changed last, so that each digest carries news. Chosen, not measured."""
+ROSTER_SAMPLE = 12
+"""Statuses of further members sent to a node whose set of live members differs; the rest follows in its next
+syncs. Chosen, not measured."""
+
+
+class AntiEntropy:
+    """Digests and answers of one node."""
+
+    def __init__(self, table: MemberTable, region: str, rng: random.Random) -> None:
+        self._table = table
+        self._region = region
+        self._rng = rng
+
+    # --- first leg -------------------------------------------------------------------------------------
+
+    def sync(self, sequence: int, config_head: int, target: str) -> Sync:
+        """Return the message that asks ``target`` (empty: a node known by address only) for what is missing."""
+        digest = tuple(self._digest_sample(target))
+        return Sync(sequence, self._region, self._table.node, config_head, self._table.roster_hash(), digest)
+
+    def _digest_sample(self, target: str) -> list[DigestEntry]:
+        """Return this node, the target, the latest changes of status, and a random sample of the rest.
+
+        A change back to alive counts as a change: a refutation must outrun the suspicion it answers.
+        """
+        members = self._table.others
+        entries = [self._table.own.digest()]
+        others = [member for name, member in members.items() if name != target]
+        if target in members:
+            entries.append(members[target].digest())
+        latest = heapq.nlargest(DIGEST_RECENT, others, key=lambda member: member.status_since_s)
+        usual = [member for member in others if member.is_alive and member not in latest]
+        sample = latest + self._rng.sample(usual, min(len(usual), DIGEST_SAMPLE - len(latest)))
+        entries.extend(member.digest() for member in sample)
+        return entries
+
+    # --- second leg ------------------------------------------------------------------------------------
+
+    def reply_to(self, message: Sync, now_s: float, config_head: int) -> SyncReply:
+        """Merge a digest; returns what its sender lacks and the names of which this node lacks something."""
+        newer: list[str] = [self._table.node]
+        wanted: list[str] = []
+        for entry in message.digest:
+            self._table.merge_status(entry, now_s)
+            self._compare(entry, newer, wanted)
+        known = {entry.node: entry for entry in message.digest}
+        unlisted = self._unlisted_sample(known) if message.roster != self._table.roster_hash() else []
+        return self._reply(message.sequence, config_head, newer, known, unlisted, wanted)
+
+    def _compare(self, entry: DigestEntry, newer: list[str], wanted: list[str]) -> None:
+        mine = self._table.member(entry.node)
+        if mine is None:
+            if entry.status <= MemberStatus.SUSPECT:
+                wanted.append(entry.node)
+            return
+        if is_newer(mine.digest(), entry):
+            newer.append(entry.node)
+        if is_newer(entry, mine.digest()):
+            wanted.append(entry.node)
+
+    def _unlisted_sample(self, listed: Mapping[str, DigestEntry]) -> list[DigestEntry]:
+        members = self._table.others
+        unlisted = [name for name in members if name not in listed]
+        sample = self._rng.sample(unlisted, min(len(unlisted), ROSTER_SAMPLE))
+        return [members[name].digest() for name in sample]
+
+    # --- third leg -------------------------------------------------------------------------------------
+
+    def merge(self, message: SyncReply, now_s: float) -> bool:
+        """Merge an answer; returns whether a member in it was unknown."""
+        found_unknown = False
+        for record in message.records:
+            found_unknown |= self._table.merge_record(record, now_s)
+        for load in message.loads:
+            self._table.merge_load(load)
+        for entry in message.entries:
+            self._table.merge_status(entry, now_s)
+        return found_unknown
+
+    def answer_to(self, message: SyncReply, config_head: int) -> SyncReply | None:
+        """Return the records the sender asked for and ask for members still unknown; None if there are neither."""
+        unknown = [
+            entry.node
+            for entry in message.entries
+            if entry.status <= MemberStatus.SUSPECT and self._table.member(entry.node) is None
+        ]
+        if not message.wanted and not unknown:
+            return None
+        return self._reply(0, config_head, message.wanted, {}, [], unknown)
+
+    def _reply(
+        self,
+        sequence: int,
+        config_head: int,
+        names: Iterable[str],
+        known: Mapping[str, DigestEntry],
+        entries: Sequence[DigestEntry],
+        wanted: Sequence[str],
+    ) -> SyncReply:
+        members = [member for member in map(self._table.member, dict.fromkeys(names)) if member is not None]
+        content = ReplyContent(list(entries), wanted)
+        content.collect(members, known)
+        return content.message(sequence, self._table.node, config_head)
--- a/src/wallwell/standalone/cluster/members.py
+++ b/src/wallwell/standalone/cluster/members.py
@@ -1,4 +1,5 @@
-"""What a node keeps of each member of its region."""
+"""What a node keeps of each member of its region, and the intervals of membership. Owns no state; used by the
+modules of membership."""
 
 from __future__ import annotations
 
@@ -9,13 +10,18 @@
 
 @dataclass(frozen=True)
 class MembershipTimings:
-    """Intervals in seconds."""
+    """Intervals in seconds. Chosen, not measured."""
 
     sync_interval_s: float = 1.0
+    """Mean time between two rounds; each round probes one member and reconciles with it."""
     probe_timeout_s: float = 0.5
+    """How long a direct probe is waited for before others are asked to probe."""
     suspicion_timeout_s: float = 3.0
+    """How long a suspect may take to refute; in groups of more than ten, times log10 of the group's size."""
     dead_retention_s: float = 7200.0
+    """How long failed and departed members are remembered, so that old news does not bring them back."""
     rejoin_interval_s: float = 5.0
+    """Mean time between two tries to reach unknown seeds and members considered dead."""
 
 
 @dataclass
@@ -28,8 +34,13 @@
     incarnation: int = 0
     status_since_s: float = 0.0
 
+    @property
+    def is_alive(self) -> bool:
+        """Whether the member is not considered failed: a suspect still counts as alive."""
+        return self.status <= MemberStatus.SUSPECT
+
     def digest(self) -> DigestEntry:
-        """Return the digest entry."""
+        """Return the member's versions, without its state."""
         return DigestEntry(
             self.record.node, self.incarnation, int(self.status), self.record.version, self.load.version
         )
--- /dev/null
+++ b/src/wallwell/standalone/cluster/probing.py
@@ -0,0 +1,140 @@
+"""Probes of the members of a region, as in SWIM: one member a round, through others if it does not answer.
+
+Owns the probes under way, those done on behalf of others, and the order in which members are probed. Relies on
+:class:`.member_table.MemberTable` for statuses; a probe that fails twice makes its target a suspect there.
+"""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass
+
+from wallwell.standalone.cluster.member_table import MemberTable
+from wallwell.standalone.cluster.members import MembershipTimings
+from wallwell.standalone.cluster.messages import Ack, Action, DigestEntry, IndirectProbe, Ping, Send, SyncReply
+
+INDIRECT_PROBES = 3
+"""Members asked to probe one that did not answer, as in SWIM: a single lossy path must not make a member
+suspect. Chosen, not measured."""
+INDIRECT_TIMEOUT_FACTOR = 2
+"""Probe timeouts for which an indirect probe is waited for: it takes two round trips."""
+STATUS_FANOUT = 3
+"""Members that receive a suspicion, a refutation or a departure at once; the others learn it from digests.
+Chosen, not measured."""
+
+
+@dataclass
+class _Probe:
+    target: str
+    address: str
+    deadline_s: float
+    indirect: bool = False
+
+
+@dataclass
+class _ForwardedProbe:
+    requester: str
+    sequence: int
+    deadline_s: float
+
+
+class FailureDetector:
+    """Probes of one node. Times are on the caller's clock, in seconds."""
+
+    def __init__(self, table: MemberTable, timings: MembershipTimings, rng: random.Random) -> None:
+        self._table = table
+        self._timings = timings
+        self._rng = rng
+        self._probes: dict[int, _Probe] = {}
+        self._forwarded: dict[int, _ForwardedProbe] = {}
+        self._round: list[str] = []
+        self._sequence = 0
+
+    # --- probes of this node ---------------------------------------------------------------------------
+
+    def next_target(self) -> str | None:
+        """Round robin over a shuffled list, so that each member is probed within a bounded time."""
+        while True:
+            if not self._round:
+                self._round = [name for name in self._table.alive() if name != self._table.node]
+                self._rng.shuffle(self._round)
+                if not self._round:
+                    return None
+            name = self._round.pop()
+            member = self._table.others.get(name)
+            if member is not None and member.is_alive:
+                return name
+
+    def begin(self, target: str, address: str, now_s: float) -> int:
+        """Expect an acknowledgement from a member; returns the sequence number that the probe must carry."""
+        self._sequence += 1
+        self._probes[self._sequence] = _Probe(target, address, now_s + self._timings.probe_timeout_s)
+        return self._sequence
+
+    def acknowledge(self, sequence: int) -> None:
+        """End a probe that was answered."""
+        self._probes.pop(sequence, None)
+
+    def expire(self, now_s: float) -> list[Action]:
+        """Probe indirectly what did not answer in time, and suspect what did not answer that either."""
+        actions: list[Action] = []
+        for sequence, probe in list(self._probes.items()):
+            if now_s < probe.deadline_s:
+                continue
+            if probe.indirect:
+                del self._probes[sequence]
+                actions.extend(self._suspect(probe, now_s))
+            else:
+                probe.indirect = True
+                probe.deadline_s = now_s + INDIRECT_TIMEOUT_FACTOR * self._timings.probe_timeout_s
+                actions.extend(self._probe_indirectly(sequence, probe))
+        self._forget_forwarded(now_s)
+        return actions
+
+    def _suspect(self, probe: _Probe, now_s: float) -> list[Action]:
+        member = self._table.suspect(probe.target, now_s)
+        if member is None:
+            return []
+        return self.announce(member.digest(), also=probe.address)
+
+    def _probe_indirectly(self, sequence: int, probe: _Probe) -> list[Action]:
+        helpers = self._sample(probe.target, INDIRECT_PROBES)
+        actions: list[Action] = [Send(address, IndirectProbe(sequence, probe.address)) for address in helpers]
+        actions.append(Send(probe.address, Ping(sequence)))
+        return actions
+
+    def announce(self, entry: DigestEntry, also: str = "") -> list[Action]:
+        """Send one status to a few members at once, without waiting for the next round."""
+        addresses = self._sample(entry.node, STATUS_FANOUT)
+        notice = SyncReply(0, self._table.node, 0, (entry,))
+        return [Send(address, notice) for address in dict.fromkeys((*addresses, also)) if address]
+
+    def _sample(self, without: str, count: int) -> list[str]:
+        """Return addresses of ``count`` live members at most, this node and ``without`` left out."""
+        names = [name for name in self._table.alive() if name not in (self._table.node, without)]
+        chosen = self._rng.sample(names, min(len(names), count))
+        return [self._table.others[name].record.address for name in chosen]
+
+    # --- probes on behalf of others --------------------------------------------------------------------
+
+    def on_ping(self, message: Ping, sender_address: str) -> list[Action]:
+        """Acknowledge."""
+        return [Send(sender_address, Ack(message.sequence))]
+
+    def on_indirect_probe(self, message: IndirectProbe, sender_address: str, now_s: float) -> list[Action]:
+        """Probe the target for the sender."""
+        self._sequence += 1
+        deadline_s = now_s + INDIRECT_TIMEOUT_FACTOR * self._timings.probe_timeout_s
+        self._forwarded[self._sequence] = _ForwardedProbe(sender_address, message.sequence, deadline_s)
+        return [Send(message.address, Ping(self._sequence))]
+
+    def on_ack(self, message: Ack) -> list[Action]:
+        """End a probe, or pass the acknowledgement on to the member that asked for it."""
+        self.acknowledge(message.sequence)
+        forwarded = self._forwarded.pop(message.sequence, None)
+        return [Send(forwarded.requester, Ack(forwarded.sequence))] if forwarded else []
+
+    def _forget_forwarded(self, now_s: float) -> None:
+        for sequence, forwarded in list(self._forwarded.items()):
+            if now_s >= forwarded.deadline_s:
+                del self._forwarded[sequence]
--- a/src/wallwell/standalone/cluster/transport.py
+++ b/src/wallwell/standalone/cluster/transport.py
@@ -141,7 +141,7 @@
     def _wake_lookups(self) -> None:
         assert self.node is not None
         for sequence, waiter in list(self._waiters.items()):
-            if self.node.lookup_replies.get(sequence) is not None and not waiter.done():
+            if self.node.directory.lookup_replies.get(sequence) is not None and not waiter.done():
                 waiter.set_result(None)
 
     def perform(self, actions: Sequence[Action]) -> None:
@@ -169,10 +169,10 @@
         node = self.node
         if node is None or not chain:
             return LookupResult(0, [])
-        owner = node.owner_of(chain[0])
+        owner = node.directory.owner_of(chain[0])
         if owner == node.identity.node:
-            return LookupResult(0, node.shard.directory.lookup_chain(chain))
-        sequence = node.next_lookup()
+            return LookupResult(0, node.directory.shard.directory.lookup_chain(chain))
+        sequence = node.directory.next_lookup()
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters[sequence] = waiter
         lookup = Lookup(sequence, pack_hashes(lookup_hashes(chain)))
@@ -185,7 +185,7 @@
             return LookupResult(sequence, [])
         finally:
             del self._waiters[sequence]
-            reply = node.lookup_replies.pop(sequence, None)
+            reply = node.directory.lookup_replies.pop(sequence, None)
         holders = reply.holders if reply is not None else ()
         held = [
             HeldPrefix(EngineIncarnation(engine, incarnation), blocks_of_checkpoints(count))
--- a/src/wallwell/standalone/router_node.py
+++ b/src/wallwell/standalone/router_node.py
@@ -24,7 +24,7 @@
 from wallwell.standalone.cluster.codec import LineCodec
 from wallwell.standalone.cluster.members import MembershipTimings
 from wallwell.standalone.cluster.messages import MemberStatus
-from wallwell.standalone.cluster.node import ClusterNode, NodeIdentity
+from wallwell.standalone.cluster.node import ClusterIdentity, ClusterNode
 from wallwell.standalone.cluster.transport import ClusterTransport
 from wallwell.standalone.config.commit import ConfigCommitter
 from wallwell.standalone.crash_memory import CrashMemory
@@ -119,7 +119,7 @@
 
     def _build_context(self, address: str, seeds: tuple[str, ...]) -> NodeContext:
         settings = self.settings
-        identity = NodeIdentity(settings.node, settings.zone, settings.region, address, int(time.time() * 1000))
+        identity = ClusterIdentity(settings.node, settings.zone, settings.region, address, int(time.time() * 1000))
         timings = MembershipTimings(
             sync_interval_s=settings.cluster.sync_interval_s,
             suspicion_timeout_s=settings.cluster.suspicion_timeout_s,
@@ -262,7 +262,7 @@
                 emit(Event.MACHINE_LIST_UNAVAILABLE)
                 continue
             leaving = {machine.address for machine in listed if machine.state is MachineState.LEAVING}
-            node.leaving_by_machine_list = leaving
+            node.engines.leaving_by_machine_list = leaving
 
     async def _watch_suspensions(self) -> None:
         suspensions = SuspensionWatch()
@@ -275,10 +275,10 @@
             self._log_member_changes()
             await asyncio.sleep(1.0)
             node = self.context.node
-            for engine in node.serving_engines().values():
-                node.shard.directory.observe_incarnation(engine.name, engine.incarnation)
+            for engine in node.engines.serving().values():
+                node.directory.shard.directory.observe_incarnation(engine.name, engine.incarnation)
                 self.context.selector.on_incarnation(engine.name, engine.incarnation)
-            node.shard.directory.sweep()
+            node.directory.shard.directory.sweep()
             self.context.selector.forget_missing(self.context.region_engines())
             node.limits.forget_idle(boot_time_s())
 
--- a/tests/unit/standalone/cluster/test_network.py
+++ b/tests/unit/standalone/cluster/test_network.py
@@ -7,7 +7,7 @@
 
 from tests.virtual_network import LinkFaults, VirtualNetwork
 from wallwell.standalone.cluster.messages import MAX_DATAGRAM_BYTES, EngineNews, MemberStatus
-from wallwell.standalone.cluster.node import ClusterNode, NodeIdentity
+from wallwell.standalone.cluster.node import ClusterIdentity, ClusterNode
 from wallwell.standalone.config.schema import FileKey, Kind, TenantSpec
 from wallwell.standalone.config.store import ConfigDelta, FileRevision
 
@@ -17,7 +17,7 @@
     zone = number % (regions * 2)
     address = f"10.{number // 62500}.{number // 250 % 250}.{number % 250}:8082"
     incarnation = 1_700_000_000_000 + number
-    return NodeIdentity(f"n{number:03d}", f"zone-{zone:02d}", f"region-{zone % regions}", address, incarnation)
+    return ClusterIdentity(f"n{number:03d}", f"zone-{zone:02d}", f"region-{zone % regions}", address, incarnation)
 
 
 def tenant_change(tenant, revision):
