--- a/src/wallwell/standalone/config/commit.py
+++ b/src/wallwell/standalone/config/commit.py
@@ -1,13 +1,17 @@
 """Accepting operators' changes: one transaction in the table service per file.
 
-The transaction compares the head revision, so of two racing operators one wins and the other is told the
-winner. A lost answer is resolved by the row the transaction writes under the apply id.
+The transaction compares the head revision, so of two racing operators one wins and the other gets an error that
+names the winner. A lost answer is resolved by the row the transaction writes under the apply id.
+
+Owns the rows of the configuration and what of them this node has read; relies on the table service for their
+atomic change, and on :class:`.store.ConfigStore` for what is in force here.
 """
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 
 import msgspec
 
@@ -32,7 +36,8 @@
 APPLY_PREFIX = "apply/"
 TEXT_PREFIX = "config-text/"
 _TRIES = 6
-"""Tries to commit one change: each conflict with another change or lost answer costs one."""
+"""Tries to commit one change: each conflict with another change or lost answer costs one. Chosen, not
+measured."""
 
 
 class HeadBody(msgspec.Struct, frozen=True):
@@ -63,6 +68,22 @@
     changed: bool
 
 
+@dataclass
+class _Change:
+    """One change over all its tries. ``base`` is fixed by the first try that reads the table, if not before."""
+
+    request: ApplyRequest
+    key: FileKey
+    file: ConfigFile | None
+    base: int | None
+
+    def is_in_force(self, current: FileRevision | None) -> bool:
+        """Whether the file's text is the one in force; ``spec`` is empty after a removal."""
+        if self.file is None or current is None:
+            return False
+        return current.digest == self.file.digest and bool(current.spec)
+
+
 class ConfigCommitter:
     """Reads and writes the configuration in the table service for one node."""
 
@@ -108,28 +129,32 @@
         """
         file = _parse_or_raise(request) if request.body else None
         key = file.key if file is not None else FileKey.parse(request.key)
-        base = request.base_revision
+        change = _Change(request, key, file, request.base_revision)
         for _ in range(_TRIES):
             try:
-                # The apply id is looked up after the refresh: an earlier try that takes effect between the two
-                # is then found by its id and not mistaken for another operator's change.
-                await self.refresh()
-                settled = await self._resolve(request, key)
-                if settled is not None:
-                    return settled
-                current = self._store.revision_of(key)
-                current_revision = current.revision if current is not None else 0
-                base = current_revision if base is None else base
-                if current_revision != base:
-                    raise _conflict(key, current, base)
-                if file is not None and current is not None and current.digest == file.digest and current.spec:
-                    return ApplyAnswer(str(key), current_revision, changed=False)
-                self._check(key, file)
-                return await self._commit(request, key, file)
+                return await self._try_apply(change)
             except (TableConflictError, PlatformUnavailableError) as error:
                 emit(Event.CONFIG_WRITE_RETRIED, file=str(key), reason=str(error))
         raise ConfigUnavailableError(f"{key}: the table service did not confirm the change; apply it again")
 
+    async def _try_apply(self, change: _Change) -> ApplyAnswer:
+        # The apply id is looked up after the refresh: an earlier try that takes effect between the two
+        # is then found by its id and not mistaken for another operator's change.
+        await self.refresh()
+        settled = await self._resolve(change.request, change.key)
+        if settled is not None:
+            return settled
+        current = self._store.revision_of(change.key)
+        revision = current.revision if current is not None else 0
+        if change.base is None:
+            change.base = revision
+        if revision != change.base:
+            raise _conflict(change.key, current, change.base)
+        if change.is_in_force(current):
+            return ApplyAnswer(str(change.key), revision, changed=False)
+        self._check(change.key, change.file)
+        return await self._commit(change.request, change.key, change.file)
+
     async def _resolve(self, request: ApplyRequest, key: FileKey) -> ApplyAnswer | None:
         """Return the result of an earlier try of this apply id whose answer was lost."""
         row = await self._table.get(APPLY_PREFIX + request.apply_id)
--- a/src/wallwell/standalone/config/compiled.py
+++ b/src/wallwell/standalone/config/compiled.py
@@ -1,10 +1,14 @@
-"""Look-up tables derived from the files in force; immutable once built."""
+"""Look-up tables derived from the files in force; immutable once built.
+
+Pure. Owns the types that the request path reads; relies on the files having been checked by :mod:`.parse`.
+"""
 
 from __future__ import annotations
 
+import dataclasses
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
-from typing import TypeVar
+from typing import Any, TypeVar
 
 from wallwell.standalone.config.parse import ConfigFile
 from wallwell.standalone.config.schema import (
@@ -83,29 +87,39 @@
 ) -> CompiledConfig:
     """Build the tables from the parsed ``files``.
 
-    Tables of kinds not in ``changed`` are taken over from ``previous``: a tenant's change, the usual one, must
-    not cost time for every engine of the fleet.
+    Tables of kinds not in ``changed`` are taken over from ``previous``: a change of one tenant must not cost
+    time for every engine of the fleet.
     """
-    old = previous or CompiledConfig(revision)
+    base = previous or CompiledConfig(revision)
     kinds = set(Kind) if previous is None else set(changed)
-    zones = _specs(files, Kind.ZONE, ZoneSpec) if Kind.ZONE in kinds else old.zones
-    priorities = _specs(files, Kind.PRIORITY, PrioritySpec) if Kind.PRIORITY in kinds else old.priorities
-    models = _specs(files, Kind.MODEL, ModelSpec) if Kind.MODEL in kinds else old.models
-    services = _specs(files, Kind.SERVICE, ServiceSpec) if Kind.SERVICE in kinds else old.services
-    tenants = _tenants(files, old) if Kind.TENANT in kinds else old.tenants
-    tokens = old.tenant_by_token
-    if Kind.TENANT in kinds:
-        tokens = {token: tenant for tenant in tenants.values() for token in tenant.spec.token_sha256}
-    return CompiledConfig(
-        revision=revision,
-        zones=zones,
-        priorities=priorities,
-        models=models,
-        services=services,
-        tenants=tenants,
-        engines=_engines(files) if Kind.ENGINE_POOL in kinds else old.engines,
-        tenant_by_token=tokens,
-    )
+    tables: dict[str, Mapping[str, Any]] = {}
+    for kind in kinds:
+        tables.update(_tables_of(kind, files, base))
+    return dataclasses.replace(base, revision=revision, **tables)
+
+
+def _tables_of(
+    kind: Kind, files: Mapping[FileKey, ConfigFile], previous: CompiledConfig
+) -> dict[str, Mapping[str, Any]]:
+    """Return the tables that the files of one kind determine, by their names in :class:`CompiledConfig`."""
+    match kind:
+        case Kind.ZONE:
+            return {"zones": _specs(files, kind, ZoneSpec)}
+        case Kind.PRIORITY:
+            return {"priorities": _specs(files, kind, PrioritySpec)}
+        case Kind.MODEL:
+            return {"models": _specs(files, kind, ModelSpec)}
+        case Kind.SERVICE:
+            return {"services": _specs(files, kind, ServiceSpec)}
+        case Kind.ENGINE_POOL:
+            return {"engines": _engines_of_pools(files)}
+        case Kind.TENANT:
+            tenants = _tenants_by_name(files, previous)
+            return {"tenants": tenants, "tenant_by_token": _by_token(tenants)}
+
+
+def _by_token(tenants: Mapping[str, Tenant]) -> dict[str, Tenant]:
+    return {token: tenant for tenant in tenants.values() for token in tenant.spec.token_sha256}
 
 
 def _specs(files: Mapping[FileKey, ConfigFile], kind: Kind, spec_type: type[T]) -> dict[str, T]:
@@ -114,24 +128,25 @@
     }
 
 
-def _tenants(files: Mapping[FileKey, ConfigFile], old: CompiledConfig) -> dict[str, Tenant]:
+def _tenants_by_name(files: Mapping[FileKey, ConfigFile], previous: CompiledConfig) -> dict[str, Tenant]:
+    """Return all tenants; one whose file has not changed stays the same object."""
     tenants: dict[str, Tenant] = {}
     for name, spec in _specs(files, Kind.TENANT, TenantSpec).items():
-        known = old.tenants.get(name)
+        known = previous.tenants.get(name)
         tenants[name] = known if known is not None and known.spec is spec else Tenant(name, spec)
     return tenants
 
 
-def _engines(files: Mapping[FileKey, ConfigFile]) -> dict[str, Engine]:
+def _engines_of_pools(files: Mapping[FileKey, ConfigFile]) -> dict[str, Engine]:
     engines: dict[str, Engine] = {}
     for pool, spec in _specs(files, Kind.ENGINE_POOL, EnginePoolSpec).items():
         models = frozenset(spec.models)
         for entry in spec.engines:
-            engines[entry.name] = _engine(pool, spec, models, entry)
+            engines[entry.name] = _pool_engine(pool, spec, models, entry)
     return engines
 
 
-def _engine(pool: str, spec: EnginePoolSpec, models: frozenset[str], entry: EngineSpec) -> Engine:
+def _pool_engine(pool: str, spec: EnginePoolSpec, models: frozenset[str], entry: EngineSpec) -> Engine:
     return Engine(
         name=entry.name,
         address=entry.address,
--- a/src/wallwell/standalone/config/parse.py
+++ b/src/wallwell/standalone/config/parse.py
@@ -1,9 +1,14 @@
-"""Parsing and checking of operators' files, on their own and against each other."""
+"""Parsing and checking of operators' files, on their own and against each other.
+
+Pure. Owns the rules between files: what is named exists, and no address, name or credential is used twice. Types
+and ranges within one file are those of :mod:`.schema`. Every problem is reported at once, with its line.
+"""
 
 from __future__ import annotations
 
 import hashlib
 from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
 from typing import Any
 
 import msgspec
@@ -100,15 +105,12 @@
 def check_references(files: Mapping[FileKey, ConfigFile], only: Iterable[FileKey] | None = None) -> list[Problem]:
     """Check references between files; problems are reported of the files in ``only``, or of all."""
     found: list[Problem] = []
-    addresses = _first_use_of_addresses(files)
-    tokens = _first_use_of_tokens(files)
+    uses = _FirstUses(_first_use_of_addresses(files), _first_use_of_tokens(files))
     for key in only if only is not None else files:
-        if key not in files:
-            continue
-        file = files[key]
-        problems = ProblemList(file.lines)
-        _check_spec(file, files, addresses, tokens, problems)
-        found.extend(problems.problems)
+        if key in files:
+            check = _FileCheck(files[key], files, uses)
+            check.run()
+            found.extend(check.problems.problems)
     return found
 
 
@@ -147,42 +149,65 @@
     return used
 
 
-def _check_spec(
-    file: ConfigFile,
-    files: Mapping[FileKey, ConfigFile],
-    addresses: Mapping[str, tuple[FileKey, Path]],
-    tokens: Mapping[str, FileKey],
-    problems: ProblemList,
-) -> None:
-    def require(kind: Kind, name: str, path: Path) -> None:
-        if FileKey(kind, name) not in files:
-            problems.add(REFERENCE, path, f"no {kind.value} named `{name}`")
-
-    spec = file.spec
-    if isinstance(spec, EnginePoolSpec):
-        for index, model in enumerate(spec.models):
-            require(Kind.MODEL, model, ("spec", "models", index))
-        for index, engine in enumerate(spec.engines):
-            require(Kind.ZONE, engine.zone, ("spec", "engines", index, "zone"))
-    elif isinstance(spec, ServiceSpec):
-        for index, instance in enumerate(spec.instances):
-            require(Kind.ZONE, instance.zone, ("spec", "instances", index, "zone"))
-    elif isinstance(spec, TenantSpec):
-        _check_tenant(spec, file.key, tokens, require, problems)
-    for path, name, address in _backend_entries(file):
-        for used in (name, address):
-            if addresses[used] != (file.key, path):
-                problems.add(DUPLICATE, path, f"`{used}` is used by {addresses[used][0]} too")
-
-
-def _check_tenant(
-    spec: TenantSpec, key: FileKey, tokens: Mapping[str, FileKey], require: Any, problems: ProblemList
-) -> None:
-    for field, kind in (("models", Kind.MODEL), ("services", Kind.SERVICE), ("priorities", Kind.PRIORITY)):
-        for index, name in enumerate(getattr(spec, field)):
-            require(kind, name, ("spec", field, index))
-    if spec.default_priority is not None and spec.default_priority not in spec.priorities:
-        problems.add(REFERENCE, ("spec", "default_priority"), "must be one of the tenant's priorities")
-    for index, token in enumerate(spec.token_sha256):
-        if tokens[token] != key:
-            problems.add(DUPLICATE, ("spec", "token_sha256", index), f"credential is used by {tokens[token]} too")
+@dataclass(frozen=True)
+class _FirstUses:
+    """Which file uses each back end's name and address, and each credential, first."""
+
+    backends: Mapping[str, tuple[FileKey, Path]]
+    tokens: Mapping[str, FileKey]
+
+
+class _FileCheck:
+    """Check of one file against all files."""
+
+    def __init__(self, file: ConfigFile, files: Mapping[FileKey, ConfigFile], uses: _FirstUses) -> None:
+        self.problems = ProblemList(file.lines)
+        self._file = file
+        self._files = files
+        self._uses = uses
+
+    def run(self) -> None:
+        """Collect the file's problems."""
+        match self._file.spec:
+            case EnginePoolSpec() as pool:
+                self._check_pool(pool)
+            case ServiceSpec() as service:
+                self._check_zones("instances", [instance.zone for instance in service.instances])
+            case TenantSpec() as tenant:
+                self._check_tenant(tenant)
+        self._check_backends()
+
+    def _check_pool(self, spec: EnginePoolSpec) -> None:
+        self._require_all(Kind.MODEL, "models", spec.models)
+        self._check_zones("engines", [engine.zone for engine in spec.engines])
+
+    def _check_zones(self, field: str, zones: Iterable[str]) -> None:
+        for index, zone in enumerate(zones):
+            self._require(Kind.ZONE, zone, ("spec", field, index, "zone"))
+
+    def _check_tenant(self, spec: TenantSpec) -> None:
+        self._require_all(Kind.MODEL, "models", spec.models)
+        self._require_all(Kind.SERVICE, "services", spec.services)
+        self._require_all(Kind.PRIORITY, "priorities", spec.priorities)
+        if spec.default_priority is not None and spec.default_priority not in spec.priorities:
+            self.problems.add(REFERENCE, ("spec", "default_priority"), "must be one of the tenant's priorities")
+        for index, token in enumerate(spec.token_sha256):
+            first = self._uses.tokens[token]
+            if first != self._file.key:
+                path = ("spec", "token_sha256", index)
+                self.problems.add(DUPLICATE, path, f"credential is used by {first} too")
+
+    def _check_backends(self) -> None:
+        for path, name, address in _backend_entries(self._file):
+            for used in (name, address):
+                first = self._uses.backends[used]
+                if first != (self._file.key, path):
+                    self.problems.add(DUPLICATE, path, f"`{used}` is used by {first[0]} too")
+
+    def _require_all(self, kind: Kind, field: str, names: Iterable[str]) -> None:
+        for index, name in enumerate(names):
+            self._require(kind, name, ("spec", field, index))
+
+    def _require(self, kind: Kind, name: str, path: Path) -> None:
+        if FileKey(kind, name) not in self._files:
+            self.problems.add(REFERENCE, path, f"no {kind.value} named `{name}`")
--- a/src/wallwell/standalone/config/schema.py
+++ b/src/wallwell/standalone/config/schema.py
@@ -1,4 +1,8 @@
-"""Typed contents of operators' files. One file is one document: ``kind``, ``name``, ``spec``."""
+"""Typed contents of operators' files. One file is one document: ``kind``, ``name``, ``spec``.
+
+Owns the fields, their ranges and defaults; defaults without a note are chosen, not measured. References between
+files are checked in :mod:`.parse`.
+"""
 
 from __future__ import annotations
 
@@ -87,7 +91,7 @@
 
 
 class Operation(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One kind of call of a service. ``path`` is a prefix; calls not listed may not be repeated."""
+    """One kind of call of a service. ``path`` is a prefix; calls not listed run at most once."""
 
     method: str
     path: str
--- a/src/wallwell/standalone/config/store.py
+++ b/src/wallwell/standalone/config/store.py
@@ -4,6 +4,9 @@
 was read at and every file whose revision lies in ``(after, head]``, so applying it moves this node from
 ``after`` to ``head`` in one step. A delta that starts above this node's head, or ends at or below it, changes
 nothing: that is what keeps a stale source from reverting anything.
+
+Owns what is in force on this node. Relies on its sources for whole deltas: :mod:`.commit` reads them from the
+table, peers send theirs.
 """
 
 from __future__ import annotations
