--- a/src/wallwell/bench/experiment.py
+++ b/src/wallwell/bench/experiment.py
@@ -1,13 +1,14 @@
 """Experiments: a YAML file names a deployment, a rate and policies; results go to JSON and a table.
 
 Requests go over loopback sockets in real time, so figures depend on the machine; what one run's policies differ in
-says more than one figure.
+says more than one figure. Owns the form of experiments and results; a policy's run is :mod:`.policy_run`'s.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Iterable, Sequence
+from collections import Counter
+from collections.abc import Callable, Sequence
 from pathlib import Path
 from typing import Annotated
 
@@ -15,16 +16,23 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from wallwell.bench.load import latency_histogram
+from wallwell.bench.latency import merged, percentile_s
+from wallwell.bench.load_result import LoadResult
 from wallwell.bench.policy_run import PolicyRun, run_policy
-from wallwell.bench.workload import PROFILES, TraceBuilder
+from wallwell.bench.profiles import PROFILES
+from wallwell.bench.workload import TraceBuilder
 from wallwell.emulator.engine_model import EngineProfile
 from wallwell.errors import BenchError
 from wallwell.outcomes import Outcome
 from wallwell.standalone.typed import load_document
 
 BASELINES = ("round_robin", "least_loaded", "prefix_affinity")
+"""Policies that the router's own one is compared with."""
 OWN_POLICY = "expected_first_token"
+_LEAST_P99_S = 1e-6
+"""Seconds; keeps the ratio defined when no request got a token."""
+_LEAST_RATE = 1e-9
+"""Keeps the ratio defined when no baseline hit a cache."""
 
 
 class ExperimentSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -95,48 +103,47 @@
     return ExperimentResult(spec, profile.top_priority, tuple(results))
 
 
-def _merged(histograms: Iterable[HdrHistogram]) -> HdrHistogram:
-    merged = latency_histogram()
-    for histogram in histograms:
-        merged.add(histogram)
-    return merged
-
-
 def _percentiles(histogram: HdrHistogram) -> tuple[float, float, float]:
-    p50, p95, p99 = (float(histogram.get_value_at_percentile(percentile)) / 1e6 for percentile in (50, 95, 99))
-    return (p50, p95, p99)
+    return (percentile_s(histogram, 50), percentile_s(histogram, 95), percentile_s(histogram, 99))
 
 
 def _summarise(policy: str, runs: Sequence[PolicyRun], top: str) -> PolicyResult:
+    """Return one policy's result over the runs of all seeds."""
     loads = [run.load for run in runs]
-    generating = sorted(
-        {
-            name
-            for load in loads
-            for name, result in load.priorities.items()
-            if result.first_token_us.get_total_count()
-        }
-    )
-    first = {name: [load.of(name).first_token_us for load in loads] for name in (top, *generating)}
-    between = _merged(result.between_tokens_us for load in loads for result in load.priorities.values())
-    outcomes = [load.outcomes() for load in loads]
-    requests = sum(each.total() for each in outcomes)
-    refused = sum(each[Outcome.NOT_RUN] for each in outcomes)
+    first_token_s = _first_token_times(loads, top)
+    between = merged(result.between_tokens_us for load in loads for result in load.priorities.values())
+    outcomes = sum((load.outcomes() for load in loads), Counter[str]())
     cached, prefilled = sum(run.cached_tokens for run in runs), sum(run.prefill_tokens for run in runs)
     return PolicyResult(
         policy=policy,
-        requests=requests,
-        lost=requests - refused - sum(each[Outcome.COMPLETED] for each in outcomes),
-        refused=refused,
+        requests=outcomes.total(),
+        lost=outcomes.total() - outcomes[Outcome.NOT_RUN] - outcomes[Outcome.COMPLETED],
+        refused=outcomes[Outcome.NOT_RUN],
         hit_rate=cached / max(1, cached + prefilled),
         recomputed_after_eviction=sum(run.recomputed_tokens for run in runs),
         prefill_tokens=prefilled,
-        by_priority={name: _percentiles(_merged(each)) for name, each in first.items()},
-        between_tokens_p95_s=_percentiles(between)[1],
-        per_seed_p99_s=tuple(_percentiles(each)[2] for each in first[top]),
+        by_priority=first_token_s,
+        between_tokens_p95_s=percentile_s(between, 95),
+        per_seed_p99_s=tuple(percentile_s(load.of(top).first_token_us, 99) for load in loads),
     )
 
 
+def _first_token_times(loads: Sequence[LoadResult], top: str) -> dict[str, tuple[float, float, float]]:
+    """Return first-token times in seconds of the top priority and of all others that got tokens."""
+    return {
+        name: _percentiles(merged(load.of(name).first_token_us for load in loads))
+        for name in (top, *_generating_priorities(loads))
+    }
+
+
+def _generating_priorities(loads: Sequence[LoadResult]) -> list[str]:
+    """Return the priorities whose requests got tokens, sorted."""
+    names: set[str] = set()
+    for load in loads:
+        names.update(name for name, each in load.priorities.items() if each.first_token_us.get_total_count())
+    return sorted(names)
+
+
 def table(result: ExperimentResult) -> str:
     """Return a Markdown table with the ratios to the best baseline."""
     top = result.top_priority
@@ -169,6 +176,6 @@
     best_p99 = min(each.by_priority[top][2] for each in baselines)
     best_rate = max(each.hit_rate for each in baselines)
     return (
-        f"p99 of {top} against the best baseline: {own.by_priority[top][2] / max(1e-6, best_p99):.2f}x; "
-        f"hit rate against the best baseline: {own.hit_rate / max(1e-9, best_rate):.2f}x."
+        f"p99 of {top} against the best baseline: {own.by_priority[top][2] / max(_LEAST_P99_S, best_p99):.2f}x; "
+        f"hit rate against the best baseline: {own.hit_rate / max(_LEAST_RATE, best_rate):.2f}x."
     )
--- a/src/wallwell/bench/load.py
+++ b/src/wallwell/bench/load.py
@@ -1,17 +1,21 @@
-"""Open-loop load over sockets: arrivals do not wait for answers; latency counts from the intended start."""
+"""Open-loop load over sockets: arrivals do not wait for answers; latency counts from the intended start.
+
+Owns the requests in flight. Relies on the callers' interface of the standalone router; what becomes of the requests
+is kept in :mod:`.load_result`.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import time
-from collections import Counter
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass, field
+from http import HTTPStatus
 
 import aiohttp
 import msgspec
-from hdrh.histogram import HdrHistogram
 
+from wallwell.bench.load_result import LoadResult, PriorityResult
+from wallwell.bench.received_stream import ReceivedStream
 from wallwell.bench.workload import GenerationRequest, ServiceRequest, TraceRequest
 from wallwell.errors import NotReadyError
 from wallwell.outcomes import Outcome
@@ -22,56 +26,15 @@
     REQUEST_ID_HEADER,
     CallerErrorBody,
 )
-from wallwell.standalone.callers.openai_format import chunk_text
 
 CONNECTION_LOST = "connection_lost"
+"""Outcome of a request whose connection broke before the answer began."""
 CUT = "cut"
+"""Outcome of a stream that ended without its terminal marker."""
 STOPPING = "stopping"
-_LOWEST_US = 1
-_HIGHEST_US = 600_000_000
-_DIGITS = 3
-
-
-def latency_histogram() -> HdrHistogram:
-    """Return a histogram of microseconds up to ten minutes."""
-    return HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
-
-
-@dataclass
-class PriorityResult:
-    """What became of one priority's requests."""
-
-    requests: int = 0
-    outcomes: Counter[str] = field(default_factory=Counter)
-    first_token_us: HdrHistogram = field(default_factory=latency_histogram)
-    between_tokens_us: HdrHistogram = field(default_factory=latency_histogram)
-
-    def first_token_s(self, percentile: float) -> float:
-        """Return a percentile of the first-token time."""
-        return float(self.first_token_us.get_value_at_percentile(percentile)) / 1e6
-
-
-@dataclass
-class LoadResult:
-    """What became of a trace."""
-
-    priorities: dict[str, PriorityResult] = field(default_factory=dict)
-    violations: list[str] = field(default_factory=list)
-    """What a caller saw that must not happen: a cut stream, another request's tokens, a lost connection."""
-
-    def of(self, priority: str) -> PriorityResult:
-        """Return the result of one priority."""
-        return self.priorities.setdefault(priority, PriorityResult())
-
-    def outcomes(self) -> Counter[str]:
-        """Outcomes of all requests."""
-        total: Counter[str] = Counter()
-        for result in self.priorities.values():
-            total.update(result.outcomes)
-        return total
-
-
+"""Answer of a router that is stopping: the request goes to the next one."""
 ExpectedWord = Callable[[bytes, int], str]
+"""Returns the token that an engine must generate for a prompt at an index."""
 
 
 class LoadDriver:
@@ -130,7 +93,7 @@
                 else:
                     outcome = await self._call(base, request)
             except aiohttp.ClientConnectorError:
-                continue
+                continue  # Nothing was sent, so the next router may get the request.
             except (aiohttp.ClientError, TimeoutError, OSError) as error:
                 self._violate(request, type(error).__name__)
                 return CONNECTION_LOST
@@ -159,7 +122,7 @@
         }
         url = base + "/v1/completions"
         async with self._session.post(url, json=body, headers=self._headers(request)) as response:
-            if response.status != 200:
+            if response.status != HTTPStatus.OK:
                 return await self._refusal(response)
             return await self._read_stream(request, response, intended_s, result)
 
@@ -171,29 +134,14 @@
         result: PriorityResult,
     ) -> str:
         """Check that every token arrives once and in order, and that the terminal marker is the last."""
-        words: list[str] = []
-        first_s = last_s = 0.0
-        done = failed = False
-        buffer = b""
+        stream = ReceivedStream()
         async for data in response.content.iter_any():
-            *events, buffer = (buffer + data).split(b"\n\n")
-            for event in events:
-                if event.startswith(b"data: [DONE]"):
-                    done = True
-                elif event.startswith(b"event: error"):
-                    failed = True
-                else:
-                    words.append(chunk_text(event))
-                    last_s = time.monotonic()
-                    first_s = first_s or last_s
-        if first_s:
-            result.first_token_us.record_value(max(1, round((first_s - intended_s) * 1e6)))
-        if len(words) > 1:
-            result.between_tokens_us.record_value(max(1, round((last_s - first_s) / (len(words) - 1) * 1e6)))
-        if failed and not done:
-            return "failed"
-        self._check_words(request, words, done)
-        return Outcome.COMPLETED.value if done else CUT
+            stream.receive(data, time.monotonic())
+        stream.record(result, intended_s)
+        if stream.error and not stream.done:
+            return Outcome.FAILED.value
+        self._check_words(request, stream.words, stream.done)
+        return Outcome.COMPLETED.value if stream.done else CUT
 
     def _check_words(self, request: GenerationRequest, words: list[str], done: bool) -> None:
         if not done or len(words) != request.max_tokens:
--- a/src/wallwell/bench/overhead.py
+++ b/src/wallwell/bench/overhead.py
@@ -1,7 +1,7 @@
 """What a router adds to a request: the same streams straight to an engine and through a router, in turn.
 
 Engine, router and client share one process, so the difference of processor time per chunk is the router's own.
-Pairs are interleaved, which keeps a noisy machine from favouring one side.
+Pairs are interleaved, which keeps a noisy machine from favouring one side. Owns the deployment it starts.
 """
 
 from __future__ import annotations
@@ -17,14 +17,21 @@
 import msgspec
 import numpy
 
+from wallwell.bench.latency import MICROSECONDS_PER_S
 from wallwell.emulator.deployment import EmulatedDeployment
 from wallwell.emulator.engine_model import EngineProfile
 
 PAIRS = 200
+"""Pairs of streams, one straight and one routed: the 99th percentile then rests on two streams. Chosen, not
+measured."""
 QUICK_PAIRS = 60
+"""The same with ``--quick``; the 99th percentile is then about the slowest stream."""
 CHUNKS = 200
+"""Tokens of each stream. Chosen, not measured: enough for a mean per chunk."""
 _FAST = EngineProfile(step_base_s=0.0005, decode_s_per_request=0.0, prefill_s_per_token=1e-7)
+"""An engine that takes half a millisecond a token, so that the router's part is not lost in the engine's."""
 _PROMPT = "Dosage guidance that many baskets share. " * 400
+"""Some 16 KB, which the engine has in its cache after the first stream."""
 
 
 class OverheadResult(msgspec.Struct, frozen=True):
@@ -96,14 +103,16 @@
 
 def overhead_text(result: OverheadResult) -> str:
     """Return a Markdown table."""
+    routed_us = result.processor_per_chunk_s * MICROSECONDS_PER_S
+    direct_us = result.direct_processor_per_chunk_s * MICROSECONDS_PER_S
     return "\n".join(
         [
             "| what a router adds | figure |",
             "|---|---|",
             f"| to the first token, p50 | {result.added_first_token_p50_s * 1000:.2f} ms |",
             f"| to the first token, p99 | {result.added_first_token_p99_s * 1000:.2f} ms |",
-            f"| processor time a forwarded chunk | {result.processor_per_chunk_s * 1e6:.0f} us |",
-            f"| the same for engine and client together | {result.direct_processor_per_chunk_s * 1e6:.0f} us |",
+            f"| processor time a forwarded chunk | {routed_us:.0f} us |",
+            f"| the same for engine and client together | {direct_us:.0f} us |",
             "",
             f"{result.pairs} interleaved pairs, {result.prompt_bytes:,} bytes of prompt, "
             f"{result.chunks} chunks each; "
--- a/src/wallwell/bench/policy_run.py
+++ b/src/wallwell/bench/policy_run.py
@@ -1,4 +1,7 @@
-"""One policy over one trace: a whole deployment in this process, real requests over loopback sockets."""
+"""One policy over one trace: a whole deployment in this process, real requests over loopback sockets.
+
+Owns the deployment from start to stop. The demo and experiments use it.
+"""
 
 from __future__ import annotations
 
@@ -6,12 +9,16 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from wallwell.bench.load import LoadDriver, LoadResult
+from wallwell.bench.load import LoadDriver
+from wallwell.bench.load_result import LoadResult
 from wallwell.bench.workload import ServiceRequest, TraceRequest
 from wallwell.emulator.deployment import EmulatedDeployment
 from wallwell.emulator.engine_model import EngineProfile
 from wallwell.emulator.engine_output import generated_word
 
+PROGRESS_REQUESTS = 50
+"""Answered requests between two lines of progress."""
+
 
 @dataclass(frozen=True)
 class PolicyRun:
@@ -48,7 +55,7 @@
     progress(f"{directory.name}, {policy}: starting")
 
     def show_count(done: int) -> None:
-        if done % 50 == 0 or done == len(trace):
+        if done % PROGRESS_REQUESTS == 0 or done == len(trace):
             progress(f"  {done} of {len(trace)} requests answered")
 
     try:
--- a/src/wallwell/bench/report.py
+++ b/src/wallwell/bench/report.py
@@ -1,4 +1,5 @@
-"""HTML report of experiments, with plots, and the differences between two result files."""
+"""HTML report of experiments, with plots, and the differences between two result files. Pure but for the plots'
+renderer, which draws without a display."""
 
 from __future__ import annotations
 
@@ -17,6 +18,10 @@
 _STYLE = "body{font-family:sans-serif;max-width:60em;margin:2em auto}td,th{padding:.2em .8em;text-align:right}"
 
 
+_FIGURE_INCHES = (10, 3.5)
+"""Width and height of the two plots together: side by side on a page of 60 em."""
+
+
 def html_report(results: Sequence[ExperimentResult]) -> str:
     """Return one self-contained page."""
     sections = "".join(_section(result) for result in results)
@@ -41,7 +46,7 @@
 def _plot(result: ExperimentResult) -> str:
     """Return a PNG, in base64, of first-token percentiles and hit rate by policy."""
     names = [each.policy for each in result.policies]
-    figure, (times, rates) = pyplot.subplots(1, 2, figsize=(10, 3.5))
+    figure, (times, rates) = pyplot.subplots(1, 2, figsize=_FIGURE_INCHES)
     for index, label in enumerate(("p50", "p95", "p99")):
         values = [each.by_priority[result.top_priority][index] * 1000 for each in result.policies]
         times.plot(names, values, marker="o", label=label)
--- a/src/wallwell/cli/demo.py
+++ b/src/wallwell/cli/demo.py
@@ -14,7 +14,8 @@
 import uvloop
 
 from wallwell.bench.policy_run import PolicyRun, run_policy
-from wallwell.bench.workload import PROFILES, TraceBuilder
+from wallwell.bench.profiles import PROFILES
+from wallwell.bench.workload import TraceBuilder
 from wallwell.events import configure_logging
 
 REQUESTS = 300
--- a/tests/contract/test_policies.py
+++ b/tests/contract/test_policies.py
@@ -9,7 +9,8 @@
 from tests.contract.conftest import FAST
 from wallwell.bench.experiment import ExperimentResult, ExperimentSpec, run_experiment, table
 from wallwell.bench.load import LoadDriver
-from wallwell.bench.workload import PHARMACY, TraceBuilder
+from wallwell.bench.profiles import PHARMACY
+from wallwell.bench.workload import TraceBuilder
 from wallwell.emulator.deployment import EmulatedDeployment
 from wallwell.emulator.engine_output import generated_word
 
--- a/tests/unit/bench/test_bench.py
+++ b/tests/unit/bench/test_bench.py
@@ -4,7 +4,8 @@
 
 from tests.conftest import EXAMPLES
 from wallwell.bench.experiment import load_experiment
-from wallwell.bench.workload import HUTS, GenerationRequest, TraceBuilder
+from wallwell.bench.profiles import HUTS
+from wallwell.bench.workload import GenerationRequest, TraceBuilder
 from wallwell.errors import BenchError
 
 
