--- a/src/wallwell/emulator/deployment.py
+++ b/src/wallwell/emulator/deployment.py
@@ -2,6 +2,9 @@
 
 Used by the demo, the load tool and tests. The operators' files are those of ``examples/``; only the back ends'
 addresses are replaced by ports the system chose.
+
+Owns every part from start to stop. Relies on the standalone router's operators' interface for putting files in
+force.
 """
 
 from __future__ import annotations
@@ -28,10 +31,11 @@
 from wallwell.standalone.settings import ClusterSettings, NodeSettings, PlatformAddresses
 
 OPERATOR_TOKEN = "fleet-operator-token"
+"""Operators' token of every router; good for loopback only, as is the cluster key."""
 CLUSTER_KEY = "fleet-cluster-key-0123456789"
 HOST = "127.0.0.1"
 AWAY_S = 1.2
-"""Seconds until a stand-in that has crashed listens again."""
+"""Seconds until a stand-in that has crashed listens again. Chosen, not measured."""
 SHUTDOWN_TIMEOUT_S = 0.05
 """Seconds for which handlers are waited for: a stand-in has nothing to finish."""
 CALLS_PER_S = 2000.0
--- /dev/null
+++ b/src/wallwell/emulator/engine_feed.py
@@ -0,0 +1,97 @@
+"""What a stand-in engine reports of itself over HTTP: cache events and load as they come, the cache as a whole.
+
+Owns the connections of the events' readers. Relies on :class:`.engine_process.EngineProcess` for what is reported.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import NoReturn
+
+import msgspec
+from aiohttp import web
+
+from wallwell.emulator.engine_model import CacheEvent
+from wallwell.emulator.engine_output import cache_line, snapshot_entry
+from wallwell.emulator.engine_process import EngineProcess
+from wallwell.emulator.faults import reset_connection
+from wallwell.standalone.backends import engine_protocol as wire
+
+EVENT_DELAY_S = 0.1
+"""Seconds between two batches of cache events. Chosen, not measured."""
+LOAD_LAG_S = 0.2
+"""Age, in seconds, that load reports state. Chosen, not measured."""
+_LOAD_INTERVAL_S = 0.5
+"""Seconds between two load reports. Chosen, not measured."""
+_GOLDEN_FRACTION = 0.618034
+"""Fractional part of the golden ratio: its multiples spread dropped events evenly, and the same ones each time."""
+
+
+class EngineFeed:
+    """Reports of one engine."""
+
+    def __init__(self, process: EngineProcess, event_delay_s: float, load_lag_s: float) -> None:
+        self._process = process
+        self._event_delay_s = event_delay_s
+        self._load_lag_s = load_lag_s
+        self._connections: dict[int, web.Request] = {}
+
+    def install(self, app: web.Application) -> None:
+        """Add the endpoints to ``app``."""
+        app.router.add_get("/events", self._events)
+        app.router.add_get("/snapshot", self._snapshot)
+
+    def reset_connections(self) -> None:
+        """End all readers' connections, as a crash does."""
+        for request in list(self._connections.values()):
+            reset_connection(request)
+
+    async def _events(self, request: web.Request) -> web.StreamResponse:
+        """Send reports until the reader goes, from event ``after`` on if the incarnation it names stands."""
+        same = request.query.get("incarnation") == self._process.incarnation
+        after = int(request.query.get("after", "0")) if same else 0
+        response = web.StreamResponse(headers={"Content-Type": "application/x-ndjson"})
+        await response.prepare(request)
+        self._connections[id(request)] = request
+        try:
+            await self._send_reports(response, after)
+        except (ConnectionError, asyncio.CancelledError):
+            return response  # The reader or the stand-in has ended.
+        finally:
+            self._connections.pop(id(request), None)
+
+    async def _send_reports(self, response: web.StreamResponse, after: int) -> NoReturn:
+        sent_status: wire.StatusLine | None = None
+        batches = max(1, round(_LOAD_INTERVAL_S / self._event_delay_s))
+        while True:
+            if self._process.status() != sent_status:
+                sent_status = self._process.status()
+                await response.write(msgspec.json.encode(sent_status) + b"\n")
+            # The lag: the load sent is the one taken before the pause.
+            load = self._process.load(self._load_lag_s)
+            for _ in range(batches):
+                after = await self._send_events(response, after)
+                await asyncio.sleep(self._event_delay_s)
+            await response.write(msgspec.json.encode(load) + b"\n")
+
+    async def _send_events(self, response: web.StreamResponse, after: int) -> int:
+        """Send the cache events above a sequence number; returns the highest one."""
+        lines = []
+        for event in self._process.model.events:
+            if event.sequence > after:
+                after = event.sequence
+                if not self._drops(event):
+                    lines.append(msgspec.json.encode(cache_line(event)))
+        if lines:
+            await response.write(b"\n".join(lines) + b"\n")
+        return after
+
+    def _drops(self, event: CacheEvent) -> bool:
+        ratio = self._process.faults.switches.drop_event_ratio
+        return ratio > 0 and (event.sequence * _GOLDEN_FRACTION) % 1.0 < ratio
+
+    async def _snapshot(self, _request: web.Request) -> web.Response:
+        model = self._process.model
+        entries = tuple(snapshot_entry(block, position) for block, position in model.cache.items())
+        snapshot = wire.CacheSnapshot(self._process.incarnation, model.last_sequence, entries)
+        return web.Response(body=msgspec.json.encode(snapshot))
--- a/src/wallwell/emulator/engine_output.py
+++ b/src/wallwell/emulator/engine_output.py
@@ -1,5 +1,6 @@
 """What a stand-in engine generates and sends: tokens, stream events, cache events and entries of a snapshot.
-Pure."""
+Pure; the forms are those of :mod:`wallwell.standalone.backends.engine_protocol`.
+"""
 
 from __future__ import annotations
 
@@ -9,6 +10,8 @@
 from wallwell.emulator.engine_model import BlockPosition, CacheEvent
 from wallwell.standalone.backends import engine_protocol as wire
 
+FOREIGN_REQUEST_ID = "foreign-request"
+"""Request id of an answer that a fault makes another request's."""
 _WORDS = ("take", "with", "food", "daily", "dose", "check", "hut", "trail", "ridge", "permit", "bed", "safe")
 
 
--- /dev/null
+++ b/src/wallwell/emulator/engine_process.py
@@ -0,0 +1,173 @@
+"""One process of a stand-in engine: drives :class:`EngineModel` in real time, and what a process can lose.
+
+Owns the incarnation, the loaded weights, the requests in flight and the records that tests read. Knows no HTTP:
+:mod:`.engine_server` serves requests, :mod:`.engine_feed` the cache events and load reports.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import secrets
+import time
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from wallwell.emulator.engine_model import EngineModel, EngineProfile, EngineRequest, StepResult
+from wallwell.emulator.faults import FaultControl
+from wallwell.standalone.backends import engine_protocol as wire
+
+WEIGHT_LOAD_S = 0.3
+"""Seconds that new weights take to load. Chosen, not measured: short, so that tests need not wait."""
+INCARNATION_BYTES = 4
+"""Random bytes of the name of an incarnation."""
+_STALL_CHECK_S = 0.02
+"""Seconds between two checks whether a pause is over."""
+_IDLE_CHECK_S = 0.01
+"""Seconds between two checks whether the running requests have ended."""
+
+
+@dataclass
+class TokenStream:
+    """A request in flight and the indexes of its tokens; None ends them early."""
+
+    request: EngineRequest
+    tokens: asyncio.Queue[int | None] = field(default_factory=asyncio.Queue)
+
+
+class EngineProcess:
+    """One engine process. ``crash`` starts a new incarnation with an empty cache."""
+
+    def __init__(self, name: str, weights: dict[str, str], profile: EngineProfile | None = None) -> None:
+        self.name = name
+        self.weights = dict(weights)
+        """Loaded version of each model."""
+        self.profile = profile or EngineProfile()
+        self.faults = FaultControl()
+        self.state = wire.EngineState.SERVING
+        self.weight_load_s = WEIGHT_LOAD_S
+        self.journal: list[str] = []
+        """Ids of all requests that were begun."""
+        self.validity_violations: list[str] = []
+        """Uses of one cache salt with several versions of weights."""
+        self.highest_fence = 0
+        self.on_crash: Callable[[], None] = lambda: None
+        """Called when the process loses its connections."""
+        self._streams: dict[str, TokenStream] = {}
+        self._weights_of_salt: dict[int, str] = {}
+        self._load_task: asyncio.Task[None] | None = None
+        self._wake = asyncio.Event()
+        self._begin_incarnation()
+
+    def _begin_incarnation(self) -> None:
+        self.incarnation = secrets.token_hex(INCARNATION_BYTES)
+        self.model = EngineModel(self.profile)
+
+    def crash(self) -> None:
+        """Lose everything: reset all connections and begin a new, empty incarnation."""
+        for stream in self._streams.values():
+            stream.tokens.put_nowait(None)
+        self._streams.clear()
+        self.on_crash()
+        self._begin_incarnation()
+
+    async def run(self) -> None:
+        """Step the model in real time, until cancelled."""
+        while True:
+            model = self.model
+            if model.idle:
+                self._wake.clear()
+                await self._wake.wait()
+                continue
+            result = model.step()
+            await asyncio.sleep(result.duration_s)
+            while self.faults.switches.paused:
+                await asyncio.sleep(_STALL_CHECK_S)
+            if model is self.model:  # Otherwise the process has crashed meanwhile.
+                self._hand_out(result)
+
+    def _hand_out(self, result: StepResult) -> None:
+        for request, index in result.tokens:
+            stream = self._streams.get(request.request_id)
+            if stream is not None:
+                stream.tokens.put_nowait(index)
+
+    # --- requests --------------------------------------------------------------------------------------
+
+    def submit(self, request: EngineRequest, salt: int, model: str) -> TokenStream:
+        """Queue a request for ``model`` under a cache salt; returns its tokens to come."""
+        self._check_validity(salt, model)
+        stream = TokenStream(request)
+        self._streams[request.request_id] = stream
+        self.journal.append(request.request_id)
+        self.model.submit(request, time.monotonic())
+        self._wake.set()
+        return stream
+
+    def _check_validity(self, salt: int, model: str) -> None:
+        """Hold the router to its cache keys: one salt serves one version of a model's weights only."""
+        version = self._weights_of_salt.setdefault(salt, self.weights.get(model, ""))
+        if version != self.weights.get(model, ""):
+            self.validity_violations.append(
+                f"{self.name}: salt of weights {version} used with {self.weights[model]}"
+            )
+
+    def end(self, request_id: str) -> None:
+        """Forget a request whose answer has ended, whole or not."""
+        self._streams.pop(request_id, None)
+        self.model.cancel(request_id)
+
+    def cancel(self, request_id: str) -> wire.CancelState:
+        """Stop a request; returns what is known of it."""
+        started = self.model.cancel(request_id)
+        stream = self._streams.pop(request_id, None)
+        if stream is not None:
+            stream.tokens.put_nowait(None)
+        if started is None:
+            return wire.CancelState.UNKNOWN_REQUEST
+        return wire.CancelState.STOPPED if started else wire.CancelState.NEVER_STARTED
+
+    # --- weights ---------------------------------------------------------------------------------------
+
+    def take_order(self, order: wire.EngineLoadOrder) -> bool:
+        """Begin to load weights; returns False for the order of an earlier lease holder or while not serving."""
+        if order.fence < self.highest_fence or self.state is not wire.EngineState.SERVING:
+            return False
+        self.highest_fence = order.fence
+        self.state = wire.EngineState.LOADING
+        self._load_task = asyncio.create_task(self._load_weights(order))
+        return True
+
+    async def _load_weights(self, order: wire.EngineLoadOrder) -> None:
+        """Finish what runs, load, and serve the new weights with an empty cache."""
+        while not self.model.idle:
+            await asyncio.sleep(_IDLE_CHECK_S)
+        await asyncio.sleep(self.weight_load_s)
+        self.weights[order.model] = order.weights_version
+        self._begin_incarnation()
+        self.state = wire.EngineState.SERVING
+
+    # --- reports ---------------------------------------------------------------------------------------
+
+    def status(self) -> wire.StatusLine:
+        """Return the status that readers of the events get whenever it changes."""
+        return wire.StatusLine(
+            engine=self.name,
+            incarnation=self.incarnation,
+            state=self.state,
+            weights=dict(self.weights),
+            block_bytes=self.profile.block_bytes,
+            block_tokens=self.profile.block_tokens,
+            cache_blocks=self.profile.cache_blocks,
+        )
+
+    def load(self, age_s: float) -> wire.LoadLine:
+        """Return the load as it is now, declared ``age_s`` old."""
+        load = self.model.load_report(0.0)
+        return wire.LoadLine(
+            sequence=self.model.last_sequence,
+            running=load.running,
+            waiting=load.waiting,
+            waiting_prefill_tokens=load.waiting_prefill_tokens,
+            cache_used_blocks=load.cache_used_blocks,
+            age_s=age_s,
+        )
--- a/src/wallwell/emulator/platform_server.py
+++ b/src/wallwell/emulator/platform_server.py
@@ -1,5 +1,8 @@
 """Stand-in for the services that a router without the platform's store needs: table, objects, weights, machine
-list."""
+list.
+
+Owns rows, objects and the machine list; everything is lost when the process ends.
+"""
 
 from __future__ import annotations
 
@@ -19,11 +22,11 @@
 CALLS_PER_S = 500.0
 """Calls a second that are served; more get 429. Chosen, not measured: far above what three routers make."""
 WEIGHT_LOAD_S = 0.2
-"""Seconds that one engine needs to load weights."""
+"""Seconds that one engine needs to load weights. Chosen, not measured."""
 WEIGHT_SLOTS = 2
-"""Engines that load side by side without slowing each other down."""
+"""Engines that load side by side without slowing each other down. Chosen, not measured."""
 MAX_BODY_BYTES = 64 * 1024 * 1024
-"""Bytes of one object."""
+"""Largest object, in bytes. Chosen, not measured."""
 
 
 class ConditionFailed(Exception):
@@ -57,7 +60,7 @@
 
 
 class PlatformServer:
-    """The platform's four services on one listener, each with its own path."""
+    """The platform's services on one listener, each with its own path."""
 
     def __init__(
         self,
@@ -103,17 +106,17 @@
             commit = self.table.transact(transaction)
         except ConditionFailed as failed:
             return web.Response(status=HTTPStatus.CONFLICT, text=str(failed))
-        return _json(Commit(commit))
+        return _json_response(Commit(commit))
 
     async def _row(self, request: web.Request) -> web.Response:
         row = self.table.rows.get(request.query["key"])
-        return _json(row) if row else web.Response(status=404)
+        return _json_response(row) if row else web.Response(status=HTTPStatus.NOT_FOUND)
 
     async def _scan(self, request: web.Request) -> web.Response:
-        return _json(self.table.scan(request.query["prefix"], int(request.query["after"])))
+        return _json_response(self.table.scan(request.query["prefix"], int(request.query["after"])))
 
     async def _machines(self, request: web.Request) -> web.Response:
-        return _json([Machine(address, state) for address, state in self.machines.items()])
+        return _json_response([Machine(address, state) for address, state in self.machines.items()])
 
     async def _weights(self, request: web.Request) -> web.Response:
         """Slow down when more readers load at once than the store carries well."""
@@ -127,12 +130,12 @@
 
     async def _put_object(self, request: web.Request) -> web.Response:
         self.objects[request.match_info["name"]] = await request.read()
-        return web.Response(status=201)
+        return web.Response(status=HTTPStatus.CREATED)
 
     async def _get_object(self, request: web.Request) -> web.Response:
         body = self.objects.get(request.match_info["name"])
-        return web.Response(body=body) if body is not None else web.Response(status=404)
+        return web.Response(body=body) if body is not None else web.Response(status=HTTPStatus.NOT_FOUND)
 
 
-def _json(value: object) -> web.Response:
+def _json_response(value: object) -> web.Response:
     return web.Response(body=msgspec.json.encode(value), content_type="application/json")
--- a/src/wallwell/emulator/platform_store.py
+++ b/src/wallwell/emulator/platform_store.py
@@ -23,6 +23,8 @@
 
 MAX_PAGE_ROWS = 500
 """Rows of one answer: the most that the store's protocol allows."""
+MS_PER_S = 1000
+"""The store's protocol gives times in milliseconds."""
 CONFLICT = HTTPStatus.PRECONDITION_FAILED.value
 HISTORY_GONE = HTTPStatus.GONE.value
 FORBIDDEN = HTTPStatus.FORBIDDEN.value
@@ -30,7 +32,7 @@
 SHUTDOWN_TIMEOUT_S = 0.01
 """Seconds for which handlers are waited for: a stand-in has nothing to finish."""
 _SILENCE_S = 3600.0
-"""Longer than any caller waits."""
+"""Seconds for which a silent store answers nothing: longer than any caller waits."""
 
 
 @dataclass
@@ -136,7 +138,7 @@
         return None
 
     def _answer(self, rows: Iterable[dict[str, Any]] = (), status: int = 200, **more: object) -> web.Response:
-        now_ms = asyncio.get_running_loop().time() * 1000
+        now_ms = asyncio.get_running_loop().time() * MS_PER_S
         return web.json_response({"rows": list(rows), "ver": self.version, "now_ms": now_ms, **more}, status=status)
 
     def _row(self, table: str, key: str) -> dict[str, Any]:
@@ -197,13 +199,13 @@
         if refused is not None:
             return refused
         table, after = request.query["table"], int(request.query["after"])
-        changed = await self._wait_for_changes(table, after, int(request.query["wait_ms"]) / 1000)
+        changed = await self._wait_for_changes(table, after, int(request.query["wait_ms"]) / MS_PER_S)
         if changed is None:
             return web.Response(status=HISTORY_GONE)
-        rows = []
-        for key, gone in changed.items():
-            rows.append({"key": key, "gone": True, "ver": self.version} if gone else self._row(table, key))
-        return self._answer(rows)
+        return self._answer(self._changed_row(table, key, gone) for key, gone in changed.items())
+
+    def _changed_row(self, table: str, key: str, gone: bool) -> dict[str, Any]:
+        return {"key": key, "gone": True, "ver": self.version} if gone else self._row(table, key)
 
     async def _wait_for_changes(self, table: str, after: int, wait_s: float) -> dict[str, bool] | None:
         """Return the keys that changed after a version, and whether each is gone; none of them after ``wait_s``.
--- a/src/wallwell/emulator/service_server.py
+++ b/src/wallwell/emulator/service_server.py
@@ -1,12 +1,17 @@
-"""Stand-in for a service that runs calls, with a journal of everything it ran."""
+"""Stand-in for a service that runs calls.
+
+Owns a journal of everything it ran, which tests compare with what was sent.
+"""
 
 from __future__ import annotations
 
 import asyncio
+from http import HTTPStatus
 
 import msgspec
 from aiohttp import web
 
+from wallwell.emulator.engine_output import FOREIGN_REQUEST_ID
 from wallwell.emulator.faults import FaultControl
 from wallwell.standalone.backends.engine_protocol import REQUEST_ID
 
@@ -14,7 +19,7 @@
 REFUSED_HEADER = "X-Not-Run"
 """Header of an answer that states that the call did not run."""
 WORK_S = 0.005
-"""Seconds that a call takes."""
+"""Seconds that a call takes. Chosen, not measured."""
 
 
 class JournalEntry(msgspec.Struct, frozen=True):
@@ -47,13 +52,13 @@
 
     async def _handle(self, request: web.Request) -> web.Response:
         if self.leaving:
-            return web.Response(status=503, headers={REFUSED_HEADER: "leaving"})
+            return web.Response(status=HTTPStatus.SERVICE_UNAVAILABLE, headers={REFUSED_HEADER: "leaving"})
         body = (await request.read()).decode(errors="replace")
         request_id = request.headers.get(REQUEST_ID, "")
         key = request.headers.get(IDEMPOTENCY_KEY, "")
         self.journal.append(JournalEntry(request_id, key, request.method, request.path, body))
         await asyncio.sleep(self._work_s)
-        answered_id = "foreign-request" if self.faults.take("foreign_answers") else request_id
+        answered_id = FOREIGN_REQUEST_ID if self.faults.take("foreign_answers") else request_id
         answer = {"instance": self.name, "path": request.path, "ran": len(self.journal)}
         return web.json_response(answer, headers={REQUEST_ID: answered_id})
 
--- a/src/wallwell/emulator/settings.py
+++ b/src/wallwell/emulator/settings.py
@@ -1,4 +1,4 @@
-"""Settings files of the stand-ins, and the applications that they describe."""
+"""Settings files of the stand-ins, and the applications that they describe. Used by the command line."""
 
 from __future__ import annotations
 
@@ -7,8 +7,9 @@
 import msgspec
 from aiohttp import web
 
+from wallwell.emulator.engine_feed import EVENT_DELAY_S, LOAD_LAG_S
 from wallwell.emulator.engine_model import EngineProfile
-from wallwell.emulator.engine_server import EVENT_DELAY_S, LOAD_LAG_S, EngineServer
+from wallwell.emulator.engine_server import EngineServer
 from wallwell.emulator.platform_server import CALLS_PER_S, WEIGHT_LOAD_S, PlatformServer
 from wallwell.emulator.service_server import WORK_S, ServiceServer
 from wallwell.errors import SettingsError
@@ -59,7 +60,7 @@
     """Return the applications that a settings file of ``kind`` describes, with their listeners."""
     if kind == "engine":
         engines = load_document(path, EnginesSettings, SettingsError).engines
-        return [(_engine(entry).app(), entry.listener) for entry in engines]
+        return [(_emulated_engine(entry).app(), entry.listener) for entry in engines]
     if kind == "service":
         instances = load_document(path, ServicesSettings, SettingsError).instances
         return [(ServiceServer(entry.name, entry.work_s).app(), entry.listener) for entry in instances]
@@ -67,6 +68,6 @@
     return [(PlatformServer(settings.calls_per_s, settings.weight_load_s).app(), settings.listener)]
 
 
-def _engine(entry: EngineEntry) -> EngineServer:
+def _emulated_engine(entry: EngineEntry) -> EngineServer:
     profile = EngineProfile(cache_blocks=entry.cache_blocks)
     return EngineServer(entry.name, entry.weights, profile, entry.event_delay_s, entry.load_lag_s)
