--- a/src/wallwell/standalone/cluster/claims.py
+++ b/src/wallwell/standalone/cluster/claims.py
@@ -2,8 +2,10 @@
 
 Before it sends such a call, a router inserts a claim row under (tenant, key), conditional on there being none.
 An open claim is never taken over, however long its holder is silent: that is what keeps a paused or dead
-router's call from running a second time. A claim is only given back by its own holder, and only with proof
+router's call from running a second time. A claim is only released by its own holder, and only with proof
 that nothing ran.
+
+Owns the form of claim rows; relies on the table service for their conditional writes.
 """
 
 from __future__ import annotations
@@ -24,11 +26,12 @@
 
 CLAIM_PREFIX = "claim/"
 _INSERT_TRIES = 3
-"""Tries to write a claim. Each lost answer costs one and is settled by reading back; three in a row mean an
-outage."""
+"""Tries to write a claim. Each lost answer costs one and is settled by reading the row. Chosen, not measured."""
 MAX_RECORDED_BODY = 64 * 1024
 """Largest answer recorded with a claim, in characters; a larger one is not replayed to a resend. Bounds rows of
-the table."""
+the table. Chosen, not measured."""
+RETRY_AFTER_MS = 1000
+"""When a caller may ask again after the table gave no certain answer. Chosen, not measured."""
 
 
 class ClaimState(enum.StrEnum):
@@ -92,7 +95,7 @@
             except TableConflictError as error:
                 # Somebody wrote in between: the next try reads what stands there now.
                 emit(Event.CLAIM_RETRIED, claim=claim_id, reason=str(error))
-        raise ClaimUnavailableError("the table service did not confirm the claim", retry_after_ms=1000)
+        raise ClaimUnavailableError("the table service did not confirm the claim", retry_after_ms=RETRY_AFTER_MS)
 
     async def _claim_once(self, row_key: str, digest: str, claim_id: str) -> Claim:
         row = await self._table.get(row_key)
--- a/src/wallwell/standalone/cluster/codec.py
+++ b/src/wallwell/standalone/cluster/codec.py
@@ -1,4 +1,7 @@
-"""Authenticated JSON lines: ``<16 hex digits of a keyed BLAKE2b> <JSON>\\n``."""
+"""Authenticated JSON lines: ``<16 hex digits of a keyed BLAKE2b> <JSON>\\n``.
+
+Owns the cluster's key; used over UDP and TCP.
+"""
 
 from __future__ import annotations
 
@@ -14,6 +17,8 @@
 _MAC_BYTES = 8
 """Length of the authentication code: 64 bits, since a forger gets one try for each datagram."""
 _MAC_TEXT = 2 * _MAC_BYTES
+_MAX_KEY_BYTES = hashlib.blake2b.MAX_KEY_SIZE
+"""Longest key that BLAKE2b takes; the rest of a longer one is not used."""
 T = TypeVar("T")
 
 
@@ -21,7 +26,7 @@
     """Encodes and checks lines with the cluster's key."""
 
     def __init__(self, key: str) -> None:
-        self._key = key.encode()[:64]
+        self._key = key.encode()[:_MAX_KEY_BYTES]
         self._decoder = msgspec.json.Decoder(ClusterMessage)
         self._encoder = msgspec.json.Encoder()
 
--- a/src/wallwell/standalone/cluster/crash_notices.py
+++ b/src/wallwell/standalone/cluster/crash_notices.py
@@ -2,7 +2,9 @@
 
 A notice goes to every member of the region at once and again at growing intervals, so that lost datagrams and
 members that start later are made up for; one member of each other region gets it too and announces it there.
-Crashes are rare, so the datagrams are few: some ten for each member and crash, over five minutes.
+Each member and crash costs ten datagrams over five minutes: pauses double from a second to a minute.
+
+Owns the notices that this node announces; what a notice means is decided by its listener.
 """
 
 from __future__ import annotations
@@ -13,16 +15,18 @@
 from wallwell.standalone.cluster.messages import CrashNotice
 
 FIRST_PAUSE_S = 1.0
-"""Pause before a notice is sent to the other members again; it doubles from there."""
+"""Seconds before a notice is sent to the other members again; the pause doubles from there. Chosen, not
+measured."""
 LONGEST_PAUSE_S = 60.0
-"""Pauses between two announcements double from the first to the longest."""
+"""Seconds up to which the pause between two announcements doubles. Chosen, not measured."""
 ANNOUNCED_FOR_S = 300.0
-"""How long a notice is announced again: as long as a crash counts against a request that is not quarantined."""
+"""Seconds for which a notice is announced again: as long as a crash counts against a request that is not
+quarantined."""
 ANSWER_ANNOUNCED_FOR_S = 5.0
-"""The same for a notice that a request was answered. Each announcement clears the request for half a minute,
-so crashes that it causes later would not count for as long as it is announced."""
+"""The same, in seconds, for a notice that a request was answered. Each announcement clears the request for half a
+minute, so crashes that it causes later would not count for as long as it is announced."""
 MAX_ANNOUNCED = 256
-"""Notices announced at a time; the oldest give way."""
+"""Notices announced at a time; the oldest is dropped for a new one. Chosen, not measured."""
 
 
 @dataclass
--- a/src/wallwell/standalone/cluster/limits.py
+++ b/src/wallwell/standalone/cluster/limits.py
@@ -5,6 +5,8 @@
 so the sum over connected nodes cannot exceed the limit, and a lost grant only loses tokens. A zone that is
 cut off keeps to its own share. Shares follow the *configured* zones, not the reachable ones: a partition must
 not make both sides believe that they own the whole limit.
+
+Owns this node's buckets and the tokens it has asked for. Pure: times are on the caller's clock.
 """
 
 from __future__ import annotations
@@ -18,13 +20,17 @@
 FULL_RETRY_S = 0.1
 """Retry-After while a tenant's concurrency is used up: any of its requests may end. Chosen, not measured."""
 IDLE_S = 300.0
-"""Seconds after which a tenant that was not seen is forgotten."""
+"""Seconds after which a tenant that was not seen is forgotten. Chosen, not measured."""
 REQUEST_INTERVAL_S = 0.25
 """Least time between two requests for tokens of one tenant: four datagrams a second at most."""
-_GRANT_KEEP = 0.5
-"""Fraction of its unused tokens that a node gives away, so that its own next requests still find some."""
+_GRANT_FRACTION = 0.5
+"""Greatest fraction of its tokens that a node grants, so that its own next requests still find some. Chosen, not
+measured."""
+_LEAST_GRANT = 1.0
+"""Tokens; a smaller grant would admit no request."""
 _OPEN_REQUESTS = 256
-"""Requests for tokens whose grants are still accepted; older grants are dropped, which only loses tokens."""
+"""Requests for tokens whose grants are still accepted; older grants are dropped, which only loses tokens. Chosen,
+not measured."""
 
 
 @dataclass
@@ -57,12 +63,12 @@
     _demanding: set[str] = field(default_factory=set)
 
     def set_fraction(self, configured_zones: int, live_nodes_in_zone: int) -> None:
-        """Set this node's part of every limit."""
+        """Set this node's fraction of every limit."""
         self._fraction = 1.0 / (max(1, configured_zones) * max(1, live_nodes_in_zone))
 
     @property
     def fraction(self) -> float:
-        """This node's part of every limit."""
+        """This node's fraction of every limit."""
         return self._fraction
 
     def _share(self, tenant: str, limit: TenantRates, now_s: float) -> _TenantShare:
@@ -113,7 +119,7 @@
             self._sequence += 1
             self._open_requests = {s for s in self._open_requests if s > self._sequence - _OPEN_REQUESTS}
             self._open_requests.add(self._sequence)
-            amount = max(1.0, share.demand)
+            amount = max(_LEAST_GRANT, share.demand)
             actions.append(Send(self.rng.choice(peers), TokenRequest(self._sequence, tenant, amount)))
             share.demand = 0.0
         return actions
@@ -121,11 +127,11 @@
     def on_request(
         self, message: TokenRequest, sender_address: str, limit: TenantRates, now_s: float
     ) -> list[Action]:
-        """Give up to half of what this node has and does not need itself."""
+        """Grant some of what this node has, unless it was short of the tenant's tokens itself."""
         share = self._share(message.tenant, limit, now_s)
-        available = share.bucket.tokens * _GRANT_KEEP if share.demand <= 0 else 0.0
+        available = share.bucket.tokens * _GRANT_FRACTION if share.demand <= 0 else 0.0
         amount = min(message.amount, available)
-        if amount < 1.0:
+        if amount < _LEAST_GRANT:
             return []
         share.bucket.tokens -= amount
         return [Send(sender_address, TokenGrant(message.sequence, message.tenant, amount))]
--- a/src/wallwell/standalone/cluster/membership.py
+++ b/src/wallwell/standalone/cluster/membership.py
@@ -5,7 +5,7 @@
 nor through others becomes suspect, and dead unless it refutes with a higher incarnation. Only members of the
 same region share state; regions exchange summaries through delegates (see ``regions``).
 
-Owns the timers of the rounds. What is known stands in :mod:`.member_table`, probes under way in :mod:`.probing`;
+Owns the timers of the rounds. What is known stands in :mod:`.member_table`, probes in flight in :mod:`.probing`;
 what a round's messages hold is decided in :mod:`.anti_entropy`.
 """
 
--- a/src/wallwell/standalone/cluster/messages.py
+++ b/src/wallwell/standalone/cluster/messages.py
@@ -1,4 +1,7 @@
-"""Messages between nodes. Encoded as JSON arrays, so that a datagram stays under ``MAX_DATAGRAM_BYTES``."""
+"""Messages between nodes. Encoded as JSON arrays, so that a datagram stays under ``MAX_DATAGRAM_BYTES``.
+
+Owns their fields, whose order and tags are the wire's; what they cause is decided in :mod:`.node`.
+"""
 
 from __future__ import annotations
 
@@ -187,7 +190,7 @@
 class CrashNotice(msgspec.Struct, frozen=True, array_like=True, tag="c"):
     """A life of a back end ended under a request; with an empty ``life``, the request has been answered.
 
-    ``content`` is the digest of what the request holds. ``to_region``: the receiver tells its own region.
+    ``content`` is the digest of what the request holds. ``to_region``: the receiver announces it in its own region.
     """
 
     content: str
--- a/src/wallwell/standalone/cluster/probing.py
+++ b/src/wallwell/standalone/cluster/probing.py
@@ -1,6 +1,6 @@
 """Probes of the members of a region, as in SWIM: one member a round, through others if it does not answer.
 
-Owns the probes under way, those done on behalf of others, and the order in which members are probed. Relies on
+Owns the probes in flight, those done on behalf of others, and the order in which members are probed. Relies on
 :class:`.member_table.MemberTable` for statuses; a probe that fails twice makes its target a suspect there.
 """
 
--- a/src/wallwell/standalone/cluster/reconcile.py
+++ b/src/wallwell/standalone/cluster/reconcile.py
@@ -1,4 +1,7 @@
-"""Reconciliation by digest: what one node must send so that another one has what it lacks, within one datagram."""
+"""Reconciliation by digest: what one node must send so that another one has what it lacks, within one datagram.
+
+Owns the bound on a datagram's size. Pure.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,9 @@
 )
 
 _HEADER_BYTES = 160
-"""Bytes of a datagram kept for its header and authentication code."""
+"""Bytes of a datagram left for its header and authentication code. Chosen, not measured: the code takes 17."""
+_QUOTES_AND_COMMA = 3
+"""Bytes that a name takes in JSON beside its own."""
 _PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - _HEADER_BYTES
 
 
@@ -29,7 +34,7 @@
         self._wanted = tuple(wanted)
         self._records: list[MemberRecord] = []
         self._loads: list[LoadRecord] = []
-        self._size = sum(len(name) + 3 for name in wanted) + _encoded_size(entries)
+        self._size = sum(len(name) + _QUOTES_AND_COMMA for name in wanted) + _encoded_size(entries)
 
     def collect(self, members: Iterable[GossipMember], known: Mapping[str, DigestEntry]) -> None:
         """Add what ``members`` have beyond what the peer is ``known`` to have, until the datagram is full."""
@@ -72,7 +77,7 @@
 
 
 def is_newer(first: DigestEntry, second: DigestEntry) -> bool:
-    """Whether ``first`` tells of anything that ``second`` does not."""
+    """Whether ``first`` has anything newer than ``second``."""
     if first.incarnation != second.incarnation:
         return first.incarnation > second.incarnation
     return (
--- a/src/wallwell/standalone/cluster/region_directory.py
+++ b/src/wallwell/standalone/cluster/region_directory.py
@@ -1,6 +1,6 @@
 """This node's part in the region's directory of cached prefixes: its shard, and the way to the others' shards.
 
-Owns the shard this node keeps, the readers of engines' cache events, lookups under way and the cache of shard
+Owns the shard this node keeps, the readers of engines' cache events, lookups in flight and the cache of shard
 owners. Relies on :class:`.member_table.MemberTable` for the live nodes that the shards are spread over.
 """
 
@@ -30,7 +30,7 @@
         self.shard = DirectoryShard(rng)
         self.readers: dict[str, EngineReader] = {}
         self.lookup_replies: dict[int, LookupReply | None] = {}
-        """Lookups under way by sequence number, None until answered; whoever began one takes it out."""
+        """Lookups in flight by sequence number, None until answered; whoever began one takes it out."""
         self._lookup_sequence = 0
         self._next_report_s = 0.0
         self._last_report_s: float | None = None
--- a/src/wallwell/standalone/cluster/regions.py
+++ b/src/wallwell/standalone/cluster/regions.py
@@ -1,8 +1,10 @@
 """Summaries between regions, exchanged by a few delegates of each.
 
 Delegates are chosen by rendezvous over the live members of the region, so that no node is set aside and a
-lost delegate is replaced by the next one at once. A node that is not a delegate hears nothing of other
+lost delegate is replaced by the next one at once. A node that is not a delegate receives nothing from other
 regions; it learns of a higher configuration from its own region's members.
+
+Owns the latest summary of each region. Pure: random draws and times come from the caller.
 """
 
 from __future__ import annotations
@@ -14,13 +16,13 @@
 from wallwell.standalone.cluster.messages import Action, FetchConfig, RegionNews, RegionSummary, Send
 
 DELEGATES = 2
-"""Nodes of a region that talk to other regions: two, so that one may fail."""
+"""Nodes of a region that exchange summaries with other regions: two, so that one may fail."""
 CONTACTS = 3
-"""Addresses of a region that are passed on to other regions."""
+"""Addresses of a region that other regions receive, so that one of them may fail. Chosen, not measured."""
 SPREAD = (0.8, 1.2)
 """Multiples of the interval, so that delegates do not send together."""
 REGION_INTERVAL_S = 1.0
-"""Mean time between two summaries to one other region."""
+"""Mean seconds between two exchanges of a delegate, each with one other region. Chosen, not measured."""
 
 
 @dataclass
@@ -34,7 +36,7 @@
     _next_s: float = 0.0
 
     def is_delegate(self, alive: list[str]) -> bool:
-        """Whether this node speaks for its region."""
+        """Whether this node exchanges summaries for its region."""
         return self.node in owners(alive, key_of(f"delegate/{self.region}"), DELEGATES)
 
     def refresh_own(self, config_head: int, contacts: tuple[str, ...], now_ms: int) -> None:
--- a/src/wallwell/standalone/cluster/shards.py
+++ b/src/wallwell/standalone/cluster/shards.py
@@ -4,6 +4,8 @@
 prefixes share a shard. Only checkpoints (the first block and every 32nd) are recorded, which thins the event
 stream by that factor where it is read. Lost reports and moved shards are repaired by re-announcing every
 checkpoint slowly; a shard is a hint, and the engine's own cache stays the truth.
+
+Owns the shard that a node keeps and what it has read of each engine. Pure: times come from the caller.
 """
 
 from __future__ import annotations
@@ -21,19 +23,25 @@
 from wallwell.standalone.routing.table import CompactTable
 
 MAX_LOOKUP_HASHES = 96
-"""Hashes in one lookup: what fits a datagram, some 49,000 tokens of prompt."""
+"""Hashes in one lookup. Arithmetic: 96 of them take 1,024 of a datagram's 1,200 bytes, and cover some 49,000 tokens
+of prompt at 16 tokens a block."""
 MAX_REPORT_HASHES = 72
-"""Hashes in one report: what fits a datagram."""
+"""Hashes in one report, stored and removed ones together. Arithmetic: they take 768 of a datagram's 1,200 bytes
+beside the names of engine and incarnation."""
 ANNOUNCE_PERIOD_S = 120.0
-"""Seconds in which everything known is announced once more, so that a lost report is made good."""
+"""Seconds in which everything known is announced once more, so that a lost report is made good. Chosen, not
+measured."""
 RECENT_LOOKUPS = 256
-"""Lookups that may be answered late; older answers are dropped."""
+"""Lookups of other nodes for which a dispatch report is still accepted; older ones are dropped. Chosen, not
+measured."""
+MAX_SHARD_ENTRIES = 200_000
+"""Checkpoints that one shard holds. Chosen, not measured."""
 
 
 class DirectoryShard:
     """The chains this node keeps for its region."""
 
-    def __init__(self, rng: random.Random, max_entries: int = 200_000) -> None:
+    def __init__(self, rng: random.Random, max_entries: int = MAX_SHARD_ENTRIES) -> None:
         self.directory = PrefixDirectory(max_entries)
         self._rng = rng
         self._recent_lookups: OrderedDict[tuple[str, int], list[int]] = OrderedDict()
--- a/src/wallwell/standalone/cluster/transport.py
+++ b/src/wallwell/standalone/cluster/transport.py
@@ -1,4 +1,7 @@
-"""Sockets of the cluster protocol: UDP datagrams, and TCP for configuration too large for a datagram."""
+"""Sockets of the cluster protocol: UDP datagrams, and TCP for configuration too large for a datagram.
+
+Owns the sockets, the send budget and the waits for lookups; what to send is decided by :class:`.node.ClusterNode`.
+"""
 
 from __future__ import annotations
 
@@ -24,18 +27,19 @@
 from wallwell.standalone.settings import Listener
 
 TICK_INTERVAL_S = 0.1
-"""Seconds between two turns of the state machines: the resolution of their timers."""
+"""Seconds between two ticks of the state machines: the resolution of their timers. Chosen, not measured."""
 LOOKUP_DEADLINE_S = 0.005
-"""Seconds to wait for a directory lookup: a round trip between zones is 2 ms, and prefill saved is 10 ms and
-more."""
+"""Seconds to wait for a directory lookup, which each request pays at most. Chosen, not measured: zones of a region
+are a few milliseconds apart."""
 FETCH_TIMEOUT_S = 2.0
-"""Seconds for a configuration delta from a peer over TCP."""
+"""Seconds for a configuration delta from a peer over TCP. Chosen, not measured."""
 MAX_LINE_BYTES = 64 * 1024 * 1024
 """Largest line over TCP, a whole configuration. Chosen, not measured: far above any known one."""
 MAX_CONCURRENT_STATE_REQUESTS = 4
-"""Deltas served at once, so that nodes that start together do not take the processor from requests."""
+"""Deltas served at once, so that nodes that start together do not take the processor from requests. Chosen, not
+measured."""
 BUDGET_BURST_S = 2.0
-"""Seconds' worth of the send budget that may go out at once."""
+"""Seconds of the send budget that may go out at once. Chosen, not measured."""
 
 
 class FetchRevisions(msgspec.Struct, frozen=True):
@@ -157,7 +161,7 @@
             return
         data = self._codec.encode(action.message)
         if not self._budget.try_take(boot_time_s(), len(data)):
-            self.traffic.dropped_messages += 1
+            self.traffic.dropped_messages += 1  # As a lost datagram: what matters is sent again.
             return
         host, _, port = action.address.rpartition(":")
         self.traffic.sent_bytes += len(data)
@@ -212,7 +216,7 @@
             self._fetching.discard(address)
 
     def adopt(self, delta: ConfigDelta) -> bool:
-        """Apply a delta and tell others; returns whether this node moved up."""
+        """Apply a delta and notify others; returns whether this node moved up."""
         assert self.node is not None
         before = self.node.config.head
         self.perform(self.node.advance_config(delta))
--- a/src/wallwell/standalone/config/compiled.py
+++ b/src/wallwell/standalone/config/compiled.py
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class CompiledConfig:
-    """Everything the request path looks up."""
+    """Everything the request path reads of the configuration."""
 
     revision: int
     zones: Mapping[str, ZoneSpec] = field(default_factory=dict)
--- a/src/wallwell/standalone/machines.py
+++ b/src/wallwell/standalone/machines.py
@@ -1,8 +1,10 @@
-"""The platform's lagging list of live and leaving machines."""
+"""The platform's lagging list of live and leaving machines, and its client. Owns no state; the session is its
+caller's."""
 
 from __future__ import annotations
 
 import enum
+from http import HTTPStatus
 from typing import Protocol
 
 import aiohttp
@@ -48,6 +50,6 @@
                 payload = await response.read()
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             raise PlatformUnavailableError(f"machine list: {type(error).__name__}") from error
-        if response.status != 200:
+        if response.status != HTTPStatus.OK:
             raise PlatformUnavailableError(f"machine list: status {response.status}")
         return msgspec.json.decode(payload, type=list[Machine])
--- a/src/wallwell/standalone/operators_app.py
+++ b/src/wallwell/standalone/operators_app.py
@@ -1,4 +1,7 @@
-"""The operators' listener: apply files, read back what is in force, metrics."""
+"""The operators' listener: apply files, read back what is in force, metrics.
+
+Owns the forms of its answers. Relies on the committer for changes and on the node for what is in force.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 import yaml
 from aiohttp import web
 
-from wallwell.errors import ConfigNotFoundError, UnauthenticatedError, WallwellError
+from wallwell.errors import ConfigNotFoundError, MalformedRequestError, UnauthenticatedError, WallwellError
 from wallwell.events import Event, emit
 from wallwell.standalone.callers.context import NodeContext
 from wallwell.standalone.cluster.messages import MemberStatus
@@ -16,6 +19,9 @@
 from wallwell.standalone.config.parse import parse_file, settings_without_effect
 from wallwell.standalone.config.schema import FileKey
 
+MAX_BODY_BYTES = 4 * 1024 * 1024
+"""Largest change, in bytes. Chosen, not measured."""
+
 
 class MemberView(msgspec.Struct, frozen=True):
     """One member in the status answer."""
@@ -67,7 +73,7 @@
 
     def app(self) -> web.Application:
         """Return the aiohttp application."""
-        app = web.Application(middlewares=[self._guard], client_max_size=4 * 1024 * 1024)
+        app = web.Application(middlewares=[self._guard], client_max_size=MAX_BODY_BYTES)
         app.router.add_get("/healthz", self._health)
         app.router.add_post("/config/apply", self._apply)
         app.router.add_get("/config", self._files)
@@ -83,8 +89,8 @@
                 self._authenticate(request)
             return await handler(request)  # type: ignore[operator, no-any-return]
         except WallwellError as error:
-            body = OperatorError(error.code, type(error).__name__, error.detail)
-            return _json(body, error.http_status)
+            body = _error_body(type(error), error.detail)
+            return _operator_answer(body, error.http_status)
 
     def _authenticate(self, request: web.Request) -> None:
         scheme, _, token = request.headers.get("Authorization", "").partition(" ")
@@ -99,7 +105,9 @@
         try:
             apply = msgspec.json.decode(await request.read(), type=ApplyRequest)
         except msgspec.DecodeError as error:
-            return _json(OperatorError("WW3001", "MalformedRequestError", str(error)), 400)
+            return _operator_answer(
+                _error_body(MalformedRequestError, str(error)), MalformedRequestError.http_status
+            )
         try:
             answer = await self._context.committer.apply(apply)
         except WallwellError as error:
@@ -107,12 +115,12 @@
             raise
         emit(Event.CONFIG_ACCEPTED, file=answer.key, revision=answer.revision, operator=apply.operator)
         warn_of_settings_without_effect(apply.body)
-        return _json(answer)
+        return _operator_answer(answer)
 
     async def _files(self, _request: web.Request) -> web.Response:
         store = self._context.node.config
         views = [self._view(key) for key in sorted(store.files)]
-        return _json(views)
+        return _operator_answer(views)
 
     async def _file(self, request: web.Request) -> web.Response:
         text = f"{request.match_info['kind']}/{request.match_info['name']}"
@@ -122,7 +130,7 @@
             raise ConfigNotFoundError(text) from None
         if key not in self._context.node.config.files:
             raise ConfigNotFoundError(text)
-        return _json(self._view(key))
+        return _operator_answer(self._view(key))
 
     def _view(self, key: FileKey) -> FileView:
         store = self._context.node.config
@@ -163,19 +171,23 @@
             members=tuple(members),
             regions={name: each.config_head for name, each in context.node.regions.summaries.items()},
         )
-        return _json(answer)
+        return _operator_answer(answer)
 
     async def _metrics(self, _request: web.Request) -> web.Response:
         self._context.metrics.config_revision.set(self._context.node.config.head)
         return web.Response(body=self._context.metrics.render(), content_type="text/plain")
 
 
-def _json(value: object, status: int = 200) -> web.Response:
+def _error_body(error_type: type[WallwellError], detail: str) -> OperatorError:
+    return OperatorError(error_type.code, error_type.__name__, detail)
+
+
+def _operator_answer(value: object, status: int = 200) -> web.Response:
     return web.Response(body=msgspec.json.encode(value), status=status, content_type="application/json")
 
 
 def warn_of_settings_without_effect(body: str) -> None:
-    """Tell an operator, in the log, of settings in an accepted file that change nothing."""
+    """Log the settings in an accepted file that change nothing."""
     file, _ = parse_file(body) if body else (None, [])
     if file is None:
         return  # A removal has no text.
--- a/src/wallwell/standalone/placement/controller.py
+++ b/src/wallwell/standalone/placement/controller.py
@@ -2,11 +2,14 @@
 
 The node that rendezvous hashing names for the model tries to hold the lease. A holder that was paused past its
 lease may still send an order; its fence is lower than the next holder's, and the engine refuses it.
+
+Owns this node's leases and the orders it has sent; which engines to order is decided in :mod:`.reconcile`.
 """
 
 from __future__ import annotations
 
 import asyncio
+from http import HTTPStatus
 
 from wallwell.clock import boot_time_s
 from wallwell.cluster.leases import LeaseKeeper
@@ -20,15 +23,17 @@
 from wallwell.standalone.placement.reconcile import loaded_version, next_loads
 
 RECONCILE_INTERVAL_S = 0.5
-"""Mean time between two looks at which engines lack the declared weights."""
+"""Mean seconds between two checks for engines that lack the declared weights. Chosen, not measured."""
 SPREAD = (0.8, 1.2)
-"""Multiples of the interval, so that nodes do not all look at once."""
+"""Multiples of the interval, so that nodes do not all check at once."""
 LEASE_TTL_S = 6.0
 """Seconds a lease lasts without renewal: how long a model waits for a new holder. Chosen, not measured."""
 ORDER_TIMEOUT_S = 2.0
-"""Seconds for the answer to an order; after it the order may have been taken, which its fence makes harmless."""
+"""Seconds for the answer to an order; after it the order may have been taken, which its fence makes harmless.
+Chosen, not measured."""
 LOAD_LIMIT_S = 120.0
-"""An engine that has not come back by then no longer counts as loading."""
+"""Seconds after which an engine that does not serve the ordered weights no longer counts as loading, so that others
+are ordered in its place. Chosen, not measured."""
 
 
 class PlacementController:
@@ -40,7 +45,7 @@
         self._ordered_at_s: dict[tuple[str, str], float] = {}
 
     async def run(self) -> None:
-        """Reconcile until cancelled; leases are given up then."""
+        """Reconcile until cancelled; leases are released then."""
         try:
             while True:
                 await asyncio.sleep(RECONCILE_INTERVAL_S * self._context.rng.uniform(*SPREAD))
@@ -104,7 +109,7 @@
         self._ordered_at_s[(model, name)] = boot_time_s()
         order = EngineLoadOrder(fence, model, spec.weights_version)
         status = await EngineClient(address, self._context.session).order(order, ORDER_TIMEOUT_S)
-        event = Event.ORDER_REFUSED if status == 409 else Event.ORDER_SENT
+        event = Event.ORDER_REFUSED if status == HTTPStatus.CONFLICT else Event.ORDER_SENT
         emit(event, engine=name, model=model, version=spec.weights_version, fence=fence, status=status)
-        if status == 409:
+        if status == HTTPStatus.CONFLICT:
             del self._ordered_at_s[(model, name)]
--- a/src/wallwell/standalone/placement/reconcile.py
+++ b/src/wallwell/standalone/placement/reconcile.py
@@ -1,4 +1,7 @@
-"""Which engines to load next, and which version requests run on meanwhile. Pure."""
+"""Which engines to load next, and which version requests run on meanwhile. Pure; owns nothing.
+
+Relies on engines as their readers published them, and on the declared model.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
     """Return engines to order to the declared version now.
 
     At most ``max_concurrent_loads`` load at once, and no order takes the serving engines below
-    ``spec.min_serving``. Engines already at the version are never ordered, so a repeated call changes nothing.
+    ``spec.min_serving``. Engines already at the version are never ordered, so a second call changes nothing.
     """
     outdated = [
         name
--- a/src/wallwell/standalone/router_node.py
+++ b/src/wallwell/standalone/router_node.py
@@ -58,7 +58,7 @@
 
 
 class RouterNode:
-    """One router process's worth of objects; several can share an event loop."""
+    """The objects of one router process; several can share an event loop."""
 
     def __init__(self, settings: NodeSettings, seed: int | None = None) -> None:
         self.settings = settings
--- a/src/wallwell/standalone/settings.py
+++ b/src/wallwell/standalone/settings.py
@@ -1,7 +1,8 @@
 """One node's settings file: addresses, zone, seed peers, platform addresses, keys and limits.
 
 The file is YAML. Unknown keys, missing keys and wrong types are refused at start, all of them at once, each
-with its code, key path and line. Command-line flags override single values.
+with its code, key path and line. Command-line flags override single values. Owns the names, bounds and defaults;
+defaults without a note are chosen, not measured.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from wallwell.standalone.typed import OUT_OF_RANGE, ProblemList, convert_all, load_yaml
 
 MIN_KEY_CHARACTERS = 16
-"""Shortest cluster key: it authenticates every message between nodes."""
+"""Shortest cluster key and operators' token: they authenticate nodes and operators. Chosen, not measured."""
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
 PositiveSeconds = Annotated[float, msgspec.Meta(gt=0)]
 PositiveInt = Annotated[int, msgspec.Meta(gt=0)]
@@ -72,7 +73,7 @@
 
 
 class NodeSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything one router process is told at start."""
+    """Settings of one router process; it reads them at start only."""
 
     node: str
     zone: str
--- a/src/wallwell/standalone/typed.py
+++ b/src/wallwell/standalone/typed.py
@@ -1,7 +1,8 @@
 """Conversion of untyped documents to typed structs with every problem listed.
 
 ``msgspec.convert`` stops at the first problem. Operators and settings files want all of them at once, so
-:func:`convert_all` walks struct fields itself and hands single values to msgspec.
+:func:`convert_all` walks struct fields itself and hands single values to msgspec. Owns the codes of problems; knows
+no particular document.
 """
 
 from __future__ import annotations
