--- a/Makefile
+++ b/Makefile
@@ -38,7 +38,7 @@
 soak: $(VENV)/.ready
 	$(BIN)/wallwell soak --seed $(SEED)
 
-# Runs that once broke a promise, each with its cause. Processes and times are real, so that a verdict may differ
+# Runs that once broke an invariant, each with its cause. Processes and times are real, so that a verdict may differ
 # between two plays; that is why continuous integration does not play them.
 soak-regressions: $(VENV)/.ready
 	$(BIN)/wallwell soak --regressions tests/soak/seeds.toml
--- a/tests/contract/test_crashing_request.py
+++ b/tests/contract/test_crashing_request.py
@@ -1,10 +1,9 @@
-"""The own deployment: a request under which engines or services end, each as a killed process does.
+"""The standalone router: a request under which engines or services end, each as a killed process does.
 
-Seen: nothing yet; looked for after a fleet on the users' platform had lost engine after engine to one request.
 How it would come about: a generation is sent on up to six times and resumed up to 32 times, a call up to four
 times, and a caller that comes again begins anew.
-Cause: as there, nothing remembers what a request has done. Proof: each test here fails with a memory that never
-quarantines.
+Cause: without the quarantine nothing remembers what a request has done. Proof: each test here fails with a memory
+that never quarantines.
 """
 
 import asyncio
--- a/tests/platform/test_time_of_day.py
+++ b/tests/platform/test_time_of_day.py
@@ -31,7 +31,7 @@
     ("wallwell.log_writer", "monotonic"): 1,
 }
 """The clock itself; an end that is set by hand and has no time; the rate of routine log lines."""
-OWN_DEPLOYMENT = (
+STANDALONE = (
     "standalone.backends.engine_client",
     "standalone.backends.engine_watch",
     "standalone.backends.service_client",
@@ -51,7 +51,7 @@
     "standalone.callers.service_calls",
     "standalone.placement.controller",
 )
-"""Modules with clocks that only the router of the own deployment has."""
+"""Modules with clocks that only the standalone router has."""
 LIST_MODULES = f"""
 import importlib, json, sys, wallwell.platform.main
 for name in {IMPORTED_LATER!r}:
@@ -106,8 +106,8 @@
 
 
 def test_no_module_goes_by_a_clock_that_stands_still_while_the_machine_is_suspended():
-    """Of the node on the platform and of the router of the own deployment alike."""
-    own = [f"wallwell.{each}" for each in OWN_DEPLOYMENT]
+    """Of the router on the platform and of the standalone router alike."""
+    own = [f"wallwell.{each}" for each in STANDALONE]
     modules = [each for each in modules_of_a_node() if (SOURCES / (each.replace(".", "/") + ".py")).exists()]
     found = [(module, name) for module in {*modules, *own} for name in uses_of_stopped_clocks(module)]
     assert {each: found.count(each) for each in found} == UNTOUCHED_BY_SUSPENSION
