--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -126,7 +126,6 @@
         self._tables.add("operators", sources.operators, self._operators.apply, OPERATORS_TIMING)
         self._tables.add("backends", sources.backends, self._listing.apply, BACKENDS_TIMING)
         self._tables.add("own", sources.own, self._members.apply, OWN_TIMING)
-        self._relayed = self._tables.relayed
 
     def _build_peers(self, sources: NodeSources) -> None:
         """Build the exchange with peers."""
@@ -137,7 +136,7 @@
         self._kv_store_watch = KvStoreWatch(self.state, sources.cache_events, self._order)
         self._peers = PeerServer(
             {
-                RowsRequest: answer_from(self._relayed),
+                RowsRequest: answer_from(self._tables.relayed),
                 MemberLoad: self._load_reporter.on_member,
                 ZoneLoad: self._load_reporter.on_zone,
                 RegionLoad: self._load_reporter.between_regions.on_region,
--- a/tests/platform/test_peers.py
+++ b/tests/platform/test_peers.py
@@ -36,7 +36,7 @@
     await harness.until(lambda: both_know_each_other(nodes))
     await harness.until(lambda: all(node.is_ready() for node in nodes))
     nodes.sort(key=lambda node: len(node._order.candidates(asyncio.get_running_loop().time())))
-    await harness.until(lambda: all(len(rows.links) for rows in nodes[1]._relayed.values()))
+    await harness.until(lambda: all(len(rows.links) for rows in nodes[1]._tables.relayed.values()))
     return nodes
 
 
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -173,7 +173,7 @@
 
 def relayed_tables() -> list[str]:
     """Return the names of tables that nodes ask each other for."""
-    return sorted(_node()._relayed)
+    return sorted(_node()._tables.relayed)
 
 
 def read_packed_sum(packed: bytes) -> str:
