--- a/src/wallwell/standalone/config/commit.py
+++ b/src/wallwell/standalone/config/commit.py
@@ -24,7 +24,13 @@
     TableConflictError,
 )
 from wallwell.events import Event, emit
-from wallwell.standalone.config.parse import ConfigFile, check_references, parse_file, references_to
+from wallwell.standalone.config.parse import (
+    ConfigFile,
+    check_references,
+    parse_file,
+    references_to,
+    settings_without_effect,
+)
 from wallwell.standalone.config.schema import FileKey
 from wallwell.standalone.config.store import ConfigDelta, ConfigStore, FileRevision
 from wallwell.standalone.typed import Problem
@@ -132,9 +138,13 @@
         change = _Change(request, key, file, request.base_revision)
         for _ in range(_TRIES):
             try:
-                return await self._try_apply(change)
+                answer = await self._try_apply(change)
             except (TableConflictError, PlatformUnavailableError) as error:
                 emit(Event.CONFIG_WRITE_RETRIED, file=str(key), reason=str(error))
+            else:
+                if file is not None:
+                    _warn_of_settings_without_effect(file)
+                return answer
         raise ConfigUnavailableError(f"{key}: the table service did not confirm the change; apply it again")
 
     async def _try_apply(self, change: _Change) -> ApplyAnswer:
@@ -218,3 +228,10 @@
     return ConfigConflictError(
         f"{key}: based on revision {base}, but revision {current.revision} by {current.operator or 'unknown'} won"
     )
+
+
+def _warn_of_settings_without_effect(file: ConfigFile) -> None:
+    """Tell an operator, in the log, of settings in an accepted file that change nothing."""
+    settings = settings_without_effect(file)
+    if settings:
+        emit(Event.CONFIG_WITHOUT_EFFECT, file=str(file.key), settings=settings)
--- a/src/wallwell/standalone/operators_app.py
+++ b/src/wallwell/standalone/operators_app.py
@@ -16,7 +16,6 @@
 from wallwell.standalone.callers.context import NodeContext
 from wallwell.standalone.cluster.messages import MemberStatus
 from wallwell.standalone.config.commit import ApplyRequest
-from wallwell.standalone.config.parse import parse_file, settings_without_effect
 from wallwell.standalone.config.schema import FileKey
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
@@ -114,7 +113,6 @@
             emit(Event.CONFIG_REFUSED, code=error.code, operator=apply.operator)
             raise
         emit(Event.CONFIG_ACCEPTED, file=answer.key, revision=answer.revision, operator=apply.operator)
-        warn_of_settings_without_effect(apply.body)
         return _operator_answer(answer)
 
     async def _files(self, _request: web.Request) -> web.Response:
@@ -184,13 +182,3 @@
 
 def _operator_answer(value: object, status: int = 200) -> web.Response:
     return web.Response(body=msgspec.json.encode(value), status=status, content_type="application/json")
-
-
-def warn_of_settings_without_effect(body: str) -> None:
-    """Log the settings in an accepted file that change nothing."""
-    file, _ = parse_file(body) if body else (None, [])
-    if file is None:
-        return  # A removal has no text.
-    settings = settings_without_effect(file)
-    if settings:
-        emit(Event.CONFIG_WITHOUT_EFFECT, file=str(file.key), settings=settings)
--- a/tests/unit/standalone/config/test_settings_without_effect.py
+++ b/tests/unit/standalone/config/test_settings_without_effect.py
@@ -3,9 +3,10 @@
 import pytest
 from loguru import logger
 
+from tests.faulty_table import FaultyTable
 from wallwell.events import Event
-from wallwell.standalone.config.parse import parse_file
-from wallwell.standalone.operators_app import warn_of_settings_without_effect
+from wallwell.standalone.config.commit import ApplyRequest, ConfigCommitter
+from wallwell.standalone.config.store import ConfigStore
 
 PRIORITY = "kind: priority\nname: p\nspec:\n  rank: 1\n"
 MODEL = "kind: model\nname: m\nspec:\n  weights_version: a\n"
@@ -32,11 +33,18 @@
         ("", "", []),
     ],
 )
-def test_an_applied_file_that_names_one_is_valid_and_logged(body, file, settings, logged):
-    if body:
-        parsed, problems = parse_file(body)
-        assert parsed is not None and not problems
-    warn_of_settings_without_effect(body)
+def test_an_applied_file_that_names_one_is_valid_and_logged(body, file, settings, logged, run_async):
+    """An empty body stands for the removal of a file, which has no settings."""
+
+    async def scenario():
+        store = ConfigStore()
+        committer = ConfigCommitter(FaultyTable(faults=()), store, store.apply)
+        await committer.apply(ApplyRequest("apply-1", "op", body or PRIORITY))
+        if not body:
+            await committer.apply(ApplyRequest("apply-2", "op", key="priority/p"))
+        return store.head
+
+    assert run_async(scenario()) == (1 if body else 2)
     found = [(each["extra"]["event"], each["extra"]["file"], each["extra"]["settings"]) for each in logged]
     assert found == ([(Event.CONFIG_WITHOUT_EFFECT.number, file, settings)] if settings else [])
     assert all(each["level"].name == "WARNING" for each in logged)
