--- a/src/wallwell/node/backend_rows.py
+++ b/src/wallwell/node/backend_rows.py
@@ -123,7 +123,7 @@
             )
         now_s = boot_time_s()
         is_start = not self._state.backends_known
-        self._state.rollouts.on_listed(record.service, record.software, now_s, is_start)
+        self._state.rollouts.on_backend_listed(record.service, record.software, now_s, is_start)
         if record.draining:
             self._state.backends.on_leaving(backend, now_s)
         if is_new:
--- a/src/wallwell/node/metrics.py
+++ b/src/wallwell/node/metrics.py
@@ -147,7 +147,7 @@
             "wallwell_rollout_failures", "Failed answers to this node by side.", labels=["service", "side"]
         )
         for service in rollouts.active:
-            record = rollouts.effective(service)
+            record = rollouts.effective_record(service)
             if record is not None:
                 phases.add_metric([service, record.phase.value], 1)
                 share.add_metric([service], record.share)
--- a/src/wallwell/node/operator_rows.py
+++ b/src/wallwell/node/operator_rows.py
@@ -102,10 +102,10 @@
         order = msgspec.structs.replace(order, era=followed.page.era)
         if not self._state.knows_service(order.service):
             emit(Event.ROLLOUT_REFUSED, row=row.key, error="no such service is configured or listed")
-        counts_from_s = float("-inf")
+        effective_from_s = float("-inf")
         if followed.whole:
-            counts_from_s = self._state.store_era.since_s + WRITTEN_AGAIN_S
-        if self._state.rollouts.on_order(order, boot_time_s(), counts_from_s):
+            effective_from_s = self._state.store_era.since_s + WRITTEN_AGAIN_S
+        if self._state.rollouts.on_order(order, boot_time_s(), effective_from_s):
             emit(
                 Event.ROLLOUT_ORDERED,
                 service=order.service,
--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -39,7 +39,7 @@
 from wallwell.deployment.weights import OVERDUE_FRACTION, WeightsTargets
 from wallwell.events import Event, emit
 from wallwell.rollout.model import RolloutBounds
-from wallwell.rollout.records import RolloutBook
+from wallwell.rollout.records import RolloutRegistry
 from wallwell.routing.admission.access import RevocationBound, is_fresh_enough
 from wallwell.routing.admission.overload import GenerationTime
 from wallwell.routing.admission.quarantine import Quarantine
@@ -126,7 +126,7 @@
     """Retry budgets by service."""
     zones: ZoneSuspicion = field(init=False)
     """Which zones are cut off from this node."""
-    rollouts: RolloutBook = field(default_factory=RolloutBook)
+    rollouts: RolloutRegistry = field(default_factory=RolloutRegistry)
     """Rollouts of services' software."""
     split_offset: float = 0.0
     """Where in [0, 1) this node begins in the round of a split, drawn at its start."""
--- a/src/wallwell/rollout/driver.py
+++ b/src/wallwell/rollout/driver.py
@@ -29,17 +29,17 @@
 from wallwell.storage.feed import FeedRow
 from wallwell.storage.table import TableService
 
-TICK_S = 0.15
+STEP_INTERVAL_S = 0.15
 """Seconds between two steps: small beside ``rollback_s`` (5 s by default)."""
-VALID_FRACTION = 0.5
+LEASE_VALID_FRACTION = 0.5
 """Fraction of ``lease_s`` for which a holder trusts one renewal. Another node succeeds a dead holder after that and
 a candidate's delay; no guard time is needed, since every write has the lease's row as a condition."""
 HEARTBEAT_S = 1.0
 """Seconds between two writes of a record while nothing changes. Nodes send nothing to a target version whose record
 is older than half of ``rollback_s`` (2.5 s by default), so one write may be lost."""
-REPORTS_TO_WAIT_FOR = 2.5
+REPORT_INTERVALS_TO_WAIT = 2.5
 """Report intervals for which a new holder decides nothing: every node's totals have then arrived."""
-COMPLETE_AFTER_S = 2.0
+MIN_LEASE_TO_COMPLETE_S = 2.0
 """Seconds for which a node must have held the lease to end a rollout as complete.
 
 What dead nodes counted is lost to a new holder, and nobody compared answers meanwhile; so it first waits for some
@@ -77,18 +77,18 @@
         clock: StoreClock,
     ) -> None:
         self._state = state
-        self._book = state.rollouts
+        self._registry = state.rollouts
         self._store = store
         self._planner = planner
         self._counts = counts
         self._clock = clock
-        self._valid_s = state.bounds.lease_s * VALID_FRACTION
-        self._lease = LeaseKeeper(LEASE_NAME, state.node, self._valid_s, table, era=state.store_era)
-        self._turn = LeaseTurn(LEASE_NAME, state.node, self._lease, self._valid_s, lambda: state.members)
+        self._lease_valid_s = state.bounds.lease_s * LEASE_VALID_FRACTION
+        self._lease = LeaseKeeper(LEASE_NAME, state.node, self._lease_valid_s, table, era=state.store_era)
+        self._turn = LeaseTurn(LEASE_NAME, state.node, self._lease, self._lease_valid_s, lambda: state.members)
         self._rows: dict[str, _StoredRows] = {}
-        self._lease_since_s: float | None = None
-        self._rows_era = UNKNOWN_ERA
-        self._noticed_era: int | None = None
+        self._lease_held_since_s: float | None = None
+        self._feed_era = UNKNOWN_ERA
+        self._last_era: int | None = None
 
     @property
     def holder(self) -> str:
@@ -97,15 +97,15 @@
 
     def on_era(self, era: int, _is_restored: bool) -> None:
         """The rows that follow are of this era of the store."""
-        self._rows_era = era
-        self._notice_era()
+        self._feed_era = era
+        self._check_store_era()
 
-    def _notice_era(self) -> None:
+    def _check_store_era(self) -> None:
         """Have every record confirmed once any answer has told that the store came back from a copy."""
         era = self._state.store_era.number
-        if self._noticed_era is not None and era != self._noticed_era:
-            self._book.on_restored()
-        self._noticed_era = era
+        if self._last_era is not None and era != self._last_era:
+            self._registry.on_store_restored()
+        self._last_era = era
 
     # --- rows of other nodes ---------------------------------------------------------------------------
 
@@ -120,7 +120,7 @@
             emit(Event.ROLLOUT_REFUSED, row=row.key, error=str(error))
             return
         record_written_s = min(now_s, self._clock.to_local_s(record.written_at_s))
-        if self._book.on_record(record, StorePosition(self._rows_era, row.version), record_written_s):
+        if self._registry.on_record(record, StorePosition(self._feed_era, row.version), record_written_s):
             emit(
                 Event.ROLLOUT_FOLLOWED,
                 service=record.service,
@@ -135,27 +135,27 @@
     async def run(self) -> None:
         """Drive rollouts until cancelled."""
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(STEP_INTERVAL_S)
             await self.step()
 
     async def step(self) -> None:
         """Advance every rollout that has not ended, if this node holds the lease."""
         now_s = boot_time_s()
-        self._notice_era()
-        self._book.release_unannounced(now_s)
-        self._book.release_held_back(now_s)
-        due = [service for service in self._book.due() if self._state.knows_service(service)]
-        self._counts.keep(due)
+        self._check_store_era()
+        self._registry.release_unannounced_versions(now_s)
+        self._registry.accept_deferred_orders(now_s)
+        due = [service for service in self._registry.due_services() if self._state.knows_service(service)]
+        self._counts.retain_services(due)
         self._turn.set_due(bool(due), now_s)
         if not due or not await self._turn.hold(now_s):
             self._rows.clear()
-            self._lease_since_s = None
+            self._lease_held_since_s = None
             return
-        if self._lease_since_s is None:
-            self._lease_since_s = now_s
+        if self._lease_held_since_s is None:
+            self._lease_held_since_s = now_s
         for service in due:
             try:
-                async with bounded(self._valid_s):
+                async with bounded(self._lease_valid_s):
                     await self._advance(service)
             except (TableConflictError, PlatformUnavailableError, TimeoutError) as error:
                 self._on_write_failed(service, error)
@@ -170,23 +170,23 @@
         rows = self._rows.get(service)
         if rows is None:
             rows = self._rows[service] = _StoredRows(await self._store.read(service))
-        lost = self._book.lost_record(service, rows.stored.record)
-        if lost is not None:
-            await self._write(rows, lost, {"written_again": 1.0})
+        record_to_restore = self._registry.record_to_restore(service, rows.stored.record)
+        if record_to_restore is not None:
+            await self._write(rows, record_to_restore, {"written_again": 1.0})
         record = rows.stored.record
-        order = self._book.orders.get(service)
+        order = self._registry.orders.get(service)
         if order is not None and (record is None or not record.covers(order)):
-            ordered_at_s = self._clock.to_store_s(self._book.ordered_at_s[service])
+            ordered_at_s = self._clock.to_store_s(self._registry.ordered_at_s[service])
             opened = opening_record(order, record, ordered_at_s)
-            await self._write(rows, opened, {"ordered_ago_s": boot_time_s() - self._book.ordered_at_s[service]})
+            await self._write(rows, opened, {"ordered_ago_s": boot_time_s() - self._registry.ordered_at_s[service]})
         elif record is not None and not record.phase.is_final:
             await self._decide(rows, record)
         elif record is not None:
-            self._learn(rows.stored)  # Another holder has ended it, or this one, whose answer was lost.
+            self._apply_stored(rows.stored)  # Another holder has ended it, or this one, whose answer was lost.
 
     async def _decide(self, rows: _StoredRows, record: RolloutRecord) -> None:
         now_s = boot_time_s()
-        self._learn(rows.stored)
+        self._apply_stored(rows.stored)
         if self._is_new_holder(now_s):
             if now_s - rows.written_s >= HEARTBEAT_S:
                 await self._write(rows, record, {})
@@ -194,24 +194,31 @@
         counts = self._counts.total(record)
         capacity = self._capacity(record.service, now_s)
         decision = self._planner.decide(record, counts, capacity, self._clock.to_store_s(now_s))
-        if decision.phase is Phase.COMPLETE and now_s - (self._lease_since_s or now_s) < COMPLETE_AFTER_S:
+        if (
+            decision.phase is Phase.COMPLETE
+            and now_s - (self._lease_held_since_s or now_s) < MIN_LEASE_TO_COMPLETE_S
+        ):
             decision = RolloutDecision(
                 record.phase, record.share, "the lease was taken a moment ago", decision.inputs
             )
-        decided = self._apply(record, counts, decision)
-        if _is_urgent(record, decided) or now_s - rows.written_s >= HEARTBEAT_S:
+        decided = self._decided_record(record, counts, decision)
+        if _is_written_at_once(record, decided) or now_s - rows.written_s >= HEARTBEAT_S:
             await self._write(rows, decided, dict(decision.inputs))
 
     def _is_new_holder(self, now_s: float) -> bool:
         """Whether other nodes' reports may not have arrived yet. A node without peers needs none."""
-        if self._lease_since_s is None or self._state.node_count == 1:
+        if self._lease_held_since_s is None or self._state.node_count == 1:
             return False
-        return now_s - self._lease_since_s < REPORTS_TO_WAIT_FOR * report_interval_s(self._state.node_count)
+        return now_s - self._lease_held_since_s < REPORT_INTERVALS_TO_WAIT * report_interval_s(
+            self._state.node_count
+        )
 
-    def _apply(self, record: RolloutRecord, counts: RolloutCounts, decision: RolloutDecision) -> RolloutRecord:
+    def _decided_record(
+        self, record: RolloutRecord, counts: RolloutCounts, decision: RolloutDecision
+    ) -> RolloutRecord:
         excluded = record.barred
         if decision.phase is Phase.COMPLETE:
-            excluded = exclude_replaced(record, self._book.known_versions(record.service))
+            excluded = exclude_replaced(record, self._registry.announced_versions(record.service))
         return msgspec.structs.replace(
             record,
             phase=decision.phase,
@@ -231,21 +238,21 @@
         before = rows.stored
         rows.stored = await self._store.write(record, before, lease.version)
         rows.written_s = now_s
-        self._learn(rows.stored)
-        self._log(before, rows.stored, record, inputs)
+        self._apply_stored(rows.stored)
+        self._log_changes(before, rows.stored, record, inputs)
 
-    def _learn(self, stored: StoredRollout) -> None:
+    def _apply_stored(self, stored: StoredRollout) -> None:
         """Apply what is stored at once, without waiting for the feed."""
         if stored.record is not None:
             record_written_s = self._clock.to_local_s(stored.record.written_at_s)
             position = StorePosition(self._state.store_era.current, stored.record_version)
-            self._book.on_record(stored.record, position, record_written_s)
+            self._registry.on_record(stored.record, position, record_written_s)
 
-    def _log(
+    def _log_changes(
         self, before: StoredRollout, after: StoredRollout, record: RolloutRecord, inputs: dict[str, float]
     ) -> None:
-        known = before.record
-        if known is None or known.order != record.order or _is_urgent(known, record):
+        previous = before.record
+        if previous is None or previous.order != record.order or _is_written_at_once(previous, record):
             emit(
                 Event.ROLLOUT_DECIDED,
                 service=record.service,
@@ -260,7 +267,7 @@
             emit(Event.ROLLOUT_STATUS_WRITTEN, service=record.service, status=after.status)
 
     def _capacity(self, service: str, now_s: float) -> Capacity:
-        groups = self._book.active[service].groups(self._state.backends.of_service(service), now_s)
+        groups = self._registry.active[service].groups(self._state.backends.of_service(service), now_s)
         current = [each for each in groups.current if not each.is_leaving(now_s)]
         target = [each for each in groups.target if each.is_open(now_s)]
         is_load_known = self._state.node_count == 1 or all(each.peers_load is not None for each in groups.current)
@@ -276,7 +283,7 @@
         self._turn.drain()
 
 
-def _is_urgent(before: RolloutRecord, after: RolloutRecord) -> bool:
+def _is_written_at_once(before: RolloutRecord, after: RolloutRecord) -> bool:
     """Whether a change is written at once. A share that rises waits for the next heartbeat."""
     if before.phase is not after.phase or after.share < before.share:
         return True
--- a/src/wallwell/rollout/likelihood.py
+++ b/src/wallwell/rollout/likelihood.py
@@ -9,15 +9,15 @@
 
 import math
 
-ALTERNATIVES = (0.01, 0.03, 0.06, 0.12, 0.25, 0.5, 0.9)
+ALTERNATIVE_DISTANCES = (0.01, 0.03, 0.06, 0.12, 0.25, 0.5, 0.9)
 """Fractions of the distance from the null rate to 1 at which the mixture has its alternatives. A version that is
 worse by less than 1 in 100 is not rolled back."""
-LOG_WEIGHT = -math.log(len(ALTERNATIVES))
+LOG_WEIGHT = -math.log(len(ALTERNATIVE_DISTANCES))
 """Each alternative has the same weight in the mixture."""
 NULL_DEVIATIONS = 2.0
 """Standard deviations by which a null rate lies above the observed rate: for a normal distribution it is too low in
 about 1 of 40 rollouts."""
-LEAST_NULL_RATE = 1e-4
+MIN_NULL_RATE = 1e-4
 """Least null rate that is tested against; keeps the logarithm of the ratio finite."""
 
 
@@ -37,11 +37,11 @@
     Answers of several routes may be added up with the mean of their null rates: the mean of a product of factors
     ``1 + rate x step`` is greatest where all rates are the same.
     """
-    null = max(null_rate, LEAST_NULL_RATE)
+    null = max(null_rate, MIN_NULL_RATE)
     if null >= 1.0 or events <= null * answers:
         return -math.inf
     best = -math.inf
-    for distance in ALTERNATIVES:
+    for distance in ALTERNATIVE_DISTANCES:
         rate = null + (1.0 - null) * distance
         ratio = events * math.log(rate / null) + (answers - events) * math.log1p(-distance)
         best = max(best, ratio)
--- a/src/wallwell/rollout/measures.py
+++ b/src/wallwell/rollout/measures.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from wallwell.rollout.model import Source
+from wallwell.rollout.model import AnswerSource
 from wallwell.rollout.totals import Totals
 
-USUAL_FRACTION = 0.9
+USUAL_QUANTILE = 0.9
 """Fraction of the current version's answers whose delays are called usual; answers later than these by a factor are
 late."""
 SLOW_SLACK_FACTOR = 1.25
@@ -25,20 +25,20 @@
 
 
 class Measure(msgspec.Struct, frozen=True):
-    """One kind of bad answer. Delays count as late from ``factor_buckets`` beyond the usual bucket.
+    """One kind of bad answer. Delays count as late from ``buckets_above_usual`` beyond the usual bucket.
 
-    ``cold_buckets`` are added for generations while the whole service moves to back ends with empty caches.
+    ``cold_cache_buckets`` are added for generations while the whole service moves to back ends with empty caches.
     """
 
     name: str
-    field: str
+    delay_field: str
     """Field of :class:`AnswerCounts` with the delays; empty for failures."""
-    factor_buckets: int = 0
-    cold_buckets: int = 0
+    buckets_above_usual: int = 0
+    cold_cache_buckets: int = 0
 
-    def with_slack(self, rate: float) -> float:
+    def allowed_rate(self, rate: float) -> float:
         """Return the rate of bad answers that the target version may have, by the current version's ``rate``."""
-        return rate * SLOW_SLACK_FACTOR + SLOW_SLACK if self.field else rate + FAILED_SLACK
+        return rate * SLOW_SLACK_FACTOR + SLOW_SLACK if self.delay_field else rate + FAILED_SLACK
 
 
 FAILURES = (Measure("failed", ""),)
@@ -48,8 +48,8 @@
     Measure("slow pieces", "piece_gaps", 1),
     Measure("very slow pieces", "piece_gaps", 3),
 )
-MEASURES = len(FAILURES) + len(SLOWNESS)
-GENERATION_BUCKETS = 1
+MEASURE_COUNT = len(FAILURES) + len(SLOWNESS)
+GENERATION_SLACK_BUCKETS = 1
 """Buckets added for generations' first tokens: a cold cache alone may make them later by a factor of up to 1.4."""
 
 
@@ -64,14 +64,14 @@
     measure: str = ""
     route: str = ""
     excess: float = 0.0
-    strongest_single: float = -math.inf
+    single_test_log_evidence: float = -math.inf
     """The greatest evidence of a single test without its weight."""
-    single_excess: float = 0.0
+    single_test_excess: float = 0.0
     """Bad answers beyond the allowed in that test."""
 
 
-def count_bad(totals: Totals, measure: Measure, key: Source, bucket: int) -> tuple[int, int]:
+def count_bad(totals: Totals, measure: Measure, source: AnswerSource, bucket: int) -> tuple[int, int]:
     """Return bad and all answers of a source by a measure."""
-    if not measure.field:
-        return totals.failed(key)
-    return totals.beyond(key, measure.field, bucket)
+    if not measure.delay_field:
+        return totals.count_failed(source)
+    return totals.count_above(source, measure.delay_field, bucket)
--- a/src/wallwell/rollout/model.py
+++ b/src/wallwell/rollout/model.py
@@ -55,7 +55,7 @@
         return StorePosition(self.era, self.store_version)
 
     @property
-    def asks_for(self) -> tuple[str, float]:
+    def parameters(self) -> tuple[str, float]:
         """What it asks for: an order that asks for the same in a later era may be this one written again."""
         return self.target_version, self.duration_s
 
@@ -91,11 +91,11 @@
         era = era_received(self.era)
         if era == order.era:
             return self.order >= order.store_version
-        return era > order.era or self.asks_for == order.asks_for
+        return era > order.era or self.parameters == order.parameters
 
     @property
-    def asks_for(self) -> tuple[str, float]:
-        """See :attr:`RolloutOrder.asks_for`."""
+    def parameters(self) -> tuple[str, float]:
+        """See :attr:`RolloutOrder.parameters`."""
         return self.target_version, self.duration_s
 
     @property
@@ -116,7 +116,7 @@
     rollback_s: float = 5.0
 
 
-Source = tuple[str, bool, str]
+AnswerSource = tuple[str, bool, str]
 """Whose answers are counted: route, whether of the target version, incarnation of the target back end (else
 empty)."""
 
@@ -143,7 +143,7 @@
     piece_gaps: dict[int, int] = {}
 
     @property
-    def source(self) -> Source:
+    def source(self) -> AnswerSource:
         """Whose answers these are."""
         return self.route, self.is_target, self.backend
 
--- a/src/wallwell/rollout/planner.py
+++ b/src/wallwell/rollout/planner.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from wallwell.rollout.evidence import EvidenceLog
-from wallwell.rollout.exposure import LAST_DECISION_S, Exposure, Traffic, TrafficLog, plan_exposure
+from wallwell.rollout.exposure import LAST_DECISION_S, ExposurePlan, Traffic, TrafficLog, plan_exposure
 from wallwell.rollout.measures import FAILURES, SLOWNESS, VersionEvidence
 from wallwell.rollout.model import (
     Capacity,
@@ -26,24 +26,24 @@
     RolloutDecision,
     RolloutRecord,
 )
-from wallwell.rollout.totals import answers_short
+from wallwell.rollout.totals import routes_short_of_answers
 
-LOG_BAD = math.log(2_000)
+ROLLBACK_LOG_EVIDENCE = math.log(2_000)
 """Evidence that rolls back. By Ville's inequality a good version reaches it in at most 1 of 2,000 rollouts."""
-LOG_SUSPECT = -3.5
+SUSPECT_LOG_EVIDENCE = -3.5
 """Evidence, after all weights, that delays the switch and the end, but does not roll back. In simulated rollouts
 fewer than 1 in 100 good versions have as much at their end. With 0.01 in place of 0.03 (the likelihood ratio), 5 in
 place of 2 of 400 good versions ended late, and 75 in place of 82 of 400 bad ones were completed."""
-LOG_BAD_MANY = math.log(3_000)
-"""Evidence of a single test, without its weight, that rolls back together with :data:`MANY_BAD`."""
-MANY_BAD = 20.0
+SINGLE_TEST_ROLLBACK_LOG_EVIDENCE = math.log(3_000)
+"""Evidence of a single test, without its weight, that rolls back together with the excess below."""
+SINGLE_TEST_ROLLBACK_EXCESS = 20.0
 """Bad answers beyond the allowed. A bad version must be stopped after its 50th; the rest is for counts and record
 on their way."""
-PERSISTENCE_S = 2.5
+SLOWNESS_PERSISTENCE_S = 2.5
 """Seconds for which slowness must last in the switch, where no answers of the current version distinguish it from
 an overload of both. With the lags of counts and record, half a second is left of the five within which a bad
 version must be stopped."""
-CANARY_BACKENDS = 3
+BACKENDS_TO_BEGIN_CANARY = 3
 """Target back ends from which the canary begins: with fewer, a sick machine looks like a bad version."""
 CANARY_WAIT_FRACTION = 0.2
 """Fraction of the duration for which the canary waits for them."""
@@ -51,20 +51,20 @@
 """Whole answers of the target version, over all routes, that the switch needs."""
 ANSWERS_TO_COMPLETE = 20
 """The same for the end."""
-ROUTE_ANSWERS = 12
+ANSWERS_PER_ROUTE = 12
 """Whole answers of the target version on each route, where its traffic gives them."""
-ENOUGH_SLOTS_RATIO = 0.8
+MIN_SLOTS_RATIO = 0.8
 """Target slots in relation to current ones from which the target version can serve all requests."""
 COMPLETE_MARGIN_S = 0.6
 """Seconds before the deadline at which a good rollout ends: two decisions, a write to a slow store and the record's
 way to all nodes."""
-SETTLE_S = 2.0
+MIN_SWITCHING_S = 2.0
 """Least seconds in the switch where no deadline ends it: answers at full load are counted about a second later."""
-DRAIN_S = 5.0
+MAX_DRAIN_S = 5.0
 """Longest wait in seconds after the deadline for requests in flight at current back ends."""
-SAME_VERSION_S = 2.0
+ALREADY_RUNNING_AFTER_S = 2.0
 """Seconds since the order, without a current back end, after which the target version counts as already running."""
-MISSING_GRACE_S = 3.0
+MISSING_TARGET_GRACE_S = 3.0
 """Seconds after the deadline for which the first target back end is waited for."""
 OVERDUE_FACTOR = 2.0
 """Multiple of the duration after which a rollout that is still undecided is rolled back."""
@@ -79,11 +79,11 @@
     traffic: TrafficLog = field(default_factory=TrafficLog)
     has_target: bool = False
     slow_since_s: float = math.inf
-    has_forgotten_slowness: bool = False
+    has_ignored_slowness: bool = False
     switching_since_s: float = math.inf
 
 
-class _Situation(msgspec.Struct, frozen=True):
+class _DecisionInputs(msgspec.Struct, frozen=True):
     """All inputs of one decision. ``since_s`` is the time since the order, ``left_s`` until the deadline."""
 
     record: RolloutRecord
@@ -91,8 +91,8 @@
     traffic: Traffic
     failures: VersionEvidence
     slowness: VersionEvidence
-    exposure: Exposure
-    answered: int
+    exposure: ExposurePlan
+    target_answers: int
     short_routes: dict[str, int]
     since_s: float
     left_s: float
@@ -102,13 +102,13 @@
         """The stronger evidence of both."""
         return max(self.failures, self.slowness, key=lambda each: each.log_evidence)
 
-    def doubts(self, least_answers: int) -> str:
+    def reason_not_good(self, min_answers: int) -> str:
         """Return why the version cannot be called good; empty if it can."""
-        if self.answered < least_answers:
-            return f"only {self.answered} answers of the target version"
+        if self.target_answers < min_answers:
+            return f"only {self.target_answers} answers of the target version"
         if self.short_routes:
             return f"too few answers on {', '.join(sorted(self.short_routes))}"
-        if self.strongest.log_evidence >= LOG_SUSPECT:
+        if self.strongest.log_evidence >= SUSPECT_LOG_EVIDENCE:
             return f"{self.strongest.measure} on {self.strongest.route or 'all routes'} is suspect"
         return ""
 
@@ -128,14 +128,14 @@
             self._histories.pop(record.service, None)
             return RolloutDecision(record.phase, record.share, record.reason)
         history = self._history_of(record)
-        situation = self._assess(history, record, counts, capacity, now_s)
-        phase, reason = self._due_end(history, situation)
+        inputs = self._gather_inputs(history, record, counts, capacity, now_s)
+        phase, reason = self._end_if_due(history, inputs)
         if phase is None:
-            phase, reason = self._next_phase(history, situation)
-        share = 0.0 if phase is Phase.ROLLED_BACK or _waits_for_backends(situation) else situation.exposure.share
+            phase, reason = self._next_phase(history, inputs)
+        share = 0.0 if phase is Phase.ROLLED_BACK or _waits_for_backends(inputs) else inputs.exposure.share
         if phase in (Phase.SWITCHING, Phase.COMPLETE):
             share = 1.0
-        return RolloutDecision(phase, share, reason, _inputs(situation))
+        return RolloutDecision(phase, share, reason, _log_inputs(inputs))
 
     def _history_of(self, record: RolloutRecord) -> _OrderHistory:
         history = self._histories.get(record.service)
@@ -144,9 +144,9 @@
             self._histories[record.service] = history
         return history
 
-    def _assess(
+    def _gather_inputs(
         self, history: _OrderHistory, record: RolloutRecord, counts: RolloutCounts, capacity: Capacity, now_s: float
-    ) -> _Situation:
+    ) -> _DecisionInputs:
         """Record the newest counts and return the inputs of the decision."""
         since_s = now_s - record.ordered_at_s
         current = max(record.current_requests, counts.current_requests)
@@ -159,141 +159,144 @@
             history.switching_since_s = min(history.switching_since_s, now_s)
         totals = history.evidence_log.newest
         left_s = record.deadline_s - now_s
-        return _Situation(
+        return _DecisionInputs(
             record=record,
             capacity=capacity,
             traffic=traffic,
             failures=history.evidence_log.evidence(FAILURES, is_switching),
             slowness=history.evidence_log.evidence(SLOWNESS, is_switching),
             exposure=plan_exposure(self._bounds, traffic, left_s, record.share),
-            answered=totals.target_answers,
-            short_routes=answers_short(totals, ROUTE_ANSWERS),
+            target_answers=totals.target_answers,
+            short_routes=routes_short_of_answers(totals, ANSWERS_PER_ROUTE),
             since_s=since_s,
             left_s=left_s,
         )
 
-    def _due_end(self, history: _OrderHistory, situation: _Situation) -> tuple[Phase | None, str]:
+    def _end_if_due(self, history: _OrderHistory, inputs: _DecisionInputs) -> tuple[Phase | None, str]:
         """Return the end that is due in any phase, with the reason; None if none is."""
-        bad = _bad(history, situation)
-        if bad is not None:
-            return Phase.ROLLED_BACK, f"{bad.measure} on {bad.route or 'all routes'}"
-        if not history.has_target and situation.left_s < -MISSING_GRACE_S:
+        evidence = _rollback_evidence(history, inputs)
+        if evidence is not None:
+            return Phase.ROLLED_BACK, f"{evidence.measure} on {evidence.route or 'all routes'}"
+        if not history.has_target and inputs.left_s < -MISSING_TARGET_GRACE_S:
             return Phase.ROLLED_BACK, "no back end of the target version"
-        if _is_already_running(situation):
+        if _is_already_running(inputs):
             return Phase.COMPLETE, "all back ends run the target version"
-        if situation.since_s >= OVERDUE_FACTOR * situation.record.duration_s:
-            doubts = situation.doubts(ANSWERS_TO_COMPLETE)
-            if situation.record.phase is Phase.SWITCHING and not doubts:
+        if inputs.since_s >= OVERDUE_FACTOR * inputs.record.duration_s:
+            reason_not_good = inputs.reason_not_good(ANSWERS_TO_COMPLETE)
+            if inputs.record.phase is Phase.SWITCHING and not reason_not_good:
                 return Phase.COMPLETE, "good, overdue"
-            return Phase.ROLLED_BACK, f"overdue: {doubts or _lacking_slots(situation) or 'not switched'}"
+            return Phase.ROLLED_BACK, f"overdue: {reason_not_good or _missing_slots(inputs) or 'not switched'}"
         return None, ""
 
-    def _next_phase(self, history: _OrderHistory, situation: _Situation) -> tuple[Phase, str]:
+    def _next_phase(self, history: _OrderHistory, inputs: _DecisionInputs) -> tuple[Phase, str]:
         """Return the phase that follows the present one, with the reason."""
-        if situation.record.phase is Phase.CANARY:
-            return _after_canary(situation)
-        now_s = situation.record.ordered_at_s + situation.since_s
-        return _after_switching(situation, now_s - history.switching_since_s)
+        if inputs.record.phase is Phase.CANARY:
+            return _decide_in_canary(inputs)
+        now_s = inputs.record.ordered_at_s + inputs.since_s
+        return _decide_in_switching(inputs, now_s - history.switching_since_s)
 
 
-def _bad(history: _OrderHistory, situation: _Situation) -> VersionEvidence | None:
+def _rollback_evidence(history: _OrderHistory, inputs: _DecisionInputs) -> VersionEvidence | None:
     """Return the evidence by which a version is rolled back; None if there is not enough.
 
     Slowness in the switch may come of an overload or of cold caches: it must last, and is forgotten once if newer
     answers show none.
     """
-    if _is_bad(situation.failures):
-        return situation.failures
-    if not _is_bad(situation.slowness):
+    if _justifies_rollback(inputs.failures):
+        return inputs.failures
+    if not _justifies_rollback(inputs.slowness):
         history.slow_since_s = math.inf
         return None
-    if situation.record.phase is not Phase.SWITCHING:
-        return situation.slowness
-    history.slow_since_s = min(history.slow_since_s, situation.since_s)
-    if not history.has_forgotten_slowness and history.evidence_log.slowness_has_passed():
-        history.has_forgotten_slowness = True
-        history.evidence_log.forget_slowness()
+    if inputs.record.phase is not Phase.SWITCHING:
+        return inputs.slowness
+    history.slow_since_s = min(history.slow_since_s, inputs.since_s)
+    if not history.has_ignored_slowness and history.evidence_log.slowness_has_passed():
+        history.has_ignored_slowness = True
+        history.evidence_log.ignore_past_slowness()
         return None
-    return situation.slowness if situation.since_s - history.slow_since_s >= PERSISTENCE_S else None
+    return inputs.slowness if inputs.since_s - history.slow_since_s >= SLOWNESS_PERSISTENCE_S else None
 
 
-def _is_bad(evidence: VersionEvidence) -> bool:
+def _justifies_rollback(evidence: VersionEvidence) -> bool:
     """Whether evidence is enough to roll back."""
-    if evidence.log_evidence >= LOG_BAD:
+    if evidence.log_evidence >= ROLLBACK_LOG_EVIDENCE:
         return True
-    return evidence.single_excess >= MANY_BAD and evidence.strongest_single >= LOG_BAD_MANY
+    return (
+        evidence.single_test_excess >= SINGLE_TEST_ROLLBACK_EXCESS
+        and evidence.single_test_log_evidence >= SINGLE_TEST_ROLLBACK_LOG_EVIDENCE
+    )
 
 
-def _waits_for_backends(situation: _Situation) -> bool:
+def _waits_for_backends(inputs: _DecisionInputs) -> bool:
     """Whether the canary waits until enough target back ends share it."""
-    if situation.record.phase is not Phase.CANARY or situation.capacity.target_backends >= CANARY_BACKENDS:
+    if inputs.record.phase is not Phase.CANARY or inputs.capacity.target_backends >= BACKENDS_TO_BEGIN_CANARY:
         return False
-    return situation.since_s < CANARY_WAIT_FRACTION * situation.record.duration_s
+    return inputs.since_s < CANARY_WAIT_FRACTION * inputs.record.duration_s
 
 
-def _after_canary(situation: _Situation) -> tuple[Phase, str]:
+def _decide_in_canary(inputs: _DecisionInputs) -> tuple[Phase, str]:
     """Return whether the switch begins, with the reason."""
-    hindrance = situation.doubts(ANSWERS_TO_SWITCH) or _lacking_slots(situation)
-    if not situation.exposure.switch_fits:
-        return Phase.CANARY, hindrance or "good so far"
-    if hindrance:
-        return Phase.CANARY, hindrance
-    if 0.0 < situation.left_s <= LAST_DECISION_S and situation.answered >= ANSWERS_TO_COMPLETE:
+    reason_to_wait = inputs.reason_not_good(ANSWERS_TO_SWITCH) or _missing_slots(inputs)
+    if not inputs.exposure.switch_fits:
+        return Phase.CANARY, reason_to_wait or "good so far"
+    if reason_to_wait:
+        return Phase.CANARY, reason_to_wait
+    if 0.0 < inputs.left_s <= LAST_DECISION_S and inputs.target_answers >= ANSWERS_TO_COMPLETE:
         return Phase.COMPLETE, "good, the deadline is near"
     return Phase.SWITCHING, "good, what is left of the bound covers the rest"
 
 
-def _after_switching(situation: _Situation, switched_for_s: float) -> tuple[Phase, str]:
+def _decide_in_switching(inputs: _DecisionInputs, switched_for_s: float) -> tuple[Phase, str]:
     """Return whether the rollout is complete, with the reason, ``switched_for_s`` seconds after the switch began
     here."""
-    doubts = situation.doubts(ANSWERS_TO_COMPLETE)
-    if doubts:
-        return Phase.SWITCHING, doubts
-    if 0.0 < situation.left_s <= COMPLETE_MARGIN_S:
+    reason_not_good = inputs.reason_not_good(ANSWERS_TO_COMPLETE)
+    if reason_not_good:
+        return Phase.SWITCHING, reason_not_good
+    if 0.0 < inputs.left_s <= COMPLETE_MARGIN_S:
         return Phase.COMPLETE, "good, the deadline is near"
-    if switched_for_s < SETTLE_S:
+    if switched_for_s < MIN_SWITCHING_S:
         return Phase.SWITCHING, "answers at full load are to come"
-    if situation.capacity.current_in_flight == 0:
+    if inputs.capacity.current_in_flight == 0:
         return Phase.COMPLETE, "good, nothing under way on the current side"
-    if situation.left_s <= 0.0 and switched_for_s >= DRAIN_S:
+    if inputs.left_s <= 0.0 and switched_for_s >= MAX_DRAIN_S:
         return Phase.COMPLETE, "good, overdue"
     return Phase.SWITCHING, "requests are under way on the current side"
 
 
-def _lacking_slots(situation: _Situation) -> str:
+def _missing_slots(inputs: _DecisionInputs) -> str:
     """Return which slots the target version lacks to serve all requests; empty if it lacks none."""
-    capacity = situation.capacity
+    capacity = inputs.capacity
     if capacity.target_slots <= 0:
         return "no target places"
-    if capacity.target_slots < ENOUGH_SLOTS_RATIO * capacity.current_slots:
+    if capacity.target_slots < MIN_SLOTS_RATIO * capacity.current_slots:
         return f"{capacity.target_slots} target places for {capacity.current_slots} current ones"
     return ""
 
 
-def _is_already_running(situation: _Situation) -> bool:
+def _is_already_running(inputs: _DecisionInputs) -> bool:
     """Whether the target version is the only one: no current back end is left, and none got a request since the
     order."""
-    capacity = situation.capacity
+    capacity = inputs.capacity
     if capacity.current_slots > 0 or capacity.target_slots <= 0 or capacity.current_in_flight > 0:
         return False
-    return situation.traffic.current == 0 and situation.since_s >= SAME_VERSION_S
+    return inputs.traffic.current == 0 and inputs.since_s >= ALREADY_RUNNING_AFTER_S
 
 
-def _inputs(situation: _Situation) -> dict[str, float]:
+def _log_inputs(inputs: _DecisionInputs) -> dict[str, float]:
     """Return the numbers behind a decision, for the log."""
     return {
-        "left_s": round(situation.left_s, 3),
-        "current_requests": situation.traffic.current,
-        "target_requests": situation.traffic.target,
-        "requests_per_s": round(situation.traffic.mean_rate, 1),
-        "requests_per_s_high": round(situation.traffic.high_rate, 1),
-        "exposure_bound": round(situation.exposure.bound, 1),
-        "exposure_spent": round(situation.exposure.spent, 1),
-        "coming_requests": round(situation.exposure.coming, 1),
-        "target_answers": situation.answered,
-        "log_evidence": round(situation.strongest.log_evidence, 2),
-        "excess_bad": round(situation.strongest.excess, 1),
-        "current_places": situation.capacity.current_slots,
-        "target_places": situation.capacity.target_slots,
-        "current_in_flight": situation.capacity.current_in_flight,
+        "left_s": round(inputs.left_s, 3),
+        "current_requests": inputs.traffic.current,
+        "target_requests": inputs.traffic.target,
+        "requests_per_s": round(inputs.traffic.mean_rate, 1),
+        "requests_per_s_high": round(inputs.traffic.high_rate, 1),
+        "exposure_bound": round(inputs.exposure.bound, 1),
+        "exposure_spent": round(inputs.exposure.spent, 1),
+        "coming_requests": round(inputs.exposure.expected_requests, 1),
+        "target_answers": inputs.target_answers,
+        "log_evidence": round(inputs.strongest.log_evidence, 2),
+        "excess_bad": round(inputs.strongest.excess, 1),
+        "current_places": inputs.capacity.current_slots,
+        "target_places": inputs.capacity.target_slots,
+        "current_in_flight": inputs.capacity.current_in_flight,
     }
--- a/src/wallwell/rollout/records.py
+++ b/src/wallwell/rollout/records.py
@@ -48,13 +48,13 @@
     return tuple(dict.fromkeys(version for version in versions if version != target))[-MAX_EXCLUDED:]
 
 
-def exclude_replaced(record: RolloutRecord, known: Iterable[str]) -> tuple[str, ...]:
+def exclude_replaced(record: RolloutRecord, listed_versions: Iterable[str]) -> tuple[str, ...]:
     """Return the versions excluded once a rollout is complete: all that the target version replaces."""
-    return _without_target((*record.barred, *sorted(known)), record.target_version)
+    return _without_target((*record.barred, *sorted(listed_versions)), record.target_version)
 
 
 @dataclass
-class RolloutBook:
+class RolloutRegistry:
     """Rollouts by service. ``active`` holds those that requests go by; most services have no entry."""
 
     bounds: RolloutBounds = field(default_factory=RolloutBounds)
@@ -68,88 +68,88 @@
     """Where the records' rows stand in the store's history."""
     _order_positions: dict[str, StorePosition] = field(default_factory=dict)
     """The same of the orders' rows as they were read last: an order may be written again in a later era."""
-    _held_back: dict[str, tuple[RolloutOrder, float]] = field(default_factory=dict)
+    _deferred_orders: dict[str, tuple[RolloutOrder, float]] = field(default_factory=dict)
     """Orders that may be older than the known ones, and the time on this node's clock from which they count."""
     _unconfirmed: set[str] = field(default_factory=set)
     """Services whose record the store may have lost: it has come back from a copy since it was read."""
-    _known: dict[str, set[str]] = field(default_factory=dict)
+    _listed_versions: dict[str, set[str]] = field(default_factory=dict)
     """Versions that back ends have listed, by service."""
     _unannounced: dict[str, dict[str, float]] = field(default_factory=dict)
     """Versions that no order has named, by service, with the time on this node's clock until which they get
     nothing."""
 
-    def on_order(self, order: RolloutOrder, seen_at_s: float, counts_from_s: float = float("-inf")) -> bool:
+    def on_order(self, order: RolloutOrder, seen_at_s: float, effective_from_s: float = float("-inf")) -> bool:
         """Apply an operator's order; returns False for one that is not newer than the known one.
 
-        ``counts_from_s``: an order of a later era that asks for something else may until then be one from before
+        ``effective_from_s``: an order of a later era that asks for something else may until then be one from before
         the known one, which the copy lacks.
         """
-        known = self.orders.get(order.service)
+        accepted = self.orders.get(order.service)
         position = self._order_positions.get(order.service)
-        if known is not None and position is not None:
+        if accepted is not None and position is not None:
             if order.position <= position:
                 return False
-            if order.era != position.era and order.asks_for == known.asks_for:
+            if order.era != position.era and order.parameters == accepted.parameters:
                 self._order_positions[order.service] = order.position
-                self._held_back.pop(order.service, None)
+                self._deferred_orders.pop(order.service, None)
                 return False
-            if order.era != position.era and seen_at_s < counts_from_s:
-                self._held_back[order.service] = (order, counts_from_s)
+            if order.era != position.era and seen_at_s < effective_from_s:
+                self._deferred_orders[order.service] = (order, effective_from_s)
                 return False
         self._accept(order, seen_at_s)
         return True
 
     def _accept(self, order: RolloutOrder, seen_at_s: float) -> None:
-        self._held_back.pop(order.service, None)
+        self._deferred_orders.pop(order.service, None)
         self._order_positions[order.service] = order.position
         self.orders[order.service] = order
         self.ordered_at_s[order.service] = seen_at_s
-        self._refresh(order.service)
+        self._rebuild(order.service)
 
-    def release_held_back(self, now_s: float) -> None:
+    def accept_deferred_orders(self, now_s: float) -> None:
         """Let orders count that nothing has contradicted in time."""
-        for order, counts_from_s in list(self._held_back.values()):
-            if now_s >= counts_from_s:
+        for order, effective_from_s in list(self._deferred_orders.values()):
+            if now_s >= effective_from_s:
                 self._accept(order, now_s)
 
-    def on_restored(self) -> None:
+    def on_store_restored(self) -> None:
         """The store has come back from a copy, in which records may be missing or older."""
         self._unconfirmed.update(self._records)
 
     def on_record(self, record: RolloutRecord, position: StorePosition, record_written_s: float) -> bool:
         """Apply a record as the store keeps it; returns whether the phase or order is another one.
 
-        ``position`` is its row's: one older than the known one changes nothing. ``record_written_s`` is when it was
-        written, on this node's clock.
+        ``position`` is its row's: one older than the applied one changes nothing. ``record_written_s`` is when it
+        was written, on this node's clock.
         """
-        known = self._records.get(record.service)
-        known_position = self._positions.get(record.service, position)
-        if position < known_position:
+        applied = self._records.get(record.service)
+        applied_position = self._positions.get(record.service, position)
+        if position < applied_position:
             return False
-        if known is not None and position.era > known_position.era and _is_earlier(record, known):
-            return False  # The copy's; what is known is written again.
+        if applied is not None and position.era > applied_position.era and _is_outdated(record, applied):
+            return False  # The copy's; what is applied is written again.
         self._unconfirmed.discard(record.service)
         self._records[record.service] = record
         self._positions[record.service] = position
         rollout = self.active.get(record.service)
-        if known is not None and rollout is not None and _is_same_rollout(known, record):
+        if applied is not None and rollout is not None and _has_same_routing(applied, record):
             rollout.record_written_s = max(rollout.record_written_s, record_written_s)
             return False
-        self._refresh(record.service, record_written_s)
-        return known is None or (known.order, known.phase) != (record.order, record.phase)
+        self._rebuild(record.service, record_written_s)
+        return applied is None or (applied.order, applied.phase) != (record.order, record.phase)
 
-    def lost_record(self, service: str, stored: RolloutRecord | None) -> RolloutRecord | None:
+    def record_to_restore(self, service: str, stored: RolloutRecord | None) -> RolloutRecord | None:
         """Return the record that is to be written again instead of the stored one; None if that is as new."""
-        known = self._records.get(service)
-        if known is None or service not in self._unconfirmed:
+        applied = self._records.get(service)
+        if applied is None or service not in self._unconfirmed:
             return None
-        return known if stored is None or _is_earlier(stored, known) else None
+        return applied if stored is None or _is_outdated(stored, applied) else None
 
     def record(self, service: str) -> RolloutRecord | None:
         """Return the record as the store keeps it."""
         return self._records.get(service)
 
-    def effective(self, service: str) -> RolloutRecord | None:
+    def effective_record(self, service: str) -> RolloutRecord | None:
         """Return what holds for requests: the record, or the beginning of an order that has none yet."""
         order, record = self.orders.get(service), self._records.get(service)
         if order is None or (record is not None and record.covers(order)):
@@ -173,22 +173,22 @@
 
     def is_due(self, service: str) -> bool:
         """Whether something is left to decide, or a record to be written again."""
-        record = self.effective(service)
+        record = self.effective_record(service)
         return record is not None and (not record.phase.is_final or service in self._unconfirmed)
 
-    def due(self) -> list[str]:
+    def due_services(self) -> list[str]:
         """Return the services for which :meth:`is_due`."""
         return [service for service in self.active if self.is_due(service)]
 
-    def _refresh(self, service: str, record_written_s: float = float("-inf")) -> None:
-        record = self.effective(service)
-        before = self.active.get(service)
+    def _rebuild(self, service: str, record_written_s: float = float("-inf")) -> None:
+        record = self.effective_record(service)
+        previous = self.active.get(service)
         unannounced = self._unannounced.get(service, {})
         if record is None and not unannounced:
             self.active.pop(service, None)
             return
         record_written_s = max(
-            record_written_s, before.record_written_s if before is not None else record_written_s
+            record_written_s, previous.record_written_s if previous is not None else record_written_s
         )
         record_valid_s = self.bounds.rollback_s * RECORD_VALID_FRACTION
         self.active[service] = ServiceRollout(service, record, unannounced, record_written_s, record_valid_s)
@@ -199,51 +199,51 @@
 
     # --- versions of back ends -------------------------------------------------------------------------
 
-    def on_listed(self, service: str, version: str, now_s: float, at_start: bool) -> None:
-        """A back end is listed. A version that no order has named gets nothing at first if others are known."""
-        known = self._known.setdefault(service, set())
-        if version in known:
+    def on_backend_listed(self, service: str, version: str, now_s: float, at_start: bool) -> None:
+        """A back end is listed. A version that no order has named gets nothing at first if others are listed."""
+        listed = self._listed_versions.setdefault(service, set())
+        if version in listed:
             return
-        is_first = not known
-        known.add(version)
+        is_first = not listed
+        listed.add(version)
         if is_first or at_start or self._is_named(service, version):
             return
         self._unannounced.setdefault(service, {})[version] = now_s + UNANNOUNCED_WAIT_S
-        self._refresh(service)
+        self._rebuild(service)
 
     def _is_named(self, service: str, version: str) -> bool:
-        record = self.effective(service)
+        record = self.effective_record(service)
         return record is not None and (version == record.target_version or version in record.barred)
 
-    def known_versions(self, service: str) -> set[str]:
+    def announced_versions(self, service: str) -> set[str]:
         """Return every version that was listed for a service, without unannounced ones."""
-        return self._known.get(service, set()) - set(self._unannounced.get(service, {}))
+        return self._listed_versions.get(service, set()) - set(self._unannounced.get(service, {}))
 
-    def release_unannounced(self, now_s: float) -> None:
+    def release_unannounced_versions(self, now_s: float) -> None:
         """Let unannounced versions be used whose wait is over."""
         for service, waits in list(self._unannounced.items()):
-            left = {version: until_s for version, until_s in waits.items() if now_s < until_s}
-            if len(left) == len(waits):
+            still_waiting = {version: until_s for version, until_s in waits.items() if now_s < until_s}
+            if len(still_waiting) == len(waits):
                 continue
-            if left:
-                self._unannounced[service] = left
+            if still_waiting:
+                self._unannounced[service] = still_waiting
             else:
                 del self._unannounced[service]
-            self._refresh(service)
+            self._rebuild(service)
 
 
-def _is_earlier(record: RolloutRecord, known: RolloutRecord) -> bool:
-    """Whether a record read after a return from a copy is older than the known one.
+def _is_outdated(record: RolloutRecord, applied: RolloutRecord) -> bool:
+    """Whether a record read after a return from a copy is older than the applied one.
 
     It is if it was written earlier, by the store's steady clock. What ended a rollout stays, though a holder that
     knows only the copy goes on with it: what was rolled back is not tried again.
     """
-    if record.written_at_s < known.written_at_s:
+    if record.written_at_s < applied.written_at_s:
         return True
-    return known.phase.is_final and not record.phase.is_final and record.asks_for == known.asks_for
+    return applied.phase.is_final and not record.phase.is_final and record.parameters == applied.parameters
 
 
-def _is_same_rollout(one: RolloutRecord, other: RolloutRecord) -> bool:
+def _has_same_routing(one: RolloutRecord, other: RolloutRecord) -> bool:
     """Whether two records mean the same for requests."""
     return (one.order, one.target_version, one.phase, one.share, one.barred) == (
         other.order,
--- a/src/wallwell/rollout/reporter.py
+++ b/src/wallwell/rollout/reporter.py
@@ -13,7 +13,7 @@
 from wallwell.cluster.peer_link import PeerLinks
 from wallwell.cluster.upstream import NodeRecord
 from wallwell.errors import PeerUnavailableError
-from wallwell.rollout.reports import CountsReport, CountsTaken, FleetCounts, TakenCounts
+from wallwell.rollout.reports import AcknowledgedCounts, CountsAcknowledged, CountsReport, FleetCounts
 from wallwell.rollout.tally import RolloutTally
 
 REPORT_INTERVAL_S = 0.3
@@ -53,7 +53,7 @@
         self._holder = holder
         self._members = members
         self._links = PeerLinks()
-        self._taken = TakenCounts()
+        self._acknowledged = AcknowledgedCounts()
 
     async def run(self) -> None:
         """Report until cancelled."""
@@ -65,27 +65,29 @@
         """Report once."""
         if not self._tally.by_service:
             self._links.keep(set())
-            self._taken.clear()
+            self._acknowledged.clear()
             return
-        counts = self._tally.counts()
-        self._fleet.take(CountsReport(self._node, self._life, counts))
+        counts = self._tally.snapshot()
+        self._fleet.add_report(CountsReport(self._node, self._life, counts))
         holder = self._holder()
         member = self._members().get(holder)
         if holder == self._node or member is None or not member.relay:
             return
         self._links.keep({holder})
-        not_yet_taken = self._taken.not_yet_taken(counts) if self._taken.holder[0] == holder else counts
-        report = CountsReport(self._node, self._life, not_yet_taken)
+        not_yet_acknowledged = (
+            self._acknowledged.not_yet_acknowledged(counts) if self._acknowledged.holder[0] == holder else counts
+        )
+        report = CountsReport(self._node, self._life, not_yet_acknowledged)
         try:
-            reply = await self._links.to(holder, member.relay).ask(report, CountsTaken, ANSWER_TIMEOUT_S)
+            reply = await self._links.to(holder, member.relay).ask(report, CountsAcknowledged, ANSWER_TIMEOUT_S)
         except PeerUnavailableError:
             return  # Not logged: the next report holds all that this one did, and may go to another holder.
-        self._taken.on_taken((holder, reply.life), not_yet_taken)
+        self._acknowledged.on_acknowledged((holder, reply.life), not_yet_acknowledged)
 
-    async def on_report(self, report: CountsReport) -> CountsTaken:
+    async def on_report(self, report: CountsReport) -> CountsAcknowledged:
         """Add another node's report, whoever holds the lease: its row may still be on its way to this node."""
-        self._fleet.take(report)
-        return CountsTaken(self._life)
+        self._fleet.add_report(report)
+        return CountsAcknowledged(self._life)
 
     def close(self) -> None:
         """Close the connection to the holder."""
--- a/src/wallwell/rollout/reports.py
+++ b/src/wallwell/rollout/reports.py
@@ -4,7 +4,7 @@
 its size grows with the node's answers, not with the number of back ends. Totals are kept by node and life, beyond a
 node's death.
 
-:class:`TakenCounts` belongs to a reporting node, :class:`FleetCounts` to the one that decides.
+:class:`AcknowledgedCounts` belongs to a reporting node, :class:`FleetCounts` to the one that decides.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import msgspec
 
 from wallwell.cluster.peer_link import PeerMessage
-from wallwell.rollout.model import AnswerCounts, RolloutCounts, RolloutRecord, Source
+from wallwell.rollout.model import AnswerCounts, AnswerSource, RolloutCounts, RolloutRecord
 from wallwell.rollout.tally import ServiceTally
 
 
@@ -28,7 +28,7 @@
     counts: dict[str, RolloutCounts]
 
 
-class CountsTaken(msgspec.Struct, frozen=True):
+class CountsAcknowledged(msgspec.Struct, frozen=True):
     """Answer to :class:`CountsReport`: the life of the receiving node, which knows nothing from its earlier
     lives."""
 
@@ -36,25 +36,25 @@
 
 
 @dataclass
-class TakenCounts:
+class AcknowledgedCounts:
     """What a node's reports can leave out, since the holder has received it in its present life."""
 
     holder: tuple[str, int] = ("", 0)
-    _answers: dict[tuple[str, int, Source], int] = field(default_factory=dict)
+    _answers: dict[tuple[str, int, AnswerSource], int] = field(default_factory=dict)
 
-    def not_yet_taken(self, counts: Mapping[str, RolloutCounts]) -> dict[str, RolloutCounts]:
+    def not_yet_acknowledged(self, counts: Mapping[str, RolloutCounts]) -> dict[str, RolloutCounts]:
         """Return the totals without the sources whose newest counts the holder has."""
-        found = {}
+        changed = {}
         for service, each in counts.items():
-            new = tuple(
+            changed_answers = tuple(
                 answers
                 for answers in each.answers
-                if self._answers.get((service, each.order, answers.source)) != _ended(answers)
+                if self._answers.get((service, each.order, answers.source)) != _ended_attempts(answers)
             )
-            found[service] = msgspec.structs.replace(each, answers=new)
-        return found
+            changed[service] = msgspec.structs.replace(each, answers=changed_answers)
+        return changed
 
-    def on_taken(self, holder: tuple[str, int], counts: Mapping[str, RolloutCounts]) -> None:
+    def on_acknowledged(self, holder: tuple[str, int], counts: Mapping[str, RolloutCounts]) -> None:
         """A report was received. A holder other than before is sent everything again."""
         if holder != self.holder:
             self.holder = holder
@@ -62,7 +62,7 @@
             return
         for service, each in counts.items():
             for answers in each.answers:
-                self._answers[(service, each.order, answers.source)] = _ended(answers)
+                self._answers[(service, each.order, answers.source)] = _ended_attempts(answers)
 
     def clear(self) -> None:
         """No rollout is active."""
@@ -77,10 +77,10 @@
     order: int
     requests: dict[tuple[str, int], tuple[int, int]] = field(default_factory=dict)
     """Requests to the current and to the target version, by node and life."""
-    answers: dict[tuple[str, int, Source], AnswerCounts] = field(default_factory=dict)
+    answers: dict[tuple[str, int, AnswerSource], AnswerCounts] = field(default_factory=dict)
     total: ServiceTally = field(default_factory=lambda: ServiceTally(0))
 
-    def take(self, life: tuple[str, int], counts: RolloutCounts) -> None:
+    def add_counts(self, life: tuple[str, int], counts: RolloutCounts) -> None:
         """Add what is new in the totals of a node's life."""
         current, target = self.requests.get(life, (0, 0))
         newest = max(current, counts.current_requests), max(target, counts.target_requests)
@@ -88,17 +88,17 @@
         self.total.current_requests += newest[0] - current
         self.total.target_requests += newest[1] - target
         for each in counts.answers:
-            self._take_answers(life, each)
+            self._replace_answers(life, each)
 
-    def _take_answers(self, life: tuple[str, int], newest: AnswerCounts) -> None:
+    def _replace_answers(self, life: tuple[str, int], newest: AnswerCounts) -> None:
         key = (*life, newest.source)
         before = self.answers.get(key)
-        if before is not None and _ended(before) >= _ended(newest):
+        if before is not None and _ended_attempts(before) >= _ended_attempts(newest):
             return
         self.answers[key] = newest
-        _add(self.total, newest, 1)
+        _add_answers(self.total, newest, 1)
         if before is not None:
-            _add(self.total, before, -1)
+            _add_answers(self.total, before, -1)
 
 
 @dataclass
@@ -107,19 +107,21 @@
 
     _services: dict[str, _ServiceTotals] = field(default_factory=dict)
 
-    def take(self, report: CountsReport) -> None:
+    def add_report(self, report: CountsReport) -> None:
         """Add a node's report; counts older than known ones change nothing."""
         for service, counts in report.counts.items():
-            known = self._services.get(service)
-            if known is None or known.order < counts.order:
-                known = self._services[service] = _ServiceTotals(counts.order)
-            if known.order == counts.order:
-                known.take((report.node, report.life), counts)
+            totals = self._services.get(service)
+            if totals is None or totals.order < counts.order:
+                totals = self._services[service] = _ServiceTotals(counts.order)
+            if totals.order == counts.order:
+                totals.add_counts((report.node, report.life), counts)
 
     def total(self, record: RolloutRecord) -> RolloutCounts:
         """Return what all nodes sent and received in a rollout; at least the requests that its record counts."""
-        known = self._services.get(record.service)
-        counts = known.total.counts() if known is not None and known.order == record.order else RolloutCounts(0)
+        totals = self._services.get(record.service)
+        counts = (
+            totals.total.snapshot() if totals is not None and totals.order == record.order else RolloutCounts(0)
+        )
         return msgspec.structs.replace(
             counts,
             order=record.order,
@@ -127,20 +129,20 @@
             target_requests=max(counts.target_requests, record.target_requests),
         )
 
-    def keep(self, services: Iterable[str]) -> None:
+    def retain_services(self, services: Iterable[str]) -> None:
         """Forget all other services, whose rollouts have ended."""
         if self._services:
             kept = set(services)
-            self._services = {service: known for service, known in self._services.items() if service in kept}
+            self._services = {service: totals for service, totals in self._services.items() if service in kept}
 
 
-def _ended(answers: AnswerCounts) -> int:
+def _ended_attempts(answers: AnswerCounts) -> int:
     """Return how many attempts have ended; it grows with every change."""
     return answers.answered + answers.broken
 
 
-def _add(total: ServiceTally, answers: AnswerCounts, factor: int) -> None:
-    source = total.of(answers.route, answers.is_target, answers.backend)
+def _add_answers(total: ServiceTally, answers: AnswerCounts, factor: int) -> None:
+    source = total.source_counts(answers.route, answers.is_target, answers.backend)
     source.answered += factor * answers.answered
     source.failed += factor * answers.failed
     source.broken += factor * answers.broken
--- a/src/wallwell/rollout/service_rollout.py
+++ b/src/wallwell/rollout/service_rollout.py
@@ -2,7 +2,7 @@
 
 Inputs: the rollout's record, the listed back ends, ``now_s`` on this node's clock and, for the draw of a version,
 the node's random generator. Owns the grouping of the back ends, kept until the listing changes. Relies on
-:class:`wallwell.rollout.records.RolloutBook` to make a new object for each change of the record that matters.
+:class:`wallwell.rollout.records.RolloutRegistry` to make a new object for each change of the record that matters.
 """
 
 from __future__ import annotations
@@ -64,21 +64,21 @@
         """Return the back ends by group. The listing must be a new object whenever it has changed."""
         if self._groups is None or self._listed is not listed or now_s >= self._groups_until_s:
             self._listed = listed
-            self._groups = self._group(listed, now_s)
+            self._groups = self._group_by_version(listed, now_s)
             self._groups_until_s = min(
                 (at for at in self.unannounced_until_s.values() if at > now_s), default=math.inf
             )
         return self._groups
 
-    def _group(self, listed: Sequence[Backend], now_s: float) -> BackendGroups:
+    def _group_by_version(self, listed: Sequence[Backend], now_s: float) -> BackendGroups:
         record = self.record
         target = [each for each in listed if self.is_target(each)]
         others = [each for each in listed if not self.is_target(each)]
         excluded = record.barred if record is not None else ()
-        waiting = {version for version, until_s in self.unannounced_until_s.items() if now_s < until_s}
+        unannounced_versions = {version for version, until_s in self.unannounced_until_s.items() if now_s < until_s}
         eligible = [each for each in others if each.record.software not in excluded]
-        current = [each for each in eligible if each.record.software not in waiting]
-        unannounced = [each for each in eligible if each.record.software in waiting]
+        current = [each for each in eligible if each.record.software not in unannounced_versions]
+        unannounced = [each for each in eligible if each.record.software in unannounced_versions]
         if record is not None and record.phase is Phase.COMPLETE:
             target, current = target + current, []
         share = record.share if record is not None and record.phase is Phase.CANARY else 0.0
--- a/src/wallwell/rollout/tally.py
+++ b/src/wallwell/rollout/tally.py
@@ -11,15 +11,15 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from wallwell.rollout.model import AnswerCounts, RolloutCounts, Source, delay_bucket
+from wallwell.rollout.model import AnswerCounts, AnswerSource, RolloutCounts, delay_bucket
 
-FIRST_SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 """Least HTTP status by which a back end calls its answer a failure of its own."""
 
 
 @dataclass
 class SourceCounts:
-    """Answers of one :data:`Source`; see :class:`AnswerCounts` for what each figure counts."""
+    """Answers of one :data:`AnswerSource`; see :class:`AnswerCounts` for what each figure counts."""
 
     answered: int = 0
     failed: int = 0
@@ -35,9 +35,9 @@
     order: int
     current_requests: int = 0
     target_requests: int = 0
-    answers: dict[Source, SourceCounts] = field(default_factory=dict)
+    answers: dict[AnswerSource, SourceCounts] = field(default_factory=dict)
 
-    def counts(self) -> RolloutCounts:
+    def snapshot(self) -> RolloutCounts:
         """Return the totals as they are sent between nodes."""
         answers = tuple(
             AnswerCounts(
@@ -58,7 +58,7 @@
         else:
             self.current_requests += 1
 
-    def of(self, route: str, is_target: bool, backend: str) -> SourceCounts:
+    def source_counts(self, route: str, is_target: bool, backend: str) -> SourceCounts:
         """Return the counts of an attempt's source."""
         source = (route, is_target, backend if is_target else "")
         counts = self.answers.get(source)
@@ -83,9 +83,9 @@
         """The rollout has ended."""
         self.by_service.pop(service, None)
 
-    def counts(self) -> dict[str, RolloutCounts]:
+    def snapshot(self) -> dict[str, RolloutCounts]:
         """Return the totals by service."""
-        return {service: tally.counts() for service, tally in self.by_service.items()}
+        return {service: tally.snapshot() for service, tally in self.by_service.items()}
 
 
 @dataclass
@@ -97,22 +97,22 @@
     is_warm: bool
     """Whether its back end is no longer slow from its start."""
 
-    def on_whole(self, status: int, first_s: float, last_s: float, events: int) -> None:
+    def on_answered(self, status: int, first_event_s: float, last_event_s: float, events: int) -> None:
         """A whole answer of so many ``events`` has arrived, the first at ``first_s`` and the last at ``last_s``."""
         self.counts.answered += 1
-        self.counts.failed += status >= FIRST_SERVER_ERROR
+        self.counts.failed += status >= MIN_SERVER_ERROR_STATUS
         if not self.is_warm:
             return
-        self.counts.first_delays[delay_bucket(first_s - self.sent_s)] += 1
+        self.counts.first_delays[delay_bucket(first_event_s - self.sent_s)] += 1
         if events > 1:
-            self.counts.piece_gaps[delay_bucket((last_s - first_s) / (events - 1))] += 1
+            self.counts.piece_gaps[delay_bucket((last_event_s - first_event_s) / (events - 1))] += 1
 
     def on_broken(self) -> None:
         """The attempt ended without a whole answer."""
         self.counts.broken += 1
 
-    def on_given_up(self, first_s: float | None, now_s: float) -> None:
+    def on_timed_out(self, first_event_s: float | None, now_s: float) -> None:
         """The attempt timed out at ``now_s``: its answer would have taken longer than it was waited for."""
         self.counts.broken += 1
-        if first_s is None and self.is_warm:
+        if first_event_s is None and self.is_warm:
             self.counts.first_delays[delay_bucket(now_s - self.sent_s)] += 1
--- a/src/wallwell/serving/version_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -76,7 +76,7 @@
     if tally is None:
         return None
     tally.on_sent(is_target)
-    counts = tally.of(active.route.name, is_target, backend.incarnation)
+    counts = tally.source_counts(active.route.name, is_target, backend.incarnation)
     return CountedAttempt(counts, now_s, now_s >= backend.slow_until_s)
 
 
@@ -87,9 +87,9 @@
     timing = active.timing
     if failure is None:
         first_s = timing.run_first_s
-        attempt.on_whole(status, now_s if first_s is None else first_s, timing.last_s, timing.run_events)
+        attempt.on_answered(status, now_s if first_s is None else first_s, timing.last_s, timing.run_events)
     elif isinstance(failure, TimeoutError) or _is_silence(failure):
-        attempt.on_given_up(timing.run_first_s, now_s)
+        attempt.on_timed_out(timing.run_first_s, now_s)
     else:
         attempt.on_broken()
 
--- a/tests/platform/test_rollouts.py
+++ b/tests/platform/test_rollouts.py
@@ -143,7 +143,7 @@
         await harness.until(lambda: state_of(harness) == "running")
         await add_workers(harness)
         statuses = await call_until(harness, lambda: state_of(harness) == "complete")
-        await harness.until(lambda: harness.node.state.rollouts.effective("svc").phase is Phase.COMPLETE)
+        await harness.until(lambda: harness.node.state.rollouts.effective_record("svc").phase is Phase.COMPLETE)
         canary = requests_of(harness, "")
         for _ in range(5):
             statuses.append((await harness.call())[0])
--- a/tests/unit/node/test_backend_rows.py
+++ b/tests/unit/node/test_backend_rows.py
@@ -339,7 +339,7 @@
             else:
                 await followed.pass_time(step)
             now_s = boot_time_s()
-            followed.state.rollouts.release_unannounced(now_s)
+            followed.state.rollouts.release_unannounced_versions(now_s)
             seen.append(sorted(each.incarnation for each in eligible_backends(followed.state, "svc", now_s)))
         return seen
 
--- a/tests/unit/rollout/drawn_report.py
+++ b/tests/unit/rollout/drawn_report.py
@@ -9,7 +9,7 @@
 from collections import defaultdict
 from collections.abc import Sequence
 
-from tests.unit.rollout.drawn_rollouts import Badness, Result, play
+from tests.unit.rollout.drawn_rollouts import Defect, Result, simulate
 from wallwell.rollout.model import (
     Phase,
 )
@@ -20,7 +20,7 @@
     return "20 to 100/s" if rate < 100 else "100 to 600/s" if rate < 600 else "600 to 3,300/s"
 
 
-def badness_kind(bad: Badness) -> str:
+def defect_kind(bad: Defect) -> str:
     """Return the kind of a bad version as the report lists it."""
     if bad.kind == "failures":
         size = "failures 5 to 20 in 100" if bad.part < 0.2 else "failures 20 to 60 in 100"
@@ -31,7 +31,7 @@
 
 def onset(result: Result) -> str:
     """Return when a bad version turns bad."""
-    bad = result.scenario.bad
+    bad = result.scenario.defect
     assert bad is not None
     if bad.from_s == 0.0:
         return "from the start"
@@ -43,17 +43,17 @@
     """Return the tables of the design page."""
     lines = []
     for title, is_bad in (("good", False), ("bad", True)):
-        mine = [each for each in results if (each.scenario.bad is not None) is is_bad]
+        mine = [each for each in results if (each.scenario.defect is not None) is is_bad]
         groups: dict[str, list[Result]] = defaultdict(list)
         for each in mine:
             groups["all"].append(each)
             groups[rate_band(each.scenario.rate)].append(each)
-            if each.scenario.bad is None:
+            if each.scenario.defect is None:
                 groups["fault: " + each.scenario.fault].append(each)
             else:
-                groups[badness_kind(each.scenario.bad)].append(each)
+                groups[defect_kind(each.scenario.defect)].append(each)
                 groups[onset(each)].append(each)
-                if each.scenario.bad.above_load:
+                if each.scenario.defect.above_load:
                     groups["above a load only"].append(each)
         lines.append(
             f"{title}: rollouts, complete in time, complete late, rolled back, over the bound, sent too late, "
@@ -78,11 +78,11 @@
     parser.add_argument("--first-seed", type=int, default=0)
     parser.add_argument("--show", action="store_true", help="print rollouts that went wrong")
     options = parser.parse_args()
-    results = [play(options.first_seed + number) for number in range(options.rollouts)]
+    results = [simulate(options.first_seed + number) for number in range(options.rollouts)]
     print(report(results))
     if options.show:
         for each in results:
-            bad = each.scenario.bad
+            bad = each.scenario.defect
             late = each.requests_too_late
             over = bad is not None and each.over_bound
             wrong = (bad is None) is not (each.phase is Phase.COMPLETE and each.in_time)
--- a/tests/unit/rollout/drawn_rollouts.py
+++ b/tests/unit/rollout/drawn_rollouts.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from tests.unit.rollout.drawn_scenarios import Badness, Route, Scenario, draw_scenario
+from tests.unit.rollout.drawn_scenarios import Defect, Route, Scenario, draw_scenario
 from wallwell.rollout.model import (
     BUCKETS_PER_DOUBLING,
     AnswerCounts,
@@ -56,7 +56,7 @@
     def __init__(self, seed: int) -> None:
         self._generator = random.Random(seed)
 
-    def some(self, number: int, part: float) -> int:
+    def binomial(self, number: int, part: float) -> int:
         """Return how many of ``number`` come out with a chance of ``part`` each."""
         if number <= 0 or part <= 0.0:
             return 0
@@ -66,11 +66,11 @@
         if number > NORMAL_FROM and variance > 9.0:
             return min(number, max(0, round(self._generator.gauss(number * part, math.sqrt(variance)))))
         if number > NORMAL_FROM:
-            return min(number, self.arrivals(number * part))
+            return min(number, self.poisson(number * part))
         chance = self._generator.random
         return sum(chance() < part for _ in range(number))
 
-    def arrivals(self, mean: float) -> int:
+    def poisson(self, mean: float) -> int:
         """Return a Poisson count."""
         if mean > NORMAL_FROM:
             return max(0, round(self._generator.gauss(mean, math.sqrt(mean))))
@@ -87,12 +87,12 @@
         if number <= NORMAL_FROM:
             return Counter(self._generator.choices(buckets, cum_weights=running, k=number))
         return Counter(
-            {at: count for at, part in zip(buckets, parts, strict=True) if (count := self.some(number, part))}
+            {at: count for at, part in zip(buckets, parts, strict=True) if (count := self.binomial(number, part))}
         )
 
 
 @dataclass
-class Cell:
+class CellCounts:
     """What one side or one target back end has answered on a route."""
 
     answered: int = 0
@@ -101,7 +101,7 @@
     first_delays: Counter[int] = field(default_factory=Counter)
     piece_gaps: Counter[int] = field(default_factory=Counter)
 
-    def add(self, other: Cell) -> None:
+    def add(self, other: CellCounts) -> None:
         """Add other answers."""
         self.answered += other.answered
         self.failed += other.failed
@@ -131,7 +131,7 @@
         return self.exposed > BOUNDS.exposure_share * self.requests + BOUNDS.exposure_requests
 
     @property
-    def shows(self) -> bool:
+    def is_evident(self) -> bool:
         """Whether the version gave bad answers enough that anyone should have seen it: 20, of a plain kind."""
         return self.bad_answers >= 20 and self.is_plain
 
@@ -142,7 +142,7 @@
         Less than four times slower may be within the spread of usual answers; failures of fewer than 10 in 100 are
         hidden by a sick machine of the current side, which may fail as often.
         """
-        bad = self.scenario.bad
+        bad = self.scenario.defect
         if bad is None:
             return False
         if bad.kind == "slowness":
@@ -155,7 +155,7 @@
         return self.ended_at_s <= self.scenario.duration_s
 
 
-class DrawnRollout:
+class SimulatedRollout:
     """One rollout from the order to its end."""
 
     def __init__(self, scenario: Scenario) -> None:
@@ -165,9 +165,9 @@
         self._planner = RolloutPlanner(BOUNDS)
         self._record = RolloutRecord("s", "v2", 1, 0.0, scenario.duration_s, Phase.CANARY)
         self._rows: list[tuple[float, float]] = [(-9.0, 0.0)]
-        self._cells: dict[tuple[str, bool, str], Cell] = defaultdict(Cell)
+        self._cells: dict[tuple[str, bool, str], CellCounts] = defaultdict(CellCounts)
         self._sent = [0, 0]
-        self._due: dict[int, list[tuple[tuple[str, bool, str], Cell, int]]] = defaultdict(list)
+        self._due: dict[int, list[tuple[tuple[str, bool, str], CellCounts, int]]] = defaultdict(list)
         self._seen: list[RolloutCounts] = []
         self._holder_changed = False
 
@@ -184,7 +184,7 @@
                 self._seen.append(self._counts())
                 self._decide(tick * TICK_S)
             tick += 1
-        self._expect_rest(tick)
+        self._add_remaining_requests(tick)
         return self.result
 
     def _target_part(self, at_s: float) -> float:
@@ -212,13 +212,13 @@
         used = max(LEAST_CANARY_BACKENDS, math.ceil(part * scenario.target_backends))
         backends = min(used, self._started(at_s))
         for route in scenario.routes:
-            arrived = self._draws.arrivals(scenario.rate * scenario.load(at_s) * route.part * TICK_S)
-            to_target = self._draws.some(arrived, part)
+            arrived = self._draws.poisson(scenario.rate * scenario.load(at_s) * route.part * TICK_S)
+            to_target = self._draws.binomial(arrived, part)
             self._count_sent(arrived, to_target, at_s)
             self._send(tick, route, False, "", arrived - to_target)
             left = to_target
             for number in range(backends):
-                taken = self._draws.some(left, 1.0 / (backends - number))
+                taken = self._draws.binomial(left, 1.0 / (backends - number))
                 left -= taken
                 self._send(tick, route, True, f"t{number}", taken)
 
@@ -237,9 +237,9 @@
             return
         at_s = tick * TICK_S
         badly = 0
-        bad = self.scenario.bad
+        bad = self.scenario.defect
         if is_target and bad is not None and self._is_bad(bad, route, at_s):
-            badly = self._draws.some(number, bad.part)
+            badly = self._draws.binomial(number, bad.part)
         fault = self._fault(at_s, is_target, backend)
         usual = self._outcome(route, number - badly, is_target, fault, 1.0, False)
         self._queue(tick, route, is_target, backend, usual, fault[2], 0)
@@ -256,7 +256,7 @@
                 badly,
             )
 
-    def _is_bad(self, bad: Badness, route: Route, at_s: float) -> bool:
+    def _is_bad(self, bad: Defect, route: Route, at_s: float) -> bool:
         if at_s < bad.from_s or bad.route not in ("", route.name):
             return False
         return self.scenario.load(at_s) >= bad.above_load
@@ -288,13 +288,13 @@
         fault: tuple[float, float, float],
         slower: float,
         fails: bool,
-    ) -> Cell:
-        cell = Cell()
+    ) -> CellCounts:
+        cell = CellCounts()
         failing, breaking, factor = fault
-        cell.broken = self._draws.some(number, breaking)
+        cell.broken = self._draws.binomial(number, breaking)
         cell.answered = number - cell.broken
         cell.failed = (
-            cell.answered if fails else self._draws.some(cell.answered, 1 - (1 - route.failing) * (1 - failing))
+            cell.answered if fails else self._draws.binomial(cell.answered, 1 - (1 - route.failing) * (1 - failing))
         )
         if is_target:
             factor *= self.scenario.side_factor
@@ -308,7 +308,7 @@
         return cell
 
     def _queue(
-        self, tick: int, route: Route, is_target: bool, backend: str, cell: Cell, factor: float, badly: int
+        self, tick: int, route: Route, is_target: bool, backend: str, cell: CellCounts, factor: float, badly: int
     ) -> None:
         due = tick + round(route.latency_s * factor / TICK_S)
         self._due[due].append(((route.name, is_target, backend), cell, badly))
@@ -354,7 +354,7 @@
         if decision.phase.is_final:
             self.result.phase, self.result.reason, self.result.ended_at_s = decision.phase, decision.reason, at_s
 
-    def _expect_rest(self, tick: int) -> None:
+    def _add_remaining_requests(self, tick: int) -> None:
         """Add the requests still to come before the deadline, as the end distributes them."""
         rest = 0
         while tick * TICK_S < self.scenario.duration_s:
@@ -365,6 +365,6 @@
             self.result.exposed += rest
 
 
-def play(seed: int, longest_s: float = 60.0) -> Result:
+def simulate(seed: int, longest_s: float = 60.0) -> Result:
     """Play a rollout: with an odd seed of a bad version, with an even one of a good one."""
-    return DrawnRollout(draw_scenario(seed, seed % 2 == 1, longest_s)).run()
+    return SimulatedRollout(draw_scenario(seed, seed % 2 == 1, longest_s)).run()
--- a/tests/unit/rollout/drawn_scenarios.py
+++ b/tests/unit/rollout/drawn_scenarios.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Badness:
+class Defect:
     """How a version is bad. ``part`` of answers fail, or are ``factor`` times slower, from ``from_s`` on."""
 
     kind: str
@@ -59,7 +59,7 @@
     load_change_at_s: float
     load_change_span_s: float
     holder_changes_at_s: float
-    bad: Badness | None
+    defect: Defect | None
 
     @property
     def row_lag_s(self) -> float:
@@ -107,7 +107,7 @@
         load_change_at_s=generator.uniform(0.0, duration),
         load_change_span_s=generator.uniform(1.0, 5.0) if change > 1.0 else math.inf,
         holder_changes_at_s=generator.uniform(0.0, duration) if generator.random() < 0.2 else math.inf,
-        bad=_draw_badness(generator, routes, duration) if is_bad else None,
+        defect=_draw_defect(generator, routes, duration) if is_bad else None,
     )
 
 
@@ -131,9 +131,9 @@
     return routes
 
 
-def _draw_badness(generator: random.Random, routes: Sequence[Route], duration_s: float) -> Badness:
+def _draw_defect(generator: random.Random, routes: Sequence[Route], duration_s: float) -> Defect:
     kind = generator.choice(KINDS)
-    return Badness(
+    return Defect(
         kind,
         generator.uniform(0.05, 0.6) if kind == "failures" else generator.uniform(0.2, 1.0),
         generator.uniform(2.0, 8.0),
--- a/tests/unit/rollout/fleet.py
+++ b/tests/unit/rollout/fleet.py
@@ -69,13 +69,13 @@
     """Ends each phase after its time; rolls versions back that it is told are bad."""
 
     def __init__(self, bad):
-        self.bad = bad
+        self.bad_versions = bad
         self.asked: list[tuple[float, int]] = []
 
     def decide(self, record, counts, capacity, now_s):
         self.asked.append((now_s, counts.current_requests))
         since_s = now_s - record.ordered_at_s
-        if record.target_version in self.bad:
+        if record.target_version in self.bad_versions:
             return RolloutDecision(Phase.ROLLED_BACK, 0.0, "bad")
         if since_s < CANARY_S:
             return RolloutDecision(Phase.CANARY, SHARE, "good so far")
@@ -91,17 +91,17 @@
         super().__init__(fleet.model)
         self._fleet, self._state = fleet, state
 
-    def _hear(self):
+    def _observe_era(self):
         self._state.store_era.observe(self._fleet.era, boot_time_s())
 
     async def get(self, key):
         row = await super().get(key)
-        self._hear()
+        self._observe_era()
         return row
 
     async def transact(self, transaction):
         version = await super().transact(transaction)
-        self._hear()
+        self._observe_era()
         return version
 
 
@@ -118,7 +118,7 @@
         self.counts = FleetCounts()
         self.life = round(boot_time_s() * 1e9)
         self.seen: dict[str, int] = {}
-        self.cut = False
+        self.is_feed_cut = False
         self.era: int | None = None
         self.driver = RolloutDriver(
             self.state, self.lease_table, self.store, self.planner, self.counts, StoreClock()
@@ -126,18 +126,18 @@
         self.task = asyncio.create_task(self.driver.run())
 
     @property
-    def book(self):
+    def registry(self):
         return self.state.rollouts
 
     def list_backends(self, service, software, count, at_start=True):
         for index in range(count):
             name = f"{service}-{software}-{index}"
-            self.book.on_listed(service, software, boot_time_s(), at_start)
+            self.registry.on_backend_listed(service, software, boot_time_s(), at_start)
             self.state.backends.upsert(BackendRecord(name, service, f"{name}:80", "z", 8, software=software))
             self.state.backends.learn_peer_loads({})
 
-    def take_rows(self, rows, era=0):
-        if self.cut:
+    def apply_rows(self, rows, era=0):
+        if self.is_feed_cut:
             return
         if era != self.era:
             self.era = era
@@ -150,11 +150,11 @@
                 self.driver.on_row(FeedRow(key, row.value.encode(), row.version), boot_time_s())
 
     def report(self):
-        return CountsReport(self.state.node, self.life, self.book.tally.counts())
+        return CountsReport(self.state.node, self.life, self.registry.tally.snapshot())
 
     def down(self, is_down=True):
         """Turn the node away from the store, its feed too."""
-        self.lease_table.down = self.table.down = self.cut = is_down
+        self.lease_table.down = self.table.down = self.is_feed_cut = is_down
 
 
 class Fleet:
@@ -162,8 +162,8 @@
 
     def __init__(self, nodes=3, make_planner=None, model=None, versions=("v1", "v2"), services=("svc",)):
         self.model = model or TableModel()
-        self.bad: set[str] = set()
-        self.make_planner = make_planner or (lambda: TimedPlanner(self.bad))
+        self.bad_versions: set[str] = set()
+        self.make_planner = make_planner or (lambda: TimedPlanner(self.bad_versions))
         self.names = [f"n{index}" for index in range(nodes)]
         self.nodes: list[Node] = []
         self.services, self.versions = services, versions
@@ -180,29 +180,29 @@
             for software in self.versions:
                 node.list_backends(service, software, 4)
         for order in self.orders:
-            node.book.on_order(order, boot_time_s())
+            node.registry.on_order(order, boot_time_s())
 
     async def _feed(self):
         while True:
             await asyncio.sleep(0.05)
             for node in self.nodes:
-                node.take_rows(dict(self.model.rows), self.era)
+                node.apply_rows(dict(self.model.rows), self.era)
 
     async def _reports(self):
         while True:
             await asyncio.sleep(REPORT_INTERVAL_S)
             for node in self.nodes:
-                node.counts.take(node.report())
+                node.counts.add_report(node.report())
                 holder = next((each for each in self.nodes if each.state.node == node.driver.holder), None)
-                if holder is not None and not node.cut:
-                    holder.counts.take(node.report())
+                if holder is not None and not node.is_feed_cut:
+                    holder.counts.add_report(node.report())
 
     def order(self, target="v2", service="svc", duration_s=20.0):
         self.model.commit += 1
         order = RolloutOrder(service, target, duration_s, self.model.commit, self.era)
         self.orders.append(order)
         for node in self.nodes:
-            node.book.on_order(order, boot_time_s())
+            node.registry.on_order(order, boot_time_s())
 
     def copy(self):
         return self.model.commit, dict(self.model.rows), list(self.orders)
@@ -214,7 +214,7 @@
         self.orders = [msgspec.structs.replace(order, era=self.era) for order in copy[2]]
         for node in self.nodes:
             for order in self.orders:
-                node.book.on_order(order, boot_time_s(), boot_time_s() + WRITTEN_AGAIN_S)
+                node.registry.on_order(order, boot_time_s(), boot_time_s() + WRITTEN_AGAIN_S)
 
     def kill(self, node):
         node.task.cancel()
@@ -259,7 +259,7 @@
             task.cancel()
 
 
-def play(scenario, **options):
+def run_scenario(scenario, **options):
     """Run a scenario on a fleet and return what it returns."""
 
     async def work():
--- a/tests/unit/rollout/test_driver.py
+++ b/tests/unit/rollout/test_driver.py
@@ -2,10 +2,10 @@
 
 import asyncio
 
-from tests.unit.rollout.fleet import RECORD_PREFIX, SHARE, STATUS_PREFIX, SWITCHED_S, play, writers
+from tests.unit.rollout.fleet import RECORD_PREFIX, SHARE, STATUS_PREFIX, SWITCHED_S, run_scenario, writers
 from wallwell.clock import boot_time_s
 from wallwell.deployment.backends import BackendRecord
-from wallwell.rollout.driver import COMPLETE_AFTER_S, HEARTBEAT_S
+from wallwell.rollout.driver import HEARTBEAT_S, MIN_LEASE_TO_COMPLETE_S
 from wallwell.rollout.model import Phase, RolloutBounds, RolloutOrder
 from wallwell.rollout.planner import RolloutPlanner
 from wallwell.rollout.reporter import REPORT_INTERVAL_S
@@ -24,19 +24,19 @@
         await fleet.until_phase(Phase.COMPLETE)
         return len(writers(fleet)), fleet.status(), fleet.record().barred
 
-    assert play(scenario) == (1, "complete v2", ("v1",))
+    assert run_scenario(scenario) == (1, "complete v2", ("v1",))
 
 
 def test_a_bad_version_is_rolled_back_at_every_node():
     async def scenario(fleet):
         fleet.order()
         await fleet.until(lambda: fleet.record() is not None and fleet.record().share == SHARE)
-        fleet.bad.add("v2")
+        fleet.bad_versions.add("v2")
         await fleet.until_phase(Phase.ROLLED_BACK)
         await asyncio.sleep(0.1)
-        return fleet.status(), {node.book.effective("svc").phase for node in fleet.nodes}
+        return fleet.status(), {node.registry.effective_record("svc").phase for node in fleet.nodes}
 
-    assert play(scenario) == ("rolled_back v2", {Phase.ROLLED_BACK})
+    assert run_scenario(scenario) == ("rolled_back v2", {Phase.ROLLED_BACK})
 
 
 def test_the_status_says_running_soon_after_the_order():
@@ -46,7 +46,7 @@
         await fleet.until(lambda: fleet.status() == "running v2")
         return boot_time_s() - ordered_s
 
-    assert play(scenario) < 1.5
+    assert run_scenario(scenario) < 1.5
 
 
 def test_without_a_rollout_nothing_is_written_and_no_lease_is_taken():
@@ -54,7 +54,7 @@
         await asyncio.sleep(5.0)
         return dict(fleet.model.rows)
 
-    assert play(scenario) == {}
+    assert run_scenario(scenario) == {}
 
 
 def test_after_the_end_nothing_more_is_written():
@@ -66,7 +66,7 @@
         await asyncio.sleep(10.0)
         return fleet.model.commit - commit
 
-    assert play(scenario) == 0
+    assert run_scenario(scenario) == 0
 
 
 def test_while_nothing_changes_a_record_is_written_once_a_second_with_the_requests_so_far():
@@ -75,12 +75,12 @@
         await fleet.until(lambda: fleet.record() is not None and fleet.record().share == SHARE)
         for node in fleet.nodes:
             for _ in range(10):
-                node.book.tally.by_service["svc"].on_sent(is_target=False)
+                node.registry.tally.by_service["svc"].on_sent(is_target=False)
         before = len(fleet.holder.store.writes)
         await asyncio.sleep(2 * HEARTBEAT_S)
         return len(fleet.holder.store.writes) - before, fleet.record().current_requests
 
-    writes, requests = play(scenario)
+    writes, requests = run_scenario(scenario)
     assert writes in (1, 2)
     assert requests == 30
 
@@ -92,14 +92,14 @@
         fresh = set()
         for _ in range(15):
             await asyncio.sleep(0.1)
-            fresh |= {node.book.active["svc"].has_fresh_record(boot_time_s()) for node in fleet.nodes}
+            fresh |= {node.registry.active["svc"].has_fresh_record(boot_time_s()) for node in fleet.nodes}
         fleet.kill(fleet.holder)
         for node in fleet.nodes:
             node.driver.drain()  # Nobody takes over.
         await asyncio.sleep(2.5)
-        return fresh, {node.book.active["svc"].has_fresh_record(boot_time_s()) for node in fleet.nodes}
+        return fresh, {node.registry.active["svc"].has_fresh_record(boot_time_s()) for node in fleet.nodes}
 
-    assert play(scenario) == ({True}, {False})
+    assert run_scenario(scenario) == ({True}, {False})
 
 
 def test_a_row_that_somebody_else_has_changed_is_read_again():
@@ -110,7 +110,7 @@
         await fleet.until_phase(Phase.COMPLETE)
         return fleet.status()
 
-    assert play(scenario) == "complete v2"
+    assert run_scenario(scenario) == "complete v2"
 
 
 def test_a_second_order_takes_the_first_target_out_and_starts_anew():
@@ -123,7 +123,7 @@
         first_gets = {
             each.record.software
             for node in fleet.nodes
-            for each in node.book.active["svc"].eligible_backends(
+            for each in node.registry.active["svc"].eligible_backends(
                 node.state.backends.of_service("svc"), boot_time_s()
             )
         }
@@ -132,7 +132,7 @@
         await fleet.until_phase(Phase.COMPLETE)
         return first_gets, status, fleet.status(), set(fleet.record().barred)
 
-    assert play(scenario) == ({"v1"}, "running v3", "complete v3", {"v1", "v2"})
+    assert run_scenario(scenario) == ({"v1"}, "running v3", "complete v3", {"v1", "v2"})
 
 
 def test_the_same_order_given_again_starts_anew_without_barring_its_target():
@@ -145,20 +145,20 @@
         await fleet.until_phase(Phase.COMPLETE)
         return opened.phase, opened.barred, fleet.status()
 
-    assert play(scenario) == (Phase.CANARY, (), "complete v2")
+    assert run_scenario(scenario) == (Phase.CANARY, (), "complete v2")
 
 
 def test_a_version_that_was_rolled_back_may_be_ordered_again():
     async def scenario(fleet):
-        fleet.bad.add("v2")
+        fleet.bad_versions.add("v2")
         fleet.order("v2")
         await fleet.until_phase(Phase.ROLLED_BACK)
-        fleet.bad.clear()
+        fleet.bad_versions.clear()
         fleet.order("v2")
         await fleet.until_phase(Phase.COMPLETE)
         return fleet.status()
 
-    assert play(scenario) == "complete v2"
+    assert run_scenario(scenario) == "complete v2"
 
 
 def test_a_target_equal_to_what_runs_is_complete():
@@ -166,10 +166,10 @@
         fleet.order("v1", duration_s=10.0)
         await fleet.until_phase(Phase.COMPLETE)
         return fleet.status(), len(
-            fleet.nodes[0].book.active["svc"].eligible_backends(backends(fleet), boot_time_s())
+            fleet.nodes[0].registry.active["svc"].eligible_backends(backends(fleet), boot_time_s())
         )
 
-    assert play(scenario, versions=("v1",), make_planner=real_planner) == ("complete v1", 4)
+    assert run_scenario(scenario, versions=("v1",), make_planner=real_planner) == ("complete v1", 4)
 
 
 def backends(fleet):
@@ -181,10 +181,10 @@
         fleet.order("v2", duration_s=10.0)
         await fleet.until_phase(Phase.ROLLED_BACK)
         return fleet.status(), len(
-            fleet.nodes[0].book.active["svc"].eligible_backends(backends(fleet), boot_time_s())
+            fleet.nodes[0].registry.active["svc"].eligible_backends(backends(fleet), boot_time_s())
         )
 
-    assert play(scenario, versions=("v1",), make_planner=real_planner) == ("rolled_back v2", 4)
+    assert run_scenario(scenario, versions=("v1",), make_planner=real_planner) == ("rolled_back v2", 4)
 
 
 def test_two_services_are_rolled_out_at_once():
@@ -196,7 +196,7 @@
         await fleet.until_phase(Phase.COMPLETE, "other")
         return fleet.status("svc"), fleet.status("other"), len(writers(fleet))
 
-    assert play(scenario, services=("svc", "other")) == ("complete v2", "complete v2", 1)
+    assert run_scenario(scenario, services=("svc", "other")) == ("complete v2", "complete v2", 1)
 
 
 def test_a_store_down_at_the_deadline_is_written_to_when_it_is_back():
@@ -207,14 +207,14 @@
         for node in fleet.nodes:
             node.down()
         await asyncio.sleep(SWITCHED_S + 5.0)
-        during = fleet.record().phase, {node.book.effective("svc").phase for node in fleet.nodes}
+        during = fleet.record().phase, {node.registry.effective_record("svc").phase for node in fleet.nodes}
         for node in fleet.nodes:
             node.down(False)
         back_s = boot_time_s()
         await fleet.until_phase(Phase.COMPLETE)
         return during, boot_time_s() - back_s < 5.0, fleet.status()
 
-    assert play(scenario) == ((Phase.SWITCHING, {Phase.SWITCHING}), True, "complete v2")
+    assert run_scenario(scenario) == ((Phase.SWITCHING, {Phase.SWITCHING}), True, "complete v2")
 
 
 def test_an_order_for_an_unknown_service_waits_until_the_service_is_known():
@@ -227,7 +227,7 @@
         await fleet.until(lambda: fleet.status("later") == "running v2")
         return before
 
-    assert play(scenario) == {}
+    assert run_scenario(scenario) == {}
 
 
 def test_a_new_holder_decides_nothing_before_all_nodes_have_reported():
@@ -236,7 +236,7 @@
         await fleet.until(lambda: fleet.record() is not None and fleet.record().share == SHARE)
         for node in fleet.nodes:
             for _ in range(10):
-                node.book.tally.by_service["svc"].on_sent(is_target=False)
+                node.registry.tally.by_service["svc"].on_sent(is_target=False)
         fleet.kill(fleet.holder)
         await fleet.until(lambda: fleet.holder is not None)
         taken_s = boot_time_s()
@@ -244,7 +244,7 @@
         await fleet.until(lambda: planner.asked)
         return boot_time_s() - taken_s, planner.asked[0][1]
 
-    waited_s, requests = play(scenario)
+    waited_s, requests = run_scenario(scenario)
     assert waited_s >= 2 * REPORT_INTERVAL_S
     assert requests >= 20
 
@@ -265,7 +265,7 @@
         await fleet.until_phase(Phase.COMPLETE)
         return boot_time_s() - taken_s
 
-    assert play(scenario) >= COMPLETE_AFTER_S - 0.1
+    assert run_scenario(scenario) >= MIN_LEASE_TO_COMPLETE_S - 0.1
 
 
 def test_a_draining_node_takes_no_lease():
@@ -276,7 +276,7 @@
         await fleet.until_phase(Phase.COMPLETE)
         return writers(fleet)
 
-    assert play(scenario) == {"n2"}
+    assert run_scenario(scenario) == {"n2"}
 
 
 def test_a_record_that_cannot_be_read_disturbs_nothing():
@@ -286,15 +286,15 @@
         await fleet.until_phase(Phase.COMPLETE)
         return fleet.status()
 
-    assert play(scenario) == "complete v2"
+    assert run_scenario(scenario) == "complete v2"
 
 
 def test_the_order_is_the_one_that_was_given_last_whatever_came_first():
     async def scenario(fleet):
         fleet.order("v2")
         older = RolloutOrder("svc", "v0", 20.0, 0)
-        assert not any(node.book.on_order(older, boot_time_s()) for node in fleet.nodes)
+        assert not any(node.registry.on_order(older, boot_time_s()) for node in fleet.nodes)
         await fleet.until_phase(Phase.COMPLETE)
         return fleet.status()
 
-    assert play(scenario) == "complete v2"
+    assert run_scenario(scenario) == "complete v2"
--- a/tests/unit/rollout/test_driver_failures.py
+++ b/tests/unit/rollout/test_driver_failures.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.faulty_table import DELAYED, LOST_AFTER, LOST_BEFORE
-from tests.unit.rollout.fleet import LEASE_KEY, play, writers
+from tests.unit.rollout.fleet import LEASE_KEY, run_scenario, writers
 from wallwell.clock import boot_time_s
 from wallwell.emulator.platform_server import ConditionFailed
 from wallwell.errors import TableConflictError
@@ -27,7 +27,7 @@
         await fleet.until_phase(Phase.COMPLETE)
         return took_s, fleet.status(), dead.state.node in writers(fleet)
 
-    took_s, status, dead_acts = play(scenario)
+    took_s, status, dead_acts = run_scenario(scenario)
     assert took_s < 3.5
     assert (status, dead_acts) == ("complete v2", False)
 
@@ -49,7 +49,7 @@
         await fleet.until_phase(Phase.COMPLETE)
         return before, fleet.status()
 
-    assert play(scenario) == (None, "complete v2")
+    assert run_scenario(scenario) == (None, "complete v2")
 
 
 @pytest.mark.parametrize("phase", [*PHASES, Phase.COMPLETE])
@@ -64,10 +64,10 @@
         await fleet.until_phase(Phase.COMPLETE)
         await asyncio.sleep(0.2)
         return before.ordered_at_s - fleet.record().ordered_at_s, {
-            node.book.effective("svc").phase for node in fleet.nodes
+            node.registry.effective_record("svc").phase for node in fleet.nodes
         }
 
-    assert play(scenario) == (0.0, {Phase.COMPLETE})
+    assert run_scenario(scenario) == (0.0, {Phase.COMPLETE})
 
 
 def test_an_order_given_while_no_node_ran_is_found_at_the_start():
@@ -79,7 +79,7 @@
         await fleet.until_phase(Phase.COMPLETE)
         return fleet.status()
 
-    assert play(scenario) == "complete v2"
+    assert run_scenario(scenario) == "complete v2"
 
 
 def test_a_write_of_a_frozen_holder_changes_neither_row_when_it_arrives_late():
@@ -96,13 +96,13 @@
         frozen.table.transact = hold_back
         await fleet.until(lambda: captured)
         fleet.kill(frozen)
-        fleet.bad.add("v2")
+        fleet.bad_versions.add("v2")
         await fleet.until_phase(Phase.ROLLED_BACK)
         with pytest.raises(ConditionFailed):
             fleet.model.transact(captured[0])
         return fleet.status()
 
-    assert play(scenario) == "rolled_back v2"
+    assert run_scenario(scenario) == "rolled_back v2"
 
 
 def test_a_thawed_holder_whose_lease_another_took_writes_nothing_even_to_unchanged_rows():
@@ -117,7 +117,7 @@
         with pytest.raises(TableConflictError):
             await thawed.store.write(seen.record, seen, lease_version)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_holder_that_cannot_renew_its_lease_stops_writing():
@@ -131,7 +131,7 @@
         await asyncio.sleep(3.0)
         return len(node.store.writes) - before
 
-    assert play(scenario, nodes=1) == 0
+    assert run_scenario(scenario, nodes=1) == 0
 
 
 def test_an_end_whose_answer_was_lost_is_followed_before_the_feed_tells_it():
@@ -139,7 +139,7 @@
         fleet.order()
         await fleet.until_phase(Phase.SWITCHING)
         node = fleet.holder
-        node.cut = True  # Its feed is silent, its calls are answered.
+        node.is_feed_cut = True  # Its feed is silent, its calls are answered.
         whole = node.store.write
 
         async def write(record, seen, lease_version):
@@ -150,9 +150,9 @@
         node.store.write = write
         await fleet.until_phase(Phase.COMPLETE)
         await asyncio.sleep(0.5)
-        return node.book.effective("svc").phase
+        return node.registry.effective_record("svc").phase
 
-    assert play(scenario, nodes=1) is Phase.COMPLETE
+    assert run_scenario(scenario, nodes=1) is Phase.COMPLETE
 
 
 def test_a_holder_turned_away_by_the_store_is_followed_by_another_node():
@@ -165,9 +165,9 @@
         await fleet.until_phase(Phase.COMPLETE)
         away.down(False)
         await asyncio.sleep(0.5)
-        return fleet.status(), away.book.effective("svc").phase
+        return fleet.status(), away.registry.effective_record("svc").phase
 
-    assert play(scenario) == ("complete v2", Phase.COMPLETE)
+    assert run_scenario(scenario) == ("complete v2", Phase.COMPLETE)
 
 
 @pytest.mark.parametrize("fault", [LOST_BEFORE, LOST_AFTER, DELAYED])
@@ -185,4 +185,4 @@
         await fleet.until_phase(Phase.COMPLETE)
         return fleet.status(), fleet.record().target_version
 
-    assert play(scenario) == ("complete v2", "v2")
+    assert run_scenario(scenario) == ("complete v2", "v2")
--- a/tests/unit/rollout/test_evidence.py
+++ b/tests/unit/rollout/test_evidence.py
@@ -7,7 +7,7 @@
 from wallwell.rollout.evidence import EvidenceLog
 from wallwell.rollout.measures import FAILURES, SLOWNESS
 from wallwell.rollout.model import AnswerCounts, RolloutCounts
-from wallwell.rollout.totals import Totals, answers_short
+from wallwell.rollout.totals import Totals, routes_short_of_answers
 
 BAD = math.log(2_000)
 USUAL = {8: 400, 9: 400, 10: 180, 12: 20}
@@ -111,7 +111,7 @@
     log.observe(RolloutCounts(1, answers=(current(), slow)), 12.0)
     assert worse(log).log_evidence >= BAD
     assert not log.slowness_has_passed()
-    log.forget_slowness()
+    log.ignore_past_slowness()
     later = target("t1", 200, delays={8: 140, 16: 60})
     log.observe(RolloutCounts(1, answers=(current(), later)), 14.0)
     assert worse(log).log_evidence < BAD
@@ -172,5 +172,5 @@
         target("t1", 100, route="often"),
         target("t1", rare_target, route="rare"),
     )
-    short = answers_short(Totals(RolloutCounts(1, answers=answers), 0.0), 12)
+    short = routes_short_of_answers(Totals(RolloutCounts(1, answers=answers), 0.0), 12)
     assert ("rare" in short) is is_short
--- a/tests/unit/rollout/test_exposure.py
+++ b/tests/unit/rollout/test_exposure.py
@@ -3,8 +3,8 @@
 import pytest
 
 from wallwell.rollout.exposure import (
-    LARGEST_SHARE,
-    LAST_FRACTION,
+    LAST_DECISION_FRACTION,
+    MAX_CANARY_SHARE,
     OVERDUE_SHARE,
     Traffic,
     TrafficLog,
@@ -27,7 +27,7 @@
         (3_300.0, 15.0, 15.0, 1_240, 0.02, 0.03),
         (200.0, 15.0, 15.0, 160, 0.05, 0.06),
         (20.0, 3.0, 9.0, 0, 0.15, 0.25),
-        (20.0, 10.0, 2.0, 0, LARGEST_SHARE, LARGEST_SHARE),
+        (20.0, 10.0, 2.0, 0, MAX_CANARY_SHARE, MAX_CANARY_SHARE),
         (3_300.0, 25.0, 5.0, 9_500, 0.0, 0.0),
         (20.0, 20.0, -1.0, 300, OVERDUE_SHARE, OVERDUE_SHARE),
     ],
@@ -57,7 +57,7 @@
     exposure = plan_exposure(BOUNDS, traffic(rate, since_s, target), left_s, 0.05)
     assert exposure.switch_fits is fits
     if fits and left_s > 0:
-        assert exposure.spent + exposure.coming <= LAST_FRACTION * exposure.bound
+        assert exposure.spent + exposure.expected_requests <= LAST_DECISION_FRACTION * exposure.bound
 
 
 def test_a_burst_delays_the_switch_and_a_fall_does_not_hasten_it():
--- a/tests/unit/rollout/test_planner.py
+++ b/tests/unit/rollout/test_planner.py
@@ -7,9 +7,9 @@
 from wallwell.rollout.planner import (
     CANARY_WAIT_FRACTION,
     COMPLETE_MARGIN_S,
-    DRAIN_S,
-    PERSISTENCE_S,
-    SETTLE_S,
+    MAX_DRAIN_S,
+    MIN_SWITCHING_S,
+    SLOWNESS_PERSISTENCE_S,
     RolloutPlanner,
 )
 
@@ -93,11 +93,11 @@
 @pytest.mark.parametrize(
     ("in_flight", "after_s", "phase"),
     [
-        (0, SETTLE_S - 0.5, Phase.SWITCHING),
-        (0, SETTLE_S, Phase.COMPLETE),
-        (5, SETTLE_S, Phase.SWITCHING),
-        (-1, SETTLE_S, Phase.SWITCHING),
-        (5, DRAIN_S, Phase.COMPLETE),
+        (0, MIN_SWITCHING_S - 0.5, Phase.SWITCHING),
+        (0, MIN_SWITCHING_S, Phase.COMPLETE),
+        (5, MIN_SWITCHING_S, Phase.SWITCHING),
+        (-1, MIN_SWITCHING_S, Phase.SWITCHING),
+        (5, MAX_DRAIN_S, Phase.COMPLETE),
     ],
 )
 def test_a_late_switch_settles_and_drains(in_flight, after_s, phase):
@@ -145,7 +145,7 @@
         seen = late_in_the_switch(after_s, slow=20 * tick, usual=100 + 20 * tick)
         phases[after_s] = planner.decide(SWITCHING, seen, ENOUGH, ORDERED_S + 31.0 + after_s).phase
     rolled_back_s = min(at_s for at_s, phase in phases.items() if phase is Phase.ROLLED_BACK)
-    assert PERSISTENCE_S <= rolled_back_s <= PERSISTENCE_S + 0.7
+    assert SLOWNESS_PERSISTENCE_S <= rolled_back_s <= SLOWNESS_PERSISTENCE_S + 0.7
 
 
 def test_slowness_that_passes_in_the_switch_is_forgiven_once():
--- a/tests/unit/rollout/test_planner_property.py
+++ b/tests/unit/rollout/test_planner_property.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.unit.rollout.drawn_rollouts import play
+from tests.unit.rollout.drawn_rollouts import simulate
 from wallwell.rollout.model import Phase
 
 ROLLOUTS = int(os.environ.get("WALLWELL_DRAWN_ROLLOUTS", "200"))
@@ -19,15 +19,15 @@
 @cache
 def results():
     """Play all rollouts once: with even seeds of good versions, with odd ones of bad."""
-    return [play(seed, LONGEST_S) for seed in range(ROLLOUTS)]
+    return [simulate(seed, LONGEST_S) for seed in range(ROLLOUTS)]
 
 
 def bad():
-    return [each for each in results() if each.scenario.bad is not None]
+    return [each for each in results() if each.scenario.defect is not None]
 
 
 def good():
-    return [each for each in results() if each.scenario.bad is None]
+    return [each for each in results() if each.scenario.defect is None]
 
 
 def seeds(found):
@@ -62,5 +62,5 @@
 @pytest.mark.parametrize(("least_rate", "most"), [(20, 0.15), (600, 0.1)])
 def test_few_bad_versions_are_complete_after_many_bad_answers(least_rate, most):
     mine = [each for each in bad() if each.scenario.rate >= least_rate]
-    missed = [each for each in mine if each.phase is Phase.COMPLETE and each.shows]
+    missed = [each for each in mine if each.phase is Phase.COMPLETE and each.is_evident]
     assert len(missed) <= most * len(mine), seeds(missed)
--- a/tests/unit/rollout/test_records.py
+++ b/tests/unit/rollout/test_records.py
@@ -4,7 +4,7 @@
 
 from wallwell.deployment.store_era import StorePosition
 from wallwell.rollout.model import Phase, RolloutBounds, RolloutOrder, RolloutRecord
-from wallwell.rollout.records import UNANNOUNCED_WAIT_S, RolloutBook, exclude_replaced, opening_record
+from wallwell.rollout.records import UNANNOUNCED_WAIT_S, RolloutRegistry, exclude_replaced, opening_record
 
 ORDER = RolloutOrder("svc", "v2", 30.0, 10)
 
@@ -13,43 +13,43 @@
     return RolloutRecord("svc", target, order, 0.0, 30.0, phase, share, barred=barred)
 
 
-def book(*records, order=None):
-    known = RolloutBook(RolloutBounds(rollback_s=5.0))
+def make_registry(*records, order=None):
+    registry = RolloutRegistry(RolloutBounds(rollback_s=5.0))
     if order is not None:
-        known.on_order(order, 1.0)
+        registry.on_order(order, 1.0)
     for version, each in enumerate(records, 1):
-        known.on_record(each, StorePosition(0, version), record_written_s=50.0)
-    return known
+        registry.on_record(each, StorePosition(0, version), record_written_s=50.0)
+    return registry
 
 
 def test_without_orders_and_records_nothing_is_active():
-    known = book()
-    known.on_listed("svc", "v1", 0.0, at_start=True)
-    assert known.active == {}
+    registry = make_registry()
+    registry.on_backend_listed("svc", "v1", 0.0, at_start=True)
+    assert registry.active == {}
 
 
 def test_an_order_without_a_record_counts_as_a_canary_that_gets_nothing():
-    effective = book(order=ORDER).effective("svc")
+    effective = make_registry(order=ORDER).effective_record("svc")
     assert (effective.phase, effective.share, effective.target_version) == (Phase.CANARY, 0.0, "v2")
 
 
 def test_an_older_order_changes_nothing():
-    known = book(order=ORDER)
-    assert not known.on_order(RolloutOrder("svc", "v9", 30.0, 9), 2.0)
-    assert known.effective("svc").target_version == "v2"
+    registry = make_registry(order=ORDER)
+    assert not registry.on_order(RolloutOrder("svc", "v9", 30.0, 9), 2.0)
+    assert registry.effective_record("svc").target_version == "v2"
 
 
 def test_an_older_row_of_a_record_changes_nothing():
-    known = book(record())
-    known.on_record(record(Phase.ROLLED_BACK), StorePosition(0, 5), 51.0)
-    known.on_record(record(share=0.1), StorePosition(0, 4), 52.0)
-    assert known.effective("svc").phase is Phase.ROLLED_BACK
+    registry = make_registry(record())
+    registry.on_record(record(Phase.ROLLED_BACK), StorePosition(0, 5), 51.0)
+    registry.on_record(record(share=0.1), StorePosition(0, 4), 52.0)
+    assert registry.effective_record("svc").phase is Phase.ROLLED_BACK
 
 
 def test_a_new_order_takes_the_earlier_target_out_at_once():
-    known = book(record(Phase.SWITCHING), order=ORDER)
-    known.on_order(RolloutOrder("svc", "v3", 30.0, 11), 2.0)
-    effective = known.effective("svc")
+    registry = make_registry(record(Phase.SWITCHING), order=ORDER)
+    registry.on_order(RolloutOrder("svc", "v3", 30.0, 11), 2.0)
+    effective = registry.effective_record("svc")
     assert (effective.target_version, effective.share, effective.barred) == ("v3", 0.0, ("v2",))
 
 
@@ -74,65 +74,65 @@
 
 @pytest.mark.parametrize(("phase", "software"), [(Phase.ROLLED_BACK, "v2"), (Phase.COMPLETE, "v1")])
 def test_back_ends_that_leave_after_a_rollout_get_nothing_more(phase, software):
-    known = book(record(phase, barred=("v1",) if phase is Phase.COMPLETE else ()))
-    assert known.is_excluded("svc", software)
-    assert not known.is_excluded("svc", "v7")
+    registry = make_registry(record(phase, barred=("v1",) if phase is Phase.COMPLETE else ()))
+    assert registry.is_excluded("svc", software)
+    assert not registry.is_excluded("svc", "v7")
 
 
 def test_a_record_that_is_written_again_stays_fresh():
-    known = book(record())
-    rollout = known.active["svc"]
+    registry = make_registry(record())
+    rollout = registry.active["svc"]
     assert not rollout.has_fresh_record(52.6)
-    known.on_record(record(), StorePosition(0, 2), 52.0)
-    assert known.active["svc"] is rollout
+    registry.on_record(record(), StorePosition(0, 2), 52.0)
+    assert registry.active["svc"] is rollout
     assert rollout.has_fresh_record(52.6)
 
 
 def test_counting_begins_with_the_order_and_ends_with_the_rollout():
-    known = book(order=ORDER)
-    tally = known.tally.by_service["svc"]
-    known.on_record(record(), StorePosition(0, 1), 50.0)
-    assert known.tally.by_service["svc"] is tally
-    known.on_record(record(Phase.ROLLED_BACK), StorePosition(0, 2), 50.0)
-    assert known.tally.by_service == {}
+    registry = make_registry(order=ORDER)
+    tally = registry.tally.by_service["svc"]
+    registry.on_record(record(), StorePosition(0, 1), 50.0)
+    assert registry.tally.by_service["svc"] is tally
+    registry.on_record(record(Phase.ROLLED_BACK), StorePosition(0, 2), 50.0)
+    assert registry.tally.by_service == {}
 
 
 def test_a_version_that_nobody_named_waits_for_its_order():
-    known = book()
-    known.on_listed("svc", "v1", 0.0, at_start=True)
-    known.on_listed("svc", "v2", 10.0, at_start=False)
-    assert known.active["svc"].unannounced_until_s == {"v2": 10.0 + UNANNOUNCED_WAIT_S}
-    known.on_order(ORDER, 10.5)
-    assert known.effective("svc").target_version == "v2"
+    registry = make_registry()
+    registry.on_backend_listed("svc", "v1", 0.0, at_start=True)
+    registry.on_backend_listed("svc", "v2", 10.0, at_start=False)
+    assert registry.active["svc"].unannounced_until_s == {"v2": 10.0 + UNANNOUNCED_WAIT_S}
+    registry.on_order(ORDER, 10.5)
+    assert registry.effective_record("svc").target_version == "v2"
 
 
 def test_a_version_that_stays_unnamed_is_used_later():
-    known = book()
-    known.on_listed("svc", "v1", 0.0, at_start=True)
-    known.on_listed("svc", "v2", 10.0, at_start=False)
-    known.on_listed("svc", "v2", 11.0, at_start=False)
-    known.release_unannounced(10.0 + UNANNOUNCED_WAIT_S)
-    assert known.active == {}
+    registry = make_registry()
+    registry.on_backend_listed("svc", "v1", 0.0, at_start=True)
+    registry.on_backend_listed("svc", "v2", 10.0, at_start=False)
+    registry.on_backend_listed("svc", "v2", 11.0, at_start=False)
+    registry.release_unannounced_versions(10.0 + UNANNOUNCED_WAIT_S)
+    assert registry.active == {}
 
 
 @pytest.mark.parametrize("at_start", [True, False])
 def test_versions_found_at_the_start_and_the_first_of_a_service_count_as_known(at_start):
-    known = book()
-    known.on_listed("svc", "v1", 10.0, at_start)
+    registry = make_registry()
+    registry.on_backend_listed("svc", "v1", 10.0, at_start)
     if at_start:
-        known.on_listed("svc", "v2", 10.0, at_start)
-    assert known.active == {}
+        registry.on_backend_listed("svc", "v2", 10.0, at_start)
+    assert registry.active == {}
 
 
 def test_a_version_that_is_named_is_not_unannounced():
-    known = book(order=ORDER)
-    known.on_listed("svc", "v1", 0.0, at_start=True)
-    known.on_listed("svc", "v2", 10.0, at_start=False)
-    assert known.active["svc"].unannounced_until_s == {}
+    registry = make_registry(order=ORDER)
+    registry.on_backend_listed("svc", "v1", 0.0, at_start=True)
+    registry.on_backend_listed("svc", "v2", 10.0, at_start=False)
+    assert registry.active["svc"].unannounced_until_s == {}
 
 
 def test_a_version_that_waits_for_its_order_does_not_count_as_replaced():
-    known = book(record())
-    known.on_listed("svc", "v1", 0.0, at_start=True)
-    known.on_listed("svc", "v3", 10.0, at_start=False)
-    assert known.known_versions("svc") == {"v1"}
+    registry = make_registry(record())
+    registry.on_backend_listed("svc", "v1", 0.0, at_start=True)
+    registry.on_backend_listed("svc", "v3", 10.0, at_start=False)
+    assert registry.announced_versions("svc") == {"v1"}
--- a/tests/unit/rollout/test_restored_rollouts.py
+++ b/tests/unit/rollout/test_restored_rollouts.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.unit.rollout.fleet import play
+from tests.unit.rollout.fleet import run_scenario
 from wallwell.clock import boot_time_s
 from wallwell.rollout.model import Phase
 
@@ -43,7 +43,7 @@
         phases = {record.phase for _, record in writes_since(fleet, restored_s)}
         return before, fleet.record(), phases, fleet.status()
 
-    before, after, phases, status = play(scenario)
+    before, after, phases, status = run_scenario(scenario)
     assert after.ordered_at_s == before.ordered_at_s
     assert Phase.CANARY not in phases or lost_in is Phase.CANARY
     assert status == "complete v2"
@@ -59,7 +59,7 @@
         if copied == "in the canary":
             copy = fleet.copy()
         if end is Phase.ROLLED_BACK:
-            fleet.bad.add("v2")
+            fleet.bad_versions.add("v2")
         await fleet.until_phase(end)
         await asyncio.sleep(1.0)
         fleet.restore(copy)
@@ -70,9 +70,9 @@
         await fleet.until(lambda: fleet.status() == f"{end.value} v2")
         await asyncio.sleep(5.0)
         phases = {record.phase for _, record in writes_since(fleet, restored_s)}
-        return phases, {node.book.effective("svc").phase for node in fleet.nodes}
+        return phases, {node.registry.effective_record("svc").phase for node in fleet.nodes}
 
-    phases, effective = play(scenario)
+    phases, effective = run_scenario(scenario)
     assert phases == {end}
     assert effective == {end}
 
@@ -92,7 +92,7 @@
         await fleet.until(lambda: fleet.status() == "complete v3")
         return fleet.record().barred
 
-    assert play(scenario, versions=("v1", "v2", "v3")) == ("v1", "v2")
+    assert run_scenario(scenario, versions=("v1", "v2", "v3")) == ("v1", "v2")
 
 
 def test_an_older_order_in_the_copy_does_not_undo_the_known_one():
@@ -109,7 +109,7 @@
         await fleet.until(lambda: fleet.status() == "complete v3")
         return {record.target_version for _, record in writes_since(fleet, restored_s)}
 
-    assert play(scenario, versions=("v1", "v2", "v3")) == {"v3"}
+    assert run_scenario(scenario, versions=("v1", "v2", "v3")) == {"v3"}
 
 
 def test_an_older_order_that_still_stands_after_some_seconds_counts():
@@ -120,8 +120,8 @@
         fleet.order("v3", duration_s=25.0)
         await fleet.until_phase(Phase.CANARY)
         fleet.restore(copy)
-        await fleet.until(lambda: fleet.nodes[0].book.orders["svc"].target_version == "v2")
+        await fleet.until(lambda: fleet.nodes[0].registry.orders["svc"].target_version == "v2")
         await fleet.until(lambda: fleet.status() == "complete v2")
-        return {node.book.effective("svc").target_version for node in fleet.nodes}
+        return {node.registry.effective_record("svc").target_version for node in fleet.nodes}
 
-    assert play(scenario, versions=("v1", "v2", "v3")) == {"v2"}
+    assert run_scenario(scenario, versions=("v1", "v2", "v3")) == {"v2"}
--- a/tests/unit/rollout/test_rollout_network.py
+++ b/tests/unit/rollout/test_rollout_network.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from tests.unit.rollout.fleet import play
+from tests.unit.rollout.fleet import run_scenario
 from wallwell.clock import boot_time_s
 from wallwell.rollout.model import Phase, RolloutBounds
 from wallwell.rollout.planner import RolloutPlanner
@@ -44,8 +44,8 @@
     def _request(self, node):
         now_s = boot_time_s()
         self.requests += 1
-        is_target = node.book.active["svc"].draws_target(node.state.rng, now_s)
-        tally = node.book.tally.by_service.get("svc")
+        is_target = node.registry.active["svc"].draws_target(node.state.rng, now_s)
+        tally = node.registry.tally.by_service.get("svc")
         fails = is_target and now_s >= self.bad_from_s and self.rng.random() < self.failed_part
         if is_target:
             self.target_sent_s.append(now_s)
@@ -54,7 +54,7 @@
         if tally is None:
             return
         tally.on_sent(is_target)
-        counts = tally.of("r", is_target, f"svc-v2-{self.rng.randrange(3)}")
+        counts = tally.source_counts("r", is_target, f"svc-v2-{self.rng.randrange(3)}")
         counts.answered += 1
         counts.failed += fails
         counts.first_delays[8] += 1
@@ -80,7 +80,7 @@
         traffic.task.cancel()
         return fleet.record(), traffic, took_s
 
-    return play(scenario, nodes=NODES, make_planner=lambda: RolloutPlanner(BOUNDS))
+    return run_scenario(scenario, nodes=NODES, make_planner=lambda: RolloutPlanner(BOUNDS))
 
 
 def test_a_good_version_is_complete_by_the_deadline():
--- a/tests/unit/rollout/test_tally_and_reports.py
+++ b/tests/unit/rollout/test_tally_and_reports.py
@@ -8,7 +8,7 @@
 from wallwell.cluster.upstream import NodeRecord
 from wallwell.rollout.model import Phase, RolloutRecord, delay_bucket
 from wallwell.rollout.reporter import REPORT_INTERVAL_S, CountsReporter, report_interval_s
-from wallwell.rollout.reports import CountsReport, CountsTaken, FleetCounts
+from wallwell.rollout.reports import CountsAcknowledged, CountsReport, FleetCounts
 from wallwell.rollout.tally import CountedAttempt, RolloutTally, ServiceTally
 
 RECORD = RolloutRecord("svc", "v2", 7, 0.0, 30.0, Phase.CANARY)
@@ -16,64 +16,64 @@
 
 def tally(current=0, target=0, failed=0, order=7):
     counts = ServiceTally(order, current, target)
-    source = counts.of("r", True, "i-1")
+    source = counts.source_counts("r", True, "i-1")
     source.answered, source.failed = target, failed
     return counts
 
 
 def report(node, life=1, **counts):
-    return CountsReport(node, life, {"svc": tally(**counts).counts()})
+    return CountsReport(node, life, {"svc": tally(**counts).snapshot()})
 
 
 def total(*reports, record=RECORD):
     fleet = FleetCounts()
     for each in reports:
-        fleet.take(each)
+        fleet.add_report(each)
     return fleet.total(record)
 
 
 def attempt(is_warm=True):
-    counts = ServiceTally(1).of("r", True, "i-1")
+    counts = ServiceTally(1).source_counts("r", True, "i-1")
     return CountedAttempt(counts, 10.0, is_warm), counts
 
 
 def test_a_whole_answer_counts_its_first_delay_and_its_mean_gap():
     counted, counts = attempt()
-    counted.on_whole(200, first_s=10.4, last_s=11.4, events=11)
+    counted.on_answered(200, first_event_s=10.4, last_event_s=11.4, events=11)
     assert (counts.answered, counts.failed, counts.broken) == (1, 0, 0)
     assert (dict(counts.first_delays), dict(counts.piece_gaps)) == ({delay_bucket(0.4): 1}, {delay_bucket(0.1): 1})
 
 
 def test_a_failed_answer_is_an_answer_too():
     counted, counts = attempt()
-    counted.on_whole(500, 10.1, 0.0, 0)
+    counted.on_answered(500, 10.1, 0.0, 0)
     assert (counts.answered, counts.failed, dict(counts.piece_gaps)) == (1, 1, {})
 
 
 def test_delays_of_a_back_end_that_is_slow_from_its_start_are_left_out():
     counted, counts = attempt(is_warm=False)
-    counted.on_whole(200, 10.4, 11.4, 11)
+    counted.on_answered(200, 10.4, 11.4, 11)
     assert (counts.answered, dict(counts.first_delays), dict(counts.piece_gaps)) == (1, {}, {})
 
 
 def test_an_attempt_given_up_for_its_silence_counts_with_the_time_it_was_waited_for():
     counted, counts = attempt()
-    counted.on_given_up(None, 12.0)
+    counted.on_timed_out(None, 12.0)
     assert (counts.answered, counts.broken, dict(counts.first_delays)) == (0, 1, {delay_bucket(2.0): 1})
 
 
 def test_an_attempt_given_up_after_its_first_piece_counts_as_broken_only():
     counted, counts = attempt()
-    counted.on_given_up(10.5, 12.0)
+    counted.on_timed_out(10.5, 12.0)
     assert (counts.broken, dict(counts.first_delays)) == (1, {})
 
 
 def test_the_current_side_is_counted_together_and_target_back_ends_one_by_one():
     counts = ServiceTally(1)
     for name in ("a", "b"):
-        counts.of("r", True, name).answered += 1
-        counts.of("r", False, name).answered += 1
-    assert {(each.is_target, each.backend, each.answered) for each in counts.counts().answers} == {
+        counts.source_counts("r", True, name).answered += 1
+        counts.source_counts("r", False, name).answered += 1
+    assert {(each.is_target, each.backend, each.answered) for each in counts.snapshot().answers} == {
         (True, "a", 1),
         (True, "b", 1),
         (False, "", 2),
@@ -133,7 +133,7 @@
     assert run_async(work()) == 2
 
 
-class HolderStandIn:
+class FakeHolder:
     """Takes reports and remembers how many sources each one named; may start anew."""
 
     def __init__(self):
@@ -143,8 +143,8 @@
 
     async def on_report(self, report):
         self.named.append(sum(len(each.answers) for each in report.counts.values()))
-        self.fleet.take(report)
-        return CountsTaken(self.life)
+        self.fleet.add_report(report)
+        return CountsAcknowledged(self.life)
 
     def restart(self):
         self.life += 1
@@ -153,16 +153,16 @@
 
 def test_a_report_names_only_sources_that_the_holder_does_not_know(run_async):
     async def work():
-        holder = HolderStandIn()
+        holder = FakeHolder()
         server = PeerServer({CountsReport: holder.on_report})
         await server.start("127.0.0.1", 0)
         sender, _ = reporter("n2", "n1", {"n1": NodeRecord("z", server.address)})
         counts = sender._tally.by_service["svc"]
         for name in ("a", "b", "c"):
-            counts.of("r", True, name).answered = 1
+            counts.source_counts("r", True, name).answered = 1
         for _ in range(3):
             await sender.step()  # The first one makes the holder known, the second tells it everything.
-        counts.of("r", True, "b").answered += 4
+        counts.source_counts("r", True, "b").answered += 4
         await sender.step()
         before = sum(each.answered for each in holder.fleet.total(RECORD).answers)
         holder.restart()
@@ -179,10 +179,10 @@
 def test_a_source_told_again_replaces_what_was_known_of_it():
     first, second = tally(), tally()
     for counts, answered, delays in ((first, 2, {3: 2}), (second, 5, {3: 4, 9: 1})):
-        source = counts.of("r", False, "")
+        source = counts.source_counts("r", False, "")
         source.answered = answered
         source.first_delays.update(delays)
-    reports = [CountsReport("n1", 1, {"svc": each.counts()}) for each in (first, second, first)]
+    reports = [CountsReport("n1", 1, {"svc": each.snapshot()}) for each in (first, second, first)]
     (answers,) = [each for each in total(*reports).answers if not each.is_target]
     assert (answers.answered, answers.first_delays) == (5, {3: 4, 9: 1})
 
--- a/tests/unit/rollout/test_totals.py
+++ b/tests/unit/rollout/test_totals.py
@@ -1,7 +1,7 @@
 """Totals of several nodes' lives."""
 
 from wallwell.rollout.model import AnswerCounts, RolloutCounts
-from wallwell.rollout.totals import Totals, merge
+from wallwell.rollout.totals import Totals, merge_counts
 
 
 def test_totals_of_lives_are_added_by_route_side_and_back_end():
@@ -15,7 +15,7 @@
         ),
     )
     second = RolloutCounts(7, 5, 1, (AnswerCounts("a", False, "", 5, 0, 1, {3: 1, 4: 4}),))
-    assert merge([first, second], 7) == RolloutCounts(
+    assert merge_counts([first, second], 7) == RolloutCounts(
         7,
         15,
         3,
@@ -27,11 +27,11 @@
 
 
 def test_totals_of_another_order_are_left_out():
-    assert merge([RolloutCounts(6, 10, 2), RolloutCounts(7, 1, 1)], 7) == RolloutCounts(7, 1, 1)
+    assert merge_counts([RolloutCounts(6, 10, 2), RolloutCounts(7, 1, 1)], 7) == RolloutCounts(7, 1, 1)
 
 
 def test_nothing_adds_up_to_nothing():
-    assert merge([], 7) == RolloutCounts(7)
+    assert merge_counts([], 7) == RolloutCounts(7)
 
 
 def test_quantiles_and_tails_go_by_buckets():
@@ -42,7 +42,7 @@
     assert totals.quantile(key, "first_delays", 0.5) == 2
     assert totals.quantile(key, "first_delays", 0.9) == 4
     assert totals.quantile(key, "piece_gaps", 0.9) is None
-    assert totals.beyond(key, "first_delays", 4) == (1, 10)
-    assert totals.beyond(("b", True, "x"), "first_delays", 4) == (0, 0)
+    assert totals.count_above(key, "first_delays", 4) == (1, 10)
+    assert totals.count_above(("b", True, "x"), "first_delays", 4) == (0, 0)
     assert totals.current_routes() == ["a"]
-    assert totals.answered("a", False) == 10
+    assert totals.count_answered("a", False) == 10
--- a/tests/unit/serving/test_rollout_requests.py
+++ b/tests/unit/serving/test_rollout_requests.py
@@ -73,7 +73,7 @@
 
 
 def counts_of(state):
-    return state.rollouts.tally.by_service["svc"].counts()
+    return state.rollouts.tally.by_service["svc"].snapshot()
 
 
 @pytest.mark.parametrize("share", [0.02, 0.1])
@@ -255,9 +255,9 @@
         state = make_state(SAFE, backends=0)
         now_s = boot_time_s()
         old = BackendRecord("old", "svc", "old:80", "z1", 8, software="v1")
-        state.rollouts.on_listed("svc", "v1", now_s, True)
+        state.rollouts.on_backend_listed("svc", "v1", now_s, True)
         state.backends.upsert(old)
-        state.rollouts.on_listed("svc", "v2", now_s, False)
+        state.rollouts.on_backend_listed("svc", "v2", now_s, False)
         state.backends.upsert(replace(old, incarnation="new", address="new:80", software="v2"))
         if is_old_listed:
             state.backends.upsert(replace(old, draining=True))
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -57,7 +57,7 @@
 from wallwell.platform.worker_orders import OrderBody, ReportRow, WorkerControl
 from wallwell.platform.workers import WorkerClient, worker_pool
 from wallwell.rollout.model import Phase, RolloutRecord
-from wallwell.rollout.reports import CountsTaken
+from wallwell.rollout.reports import CountsAcknowledged
 from wallwell.rollout.store import StoredRollout
 from wallwell.routing.admission.request_content import content_digest
 from wallwell.routing.health.backend_notice import BackendNotices
@@ -122,7 +122,7 @@
     "region reply": RegionReply,
     "region sum": RegionSum,
     "cache reply": CacheReply,
-    "counts reply": CountsTaken,
+    "counts reply": CountsAcknowledged,
     "engine event line": engine_protocol.EventLine,
     "engine cache snapshot": engine_protocol.CacheSnapshot,
     "engine refusal": engine_protocol.Refusal,
