--- a/src/wallwell/rollout/__init__.py
+++ b/src/wallwell/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Rollouts of a service's software version: requests move to new back ends as far as their answers allow."""
+"""Rollouts of a service's software version: requests move to the new version as long as its answers are good."""
--- a/src/wallwell/rollout/bad_answers.py
+++ b/src/wallwell/rollout/bad_answers.py
@@ -1,7 +1,7 @@
-"""Bad answers of the target version in one test: since the test's start, by route and over its back ends. Pure.
+"""Counts the target version's bad answers since the start of a test, by route and target back end. No I/O.
 
-Inputs: totals at the start of the test and now, and the rates of bad answers that are allowed. Which tests there
-are and what they prove is decided by :mod:`wallwell.rollout.evidence`.
+Inputs: totals at the start of the test and now, and the allowed rates of bad answers. The tests themselves and
+their statistics are defined in :mod:`wallwell.rollout.evidence`.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from wallwell.rollout.totals import Totals
 
 MIN_BACKENDS_TO_CAP_WORST = 3
-"""Target back ends with answers from which on the worst one counts as no worse than the others, so that a sick
-machine does not make the version look bad."""
+"""Number of target back ends with answers from which the failure rate of the worst one is capped at the rate of the
+others, so that a faulty machine does not make the version look bad."""
 
 BackendCount = tuple[AnswerSource, int, int]
-"""Whose answers, how many of them are bad, and how many there are."""
+"""Source of the answers, number of bad answers, number of all answers."""
 
 
 @dataclass
 class BadAnswers:
-    """Bad and all answers of a test, and how many bad ones the null rates allow."""
+    """Number of bad and of all answers in a test, and the number of bad answers that the null rates allow."""
 
     bad_answers: float = 0.0
     answers: int = 0
@@ -32,19 +32,19 @@
 
     @property
     def excess(self) -> float:
-        """Bad answers beyond the allowed."""
+        """Number of bad answers above the allowed number."""
         return self.bad_answers - self.allowed
 
     def add(self, bad_answers: float, answers: int, null_rate: float) -> None:
-        """Add answers of which ``null_rate`` may be bad."""
+        """Add answers; a fraction ``null_rate`` of them may be bad."""
         self.bad_answers += bad_answers
         self.answers += answers
         self.allowed += null_rate * answers
 
 
 class RouteBaseline(msgspec.Struct, frozen=True):
-    """What one measure counts of a route by now: bucket beyond which answers are bad, the rate of bad answers that
-    is allowed, and bad and all answers of each target back end."""
+    """State of one measure on one route: the bucket above which a delay is bad, the allowed rate of bad answers,
+    and the counts of each target back end so far."""
 
     route: str
     bucket: int
@@ -55,10 +55,11 @@
 def bad_answers_since(
     start: Totals | None, measure: Measure, baselines: list[RouteBaseline], null_rates: list[float]
 ) -> list[BadAnswers]:
-    """Return bad and all answers of the target version since ``start``, by route, with ``nulls`` the allowed rates.
+    """Return the target version's bad and all answers since ``start``, one entry for each of ``baselines``.
 
-    Where enough back ends answered, the one with most bad answers beyond the allowed counts as no worse than the
-    others. Lowering a count keeps the test valid; leaving the back end out would lose a third of three's answers.
+    ``null_rates`` are the allowed rates, by route. If enough back ends answered, the rate of the one with the
+    largest excess is capped at the rate of the others. Lowering a count keeps the test valid; leaving the back end
+    out would lose a third of the answers if there are three.
     """
     backend_counts = [
         baseline.backend_counts
@@ -76,7 +77,7 @@
 def _worst_backend(
     baselines: list[RouteBaseline], backend_counts: list[list[BackendCount]], null_rates: list[float]
 ) -> str:
-    """Return the target back end with most bad answers beyond the allowed; empty if too few back ends answered."""
+    """Return the target back end with the largest excess of bad answers; empty if too few back ends answered."""
     answering = {source[2] for baseline in baselines for source, _, answers in baseline.backend_counts if answers}
     backends: dict[str, BadAnswers] = {}
     for null_rate, counts in zip(null_rates, backend_counts, strict=True):
@@ -89,7 +90,7 @@
 
 
 def _sum_with_worst_capped(counts: list[BackendCount], worst: str, null_rate: float) -> BadAnswers:
-    """Return the sums of a route with ``worst`` no worse than the others there."""
+    """Return the sums of a route; the bad answers of back end ``worst`` are capped at the rate of the others."""
     sums = BadAnswers()
     bad_of_worst = answers_of_worst = 0
     for source, bad_answers, answers in counts:
@@ -103,7 +104,8 @@
 
 
 def count_since(start: Totals, measure: Measure, baseline: RouteBaseline, now: BackendCount) -> BackendCount:
-    """Return bad and all answers of a back end since ``start``. A new holder may know fewer than there were."""
+    """Return a back end's bad and all answers since ``start``; 0 if a new lease holder has received fewer
+    counts."""
     source, bad_answers, answers = now
     bad_before, answers_before = count_bad(start, measure, source, baseline.bucket)
     answers = max(answers - answers_before, 0)
--- a/src/wallwell/rollout/driver.py
+++ b/src/wallwell/rollout/driver.py
@@ -1,8 +1,8 @@
-"""Carries out rollouts: takes the lease, asks the planner, writes the record and the status for operators.
+"""Executes rollouts: acquires the lease, calls the planner, writes the record and the status for operators.
 
-Owns this node's attempts at the lease ``software`` and, while it is held, what is known of each service's rows.
-What a rollout does next is decided by :mod:`wallwell.rollout.planner`. Relies on every write being conditional on
-the lease's row, so that a holder that was frozen past its lease changes nothing.
+Owns this node's attempts to acquire the lease ``software`` and, while it is held, a copy of each service's rows.
+The next phase of a rollout is decided by :mod:`wallwell.rollout.planner`. Relies on every write being conditional
+on the lease's row, so that a holder that was suspended past the end of its lease changes nothing.
 """
 
 from __future__ import annotations
@@ -30,24 +30,24 @@
 from wallwell.storage.table import TableService
 
 STEP_INTERVAL_S = 0.15
-"""Seconds between two steps: small beside ``rollback_s`` (5 s by default)."""
+"""Seconds between two steps: short compared with ``rollback_s`` (5 s by default)."""
 LEASE_VALID_FRACTION = 0.5
-"""Fraction of ``lease_s`` for which a holder trusts one renewal. Another node succeeds a dead holder after that and
-a candidate's delay; no guard time is needed, since every write has the lease's row as a condition."""
+"""Fraction of ``lease_s`` for which a renewal of the lease is valid. Another node succeeds a dead holder after this
+time plus a candidate's delay; no guard time is needed, since every write is conditional on the lease's row."""
 HEARTBEAT_S = 1.0
-"""Seconds between two writes of a record while nothing changes. Nodes send nothing to a target version whose record
-is older than half of ``rollback_s`` (2.5 s by default), so one write may be lost."""
+"""Seconds between two writes of an unchanged record. Nodes send nothing to a target version whose record is older
+than half of ``rollback_s`` (2.5 s by default), so one write may be lost."""
 REPORT_INTERVALS_TO_WAIT = 2.5
-"""Report intervals for which a new holder decides nothing: every node's totals have then arrived."""
+"""Report intervals for which a new holder makes no decision: by then every node's totals have arrived."""
 MIN_LEASE_TO_COMPLETE_S = 2.0
-"""Seconds for which a node must have held the lease to end a rollout as complete.
+"""Seconds for which a node must have held the lease before it completes a rollout.
 
-What dead nodes counted is lost to a new holder, and nobody compared answers meanwhile; so it first waits for some
-seconds of answers. A late end costs little."""
+A new holder lacks the counts of dead nodes, and no node compared answers while there was no holder; so it first
+waits for some seconds of answers. A late completion costs little."""
 
 
 class Planner(Protocol):
-    """Decides what a rollout does next; see :mod:`wallwell.rollout.planner`."""
+    """Decides the next phase of a rollout; see :mod:`wallwell.rollout.planner`."""
 
     def decide(
         self, record: RolloutRecord, counts: RolloutCounts, capacity: Capacity, now_s: float
@@ -58,14 +58,14 @@
 
 @dataclass
 class _StoredRows:
-    """A service's rows as this node last read or wrote them. Times are on this node's clock."""
+    """A service's rows as last read or written by this node. Times are on this node's clock."""
 
     stored: StoredRollout
     written_s: float = float("-inf")
 
 
 class RolloutDriver:
-    """One node's driver of rollouts; the lease lets at most one node act at a time."""
+    """One node's driver of rollouts; the lease ensures that at most one node's driver writes at a time."""
 
     def __init__(
         self,
@@ -86,22 +86,22 @@
         self._lease = LeaseKeeper(LEASE_NAME, state.node, self._lease_valid_s, table, era=state.store_era)
         self._turn = LeaseTurn(LEASE_NAME, state.node, self._lease, self._lease_valid_s, lambda: state.members)
         self._rows: dict[str, _StoredRows] = {}
-        self._lease_held_since_s: float | None = None
+        self._lease_since_s: float | None = None
         self._feed_era = UNKNOWN_ERA
         self._last_era: int | None = None
 
     @property
     def holder(self) -> str:
-        """The node that decides, as far as this one knows; empty if none."""
+        """Name of the lease holder as far as this node knows; empty if there is none."""
         return self._state.node if self._turn.is_held() else self._turn.holder
 
     def on_era(self, era: int, _is_restored: bool) -> None:
-        """The rows that follow are of this era of the store."""
+        """Record the store's era to which the following rows belong."""
         self._feed_era = era
         self._check_store_era()
 
     def _check_store_era(self) -> None:
-        """Have every record confirmed once any answer has told that the store came back from a copy."""
+        """Mark all records as unconfirmed if the store's era has changed: it was restored from a copy."""
         era = self._state.store_era.number
         if self._last_era is not None and era != self._last_era:
             self._registry.on_store_restored()
@@ -110,7 +110,7 @@
     # --- rows of other nodes ---------------------------------------------------------------------------
 
     def on_row(self, row: FeedRow, now_s: float) -> None:
-        """Apply a row of this product's own table; other kinds than the lease and records are ignored."""
+        """Apply a row of this product's own table, received at ``now_s``; only the lease and records are used."""
         self._turn.observe(row, now_s)
         if not row.key.startswith(RECORD_PREFIX) or row.value is None:
             return
@@ -133,13 +133,13 @@
     # --- loop ------------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Drive rollouts until cancelled."""
+        """Call :meth:`step` at regular intervals until cancelled."""
         while True:
             await asyncio.sleep(STEP_INTERVAL_S)
             await self.step()
 
     async def step(self) -> None:
-        """Advance every rollout that has not ended, if this node holds the lease."""
+        """Acquire or renew the lease if a rollout has not ended and, as its holder, advance every such rollout."""
         now_s = boot_time_s()
         self._check_store_era()
         self._registry.release_unannounced_versions(now_s)
@@ -149,10 +149,10 @@
         self._turn.set_due(bool(due), now_s)
         if not due or not await self._turn.hold(now_s):
             self._rows.clear()
-            self._lease_held_since_s = None
+            self._lease_since_s = None
             return
-        if self._lease_held_since_s is None:
-            self._lease_held_since_s = now_s
+        if self._lease_since_s is None:
+            self._lease_since_s = now_s
         for service in due:
             try:
                 async with bounded(self._lease_valid_s):
@@ -161,12 +161,15 @@
                 self._on_write_failed(service, error)
 
     def _on_write_failed(self, service: str, error: Exception) -> None:
-        """What the rows hold is unknown now: they are read before the next write."""
+        """Discard the copy of the rows, whose stored contents are now unknown: the next step reads them again."""
         self._rows.pop(service, None)
         emit(Event.ROLLOUT_WRITE_FAILED, service=service, reason=f"{type(error).__name__} {error}")
 
     async def _advance(self, service: str) -> None:
-        """Read, decide and write once for a service. Raises what the store raises, or TimeoutError."""
+        """Read, decide and write once for a service.
+
+        Raises :class:`TableConflictError` or :class:`PlatformUnavailableError` of the store.
+        """
         rows = self._rows.get(service)
         if rows is None:
             rows = self._rows[service] = _StoredRows(await self._store.read(service))
@@ -182,7 +185,9 @@
         elif record is not None and not record.phase.is_final:
             await self._decide(rows, record)
         elif record is not None:
-            self._apply_stored(rows.stored)  # Another holder has ended it, or this one, whose answer was lost.
+            self._apply_stored(
+                rows.stored
+            )  # Ended by another holder, or by a write of this node whose answer was lost.
 
     async def _decide(self, rows: _StoredRows, record: RolloutRecord) -> None:
         now_s = boot_time_s()
@@ -194,28 +199,21 @@
         counts = self._counts.total(record)
         capacity = self._capacity(record.service, now_s)
         decision = self._planner.decide(record, counts, capacity, self._clock.to_store_s(now_s))
-        if (
-            decision.phase is Phase.COMPLETE
-            and now_s - (self._lease_held_since_s or now_s) < MIN_LEASE_TO_COMPLETE_S
-        ):
+        if decision.phase is Phase.COMPLETE and now_s - (self._lease_since_s or now_s) < MIN_LEASE_TO_COMPLETE_S:
             decision = RolloutDecision(
-                record.phase, record.share, "the lease was taken a moment ago", decision.inputs
+                record.phase, record.share, "this node has held the lease for too short a time", decision.inputs
             )
-        decided = self._decided_record(record, counts, decision)
+        decided = self._new_record(record, counts, decision)
         if _is_written_at_once(record, decided) or now_s - rows.written_s >= HEARTBEAT_S:
             await self._write(rows, decided, dict(decision.inputs))
 
     def _is_new_holder(self, now_s: float) -> bool:
-        """Whether other nodes' reports may not have arrived yet. A node without peers needs none."""
-        if self._lease_held_since_s is None or self._state.node_count == 1:
+        """Whether other nodes' reports may not have arrived yet; never true of a node without peers."""
+        if self._lease_since_s is None or self._state.node_count == 1:
             return False
-        return now_s - self._lease_held_since_s < REPORT_INTERVALS_TO_WAIT * report_interval_s(
-            self._state.node_count
-        )
+        return now_s - self._lease_since_s < REPORT_INTERVALS_TO_WAIT * report_interval_s(self._state.node_count)
 
-    def _decided_record(
-        self, record: RolloutRecord, counts: RolloutCounts, decision: RolloutDecision
-    ) -> RolloutRecord:
+    def _new_record(self, record: RolloutRecord, counts: RolloutCounts, decision: RolloutDecision) -> RolloutRecord:
         excluded = record.barred
         if decision.phase is Phase.COMPLETE:
             excluded = exclude_replaced(record, self._registry.announced_versions(record.service))
@@ -230,9 +228,9 @@
         )
 
     async def _write(self, rows: _StoredRows, record: RolloutRecord, inputs: dict[str, float]) -> None:
-        """Write a record and log what is new of it. Raises what the store raises."""
+        """Write a record and log its changes. Raises the errors of :meth:`RolloutStore.write`."""
         lease = self._lease.held
-        assert lease is not None  # Held at the beginning of this step; whether it still is, the store decides.
+        assert lease is not None  # Held when this step began; the store checks whether it still is.
         now_s = boot_time_s()
         record = msgspec.structs.replace(record, written_at_s=self._clock.to_store_s(now_s))
         before = rows.stored
@@ -242,7 +240,7 @@
         self._log_changes(before, rows.stored, record, inputs)
 
     def _apply_stored(self, stored: StoredRollout) -> None:
-        """Apply what is stored at once, without waiting for the feed."""
+        """Apply a stored record to this node's registry at once, without waiting for the feed."""
         if stored.record is not None:
             record_written_s = self._clock.to_local_s(stored.record.written_at_s)
             position = StorePosition(self._state.store_era.current, stored.record_version)
@@ -279,12 +277,12 @@
         )
 
     def drain(self) -> None:
-        """Finish what this node holds the lease for, and take no new lease."""
+        """Finish the rollouts for which this node holds the lease, and acquire no new lease."""
         self._turn.drain()
 
 
 def _is_written_at_once(before: RolloutRecord, after: RolloutRecord) -> bool:
-    """Whether a change is written at once. A share that rises waits for the next heartbeat."""
+    """Whether a change is written at once. A share that only grows is written with the next heartbeat."""
     if before.phase is not after.phase or after.share < before.share:
         return True
     return after.share > 0 and before.share == 0
--- a/src/wallwell/rollout/evidence.py
+++ b/src/wallwell/rollout/evidence.py
@@ -1,10 +1,11 @@
-"""How strong the evidence is that the target version of a rollout is bad, by the answers that nodes count. Pure.
+"""Measures, by the answers that nodes count, how strong the evidence is that a target version is bad. No I/O.
 
-Failures, late first tokens and slow streams of the target version are compared with the current one, by route and
-over all routes. Tests run since the order and since later starts, so that a version that turns bad is not hidden by
-its good past. All share one probability of a false alarm: each has a weight, and the weights add up to at most 1.
+Failures, late first tokens and slow streams of the target version are compared with those of the current version,
+by route and over all routes. Each test covers the answers since the order or since a later start, so that good
+answers of the past do not hide a version that turns bad. All tests share one probability of a false alarm: each has
+a weight, and the weights add up to at most 1.
 
-Inputs: totals of answers and the seconds since the order. Owns past totals, from which later tests start.
+Inputs: totals of answers and the seconds since the order. Owns past totals, which are the starts of later tests.
 """
 
 from __future__ import annotations
@@ -27,34 +28,33 @@
 from wallwell.rollout.totals import Totals
 
 RECENT_WINDOW_S = 4.0
-"""Seconds over which a current version that is slower than before counts as overloaded."""
+"""Seconds of recent answers by which the current version is judged to be overloaded."""
 MIN_RECENT_ANSWERS = 30
-"""Least answers of the current version in that span for such a judgement."""
+"""Answers of the current version in this span that the judgement needs."""
 OVERLOAD_FACTOR = 2.0
-"""Ratio of the current version's recent rate of late answers to its overall one, from which it counts as
-overloaded."""
+"""Ratio of the current version's recent rate of late answers to its overall rate above which it is overloaded."""
 OVERLOAD_DISCOUNT = 0.5
-"""Factor on evidence of slowness while the current version is overloaded as well."""
+"""Factor on the evidence of slowness while the current version is overloaded as well."""
 PRESENT_WINDOW_S = 0.9
-"""Least seconds of answers that show the present: counts of all nodes arrive within a second."""
+"""Least seconds of answers that represent the present state: counts of all nodes arrive within a second."""
 MIN_PRESENT_ANSWERS = 60
-"""Least answers of the target version in such a span to find that it is not slow."""
+"""Answers of the target version in this span that are needed to conclude that it is not slow."""
 MAX_WINDOW_STARTS = 64
-"""Starts of tests beside the order's, over twice the duration, at which a rollout ends at the latest."""
+"""Number of test starts besides the order, spread over twice the duration, after which every rollout has ended."""
 MIN_START_SPACING_S = 0.5
-"""Least seconds between two starts: counts arrive every 0.3 s."""
+"""Least seconds between two test starts: counts arrive every 0.3 s."""
 
 
 class EvidenceLog:
-    """Keeps totals of past times, as starts of tests, and returns the evidence of the newest ones."""
+    """Stores past totals as starts of tests and evaluates the newest totals against them."""
 
     def __init__(self, duration_s: float) -> None:
         self._start_spacing_s = max(MIN_START_SPACING_S, 2.0 * duration_s / MAX_WINDOW_STARTS)
         self._starts: dict[int, Totals] = {}
         self._newest = Totals(RolloutCounts(0), 0.0)
         self._comparison_start: Totals | None = None
-        """The last totals without an answer of the target version; the current one's answers before have no
-        counterpart."""
+        """The last totals without an answer of the target version. Earlier answers of the current version are not
+        compared, since there are none of the target version."""
         self._slowness_start: Totals | None = None
 
     @property
@@ -63,7 +63,7 @@
         return self._newest
 
     def observe(self, counts: RolloutCounts, since_order_s: float) -> None:
-        """Record totals; some are kept as starts, the fewer the older."""
+        """Record totals. Some are stored as starts of tests, fewer of them the older they are."""
         self._newest = Totals(counts, since_order_s)
         if not self._newest.target_answers:
             self._comparison_start = self._newest
@@ -73,8 +73,8 @@
             self._starts = {at: kept for at, kept in self._starts.items() if _is_start_retained(step, at)}
 
     def evidence(self, measures: tuple[Measure, ...], is_switching: bool) -> VersionEvidence:
-        """Return the strongest evidence by some measures; ``is_switching`` allows for the cold caches of
-        generations."""
+        """Return the strongest evidence by ``measures``; ``is_switching`` allows generations for their cold
+        caches."""
         first_start = (self._slowness_start if measures is SLOWNESS else None) or self._comparison_start
         windows = [(first_start, math.log(0.5 / MEASURE_COUNT))]
         starts = [each for each in self._starts.values() if first_start is None or each.at_s > first_start.at_s]
@@ -91,7 +91,7 @@
         return best
 
     def slowness_has_passed(self) -> bool:
-        """Whether enough answers of the last second or two alone, while the service moves, show no slowness."""
+        """Whether the answers of the last second or two, during the switch, are enough and show no slowness."""
         earlier = [each for each in self._starts.values() if self._newest.at_s - each.at_s >= PRESENT_WINDOW_S]
         start = max(earlier, key=lambda each: each.at_s, default=None)
         if start is None or self._newest.target_answers - start.target_answers < MIN_PRESENT_ANSWERS:
@@ -105,7 +105,7 @@
         )
 
     def ignore_past_slowness(self) -> None:
-        """Ignore slowness up to now: only later answers count."""
+        """Test for slowness only by answers that arrive from now on."""
         self._slowness_start = self._newest
 
     def _route_baselines(self, measure: Measure, allow_cold_caches: bool) -> list[RouteBaseline]:
@@ -120,8 +120,8 @@
         log_weight: float,
         best: VersionEvidence,
     ) -> VersionEvidence:
-        """Return the stronger of ``best`` and the evidence of one measure since ``start``, by route and over
-        all."""
+        """Return the stronger of ``best`` and one measure's evidence since ``start``, by route and over all
+        routes."""
         all_routes = BadAnswers()
         route_weight = log_weight - math.log(2 * max(len(baselines), 1))
         if not any(self._may_be_bad(start, measure, baseline) for baseline in baselines):
@@ -156,7 +156,7 @@
         )
 
     def _route_baseline(self, measure: Measure, route: str, allow_cold_caches: bool) -> RouteBaseline | None:
-        """Return what one measure counts of a route by now; None if there is nothing to compare with."""
+        """Return the state of a measure on a route; None if the current version has no delays to compare with."""
         bucket = self._late_bucket(measure, route, allow_cold_caches)
         if bucket is None:
             return None
@@ -180,13 +180,12 @@
         return bucket
 
     def _null_rate(self, measure: Measure, route: str, bucket: int) -> float:
-        """Return the rate of bad answers that the target version may have, by the current one's overall and recent
-        rates."""
+        """Return the allowed rate of bad answers, by the overall and the recent rate of the current version."""
         rate = upper_rate(*count_bad(self._newest, measure, (route, False, ""), bucket))
         return measure.allowed_rate(max(rate, self._recent_rate(measure, route, bucket) or 0.0))
 
     def _may_be_bad(self, start: Totals | None, measure: Measure, baseline: RouteBaseline) -> bool:
-        """Whether the target version gave more bad answers than are allowed: a cheap check that seldom holds."""
+        """Whether the target version gave more bad answers than allowed: a cheap check, which seldom finds any."""
         bad_answers, answers = self._newest.bad_of_targets(baseline.route, measure.delay_field, baseline.bucket)
         if start is not None:
             bad_before, answers_before = start.bad_of_targets(baseline.route, measure.delay_field, baseline.bucket)
@@ -194,8 +193,8 @@
         return bad_answers > baseline.null_rate * answers
 
     def _null_rate_since(self, start: Totals | None, measure: Measure, baseline: RouteBaseline) -> float:
-        """Return the allowed rate for answers since ``start``: an overload of both versions may lie in just that
-        span."""
+        """Return the allowed rate of bad answers since ``start``, raised if the current version's rate was higher
+        then, as in an overload of both versions."""
         if start is None:
             return baseline.null_rate
         source: AnswerSource = (baseline.route, False, "")
@@ -207,12 +206,10 @@
 
     def _recent_rate(self, measure: Measure, route: str, bucket: int) -> float | None:
         """Return the current version's recent rate of bad answers; None if there are too few answers."""
-        recent_starts = [
-            start for start in self._starts.values() if self._newest.at_s - start.at_s <= RECENT_WINDOW_S
-        ]
-        if not recent_starts:
+        starts = [start for start in self._starts.values() if self._newest.at_s - start.at_s <= RECENT_WINDOW_S]
+        if not starts:
             return None
-        start = min(recent_starts, key=lambda each: each.at_s)
+        start = min(starts, key=lambda each: each.at_s)
         source: AnswerSource = (route, False, "")
         bad_answers, answers = count_bad(self._newest, measure, source, bucket)
         bad_before, answers_before = count_bad(start, measure, source, bucket)
@@ -221,7 +218,7 @@
         return max(bad_answers - bad_before, 0) / (answers - answers_before)
 
     def _is_overloaded(self, measure: Measure, route: str) -> bool:
-        """Whether the current version is slow at the same time, on the route or, for all routes, on any."""
+        """Whether the current version is slow at the same time, on ``route`` or, if it is empty, on any route."""
         for each in [route] if route else self._newest.current_routes():
             bucket = self._late_bucket(measure, each, False)
             recent = None if bucket is None else self._recent_rate(measure, each, bucket)
@@ -234,7 +231,7 @@
 
 
 def _is_start_retained(step: int, start: int) -> bool:
-    """Whether a start is still used: all of the last four, then every second one, every fourth and so on."""
+    """Whether a test start is still stored: the last four are, then every second one, every fourth and so on."""
     age = step - start
     spacing = 1 << max(age.bit_length() - 2, 0)
     return start % spacing == 0
--- a/src/wallwell/rollout/exposure.py
+++ b/src/wallwell/rollout/exposure.py
@@ -1,8 +1,8 @@
-"""How many requests the target version of a rollout may get, and from when on it may get all. Pure.
+"""Plans how many requests the target version of a rollout may get, and when it may get all of them. No I/O.
 
-``B = exposure_share x N + exposure_requests`` is the bound, with ``N`` the requests between order and deadline.
-Inputs: totals of requests, the time left and the share in force. Owns the totals of the last seconds. The plan
-shows in the log as ``exposure_...`` among the inputs of ``ROLLOUT_DECIDED`` (7008).
+The bound is ``B = exposure_share x N + exposure_requests``, with ``N`` the number of requests between order and
+deadline. Inputs: totals of requests, the time left and the share in force. Owns the totals of the last seconds. The
+plan is logged as ``exposure_...`` among the inputs of ``ROLLOUT_DECIDED`` (7008).
 """
 
 from __future__ import annotations
@@ -15,50 +15,47 @@
 from wallwell.rollout.model import RolloutBounds
 
 CANARY_FRACTION = 0.5
-"""Fraction of the bound that the canary spends where requests are few."""
+"""Fraction of the bound that the canary uses up if requests are few."""
 HIGH_TRAFFIC_CANARY_FRACTION = 0.25
-"""Fraction of the bound that it spends where requests are many."""
+"""Fraction of the bound that the canary uses up if requests are many."""
 HIGH_TRAFFIC_CANARY_REQUESTS = 600.0
-"""Requests beyond which the canary spends only :data:`HIGH_TRAFFIC_CANARY_FRACTION`: 400 answers show failures of 5
-in 100. What it leaves makes the switch longer, so that more requests in flight at current back ends end by
-themselves."""
+"""Canary requests above which the canary uses only :data:`HIGH_TRAFFIC_CANARY_FRACTION`: 400 answers reveal a
+failure rate of 5 in 100. The rest of the bound lengthens the switch, so that more of the requests in flight at
+current back ends finish."""
 PLANNED_FRACTION = 0.8
-"""Fraction of the bound that is planned to be spent; the rest is for bursts and for counts that lag."""
+"""Fraction of the bound that plans may use up; the rest is a reserve for bursts and for counts that lag."""
 LAST_DECISION_FRACTION = 0.95
-"""Fraction of the bound that the last decision before the deadline may plan with: little can go wrong after it."""
+"""Fraction of the bound that the last decision before the deadline may use up: little can change after it."""
 LAST_DECISION_S = 0.4
-"""Seconds before the deadline at which the next decision would come too late: more than two steps of the driver
-(0.15 s each)."""
+"""Seconds before the deadline in which a decision is the last one in time: over two driver steps of 0.15 s."""
 COUNT_LAG_S = 1.0
-"""Age in seconds of the oldest counts: nodes send every 0.3 s, a large fleet up to every second."""
+"""Age in seconds of the oldest counts: nodes send them every 0.3 s, in a large fleet up to every second."""
 RATE_WINDOW_S = 1.0
-"""Seconds over which a rate is taken: several reports of each node."""
+"""Seconds over which a request rate is measured: several reports of each node."""
 RATE_HISTORY_S = 10.0
-"""Seconds for which a burst is remembered."""
+"""Seconds for which totals are kept, and so for which a burst raises the highest rate."""
 MAX_RATE_FACTOR = 3.0
-"""Largest multiple of the mean rate since the order that a rate counts as: a higher one comes of counts that
-arrived late at a new holder."""
+"""Cap on a measured rate, as a multiple of the mean rate since the order: higher rates are an effect of counts that
+arrived late at a new lease holder."""
 MIN_SHARE_FRACTION = 0.2
-"""Fraction of ``exposure_share`` that a canary gets also when its budget is spent: a version that turns bad late
-shows by it."""
+"""Fraction of ``exposure_share`` that a canary still gets when its budget is used up, to detect a version that
+turns bad late."""
 MAX_CANARY_SHARE = 0.3
-"""Largest share of a canary before the deadline: its share follows a burst only after counts and record have
-arrived."""
+"""Largest canary share before the deadline: it is adapted to a burst only after counts and record have arrived."""
 OVERDUE_SHARE = 0.25
-"""Share after the deadline, where no bound holds and more answers are needed."""
+"""Share of a canary after the deadline, when no bound applies and more answers are needed."""
 SHARE_TOLERANCE = 0.25
-"""Relative change up to which the share stays: every change is a write and a row to all nodes."""
+"""Relative change up to which the share is not changed: each change costs a write and a row sent to all nodes."""
 MAX_SWITCH_S = 5.0
-"""Seconds before the deadline at which the switch begins at the earliest: the longer the canary, the more late
-turns it shows."""
+"""Longest switch in seconds: a longer canary before it detects more versions that turn bad late."""
 ARRIVAL_DEVIATIONS = 2.0
-"""Standard deviations of the number of arrivals that are planned for: exceeded in about 1 of 40 plans for a normal
-distribution."""
+"""Standard deviations added to the expected number of arrivals: for a normal distribution the sum is exceeded in
+about 1 of 40 plans."""
 
 
 class Traffic(msgspec.Struct, frozen=True):
-    """Requests sent since the order, and rates in requests a second: the mean, the highest and the lowest of
-    late."""
+    """Requests sent to each version since the order, and rates in requests per second: the mean since the order,
+    the highest and the lowest recent one."""
 
     current: int
     target: int
@@ -68,18 +65,18 @@
 
     @property
     def total(self) -> int:
-        """Requests to both versions."""
+        """Number of requests sent to both versions."""
         return self.current + self.target
 
 
 class TrafficLog:
-    """Keeps the totals of the last seconds, for rates."""
+    """Totals of requests in the last :data:`RATE_HISTORY_S` seconds, from which rates are computed."""
 
     def __init__(self) -> None:
         self._samples: deque[tuple[float, int]] = deque()
 
     def observe(self, since_order_s: float, current: int, target: int) -> Traffic:
-        """Record totals and return the traffic by them."""
+        """Record the totals at a time since the order and return the traffic."""
         total = current + target
         if not self._samples or since_order_s > self._samples[-1][0]:
             self._samples.append((since_order_s, max(total, self._samples[-1][1]) if self._samples else total))
@@ -92,7 +89,7 @@
         return Traffic(current, target, mean_rate, high_rate, low_rate)
 
     def _rates(self) -> list[float]:
-        """Return the rates of windows of at least :data:`RATE_WINDOW_S`, one by one."""
+        """Return the rates of successive windows of at least :data:`RATE_WINDOW_S`, in requests per second."""
         rates: list[float] = []
         start: tuple[float, int] | None = None
         for at_s, total in self._samples:
@@ -105,8 +102,9 @@
 
 
 class ExposurePlan(msgspec.Struct, frozen=True):
-    """The plan. ``bound``, ``spent`` and ``coming`` count requests; ``switch_fits`` if ``coming`` may all go to the
-    target."""
+    """Limits for the next requests. The target version may get ``bound`` requests until the deadline and has got
+    about ``spent``; ``expected_requests`` are still to arrive. ``share`` is the canary's share; ``switch_fits``
+    tells whether the target version may get all that arrive."""
 
     bound: float
     spent: float
@@ -116,25 +114,22 @@
 
 
 def plan_exposure(bounds: RolloutBounds, traffic: Traffic, left_s: float, share: float) -> ExposurePlan:
-    """Plan with ``left_s`` seconds to the deadline and ``share`` in force. No bound holds after the deadline."""
+    """Return the plan with ``left_s`` seconds to the deadline and ``share`` in force; no bound applies after it."""
     if left_s <= 0.0:
         return ExposurePlan(math.inf, traffic.target, 0.0, OVERDUE_SHARE, True)
-    expected_requests = traffic.high_rate * left_s
-    expected_requests += ARRIVAL_DEVIATIONS * math.sqrt(expected_requests)
+    expected = traffic.high_rate * left_s
+    expected += ARRIVAL_DEVIATIONS * math.sqrt(expected)
     bound = bounds.exposure_share * (traffic.total + traffic.low_rate * left_s) + bounds.exposure_requests
     spent = traffic.target + share * traffic.high_rate * COUNT_LAG_S
-    switch_fits = (
-        spent + expected_requests
-        <= (LAST_DECISION_FRACTION if left_s <= LAST_DECISION_S else PLANNED_FRACTION) * bound
-    )
+    fits = spent + expected <= (LAST_DECISION_FRACTION if left_s <= LAST_DECISION_S else PLANNED_FRACTION) * bound
     next_share = _canary_share(bounds, traffic, left_s, bound, spent)
     return ExposurePlan(
-        bound, spent, expected_requests, _keep_if_similar(share, next_share), switch_fits and left_s <= MAX_SWITCH_S
+        bound, spent, expected, _keep_if_similar(share, next_share), fits and left_s <= MAX_SWITCH_S
     )
 
 
 def _canary_share(bounds: RolloutBounds, traffic: Traffic, left_s: float, bound: float, spent: float) -> float:
-    """Return the share that spends the canary's budget until the deadline."""
+    """Return the share at which the canary uses up its budget by the deadline."""
     if traffic.total == 0:
         return CANARY_FRACTION * bounds.exposure_share
     if spent >= PLANNED_FRACTION * bound:
@@ -147,7 +142,7 @@
 
 
 def _keep_if_similar(share: float, next_share: float) -> float:
-    """Return ``share`` where the next one differs little."""
+    """Return ``next_share``, or ``share`` if the two differ by at most :data:`SHARE_TOLERANCE`."""
     if next_share > 0.0 and abs(next_share - share) <= SHARE_TOLERANCE * share:
         return share
     return round(next_share, 4)
--- a/src/wallwell/rollout/measures.py
+++ b/src/wallwell/rollout/measures.py
@@ -1,6 +1,6 @@
-"""What is counted of answers to compare the target version with the current one: failures and slowness. Pure.
+"""Measures by which the target version's answers are compared with the current version's: failures and slowness.
 
-Names of measures appear in records' reasons and in the log.
+The names of the measures appear in the reasons of rollout records and in the log. No I/O.
 """
 
 from __future__ import annotations
@@ -13,31 +13,31 @@
 from wallwell.rollout.totals import Totals
 
 USUAL_QUANTILE = 0.9
-"""Fraction of the current version's answers whose delays are called usual; answers later than these by a factor are
-late."""
+"""Quantile of the current version's delays that counts as the usual delay. An answer is late if its delay exceeds
+the usual one by a factor."""
 SLOW_SLACK_FACTOR = 1.25
-"""Factor by which the target version's rate of late answers may exceed the current one's: its caches are colder,
-and its back ends are others."""
+"""Factor by which the target version's rate of late answers may exceed the current version's: its caches are colder
+and it runs on other back ends."""
 SLOW_SLACK = 0.01
-"""What that rate may exceed the current one by beside the factor."""
+"""Absolute excess allowed for the rate of late answers, in addition to the factor."""
 FAILED_SLACK = 0.002
-"""What the target version's rate of failures may exceed the current one's by."""
+"""Absolute excess allowed for the target version's failure rate over the current version's."""
 
 
 class Measure(msgspec.Struct, frozen=True):
-    """One kind of bad answer. Delays count as late from ``buckets_above_usual`` beyond the usual bucket.
+    """One kind of bad answer: a failure, or a delay more than ``buckets_above_usual`` buckets above the usual one.
 
-    ``cold_cache_buckets`` are added for generations while the whole service moves to back ends with empty caches.
+    ``cold_cache_buckets`` are added for generations while the service switches to back ends with empty caches.
     """
 
     name: str
     delay_field: str
-    """Field of :class:`AnswerCounts` with the delays; empty for failures."""
+    """Name of the :class:`AnswerCounts` field that holds the delays; empty for failures."""
     buckets_above_usual: int = 0
     cold_cache_buckets: int = 0
 
     def allowed_rate(self, rate: float) -> float:
-        """Return the rate of bad answers that the target version may have, by the current version's ``rate``."""
+        """Return the allowed rate of the target version's bad answers, given the current version's ``rate``."""
         return rate * SLOW_SLACK_FACTOR + SLOW_SLACK if self.delay_field else rate + FAILED_SLACK
 
 
@@ -50,14 +50,14 @@
 )
 MEASURE_COUNT = len(FAILURES) + len(SLOWNESS)
 GENERATION_SLACK_BUCKETS = 1
-"""Buckets added for generations' first tokens: a cold cache alone may make them later by a factor of up to 1.4."""
+"""Buckets added for first tokens of generations: a cold cache alone may delay them by a factor of up to 1.4."""
 
 
 class VersionEvidence(msgspec.Struct, frozen=True):
-    """Evidence that the target version is bad, by the test in which it is greatest.
+    """The strongest evidence, of all tests, that the target version is bad.
 
-    ``log_evidence`` is the logarithm of a likelihood ratio, weighted by the number of tests. ``excess`` is how many
-    bad answers more the target version gave in that test than are allowed.
+    ``log_evidence`` is the logarithm of a likelihood ratio, weighted by the number of tests. ``excess`` is the
+    number of the target version's bad answers above the allowed number in that test.
     """
 
     log_evidence: float = -math.inf
@@ -65,13 +65,13 @@
     route: str = ""
     excess: float = 0.0
     single_test_log_evidence: float = -math.inf
-    """The greatest evidence of a single test without its weight."""
+    """The greatest logarithm of a likelihood ratio of any single test, without the test's weight."""
     single_test_excess: float = 0.0
-    """Bad answers beyond the allowed in that test."""
+    """Number of bad answers above the allowed number in that single test."""
 
 
 def count_bad(totals: Totals, measure: Measure, source: AnswerSource, bucket: int) -> tuple[int, int]:
-    """Return bad and all answers of a source by a measure."""
+    """Return the numbers of bad and of all answers of a source; ``bucket`` is the highest one that is not late."""
     if not measure.delay_field:
         return totals.count_failed(source)
     return totals.count_above(source, measure.delay_field, bucket)
--- a/src/wallwell/rollout/model.py
+++ b/src/wallwell/rollout/model.py
@@ -1,10 +1,10 @@
-"""Types of a rollout: orders, records, counts of answers, decisions. No I/O.
+"""Data types of a rollout: orders, records, counts of answers, decisions. No I/O.
 
 Records and counts are stored and sent between nodes: their field names and order are fixed.
 
-A rollout replaces the software version of a service. Back ends of the target version run beside the current ones;
-requests move to them; when the rollout is complete the current back ends stop at once, when it is rolled back the
-target ones leave. Bringing engines to new weights is another matter, see :mod:`wallwell.placement.weights_roll`.
+A rollout replaces the software version of a service. Back ends of the target version run beside the current ones
+and requests move to them. When the rollout is complete the current back ends stop at once; when it is rolled back
+the target back ends leave. New weights of engines are handled by :mod:`wallwell.placement.weights_roll` instead.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 class Phase(enum.Enum):
-    """Where a rollout stands. The last two are final."""
+    """Phase of a rollout; ``COMPLETE`` and ``ROLLED_BACK`` are final."""
 
     CANARY = "canary"
     """A small share of requests goes to the target version while its answers are compared."""
     SWITCHING = "switching"
-    """New requests go to the target version; requests in flight at the current one end there."""
+    """New requests go to the target version; requests in flight at current back ends finish there."""
     COMPLETE = "complete"
     ROLLED_BACK = "rolled_back"
 
@@ -37,10 +37,11 @@
 
 
 class RolloutOrder(msgspec.Struct, frozen=True):
-    """An operator's order.
+    """An operator's order to roll out a version.
 
-    ``store_version`` is the version of its row in ``era`` of the store: of two orders of an era the later one has
-    the larger version. A store that has lost an order gets it again, in a later era under any version.
+    ``store_version`` is the version of the order's row in ``era`` of the store: of two orders in one era the later
+    one has the larger version. An order that the store has lost is written again, in a later era and with any
+    version.
     """
 
     service: str
@@ -51,25 +52,26 @@
 
     @property
     def position(self) -> StorePosition:
-        """Where its row stands in the store's history."""
+        """Era and version of the order's row."""
         return StorePosition(self.era, self.store_version)
 
     @property
     def parameters(self) -> tuple[str, float]:
-        """What it asks for: an order that asks for the same in a later era may be this one written again."""
+        """Target version and duration: an order of a later era with the same ones may be this one written again."""
         return self.target_version, self.duration_s
 
 
 class RolloutRecord(msgspec.Struct, frozen=True):
-    """A rollout as the store keeps it, enough for any node to go on with it.
-
-    ``ordered_at_s`` is the store's steady time at which the order was first seen. ``share`` is the part of requests
-    for the target version while in :attr:`Phase.CANARY`. ``current_requests`` and ``target_requests`` are what the
-    nodes had sent to each side when the record was written: the least that a new holder of the lease starts from.
-    ``barred`` names the excluded versions of the service: they get nothing, since an earlier rollout replaced them
-    or rolled them back, until an order names them. ``written_at_s`` is the store's time of the writing: a node
-    without a recent one during a rollout must assume that nobody compares the target version's answers. ``era`` is
-    the store's in which ``order`` was given out; it is left out before the first, and by builds that know no eras.
+    """A rollout's row in the store, which is sufficient for any node to continue the rollout.
+
+    ``ordered_at_s`` is the store's steady time at which the order was first seen. ``share`` is the fraction of
+    requests for the target version during :attr:`Phase.CANARY`. ``current_requests`` and ``target_requests`` are
+    the requests that the nodes had sent to each version when the record was written; a new lease holder counts at
+    least these. ``barred`` lists the excluded versions of the service: an earlier rollout replaced them or rolled
+    them back, and they get no requests until an order names them. ``written_at_s`` is the store's time of the
+    write: a node whose record is not recent must assume that no node compares the target version's answers. ``era``
+    is the store's era of the version ``order``; it is omitted before the first era, and by builds without support
+    for eras.
     """
 
     service: str
@@ -87,7 +89,7 @@
     era: int | UnsetType = UNSET
 
     def covers(self, order: RolloutOrder) -> bool:
-        """Whether the record is of this order or of a later one."""
+        """Whether the record belongs to this order or to a later one."""
         era = era_received(self.era)
         if era == order.era:
             return self.order >= order.store_version
@@ -105,10 +107,10 @@
 
 
 class RolloutBounds(msgspec.Struct, frozen=True):
-    """What a target version may get that turns out to be bad, whenever it does. Set by operators.
+    """Limits on the requests that a bad target version may get, whenever it turns bad. Set by operators.
 
-    Of all requests that reach its service between order and deadline it may get the fraction ``exposure_share``,
-    and ``exposure_requests`` beside; it gets none later than ``rollback_s`` seconds after its 50th bad answer.
+    It may get the fraction ``exposure_share`` of all requests to the service between order and deadline, plus
+    ``exposure_requests``; it gets none later than ``rollback_s`` seconds after its 50th bad answer.
     """
 
     exposure_share: float = 0.1
@@ -117,20 +119,21 @@
 
 
 AnswerSource = tuple[str, bool, str]
-"""Whose answers are counted: route, whether of the target version, incarnation of the target back end (else
+"""Origin of counted answers: route, whether of the target version, incarnation of the target back end (otherwise
 empty)."""
 
 
 class AnswerCounts(msgspec.Struct, frozen=True, array_like=True):
-    """Answers of one route from one version of a rollout, as totals since the order.
+    """Answers on one route from one version of a rollout, as totals since the order.
 
     ``backend`` is the incarnation of a target back end; empty for current back ends, which are counted together.
-    ``failed`` counts whole answers that the back end itself calls a failure; attempts that ended without an answer
-    are in ``broken``, since crashes and cuts strike both versions. ``first_delays`` and ``piece_gaps`` count
-    answers by :func:`delay_bucket` of the time to the first token (calls: to the answer) and of the mean time
-    between stream events. An attempt that timed out before its first token counts in ``first_delays`` with the time
-    that it was waited for. Back ends that are still slow from their start are left out of both. ``answered`` counts
-    all whole answers, failed ones too: what was sent, less ``answered`` and ``broken``, is in flight.
+    ``failed`` counts complete answers that the back end itself reports as failures. Attempts that ended without an
+    answer count in ``broken``, since crashes and network faults affect both versions. ``first_delays`` and
+    ``piece_gaps`` are histograms by :func:`delay_bucket` of the time to the first token (for calls: to the answer)
+    and of the mean time between stream events. An attempt that timed out before its first token counts in
+    ``first_delays`` with the time until the time-out. Both omit back ends that are still slow after their start.
+    ``answered`` counts all complete answers including failed ones; requests sent minus ``answered`` and ``broken``
+    are in flight.
     """
 
     route: str
@@ -144,13 +147,12 @@
 
     @property
     def source(self) -> AnswerSource:
-        """Whose answers these are."""
+        """Origin of these answers."""
         return self.route, self.is_target, self.backend
 
 
 class RolloutCounts(msgspec.Struct, frozen=True):
-    """Requests sent and answers received in one rollout, by one node or all. ``order`` names the order they belong
-    to."""
+    """Requests sent and answers received in one rollout, by one node or all; ``order`` is the order's version."""
 
     order: int
     current_requests: int = 0
@@ -159,9 +161,9 @@
 
 
 class Capacity(msgspec.Struct, frozen=True):
-    """Slots of the back ends that can take requests, of the current and of the target version.
+    """Slots of the back ends that accept requests, for the current and the target version.
 
-    ``current_in_flight`` counts requests in flight at current back ends; negative if that is not known.
+    ``current_in_flight`` is the number of requests in flight at current back ends; negative if it is not known.
     """
 
     current_slots: int
@@ -172,7 +174,7 @@
 
 @dataclass(frozen=True)
 class RolloutDecision:
-    """What a rollout does next. ``inputs`` go into the log beside it."""
+    """The next phase and share of a rollout, with the reason; ``inputs`` are logged with the decision."""
 
     phase: Phase
     share: float
@@ -181,10 +183,10 @@
 
 
 BUCKETS_PER_DOUBLING = 2
-"""Resolution of counted delays: neighbouring buckets are a factor of 1.4 apart. Fixed, since counts travel by
-it."""
+"""Resolution of delay histograms: neighbouring buckets are a factor of 1.4 apart. Fixed, since nodes exchange
+counts by bucket."""
 SHORTEST_DELAY_S = 0.001
-"""Upper end of the lowest bucket, in seconds. Fixed, since counts travel by it."""
+"""Upper end of the lowest bucket, in seconds. Fixed, since nodes exchange counts by bucket."""
 
 
 def delay_bucket(delay_s: float) -> int:
--- a/src/wallwell/rollout/planner.py
+++ b/src/wallwell/rollout/planner.py
@@ -1,11 +1,11 @@
-"""What a rollout does next: canary, switch, end. Pure; see ``docs/design/rollouts.md`` for the reasons.
+"""Decides the next phase of a rollout: canary, switch or end. No I/O; reasons are in ``docs/design/rollouts.md``.
 
-The holder of the lease calls :meth:`RolloutPlanner.decide` some times a second and writes the decision into the
-record. Inputs: the record, all nodes' counts, the slots of both versions and the store's time. Owns rates and past
-totals of each order; all that must last is in the record, so that a new holder can go on with less of both.
-Decisions show in the log as ``ROLLOUT_DECIDED`` (7008) with their inputs.
+The lease holder calls :meth:`RolloutPlanner.decide` several times a second and writes the decision into the record.
+Inputs: the record, all nodes' counts, the slots of both versions and the store's time. Owns rates and past totals
+of each order. Everything that must outlive the holder is in the record, so that a new holder can continue with less
+history. Decisions are logged as ``ROLLOUT_DECIDED`` (7008) with their inputs.
 
-What the thresholds give together is in ``docs/design/rollouts.md``.
+The combined effect of the thresholds is described in ``docs/design/rollouts.md``.
 """
 
 from __future__ import annotations
@@ -29,50 +29,51 @@
 from wallwell.rollout.totals import routes_short_of_answers
 
 ROLLBACK_LOG_EVIDENCE = math.log(2_000)
-"""Evidence that rolls back. By Ville's inequality a good version reaches it in at most 1 of 2,000 rollouts."""
+"""Evidence that causes a rollback. By Ville's inequality a good version reaches it in at most 1 of 2,000
+rollouts."""
 SUSPECT_LOG_EVIDENCE = -3.5
-"""Evidence, after all weights, that delays the switch and the end, but does not roll back. In simulated rollouts
-fewer than 1 in 100 good versions have as much at their end. With 0.01 in place of 0.03 (the likelihood ratio), 5 in
-place of 2 of 400 good versions ended late, and 75 in place of 82 of 400 bad ones were completed."""
+"""Weighted evidence that delays the switch and the end without a rollback: a likelihood ratio of 0.03. In simulated
+rollouts fewer than 1 in 100 good versions have as much at their end. With a ratio of 0.01 instead, 5 rather than 2
+of 400 good versions ended late, and 75 rather than 82 of 400 bad ones were completed."""
 SINGLE_TEST_ROLLBACK_LOG_EVIDENCE = math.log(3_000)
-"""Evidence of a single test, without its weight, that rolls back together with the excess below."""
+"""Evidence of a single test, without its weight, that causes a rollback if the excess below is reached as well."""
 SINGLE_TEST_ROLLBACK_EXCESS = 20.0
-"""Bad answers beyond the allowed. A bad version must be stopped after its 50th; the rest is for counts and record
-on their way."""
+"""Bad answers above the allowed number. A bad version must be stopped after its 50th bad answer; the difference is
+for those given while counts and record are being sent."""
 SLOWNESS_PERSISTENCE_S = 2.5
-"""Seconds for which slowness must last in the switch, where no answers of the current version distinguish it from
-an overload of both. With the lags of counts and record, half a second is left of the five within which a bad
-version must be stopped."""
+"""Seconds for which slowness must last during the switch, since then no answers of the current version distinguish
+it from an overload of both versions. With the lags of counts and record, half a second is left of the five within
+which a bad version must be stopped."""
 BACKENDS_TO_BEGIN_CANARY = 3
-"""Target back ends from which the canary begins: with fewer, a sick machine looks like a bad version."""
+"""Number of target back ends at which the canary begins: with fewer, a faulty machine looks like a bad version."""
 CANARY_WAIT_FRACTION = 0.2
-"""Fraction of the duration for which the canary waits for them."""
+"""Fraction of the duration for which the canary waits for these back ends; then it begins with fewer."""
 ANSWERS_TO_SWITCH = 16
-"""Whole answers of the target version, over all routes, that the switch needs."""
+"""Complete answers of the target version, over all routes, that are required for the switch."""
 ANSWERS_TO_COMPLETE = 20
-"""The same for the end."""
+"""Complete answers of the target version, over all routes, that are required to complete the rollout."""
 ANSWERS_PER_ROUTE = 12
-"""Whole answers of the target version on each route, where its traffic gives them."""
+"""Complete answers of the target version that are required on each route that has enough traffic."""
 MIN_SLOTS_RATIO = 0.8
-"""Target slots in relation to current ones from which the target version can serve all requests."""
+"""Ratio of target slots to current slots from which the target version can serve all requests."""
 COMPLETE_MARGIN_S = 0.6
-"""Seconds before the deadline at which a good rollout ends: two decisions, a write to a slow store and the record's
-way to all nodes."""
+"""Seconds before the deadline at which a good rollout is completed: time for two decisions, a write to a slow store
+and sending the record to all nodes."""
 MIN_SWITCHING_S = 2.0
-"""Least seconds in the switch where no deadline ends it: answers at full load are counted about a second later."""
+"""Least seconds of a switch not ended by the deadline: answers at full load are counted about a second later."""
 MAX_DRAIN_S = 5.0
 """Longest wait in seconds after the deadline for requests in flight at current back ends."""
 ALREADY_RUNNING_AFTER_S = 2.0
-"""Seconds since the order, without a current back end, after which the target version counts as already running."""
+"""Seconds since the order after which, without a current back end, the target version counts as already running."""
 MISSING_TARGET_GRACE_S = 3.0
-"""Seconds after the deadline for which the first target back end is waited for."""
+"""Seconds after the deadline until which the rollout waits for its first target back end."""
 OVERDUE_FACTOR = 2.0
 """Multiple of the duration after which a rollout that is still undecided is rolled back."""
 
 
 @dataclass
 class _OrderHistory:
-    """What a planner remembers of one order."""
+    """A planner's state of one order."""
 
     order: int
     evidence_log: EvidenceLog
@@ -99,11 +100,11 @@
 
     @property
     def strongest(self) -> VersionEvidence:
-        """The stronger evidence of both."""
+        """The stronger evidence of failures and slowness."""
         return max(self.failures, self.slowness, key=lambda each: each.log_evidence)
 
     def reason_not_good(self, min_answers: int) -> str:
-        """Return why the version cannot be called good; empty if it can."""
+        """Return why the target version cannot be considered good; empty if it can."""
         if self.target_answers < min_answers:
             return f"only {self.target_answers} answers of the target version"
         if self.short_routes:
@@ -114,7 +115,7 @@
 
 
 class RolloutPlanner:
-    """Decides rollouts of any number of services; remembers rates and past totals by service."""
+    """Decides rollouts of any number of services; stores rates and past totals by service."""
 
     def __init__(self, bounds: RolloutBounds) -> None:
         self._bounds = bounds
@@ -123,7 +124,7 @@
     def decide(
         self, record: RolloutRecord, counts: RolloutCounts, capacity: Capacity, now_s: float
     ) -> RolloutDecision:
-        """Return what the rollout does at ``now_s`` of the store's clock. A final phase stays."""
+        """Return the decision at ``now_s`` of the store's clock. A final phase is returned unchanged."""
         if record.phase.is_final:
             self._histories.pop(record.service, None)
             return RolloutDecision(record.phase, record.share, record.reason)
@@ -173,7 +174,7 @@
         )
 
     def _end_if_due(self, history: _OrderHistory, inputs: _DecisionInputs) -> tuple[Phase | None, str]:
-        """Return the end that is due in any phase, with the reason; None if none is."""
+        """Return the final phase if the rollout must end now, whatever its phase, else None; with the reason."""
         evidence = _rollback_evidence(history, inputs)
         if evidence is not None:
             return Phase.ROLLED_BACK, f"{evidence.measure} on {evidence.route or 'all routes'}"
@@ -189,7 +190,7 @@
         return None, ""
 
     def _next_phase(self, history: _OrderHistory, inputs: _DecisionInputs) -> tuple[Phase, str]:
-        """Return the phase that follows the present one, with the reason."""
+        """Return the next phase, which may be the present one, with the reason."""
         if inputs.record.phase is Phase.CANARY:
             return _decide_in_canary(inputs)
         now_s = inputs.record.ordered_at_s + inputs.since_s
@@ -197,10 +198,10 @@
 
 
 def _rollback_evidence(history: _OrderHistory, inputs: _DecisionInputs) -> VersionEvidence | None:
-    """Return the evidence by which a version is rolled back; None if there is not enough.
+    """Return the evidence by which the version is rolled back; None if it is not sufficient.
 
-    Slowness in the switch may come of an overload or of cold caches: it must last, and is forgotten once if newer
-    answers show none.
+    Slowness during the switch may be caused by an overload or by cold caches. So it must last, and it is discarded
+    one time if newer answers show no slowness.
     """
     if _justifies_rollback(inputs.failures):
         return inputs.failures
@@ -218,7 +219,7 @@
 
 
 def _justifies_rollback(evidence: VersionEvidence) -> bool:
-    """Whether evidence is enough to roll back."""
+    """Whether the evidence is sufficient for a rollback."""
     if evidence.log_evidence >= ROLLBACK_LOG_EVIDENCE:
         return True
     return (
@@ -228,14 +229,14 @@
 
 
 def _waits_for_backends(inputs: _DecisionInputs) -> bool:
-    """Whether the canary waits until enough target back ends share it."""
+    """Whether the canary still waits for enough target back ends."""
     if inputs.record.phase is not Phase.CANARY or inputs.capacity.target_backends >= BACKENDS_TO_BEGIN_CANARY:
         return False
     return inputs.since_s < CANARY_WAIT_FRACTION * inputs.record.duration_s
 
 
 def _decide_in_canary(inputs: _DecisionInputs) -> tuple[Phase, str]:
-    """Return whether the switch begins, with the reason."""
+    """Return the phase that follows the canary, or the canary if it goes on, with the reason."""
     reason_to_wait = inputs.reason_not_good(ANSWERS_TO_SWITCH) or _missing_slots(inputs)
     if not inputs.exposure.switch_fits:
         return Phase.CANARY, reason_to_wait or "good so far"
@@ -243,39 +244,38 @@
         return Phase.CANARY, reason_to_wait
     if 0.0 < inputs.left_s <= LAST_DECISION_S and inputs.target_answers >= ANSWERS_TO_COMPLETE:
         return Phase.COMPLETE, "good, the deadline is near"
-    return Phase.SWITCHING, "good, what is left of the bound covers the rest"
+    return Phase.SWITCHING, "good, the unused bound covers the rest"
 
 
 def _decide_in_switching(inputs: _DecisionInputs, switched_for_s: float) -> tuple[Phase, str]:
-    """Return whether the rollout is complete, with the reason, ``switched_for_s`` seconds after the switch began
-    here."""
+    """Return whether the rollout is complete, with the reason. ``switched_for_s`` is the time since this node first
+    saw the switch."""
     reason_not_good = inputs.reason_not_good(ANSWERS_TO_COMPLETE)
     if reason_not_good:
         return Phase.SWITCHING, reason_not_good
     if 0.0 < inputs.left_s <= COMPLETE_MARGIN_S:
         return Phase.COMPLETE, "good, the deadline is near"
     if switched_for_s < MIN_SWITCHING_S:
-        return Phase.SWITCHING, "answers at full load are to come"
+        return Phase.SWITCHING, "waiting for answers at full load"
     if inputs.capacity.current_in_flight == 0:
-        return Phase.COMPLETE, "good, nothing under way on the current side"
+        return Phase.COMPLETE, "good, no requests in flight at current back ends"
     if inputs.left_s <= 0.0 and switched_for_s >= MAX_DRAIN_S:
         return Phase.COMPLETE, "good, overdue"
-    return Phase.SWITCHING, "requests are under way on the current side"
+    return Phase.SWITCHING, "requests in flight at current back ends"
 
 
 def _missing_slots(inputs: _DecisionInputs) -> str:
-    """Return which slots the target version lacks to serve all requests; empty if it lacks none."""
+    """Return how many slots the target version has if too few to serve all requests; empty if it has enough."""
     capacity = inputs.capacity
     if capacity.target_slots <= 0:
-        return "no target places"
+        return "no target slots"
     if capacity.target_slots < MIN_SLOTS_RATIO * capacity.current_slots:
-        return f"{capacity.target_slots} target places for {capacity.current_slots} current ones"
+        return f"{capacity.target_slots} target slots for {capacity.current_slots} current ones"
     return ""
 
 
 def _is_already_running(inputs: _DecisionInputs) -> bool:
-    """Whether the target version is the only one: no current back end is left, and none got a request since the
-    order."""
+    """Whether only the target version runs: no current back end is left or got a request since the order."""
     capacity = inputs.capacity
     if capacity.current_slots > 0 or capacity.target_slots <= 0 or capacity.current_in_flight > 0:
         return False
@@ -283,7 +283,7 @@
 
 
 def _log_inputs(inputs: _DecisionInputs) -> dict[str, float]:
-    """Return the numbers behind a decision, for the log."""
+    """Return the numbers of a decision that are logged."""
     return {
         "left_s": round(inputs.left_s, 3),
         "current_requests": inputs.traffic.current,
--- a/src/wallwell/rollout/records.py
+++ b/src/wallwell/rollout/records.py
@@ -1,8 +1,8 @@
-"""What one node knows of rollouts: operators' orders, records of the node that decides, listed versions. Pure.
+"""One node's state of rollouts: operators' orders, records of the lease holder, listed versions. No I/O.
 
-Inputs: orders from the operators' table, records from this product's table, versions from the back ends' table,
-each from a feed of its own and in any order. Owns this node's :class:`ServiceRollout` objects, by which requests
-are sent, and its counts of them.
+Inputs: orders from the operators' table, records from this product's table, versions from the back ends' table;
+each table has its own feed, and rows of different tables arrive in any order. Owns this node's
+:class:`ServiceRollout` objects, by which requests are routed, and its counts of requests.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from wallwell.rollout.tally import RolloutTally
 
 UNANNOUNCED_WAIT_S = 2.0
-"""Seconds from its first listing for which a version that no order has named gets nothing. Entries and orders come
-on different feeds, of which one may be behind by its wait and a relay's (0.8 s each)."""
+"""Seconds from its first listing for which a version that no order has named gets no requests. Back ends and orders
+arrive on different feeds, and one may lag by its own waiting time and a relay's (0.8 s each)."""
 MAX_EXCLUDED = 16
-"""Excluded versions that a record names; older ones are long gone: it bounds the row."""
+"""Largest number of excluded versions in a record, which bounds the row; back ends of older ones are long gone."""
 
 
 def opening_record(
     order: RolloutOrder, previous: RolloutRecord | None, ordered_at_s: float, written_at_s: float = 0.0
 ) -> RolloutRecord:
-    """Return the first record of an order. The target version of an earlier rollout that is not complete is
-    excluded."""
+    """Return the first record of an order. The target version of the ``previous`` rollout is excluded unless that
+    rollout is complete."""
     excluded = list(previous.barred) if previous is not None else []
     if previous is not None and previous.phase is not Phase.COMPLETE:
         excluded.append(previous.target_version)
@@ -49,40 +49,39 @@
 
 
 def exclude_replaced(record: RolloutRecord, listed_versions: Iterable[str]) -> tuple[str, ...]:
-    """Return the versions excluded once a rollout is complete: all that the target version replaces."""
+    """Return the versions that are excluded once the rollout is complete: all that the target version replaces."""
     return _without_target((*record.barred, *sorted(listed_versions)), record.target_version)
 
 
 @dataclass
 class RolloutRegistry:
-    """Rollouts by service. ``active`` holds those that requests go by; most services have no entry."""
+    """Rollouts by service. ``active`` contains those that affect the routing of requests, so few services."""
 
     bounds: RolloutBounds = field(default_factory=RolloutBounds)
     active: dict[str, ServiceRollout] = field(default_factory=dict)
     tally: RolloutTally = field(default_factory=RolloutTally)
     orders: dict[str, RolloutOrder] = field(default_factory=dict)
     ordered_at_s: dict[str, float] = field(default_factory=dict)
-    """When this node saw the order of a service first, on its own clock."""
+    """When this node first saw the order of a service, on its own clock."""
     _records: dict[str, RolloutRecord] = field(default_factory=dict)
     _positions: dict[str, StorePosition] = field(default_factory=dict)
-    """Where the records' rows stand in the store's history."""
+    """Era and version of the row of each record."""
     _order_positions: dict[str, StorePosition] = field(default_factory=dict)
-    """The same of the orders' rows as they were read last: an order may be written again in a later era."""
+    """Era and version of the row of each order as last read: an order may be written again in a later era."""
     _deferred_orders: dict[str, tuple[RolloutOrder, float]] = field(default_factory=dict)
-    """Orders that may be older than the known ones, and the time on this node's clock from which they count."""
+    """Orders that may be older than the accepted ones, and when they take effect, on this node's clock."""
     _unconfirmed: set[str] = field(default_factory=set)
-    """Services whose record the store may have lost: it has come back from a copy since it was read."""
+    """Services whose record the store may have lost: it was restored from a copy after the record was read."""
     _listed_versions: dict[str, set[str]] = field(default_factory=dict)
     """Versions that back ends have listed, by service."""
     _unannounced: dict[str, dict[str, float]] = field(default_factory=dict)
-    """Versions that no order has named, by service, with the time on this node's clock until which they get
-    nothing."""
+    """Versions that no order has named, by service, and until when they get no requests, on this node's clock."""
 
     def on_order(self, order: RolloutOrder, seen_at_s: float, effective_from_s: float = float("-inf")) -> bool:
-        """Apply an operator's order; returns False for one that is not newer than the known one.
+        """Apply an operator's order; return False if it is not newer than the accepted one or takes effect later.
 
-        ``effective_from_s``: an order of a later era that asks for something else may until then be one from before
-        the known one, which the copy lacks.
+        An order of a later era with other parameters may be older than the accepted one, if the copy from which the
+        store was restored lacks the accepted one. Such an order takes effect at ``effective_from_s``.
         """
         accepted = self.orders.get(order.service)
         position = self._order_positions.get(order.service)
@@ -107,27 +106,28 @@
         self._rebuild(order.service)
 
     def accept_deferred_orders(self, now_s: float) -> None:
-        """Let orders count that nothing has contradicted in time."""
+        """Accept the deferred orders that are due and that no other order has replaced."""
         for order, effective_from_s in list(self._deferred_orders.values()):
             if now_s >= effective_from_s:
                 self._accept(order, now_s)
 
     def on_store_restored(self) -> None:
-        """The store has come back from a copy, in which records may be missing or older."""
+        """Mark all records as unconfirmed: the store was restored from a copy, which may have older ones or
+        none."""
         self._unconfirmed.update(self._records)
 
     def on_record(self, record: RolloutRecord, position: StorePosition, record_written_s: float) -> bool:
-        """Apply a record as the store keeps it; returns whether the phase or order is another one.
+        """Apply a record that was read from the store; return whether the phase or order has changed.
 
-        ``position`` is its row's: one older than the applied one changes nothing. ``record_written_s`` is when it
-        was written, on this node's clock.
+        ``position`` is the era and version of its row; a record older than the applied one is ignored.
+        ``record_written_s`` is when it was written, on this node's clock.
         """
         applied = self._records.get(record.service)
         applied_position = self._positions.get(record.service, position)
         if position < applied_position:
             return False
         if applied is not None and position.era > applied_position.era and _is_outdated(record, applied):
-            return False  # The copy's; what is applied is written again.
+            return False  # From the copy: the applied record is written again.
         self._unconfirmed.discard(record.service)
         self._records[record.service] = record
         self._positions[record.service] = position
@@ -139,25 +139,26 @@
         return applied is None or (applied.order, applied.phase) != (record.order, record.phase)
 
     def record_to_restore(self, service: str, stored: RolloutRecord | None) -> RolloutRecord | None:
-        """Return the record that is to be written again instead of the stored one; None if that is as new."""
+        """Return the record that must be written over the ``stored`` one; None if the stored one is as new."""
         applied = self._records.get(service)
         if applied is None or service not in self._unconfirmed:
             return None
         return applied if stored is None or _is_outdated(stored, applied) else None
 
     def record(self, service: str) -> RolloutRecord | None:
-        """Return the record as the store keeps it."""
+        """Return the newest record read from the store; None if there is none."""
         return self._records.get(service)
 
     def effective_record(self, service: str) -> RolloutRecord | None:
-        """Return what holds for requests: the record, or the beginning of an order that has none yet."""
+        """Return the record that applies to requests: the newest one, or the first of an order that has none
+        yet."""
         order, record = self.orders.get(service), self._records.get(service)
         if order is None or (record is not None and record.covers(order)):
             return record
         return opening_record(order, record, ordered_at_s=0.0)
 
     def is_excluded(self, service: str, software: str) -> bool:
-        """Whether a version gets nothing any more because of how a rollout ended."""
+        """Whether a version gets no requests because a rollout replaced it or rolled it back."""
         rollout = self.active.get(service)
         record = rollout.record if rollout is not None else None
         if record is None:
@@ -172,12 +173,12 @@
         return record is not None and not record.phase.is_final and software == record.target_version
 
     def is_due(self, service: str) -> bool:
-        """Whether something is left to decide, or a record to be written again."""
+        """Whether the rollout has not ended, or its record may have to be written again."""
         record = self.effective_record(service)
         return record is not None and (not record.phase.is_final or service in self._unconfirmed)
 
     def due_services(self) -> list[str]:
-        """Return the services for which :meth:`is_due`."""
+        """Return the services for which :meth:`is_due` is true."""
         return [service for service in self.active if self.is_due(service)]
 
     def _rebuild(self, service: str, record_written_s: float = float("-inf")) -> None:
@@ -200,7 +201,8 @@
     # --- versions of back ends -------------------------------------------------------------------------
 
     def on_backend_listed(self, service: str, version: str, now_s: float, at_start: bool) -> None:
-        """A back end is listed. A version that no order has named gets nothing at first if others are listed."""
+        """Register the version of a listed back end. If no order has named it and the service has other versions,
+        it gets no requests for :data:`UNANNOUNCED_WAIT_S`, except ``at_start`` of this node."""
         listed = self._listed_versions.setdefault(service, set())
         if version in listed:
             return
@@ -216,11 +218,11 @@
         return record is not None and (version == record.target_version or version in record.barred)
 
     def announced_versions(self, service: str) -> set[str]:
-        """Return every version that was listed for a service, without unannounced ones."""
+        """Return all versions that were listed for a service, except unannounced ones."""
         return self._listed_versions.get(service, set()) - set(self._unannounced.get(service, {}))
 
     def release_unannounced_versions(self, now_s: float) -> None:
-        """Let unannounced versions be used whose wait is over."""
+        """Allow requests to unannounced versions whose waiting time has ended."""
         for service, waits in list(self._unannounced.items()):
             still_waiting = {version: until_s for version, until_s in waits.items() if now_s < until_s}
             if len(still_waiting) == len(waits):
@@ -233,10 +235,10 @@
 
 
 def _is_outdated(record: RolloutRecord, applied: RolloutRecord) -> bool:
-    """Whether a record read after a return from a copy is older than the applied one.
+    """Whether a record read after the store was restored from a copy is older than the applied one.
 
-    It is if it was written earlier, by the store's steady clock. What ended a rollout stays, though a holder that
-    knows only the copy goes on with it: what was rolled back is not tried again.
+    It is older if it was written earlier by the store's steady clock. An ended rollout stays ended, even if a lease
+    holder that has only the copy's record continues it: a version that was rolled back is not tried again.
     """
     if record.written_at_s < applied.written_at_s:
         return True
@@ -244,7 +246,7 @@
 
 
 def _has_same_routing(one: RolloutRecord, other: RolloutRecord) -> bool:
-    """Whether two records mean the same for requests."""
+    """Whether two records have the same effect on the routing of requests."""
     return (one.order, one.target_version, one.phase, one.share, one.barred) == (
         other.order,
         other.target_version,
--- a/src/wallwell/rollout/reporter.py
+++ b/src/wallwell/rollout/reporter.py
@@ -1,7 +1,7 @@
-"""Sends this node's counts of rollouts to the node that decides them, and receives other nodes' counts.
+"""Sends this node's counts of rollouts to the lease holder, which decides, and receives other nodes' counts.
 
-Owns the link to the holder of the lease and what it has received. Relies on the holder's name from the followed
-lease row; a report that is lost costs nothing, since the next one holds the newest totals.
+Owns the link to the lease holder and the record of the counts it has acknowledged. Relies on the holder's name in
+the lease row. A lost report costs nothing, since the next one contains the newest totals.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from wallwell.rollout.tally import RolloutTally
 
 REPORT_INTERVAL_S = 0.3
-"""Seconds between two reports of a node in a fleet of up to :data:`NODES_AT_FULL_RATE`. A small part of
+"""Seconds between two reports of a node in a fleet of up to :data:`NODES_AT_FULL_RATE` nodes; short compared with
 ``rollback_s`` (5 s by default)."""
 NODES_AT_FULL_RATE = 100
-"""Nodes up to which each reports at the full rate. Larger fleets report less often, so that the deciding node
-receives some 330 reports a second at most."""
+"""Largest number of nodes at which each reports at the full rate. Nodes of larger fleets report less often, so that
+the lease holder receives at most some 330 reports a second."""
 ANSWER_TIMEOUT_S = 0.3
-"""Seconds for which an answer is waited for: one report interval of a small fleet, then the next report is due."""
+"""Time-out for the reply to a report, in seconds: one interval of a small fleet, when the next report is due."""
 LIFE_BITS = 63
-"""Bits of the random number that distinguishes a node's lives; a positive JSON integer."""
+"""Bits of the random number ``life``, which identifies a run of a node's process; a positive JSON integer."""
 
 
 def report_interval_s(nodes: int) -> float:
-    """Return the time between two reports of a node."""
+    """Return the seconds between two reports of a node, in a fleet of so many ``nodes``."""
     return REPORT_INTERVAL_S * max(1.0, nodes / NODES_AT_FULL_RATE)
 
 
 class CountsReporter:
-    """One node's reports; nothing is sent while no rollout is active."""
+    """Sends and receives one node's reports; sends nothing while no rollout is active."""
 
     def __init__(
         self,
@@ -44,8 +44,8 @@
         holder: Callable[[], str],
         members: Callable[[], Mapping[str, NodeRecord]],
     ) -> None:
-        """``fleet`` holds all counts that this node has received; ``holder`` returns the holder's name, empty if
-        none."""
+        """``fleet`` stores all counts that this node has received; ``holder`` returns the lease holder's name,
+        empty if there is none."""
         self._node = node
         self._life = secrets.randbits(LIFE_BITS)
         self._tally = tally
@@ -56,13 +56,13 @@
         self._acknowledged = AcknowledgedCounts()
 
     async def run(self) -> None:
-        """Report until cancelled."""
+        """Send reports until cancelled."""
         while True:
             await asyncio.sleep(report_interval_s(len(self._members())))
             await self.step()
 
     async def step(self) -> None:
-        """Report once."""
+        """Send one report to the lease holder if a rollout is active."""
         if not self._tally.by_service:
             self._links.keep(set())
             self._acknowledged.clear()
@@ -74,21 +74,22 @@
         if holder == self._node or member is None or not member.relay:
             return
         self._links.keep({holder})
-        not_yet_acknowledged = (
-            self._acknowledged.not_yet_acknowledged(counts) if self._acknowledged.holder[0] == holder else counts
+        unacknowledged = (
+            self._acknowledged.unacknowledged(counts) if self._acknowledged.holder[0] == holder else counts
         )
-        report = CountsReport(self._node, self._life, not_yet_acknowledged)
+        report = CountsReport(self._node, self._life, unacknowledged)
         try:
             reply = await self._links.to(holder, member.relay).ask(report, CountsAcknowledged, ANSWER_TIMEOUT_S)
         except PeerUnavailableError:
-            return  # Not logged: the next report holds all that this one did, and may go to another holder.
-        self._acknowledged.on_acknowledged((holder, reply.life), not_yet_acknowledged)
+            return  # Not logged: the next report contains these counts too, and may go to another holder.
+        self._acknowledged.on_acknowledged((holder, reply.life), unacknowledged)
 
     async def on_report(self, report: CountsReport) -> CountsAcknowledged:
-        """Add another node's report, whoever holds the lease: its row may still be on its way to this node."""
+        """Add another node's report, whoever holds the lease, and return the acknowledgement: the row of a lease
+        that this node has just acquired may arrive later."""
         self._fleet.add_report(report)
         return CountsAcknowledged(self._life)
 
     def close(self) -> None:
-        """Close the connection to the holder."""
+        """Close the connection to the lease holder."""
         self._links.keep(set())
--- a/src/wallwell/rollout/reports.py
+++ b/src/wallwell/rollout/reports.py
@@ -1,10 +1,10 @@
-"""Counts of a rollout as nodes report them to the holder of the lease, and the holder's sum of them. Pure.
+"""Counts of a rollout that nodes report to the lease holder, and the holder's sum of them. No I/O.
 
-A report holds a node's totals, but of its sources only those that have changed since the holder received them. So
-its size grows with the node's answers, not with the number of back ends. Totals are kept by node and life, beyond a
-node's death.
+A report contains a node's totals without the sources that have not changed since the holder received them. So its
+size grows with the node's answers, not with the number of back ends. The holder stores totals by node and by
+``life`` (one run of the node's process), also after the node's death.
 
-:class:`AcknowledgedCounts` belongs to a reporting node, :class:`FleetCounts` to the one that decides.
+:class:`AcknowledgedCounts` belongs to a reporting node, :class:`FleetCounts` to the lease holder.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class CountsReport(PeerMessage, frozen=True):
-    """A node's totals by service. ``life`` is a random number of its own for each of the node's starts."""
+    """A node's totals by service. ``life`` is a random number drawn at each start of the node."""
 
     node: str
     life: int
@@ -29,21 +29,20 @@
 
 
 class CountsAcknowledged(msgspec.Struct, frozen=True):
-    """Answer to :class:`CountsReport`: the life of the receiving node, which knows nothing from its earlier
-    lives."""
+    """Reply to :class:`CountsReport` with the receiving node's ``life``; counts of its earlier ones are lost."""
 
     life: int
 
 
 @dataclass
 class AcknowledgedCounts:
-    """What a node's reports can leave out, since the holder has received it in its present life."""
+    """Counts that a node's reports can omit, since the lease holder has received them in its present ``life``."""
 
     holder: tuple[str, int] = ("", 0)
     _answers: dict[tuple[str, int, AnswerSource], int] = field(default_factory=dict)
 
-    def not_yet_acknowledged(self, counts: Mapping[str, RolloutCounts]) -> dict[str, RolloutCounts]:
-        """Return the totals without the sources whose newest counts the holder has."""
+    def unacknowledged(self, counts: Mapping[str, RolloutCounts]) -> dict[str, RolloutCounts]:
+        """Return the totals without the sources whose newest counts the lease holder already has."""
         changed = {}
         for service, each in counts.items():
             changed_answers = tuple(
@@ -55,7 +54,7 @@
         return changed
 
     def on_acknowledged(self, holder: tuple[str, int], counts: Mapping[str, RolloutCounts]) -> None:
-        """A report was received. A holder other than before is sent everything again."""
+        """Record that a report was received. If the holder has changed, everything will be sent again."""
         if holder != self.holder:
             self.holder = holder
             self._answers.clear()
@@ -65,23 +64,23 @@
                 self._answers[(service, each.order, answers.source)] = _ended_attempts(answers)
 
     def clear(self) -> None:
-        """No rollout is active."""
+        """Forget all acknowledgements, as no rollout is active."""
         self.holder = ("", 0)
         self._answers.clear()
 
 
 @dataclass
 class _ServiceTotals:
-    """The newest totals of every life of every node in one rollout, and their sum."""
+    """The newest totals of one rollout for every ``life`` of every node, and their sum."""
 
     order: int
     requests: dict[tuple[str, int], tuple[int, int]] = field(default_factory=dict)
-    """Requests to the current and to the target version, by node and life."""
+    """Requests to the current and to the target version, by node and ``life``."""
     answers: dict[tuple[str, int, AnswerSource], AnswerCounts] = field(default_factory=dict)
     total: ServiceTally = field(default_factory=lambda: ServiceTally(0))
 
     def add_counts(self, life: tuple[str, int], counts: RolloutCounts) -> None:
-        """Add what is new in the totals of a node's life."""
+        """Replace the totals of a node's ``life`` where ``counts`` are newer."""
         current, target = self.requests.get(life, (0, 0))
         newest = max(current, counts.current_requests), max(target, counts.target_requests)
         self.requests[life] = newest
@@ -103,12 +102,12 @@
 
 @dataclass
 class FleetCounts:
-    """What all nodes together sent and received, by service."""
+    """Requests and answers of all nodes together, by service."""
 
     _services: dict[str, _ServiceTotals] = field(default_factory=dict)
 
     def add_report(self, report: CountsReport) -> None:
-        """Add a node's report; counts older than known ones change nothing."""
+        """Add a node's report; counts older than stored ones change nothing."""
         for service, counts in report.counts.items():
             totals = self._services.get(service)
             if totals is None or totals.order < counts.order:
@@ -117,11 +116,9 @@
                 totals.add_counts((report.node, report.life), counts)
 
     def total(self, record: RolloutRecord) -> RolloutCounts:
-        """Return what all nodes sent and received in a rollout; at least the requests that its record counts."""
-        totals = self._services.get(record.service)
-        counts = (
-            totals.total.snapshot() if totals is not None and totals.order == record.order else RolloutCounts(0)
-        )
+        """Return all nodes' requests and answers in a rollout; at least as many requests as in its record."""
+        sums = self._services.get(record.service)
+        counts = sums.total.snapshot() if sums is not None and sums.order == record.order else RolloutCounts(0)
         return msgspec.structs.replace(
             counts,
             order=record.order,
@@ -130,14 +127,14 @@
         )
 
     def retain_services(self, services: Iterable[str]) -> None:
-        """Forget all other services, whose rollouts have ended."""
+        """Drop the counts of all services but these, as their rollouts have ended."""
         if self._services:
             kept = set(services)
             self._services = {service: totals for service, totals in self._services.items() if service in kept}
 
 
 def _ended_attempts(answers: AnswerCounts) -> int:
-    """Return how many attempts have ended; it grows with every change."""
+    """Return the number of attempts that have ended; it grows with every change of the counts."""
     return answers.answered + answers.broken
 
 
--- a/src/wallwell/rollout/service_rollout.py
+++ b/src/wallwell/rollout/service_rollout.py
@@ -1,8 +1,8 @@
-"""Which back ends of a service may get a request while its software is rolled out, as one node knows it. Pure.
+"""Selects the back ends of a service that may get a request while its software is rolled out. No I/O.
 
-Inputs: the rollout's record, the listed back ends, ``now_s`` on this node's clock and, for the draw of a version,
-the node's random generator. Owns the grouping of the back ends, kept until the listing changes. Relies on
-:class:`wallwell.rollout.records.RolloutRegistry` to make a new object for each change of the record that matters.
+Inputs: the rollout's record, the listed back ends, ``now_s`` on this node's clock and, to draw a version, the
+node's random generator. Owns the grouping of the back ends, which is cached until the listing changes. Relies on
+:class:`wallwell.rollout.records.RolloutRegistry` to create a new object for each change that affects requests.
 """
 
 from __future__ import annotations
@@ -19,49 +19,49 @@
 from wallwell.routing.rendezvous import key_of, rendezvous_score
 
 MIN_CANARY_BACKENDS = 3
-"""Target back ends that carry the canary, if there are as many: with fewer, a sick machine looks like a bad
-version."""
+"""Least number of target back ends that get canary requests, if so many exist: with fewer, a faulty machine looks
+like a bad version."""
 RECORD_VALID_FRACTION = 0.5
-"""Fraction of ``rollback_s`` for which a record is valid after its writing. A node whose record is older sends
-nothing to the target version, since nobody may be comparing its answers.
+"""Fraction of ``rollback_s`` for which a record is valid after it was written. A node whose record is older sends
+nothing to the target version, since possibly no node compares its answers.
 
-The rest of ``rollback_s`` is for counts on their way, the decision, and the record's way to every node."""
+The rest of ``rollback_s`` is for sending counts, the decision, and sending the record to every node."""
 
 
 class BackendGroups(msgspec.Struct, frozen=True):
-    """Listed back ends of a service by their version's role in its rollout. Those of excluded versions are in none.
+    """Listed back ends of a service, by the role of their version. Those of excluded versions are in no group.
 
-    Once the rollout is complete, all that may get requests are in ``target``: a version that is listed later
-    without an order is used as any other.
+    Once the rollout is complete, all back ends that may get requests are in ``target``: a version that is listed
+    later without an order is used like any other.
     """
 
     current: list[Backend]
     target: list[Backend]
     canary: list[Backend]
-    """The target back ends that carry the canary."""
+    """The target back ends that get canary requests."""
     unannounced: list[Backend]
-    """Back ends of versions that no order has named; a last resort until their wait is over."""
+    """Back ends of versions that no order has named; until their waiting time ends they are only a last resort."""
 
 
 @dataclass
 class ServiceRollout:
-    """One service's rollout in a phase. A new object is made whenever the phase, share or versions change."""
+    """One service's rollout in one phase. A new object is created whenever the phase, share or versions change."""
 
     service: str
     record: RolloutRecord | None
-    """None while there are only versions that no order has named."""
+    """None if there is no rollout, but there are versions that no order has named."""
     unannounced_until_s: Mapping[str, float] = field(default_factory=dict)
-    """Versions that no order has named, with the time on this node's clock until which they get nothing."""
+    """Versions that no order has named, with the time on this node's clock until which they get no requests."""
     record_written_s: float = float("-inf")
-    """When the holder of the lease wrote the record last, on this node's clock."""
+    """When the lease holder last wrote the record, on this node's clock."""
     record_valid_s: float = float("inf")
-    """Seconds from its writing for which the record counts as fresh."""
+    """Seconds after the write for which the record counts as fresh."""
     _listed: Sequence[Backend] | None = None
     _groups: BackendGroups | None = None
     _groups_until_s: float = float("-inf")
 
     def groups(self, listed: Sequence[Backend], now_s: float) -> BackendGroups:
-        """Return the back ends by group. The listing must be a new object whenever it has changed."""
+        """Return the back ends by group. ``listed`` must be a new object whenever the listing has changed."""
         if self._groups is None or self._listed is not listed or now_s >= self._groups_until_s:
             self._listed = listed
             self._groups = self._group_by_version(listed, now_s)
@@ -90,12 +90,12 @@
         return self.record is not None and backend.record.software == self.record.target_version
 
     def has_fresh_record(self, now_s: float) -> bool:
-        """Whether the holder of the lease certainly compares the target version's answers."""
+        """Whether the record is so recent that a lease holder certainly compares the target version's answers."""
         return now_s - self.record_written_s < self.record_valid_s
 
     def draws_target(self, rng: random.Random, now_s: float) -> bool:
-        """Draw the version of a new request: True for the target one. One random draw in the canary phase, else
-        none."""
+        """Choose a new request's version; True for the target version. Calls ``rng`` once in the canary phase, else
+        never."""
         record = self.record
         if record is None or record.phase is Phase.ROLLED_BACK:
             return False
@@ -106,7 +106,7 @@
         return record.phase is Phase.SWITCHING or rng.random() < record.share
 
     def tiers(self, listed: Sequence[Backend], prefers_target: bool, now_s: float) -> list[list[Backend]]:
-        """Return the groups of back ends that a request may go to, the better one first."""
+        """Return the groups of back ends that may get a request, the preferred one first."""
         groups = self.groups(listed, now_s)
         tiers = self._ordered_tiers(groups, prefers_target, now_s)
         return [*tiers, groups.unannounced] if _is_last_resort(groups, now_s) else tiers
@@ -128,7 +128,7 @@
         return [target, groups.current] if prefers_target else [groups.current, target]
 
     def eligible_backends(self, listed: Sequence[Backend], now_s: float) -> list[Backend]:
-        """Return the back ends that new requests are meant for."""
+        """Return the back ends that get new requests in this phase."""
         record, groups = self.record, self.groups(listed, now_s)
         if _is_last_resort(groups, now_s):
             return groups.unannounced
@@ -142,9 +142,10 @@
 
 
 def _is_last_resort(groups: BackendGroups, now_s: float) -> bool:
-    """Whether all back ends but those of unannounced versions are leaving.
+    """Whether there are back ends of unannounced versions and all others are leaving.
 
-    An ordinary replacement of all back ends at once must not leave a service without any while the new ones wait.
+    If all back ends are replaced at once without a rollout, the service must not be without any while the new ones
+    wait to be announced.
     """
     if not groups.unannounced:
         return False
@@ -152,9 +153,9 @@
 
 
 def canary_backends(service: str, target: Sequence[Backend], current_count: int, share: float) -> list[Backend]:
-    """Return the target back ends that carry a share of requests: so few that each gets a usual load.
+    """Return the target back ends that get the canary's share of requests: so few that each has a usual load.
 
-    All nodes choose the same ones, by rendezvous hashing.
+    All nodes choose the same back ends, by rendezvous hashing.
     """
     if share <= 0 or not target:
         return []
--- a/src/wallwell/rollout/store.py
+++ b/src/wallwell/rollout/store.py
@@ -1,4 +1,4 @@
-"""Interface of the store for rollouts: two rows a service, which one node writes and every node follows."""
+"""Interface of the store for rollouts: two rows per service, written by the lease holder and read by every node."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from wallwell.rollout.model import RolloutRecord
 
 LEASE_NAME = "software"
-"""The lease whose holder writes them."""
+"""Name of the lease whose holder writes these rows."""
 RECORD_PREFIX = "software/"
-"""Keys of records in this product's own table, before the service's name."""
+"""Key prefix of records in this product's own table; the service's name follows."""
 
 
 class StoredRollout(msgspec.Struct, frozen=True):
-    """A service's rows as they were read or written. A version of 0 means that there is no such row."""
+    """A service's two rows as last read or written. A version of 0 means that the row does not exist."""
 
     record: RolloutRecord | None = None
     record_version: int = 0
     status: str = ""
-    """The text that operators read."""
+    """Text of the status row, for operators."""
     status_version: int = 0
 
 
@@ -32,10 +32,10 @@
         ...
 
     async def write(self, record: RolloutRecord, seen: StoredRollout, lease_version: int) -> StoredRollout:
-        """Write the record, and its status if that has changed, together and return what is stored now.
+        """Write the record, and the status if it has changed, in one transaction and return the rows then stored.
 
-        Nothing is written unless both rows are as they were ``seen`` and the row of the lease on rollouts has
-        ``lease_version``. Raises :class:`TableConflictError` (nothing written) or
-        :class:`PlatformUnavailableError` (unknown whether written; read before the next write).
+        Nothing is written unless both rows still have the versions in ``seen`` and the row of the rollout lease has
+        ``lease_version``. Raises :class:`TableConflictError` (nothing written) or :class:`PlatformUnavailableError`
+        (unknown whether written; read before the next write).
         """
         ...
--- a/src/wallwell/rollout/totals.py
+++ b/src/wallwell/rollout/totals.py
@@ -1,6 +1,6 @@
-"""Totals of answers, added up over nodes' lives, and as a snapshot to be compared with a later one. Pure.
+"""Totals of answers, summed over nodes, as snapshots that are compared with later ones. No I/O.
 
-A :class:`Totals` owns its counts and caches sums of them; it never changes after it was made.
+A :class:`Totals` owns its counts and caches sums of them; its counts never change.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from wallwell.rollout.model import AnswerCounts, AnswerSource, RolloutCounts
 
 NEAR_CERTAIN_DEVIATIONS = 3.0
-"""Standard deviations below the expected number of answers that a route's answers stay above with near certainty
-(999 of 1,000 for a normal distribution)."""
+"""Standard deviations below the expected number of answers that a route's answers exceed with near certainty (999
+of 1,000 for a normal distribution)."""
 
 
 def merge_counts(parts: Iterable[RolloutCounts], order: int) -> RolloutCounts:
-    """Return the sum of what nodes sent and received, each life of a node apart; other orders' parts are left
-    out."""
+    """Return the sum of the nodes' requests and answers for ``order``; ``parts`` of other orders are ignored. Each
+    run of a node's process is a part of its own."""
     current_requests = target_requests = 0
     answers: dict[AnswerSource, AnswerCounts] = {}
     for part in parts:
@@ -53,7 +53,7 @@
 
 
 class Totals:
-    """Answers as they were counted ``at_s`` seconds after the order. Sums that are needed often are cached."""
+    """Answers that had been counted ``at_s`` seconds after the order. Sums that are needed often are cached."""
 
     def __init__(self, counts: RolloutCounts, at_s: float) -> None:
         self.at_s = at_s
@@ -74,19 +74,20 @@
         return [route for route, is_target, _ in self.by_source if not is_target]
 
     def count_answered(self, route: str, is_target: bool) -> int:
-        """Return how many whole answers of a route the target version, or the current ones, have given."""
+        """Return the number of complete answers on a route by the target version, or by the current one."""
         if not is_target:
             each = self.by_source.get((route, False, ""))
             return 0 if each is None else each.answered
         return sum(self.by_source[source].answered for source in self.target_sources.get(route, ()))
 
     def count_failed(self, source: AnswerSource) -> tuple[int, int]:
-        """Return failed and all answers of a source."""
+        """Return the numbers of failed and of all answers of a source."""
         each = self.by_source.get(source)
         return (0, 0) if each is None else (each.failed, each.answered)
 
     def count_above(self, source: AnswerSource, delay_field: str, bucket: int) -> tuple[int, int]:
-        """Return answers above a bucket of ``field`` (``first_delays``, ``piece_gaps``), and all counted there."""
+        """Return the numbers of answers above ``bucket`` and in all buckets of ``delay_field``, which is
+        ``first_delays`` or ``piece_gaps``."""
         cached = self._above_by_bucket.get((source, delay_field, bucket))
         if cached is not None:
             return cached
@@ -98,7 +99,8 @@
         return counts_above
 
     def bad_of_targets(self, route: str, delay_field: str, bucket: int) -> tuple[int, int]:
-        """Return bad and all answers of all target back ends on a route; without a field the failed ones."""
+        """Return the numbers of bad and of all answers of all target back ends on a route: answers above
+        ``bucket``, or failed ones if ``delay_field`` is empty."""
         cached = self._bad_of_targets.get((route, delay_field, bucket))
         if cached is None:
             sources = self.target_sources.get(route, ())
@@ -111,7 +113,7 @@
         return cached
 
     def quantile(self, source: AnswerSource, delay_field: str, fraction: float) -> int | None:
-        """Return the bucket at or below which ``fraction`` of a source's answers are; None without answers."""
+        """Return the lowest bucket up to which ``fraction`` of a source's answers lie; None without answers."""
         each = self.by_source.get(source)
         buckets: Mapping[int, int] = {} if each is None else getattr(each, delay_field)
         remaining = fraction * sum(buckets.values())
@@ -123,10 +125,10 @@
 
 
 def routes_short_of_answers(totals: Totals, route_answers: int) -> dict[str, int]:
-    """Return the routes on which the target version has answered too few requests, with the number needed.
+    """Return the routes on which the target version has answered too few requests, with the number required.
 
-    A route needs ``route_answers``, or as many as its traffic gives with near certainty
-    (:data:`NEAR_CERTAIN_DEVIATIONS`) by the current version's answers. So a rare route needs few or none.
+    A route requires ``route_answers``, or fewer if its traffic, by the current version's answers, does not give as
+    many with near certainty (:data:`NEAR_CERTAIN_DEVIATIONS`). So a rarely used route requires few or none.
     """
     routes = totals.current_routes()
     current = sum(totals.count_answered(route, False) for route in routes)
