--- a/src/wallwell/rollout/driver.py
+++ b/src/wallwell/rollout/driver.py
@@ -2,7 +2,7 @@
 
 Owns this node's attempts to acquire the lease ``software`` and, while it is held, a copy of each service's rows.
 The next phase of a rollout is decided by :mod:`wallwell.rollout.planner`. Relies on every write being conditional
-on the lease's row, so that a holder that was suspended past the end of its lease changes nothing.
+on the lease's row, so that a holder that was paused past the end of its lease changes nothing.
 """
 
 from __future__ import annotations
@@ -166,10 +166,7 @@
         emit(Event.ROLLOUT_WRITE_FAILED, service=service, reason=f"{type(error).__name__} {error}")
 
     async def _advance(self, service: str) -> None:
-        """Read, decide and write once for a service.
-
-        Raises :class:`TableConflictError` or :class:`PlatformUnavailableError` of the store.
-        """
+        """Read, decide and write once for a service. Raises errors of :class:`RolloutStore`, or TimeoutError."""
         rows = self._rows.get(service)
         if rows is None:
             rows = self._rows[service] = _StoredRows(await self._store.read(service))
@@ -185,9 +182,7 @@
         elif record is not None and not record.phase.is_final:
             await self._decide(rows, record)
         elif record is not None:
-            self._apply_stored(
-                rows.stored
-            )  # Ended by another holder, or by a write of this node whose answer was lost.
+            self._apply_stored(rows.stored)  # Ended by another holder, or by a write whose answer was lost.
 
     async def _decide(self, rows: _StoredRows, record: RolloutRecord) -> None:
         now_s = boot_time_s()
--- a/src/wallwell/rollout/planner.py
+++ b/src/wallwell/rollout/planner.py
@@ -29,7 +29,7 @@
 from wallwell.rollout.totals import routes_short_of_answers
 
 ROLLBACK_LOG_EVIDENCE = math.log(2_000)
-"""Evidence that causes a rollback. By Ville's inequality a good version reaches it in at most 1 of 2,000
+"""Evidence for a rollback. By Ville's inequality a good version reaches it in at most 1 of 2,000
 rollouts."""
 SUSPECT_LOG_EVIDENCE = -3.5
 """Weighted evidence that delays the switch and the end without a rollback: a likelihood ratio of 0.03. In simulated
--- a/src/wallwell/rollout/records.py
+++ b/src/wallwell/rollout/records.py
@@ -17,7 +17,7 @@
 
 UNANNOUNCED_WAIT_S = 2.0
 """Seconds from its first listing for which a version that no order has named gets no requests. Back ends and orders
-arrive on different feeds, and one may lag by its own waiting time and a relay's (0.8 s each)."""
+arrive on different feeds, and one may lag by the time of its own long poll and a relay's (0.8 s each)."""
 MAX_EXCLUDED = 16
 """Largest number of excluded versions in a record, which bounds the row; back ends of older ones are long gone."""
 
@@ -55,7 +55,7 @@
 
 @dataclass
 class RolloutRegistry:
-    """Rollouts by service. ``active`` contains those that affect the routing of requests, so few services."""
+    """Rollouts by service. ``active`` contains those that affect routing; most services have no entry."""
 
     bounds: RolloutBounds = field(default_factory=RolloutBounds)
     active: dict[str, ServiceRollout] = field(default_factory=dict)
@@ -112,8 +112,7 @@
                 self._accept(order, now_s)
 
     def on_store_restored(self) -> None:
-        """Mark all records as unconfirmed: the store was restored from a copy, which may have older ones or
-        none."""
+        """Mark all records as unconfirmed: the store was restored from a copy, in which they may be older."""
         self._unconfirmed.update(self._records)
 
     def on_record(self, record: RolloutRecord, position: StorePosition, record_written_s: float) -> bool:
@@ -150,8 +149,7 @@
         return self._records.get(service)
 
     def effective_record(self, service: str) -> RolloutRecord | None:
-        """Return the record that applies to requests: the newest one, or the first of an order that has none
-        yet."""
+        """Return the record that applies to requests: the newest, or the first one of an order without any."""
         order, record = self.orders.get(service), self._records.get(service)
         if order is None or (record is not None and record.covers(order)):
             return record
--- a/tests/unit/rollout/drawn_report.py
+++ b/tests/unit/rollout/drawn_report.py
@@ -1,4 +1,4 @@
-"""How often drawn rollouts were completed and rolled back, by kind and by rate.
+"""Reports how often randomly drawn rollouts were completed and rolled back, by kind and by request rate.
 
 ``python -m tests.unit.rollout.drawn_report --rollouts 10000`` prints the tables of the design page.
 """
@@ -16,7 +16,7 @@
 
 
 def rate_band(rate: float) -> str:
-    """Return the band of a request rate."""
+    """Return the band of a request rate (in requests per second)."""
     return "20 to 100/s" if rate < 100 else "100 to 600/s" if rate < 600 else "600 to 3,300/s"
 
 
@@ -72,7 +72,7 @@
 
 
 def main() -> None:
-    """Play as many rollouts as asked for and print the report."""
+    """Simulate as many rollouts as requested and print the report."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rollouts", type=int, default=10_000)
     parser.add_argument("--first-seed", type=int, default=0)
--- a/tests/unit/rollout/drawn_rollouts.py
+++ b/tests/unit/rollout/drawn_rollouts.py
@@ -1,7 +1,7 @@
-"""Rollouts with drawn arrivals and answers in passed time, for the property test of the planner.
+"""Simulated rollouts with randomly drawn arrivals and answers, for the property test of the planner.
 
-Arrivals, sides, answers and delays are drawn by tick and by cell (route, side, back end). Nodes know a row after a
-lag, the planner knows counts after another. :mod:`tests.unit.rollout.drawn_report` prints what became of many.
+Arrivals, versions, answers and delays are drawn by tick and by cell (route, version, back end). Nodes receive a row
+after one lag, the planner receives counts after another. :mod:`tests.unit.rollout.drawn_report` prints statistics.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
 LEAST_CANARY_BACKENDS = 3
 PLACES = 8
 NORMAL_FROM = 60
-"""Draws from which a count is drawn by the normal distribution."""
+"""Number of trials from which a count is drawn from the normal distribution instead."""
 
 
 @cache
 def _delays(median_s: float, spread: float, factor: float) -> tuple[list[int], list[float], list[float]]:
-    """Return buckets of a log-normal delay, their parts and the running sums of these."""
+    """Return the buckets of a log-normal delay, their probabilities and the running sums of these."""
     middle = BUCKETS_PER_DOUBLING * math.log2(median_s * factor / 0.001)
     deviation = BUCKETS_PER_DOUBLING * spread / math.log(2)
     buckets = [at for at in range(math.floor(middle - 4 * deviation), math.ceil(middle + 4 * deviation)) if at >= 0]
@@ -51,13 +51,13 @@
 
 
 class Draws:
-    """Counts drawn from a seeded generator."""
+    """Draws counts from a seeded generator."""
 
     def __init__(self, seed: int) -> None:
         self._generator = random.Random(seed)
 
     def binomial(self, number: int, part: float) -> int:
-        """Return how many of ``number`` come out with a chance of ``part`` each."""
+        """Return a binomial count: the successes in ``number`` trials with probability ``part`` each."""
         if number <= 0 or part <= 0.0:
             return 0
         if part >= 1.0:
@@ -71,7 +71,7 @@
         return sum(chance() < part for _ in range(number))
 
     def poisson(self, mean: float) -> int:
-        """Return a Poisson count."""
+        """Return a Poisson count with the given mean."""
         if mean > NORMAL_FROM:
             return max(0, round(self._generator.gauss(mean, math.sqrt(mean))))
         left, number = math.exp(-mean), 0
@@ -82,7 +82,7 @@
         return number
 
     def delays(self, number: int, median_s: float, spread: float, factor: float) -> Counter[int]:
-        """Return delays by bucket."""
+        """Return ``number`` delays, counted by bucket."""
         buckets, parts, running = _delays(median_s, spread, factor)
         if number <= NORMAL_FROM:
             return Counter(self._generator.choices(buckets, cum_weights=running, k=number))
@@ -93,7 +93,7 @@
 
 @dataclass
 class CellCounts:
-    """What one side or one target back end has answered on a route."""
+    """Answers of the current version or of one target back end on a route."""
 
     answered: int = 0
     failed: int = 0
@@ -102,7 +102,7 @@
     piece_gaps: Counter[int] = field(default_factory=Counter)
 
     def add(self, other: CellCounts) -> None:
-        """Add other answers."""
+        """Add the counts of ``other``."""
         self.answered += other.answered
         self.failed += other.failed
         self.broken += other.broken
@@ -112,7 +112,7 @@
 
 @dataclass
 class Result:
-    """How a rollout went."""
+    """Result of a simulated rollout."""
 
     scenario: Scenario
     phase: Phase = Phase.CANARY
@@ -123,24 +123,24 @@
     bad_answers: int = 0
     fiftieth_at_s: float = math.inf
     requests_too_late: int = 0
-    """Requests sent to a bad version after ``rollback_s`` after its 50th bad answer, before the end."""
+    """Requests sent to a bad version later than ``rollback_s`` after its 50th bad answer and before the end."""
 
     @property
     def over_bound(self) -> bool:
-        """Whether the target side got more than operators allow."""
+        """Whether the target version got more requests than the bound allows."""
         return self.exposed > BOUNDS.exposure_share * self.requests + BOUNDS.exposure_requests
 
     @property
     def is_evident(self) -> bool:
-        """Whether the version gave bad answers enough that anyone should have seen it: 20, of a plain kind."""
+        """Whether the version gave enough plainly bad answers (20) that it should have been detected."""
         return self.bad_answers >= 20 and self.is_plain
 
     @property
     def is_plain(self) -> bool:
-        """Whether nothing hides the badness.
+        """Whether the defect is not hidden by other effects.
 
-        Less than four times slower may be within the spread of usual answers; failures of fewer than 10 in 100 are
-        hidden by a sick machine of the current side, which may fail as often.
+        Answers less than four times slower may be within the spread of usual answers; failures of fewer than 10 in
+        100 are hidden by a faulty machine of the current version, which may fail as often.
         """
         bad = self.scenario.defect
         if bad is None:
@@ -156,7 +156,7 @@
 
 
 class SimulatedRollout:
-    """One rollout from the order to its end."""
+    """Simulates one rollout from the order to its end."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -172,7 +172,7 @@
         self._holder_changed = False
 
     def run(self) -> Result:
-        """Play to the end and return how it went."""
+        """Simulate to the end and return the result."""
         tick = 0
         last = 3.0 * self.scenario.duration_s + 10
         while tick * TICK_S < last and not (
@@ -188,7 +188,7 @@
         return self.result
 
     def _target_part(self, at_s: float) -> float:
-        """Return the part of requests that goes to the target side, as nodes know the rows at a time."""
+        """Return the fraction of requests for the target version, by the rows that nodes have received."""
         part, left = 0.0, 1.0
         for written_s, chance in reversed(self._rows):
             known = min(1.0, max(0.0, (at_s - written_s) / self.scenario.row_lag_s))
@@ -199,7 +199,7 @@
         return part
 
     def _started(self, at_s: float) -> int:
-        """Return how many target back ends have started."""
+        """Return the number of target back ends that have started."""
         late_s = 0.3 * self.scenario.duration_s if self.scenario.fault == "late start" else 0.05 * 20
         if at_s >= late_s:
             return self.scenario.target_backends
@@ -232,7 +232,7 @@
             self.result.requests_too_late += to_target
 
     def _send(self, tick: int, route: Route, is_target: bool, backend: str, number: int) -> None:
-        """Draw what becomes of requests of one cell and when they are answered."""
+        """Draw the outcomes of the requests of one cell and the times of their answers."""
         if not number:
             return
         at_s = tick * TICK_S
@@ -262,7 +262,7 @@
         return self.scenario.load(at_s) >= bad.above_load
 
     def _fault(self, at_s: float, is_target: bool, backend: str) -> tuple[float, float, float]:
-        """Return parts that fail and that break off by the fault, and by which factor delays grow."""
+        """Return the fractions that fail and that break off because of the fault, and the factor of delays."""
         scenario = self.scenario
         strikes = 0.0 <= at_s - scenario.fault_at_s < scenario.fault_span_s
         match scenario.fault:
@@ -355,7 +355,7 @@
             self.result.phase, self.result.reason, self.result.ended_at_s = decision.phase, decision.reason, at_s
 
     def _add_remaining_requests(self, tick: int) -> None:
-        """Add the requests still to come before the deadline, as the end distributes them."""
+        """Add the requests still to arrive before the deadline, all to the version that the end selects."""
         rest = 0
         while tick * TICK_S < self.scenario.duration_s:
             rest += round(self.scenario.rate * self.scenario.load(tick * TICK_S) * TICK_S)
@@ -366,5 +366,5 @@
 
 
 def simulate(seed: int, longest_s: float = 60.0) -> Result:
-    """Play a rollout: with an odd seed of a bad version, with an even one of a good one."""
+    """Simulate the rollout of a bad version if the seed is odd, of a good version if it is even."""
     return SimulatedRollout(draw_scenario(seed, seed % 2 == 1, longest_s)).run()
--- a/tests/unit/rollout/drawn_scenarios.py
+++ b/tests/unit/rollout/drawn_scenarios.py
@@ -1,4 +1,4 @@
-"""What a drawn rollout meets: routes, rates, a fault, and how its version is bad."""
+"""Randomly drawn conditions of a simulated rollout: routes, rates, a fault, and the version's defect."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 
 @dataclass(frozen=True)
 class Route:
-    """A route: its part of requests, failures by nature, median and spread of delays, time to the whole answer."""
+    """A route: its fraction of requests, usual failure rate, median and spread of delays, and time to the complete
+    answer."""
 
     name: str
     part: float
@@ -27,7 +28,8 @@
 
 @dataclass(frozen=True)
 class Defect:
-    """How a version is bad. ``part`` of answers fail, or are ``factor`` times slower, from ``from_s`` on."""
+    """Defect of a bad version: a fraction ``part`` of answers fails, or is ``factor`` times slower, from ``from_s``
+    on."""
 
     kind: str
     part: float
@@ -39,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """All that is drawn before a rollout begins."""
+    """Everything that is drawn before a rollout begins."""
 
     seed: int
     rate: float
@@ -63,16 +65,16 @@
 
     @property
     def row_lag_s(self) -> float:
-        """Time until the last node knows a row."""
+        """Seconds until the last node has received a row."""
         return 0.05 + 0.55 * self.nodes / 410
 
     @property
     def count_lag_s(self) -> float:
-        """Age of the counts that the planner sees."""
+        """Age in seconds of the counts that the planner receives."""
         return 0.3 + 0.7 * self.nodes / 410
 
     def load(self, at_s: float) -> float:
-        """Return the rate at a time by the mean one."""
+        """Return the request rate at a time as a multiple of the mean rate."""
         load = 1.0 + self.wave_part * math.sin(2 * math.pi * at_s / self.wave_span_s)
         if 0.0 <= at_s - self.load_change_at_s < self.load_change_span_s:
             load *= self.load_change
@@ -80,7 +82,7 @@
 
 
 def draw_scenario(seed: int, is_bad: bool, longest_s: float = 60.0) -> Scenario:
-    """Draw a rollout over all rates, sizes and durations that are planned for."""
+    """Draw a rollout from all rates, sizes and durations that the planner supports."""
     generator = random.Random(seed)
     rate = math.exp(generator.uniform(math.log(20), math.log(3_300)))
     scale = math.log(rate / 20) / math.log(165)
--- a/tests/unit/rollout/fleet.py
+++ b/tests/unit/rollout/fleet.py
@@ -1,4 +1,4 @@
-"""Nodes with rollout drivers over one table in virtual time; a feed tells every node of every row."""
+"""Nodes with rollout drivers that share one table in virtual time; a feed sends every row to every node."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class TableRollouts:
-    """The two rows of a rollout in a table; counts what is written."""
+    """Stores the two rows of a rollout in a table and records the writes."""
 
     def __init__(self, table):
         self.table = table
@@ -66,7 +66,7 @@
 
 
 class TimedPlanner:
-    """Ends each phase after its time; rolls versions back that it is told are bad."""
+    """Ends each phase after a fixed time; rolls back the versions in ``bad``."""
 
     def __init__(self, bad):
         self.bad_versions = bad
@@ -85,7 +85,7 @@
 
 
 class TableOfNode(FaultyTable):
-    """The table as a node reaches it: each answer tells the era."""
+    """A node's access to the table: each answer contains the store's era."""
 
     def __init__(self, fleet, state):
         super().__init__(fleet.model)
@@ -106,7 +106,7 @@
 
 
 class Node:
-    """One node's part."""
+    """One node of the fleet."""
 
     def __init__(self, fleet, name, seed):
         self.state = NodeState(name, "z", FleetBounds(lease_s=3.0), random.Random(seed))
@@ -153,12 +153,12 @@
         return CountsReport(self.state.node, self.life, self.registry.tally.snapshot())
 
     def down(self, is_down=True):
-        """Turn the node away from the store, its feed too."""
+        """Cut the node off from the store, including its feed, or end the cut."""
         self.lease_table.down = self.table.down = self.is_feed_cut = is_down
 
 
 class Fleet:
-    """Nodes over one table. ``bad`` names versions that the planners roll back."""
+    """Nodes that share one table. The planners roll back the versions in ``bad_versions``."""
 
     def __init__(self, nodes=3, make_planner=None, model=None, versions=("v1", "v2"), services=("svc",)):
         self.model = model or TableModel()
@@ -208,7 +208,7 @@
         return self.model.commit, dict(self.model.rows), list(self.orders)
 
     def restore(self, copy):
-        """Come back from a copy: rows are older, and its orders are read again in the next era."""
+        """Restore the store from a copy with older rows, whose orders are read again in the next era."""
         self.model.commit, self.model.rows = copy[0], dict(copy[1])
         self.era += 1
         self.orders = [msgspec.structs.replace(order, era=self.era) for order in copy[2]]
@@ -225,13 +225,13 @@
             self.kill(node)
 
     def start_again(self):
-        """Start every node anew; they find the rows and the orders as they are."""
+        """Start every node again, with the present rows and orders."""
         for index, name in enumerate(self.names):
             self._add(name, 100 + index)
 
     @property
     def holder(self):
-        """The one node that holds the lease, None if there is none."""
+        """The node that holds the lease; None if there is none."""
         holders = [node for node in self.nodes if node.driver._turn.is_held()]
         assert len(holders) <= 1
         return holders[0] if holders else None
@@ -247,7 +247,7 @@
     async def until(self, condition, bound_s=60.0):
         give_up_s = boot_time_s() + bound_s
         while not condition():
-            assert boot_time_s() < give_up_s, "it does not come"
+            assert boot_time_s() < give_up_s, "the condition did not become true in time"
             await asyncio.sleep(0.05)
 
     async def until_phase(self, phase, service="svc"):
@@ -260,7 +260,7 @@
 
 
 def run_scenario(scenario, **options):
-    """Run a scenario on a fleet and return what it returns."""
+    """Run a scenario on a fleet and return its result."""
 
     async def work():
         fleet = Fleet(**options)
@@ -273,5 +273,5 @@
 
 
 def writers(fleet):
-    """Return the nodes that have written."""
+    """Return the names of the nodes that have written a record."""
     return {node.state.node for node in fleet.nodes if node.store.writes}
--- a/tests/unit/rollout/test_driver.py
+++ b/tests/unit/rollout/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver over a table with faults: what is decided is written once, whatever becomes of nodes and store."""
+"""The rollout driver: one node writes each decision, also with several services and a store that was down."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
     return RolloutPlanner(RolloutBounds())
 
 
-def test_a_good_version_is_brought_to_completion_by_one_node():
+def test_a_good_version_is_completed_by_one_node():
     async def scenario(fleet):
         fleet.order()
         await fleet.until_phase(Phase.COMPLETE)
@@ -49,7 +49,7 @@
     assert run_scenario(scenario) < 1.5
 
 
-def test_without_a_rollout_nothing_is_written_and_no_lease_is_taken():
+def test_without_a_rollout_nothing_is_written_and_no_lease_is_acquired():
     async def scenario(fleet):
         await asyncio.sleep(5.0)
         return dict(fleet.model.rows)
@@ -69,7 +69,7 @@
     assert run_scenario(scenario) == 0
 
 
-def test_while_nothing_changes_a_record_is_written_once_a_second_with_the_requests_so_far():
+def test_an_unchanged_record_is_written_once_a_second_with_the_requests_so_far():
     async def scenario(fleet):
         fleet.order()
         await fleet.until(lambda: fleet.record() is not None and fleet.record().share == SHARE)
@@ -85,7 +85,7 @@
     assert requests == 30
 
 
-def test_every_node_hears_of_a_watched_rollout_and_of_an_unwatched_one_no_more():
+def test_every_node_has_a_fresh_record_only_while_a_lease_holder_writes_it():
     async def scenario(fleet):
         fleet.order()
         await fleet.until(lambda: fleet.record() is not None and fleet.record().share == SHARE)
@@ -95,25 +95,25 @@
             fresh |= {node.registry.active["svc"].has_fresh_record(boot_time_s()) for node in fleet.nodes}
         fleet.kill(fleet.holder)
         for node in fleet.nodes:
-            node.driver.drain()  # Nobody takes over.
+            node.driver.drain()  # No node succeeds the killed holder.
         await asyncio.sleep(2.5)
         return fresh, {node.registry.active["svc"].has_fresh_record(boot_time_s()) for node in fleet.nodes}
 
     assert run_scenario(scenario) == ({True}, {False})
 
 
-def test_a_row_that_somebody_else_has_changed_is_read_again():
+def test_a_row_changed_by_another_writer_is_read_again():
     async def scenario(fleet):
         fleet.order()
         await fleet.until_phase(Phase.CANARY)
-        fleet.model.transact(Transaction((), (Put(STATUS_PREFIX + "svc", "meddled with"),)))
+        fleet.model.transact(Transaction((), (Put(STATUS_PREFIX + "svc", "changed by another writer"),)))
         await fleet.until_phase(Phase.COMPLETE)
         return fleet.status()
 
     assert run_scenario(scenario) == "complete v2"
 
 
-def test_a_second_order_takes_the_first_target_out_and_starts_anew():
+def test_a_second_order_excludes_the_first_target_and_starts_a_new_rollout():
     async def scenario(fleet):
         for node in fleet.nodes:
             node.list_backends("svc", "v3", 4)
@@ -135,7 +135,7 @@
     assert run_scenario(scenario) == ({"v1"}, "running v3", "complete v3", {"v1", "v2"})
 
 
-def test_the_same_order_given_again_starts_anew_without_barring_its_target():
+def test_a_repeated_order_starts_a_new_rollout_without_excluding_its_target():
     async def scenario(fleet):
         fleet.order("v2")
         await fleet.until_phase(Phase.SWITCHING)
@@ -161,7 +161,7 @@
     assert run_scenario(scenario) == "complete v2"
 
 
-def test_a_target_equal_to_what_runs_is_complete():
+def test_a_rollout_of_the_running_version_is_completed():
     async def scenario(fleet):
         fleet.order("v1", duration_s=10.0)
         await fleet.until_phase(Phase.COMPLETE)
@@ -176,7 +176,7 @@
     return fleet.nodes[0].state.backends.of_service("svc")
 
 
-def test_a_version_of_which_no_back_end_ever_comes_is_rolled_back_and_the_current_one_serves():
+def test_a_version_without_any_back_end_is_rolled_back_and_the_current_one_serves():
     async def scenario(fleet):
         fleet.order("v2", duration_s=10.0)
         await fleet.until_phase(Phase.ROLLED_BACK)
@@ -199,7 +199,7 @@
     assert run_scenario(scenario, services=("svc", "other")) == ("complete v2", "complete v2", 1)
 
 
-def test_a_store_down_at_the_deadline_is_written_to_when_it_is_back():
+def test_a_rollout_is_completed_once_a_store_that_was_down_at_the_deadline_is_back():
     async def scenario(fleet):
         fleet.order("v2")
         await fleet.until_phase(Phase.SWITCHING)
@@ -230,7 +230,7 @@
     assert run_scenario(scenario) == {}
 
 
-def test_a_new_holder_decides_nothing_before_all_nodes_have_reported():
+def test_a_new_holder_makes_no_decision_before_all_nodes_have_reported():
     async def scenario(fleet):
         fleet.order()
         await fleet.until(lambda: fleet.record() is not None and fleet.record().share == SHARE)
@@ -249,8 +249,8 @@
     assert requests >= 20
 
 
-def test_a_new_holder_ends_nothing_as_complete_before_it_has_seen_answers_for_a_while():
-    """The planner would have it complete at once: its time is over when the lease is taken."""
+def test_a_new_holder_completes_no_rollout_before_it_has_held_the_lease_for_a_while():
+    """The planner would complete the rollout at once: its time is over when the new holder acquires the lease."""
 
     async def scenario(fleet):
         fleet.order()
@@ -268,7 +268,7 @@
     assert run_scenario(scenario) >= MIN_LEASE_TO_COMPLETE_S - 0.1
 
 
-def test_a_draining_node_takes_no_lease():
+def test_a_draining_node_acquires_no_lease():
     async def scenario(fleet):
         for node in fleet.nodes[:2]:
             node.driver.drain()
@@ -279,7 +279,7 @@
     assert run_scenario(scenario) == {"n2"}
 
 
-def test_a_record_that_cannot_be_read_disturbs_nothing():
+def test_an_undecodable_record_does_not_affect_other_rollouts():
     async def scenario(fleet):
         fleet.model.transact(Transaction((), (Put(RECORD_PREFIX + "broken", "no record"),)))
         fleet.order()
@@ -289,7 +289,7 @@
     assert run_scenario(scenario) == "complete v2"
 
 
-def test_the_order_is_the_one_that_was_given_last_whatever_came_first():
+def test_an_older_order_that_arrives_later_is_ignored():
     async def scenario(fleet):
         fleet.order("v2")
         older = RolloutOrder("svc", "v0", 20.0, 0)
--- a/tests/unit/rollout/test_driver_failures.py
+++ b/tests/unit/rollout/test_driver_failures.py
@@ -1,4 +1,4 @@
-"""The driver whose holder is killed, frozen or turned away, and writes whose answers are lost."""
+"""The rollout driver when the lease holder is killed, paused or cut off, and when answers to writes are lost."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("phase", PHASES)
-def test_a_dead_holder_is_followed_by_another_node(phase):
+def test_another_node_succeeds_a_dead_holder(phase):
     async def scenario(fleet):
         fleet.order()
         await fleet.until_phase(phase)
@@ -32,7 +32,7 @@
     assert (status, dead_acts) == ("complete v2", False)
 
 
-def test_a_holder_killed_before_its_first_write_loses_no_order():
+def test_an_order_survives_the_death_of_a_holder_before_its_first_write():
     async def scenario(fleet):
         async def hang(*_):
             await asyncio.Event().wait()
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("phase", [*PHASES, Phase.COMPLETE])
-def test_the_record_alone_is_enough_to_go_on_after_all_nodes_were_killed(phase):
+def test_a_rollout_continues_from_its_record_after_all_nodes_were_killed(phase):
     async def scenario(fleet):
         fleet.order()
         await fleet.until_phase(phase)
@@ -70,7 +70,7 @@
     assert run_scenario(scenario) == (0.0, {Phase.COMPLETE})
 
 
-def test_an_order_given_while_no_node_ran_is_found_at_the_start():
+def test_an_order_written_while_no_node_ran_is_executed_after_the_start():
     async def scenario(fleet):
         fleet.kill_all()
         fleet.order()
@@ -82,7 +82,7 @@
     assert run_scenario(scenario) == "complete v2"
 
 
-def test_a_write_of_a_frozen_holder_changes_neither_row_when_it_arrives_late():
+def test_a_late_write_of_a_paused_holder_changes_neither_row():
     async def scenario(fleet):
         fleet.order()
         await fleet.until_phase(Phase.SWITCHING)
@@ -105,7 +105,7 @@
     assert run_scenario(scenario) == "rolled_back v2"
 
 
-def test_a_thawed_holder_whose_lease_another_took_writes_nothing_even_to_unchanged_rows():
+def test_a_resumed_holder_that_lost_its_lease_cannot_write_even_unchanged_rows():
     async def scenario(fleet):
         fleet.order()
         await fleet.until_phase(Phase.CANARY)
@@ -134,12 +134,12 @@
     assert run_scenario(scenario, nodes=1) == 0
 
 
-def test_an_end_whose_answer_was_lost_is_followed_before_the_feed_tells_it():
+def test_a_completion_whose_answer_was_lost_is_applied_before_the_feed_delivers_it():
     async def scenario(fleet):
         fleet.order()
         await fleet.until_phase(Phase.SWITCHING)
         node = fleet.holder
-        node.is_feed_cut = True  # Its feed is silent, its calls are answered.
+        node.is_feed_cut = True  # It gets no rows from its feed, but answers to its calls.
         whole = node.store.write
 
         async def write(record, seen, lease_version):
@@ -155,7 +155,7 @@
     assert run_scenario(scenario, nodes=1) is Phase.COMPLETE
 
 
-def test_a_holder_turned_away_by_the_store_is_followed_by_another_node():
+def test_another_node_succeeds_a_holder_that_cannot_reach_the_store():
     async def scenario(fleet):
         fleet.order()
         await fleet.until_phase(Phase.CANARY)
@@ -176,7 +176,7 @@
     async def scenario(fleet):
         if phase is None:
             for node in fleet.nodes:
-                node.table.faults.extend(["ok", "ok", fault])  # Two readings, then the first write.
+                node.table.faults.extend(["ok", "ok", fault])  # Two reads, then the first write.
             fleet.order()
         else:
             fleet.order()
--- a/tests/unit/rollout/test_exposure.py
+++ b/tests/unit/rollout/test_exposure.py
@@ -1,4 +1,4 @@
-"""How much of the requests a target version may get, and when it may get all."""
+"""The plan of how many requests a target version may get, and when it may get all of them."""
 
 import pytest
 
@@ -32,7 +32,7 @@
         (20.0, 20.0, -1.0, 300, OVERDUE_SHARE, OVERDUE_SHARE),
     ],
 )
-def test_the_canary_spends_its_part_of_the_bound(rate, since_s, left_s, target, least, most):
+def test_the_canary_uses_up_its_fraction_of_the_bound(rate, since_s, left_s, target, least, most):
     exposure = plan_exposure(BOUNDS, traffic(rate, since_s, target), left_s, 0.0)
     assert least <= exposure.share <= most
 
@@ -53,24 +53,24 @@
         (20.0, 20.0, -1.0, 500, True),
     ],
 )
-def test_the_switch_begins_when_what_is_left_covers_the_rest(rate, since_s, left_s, target, fits):
+def test_the_switch_begins_when_the_unused_bound_covers_the_remaining_requests(rate, since_s, left_s, target, fits):
     exposure = plan_exposure(BOUNDS, traffic(rate, since_s, target), left_s, 0.05)
     assert exposure.switch_fits is fits
     if fits and left_s > 0:
         assert exposure.spent + exposure.expected_requests <= LAST_DECISION_FRACTION * exposure.bound
 
 
-def test_a_burst_delays_the_switch_and_a_fall_does_not_hasten_it():
+def test_a_burst_delays_the_switch():
     steady = traffic(1_000.0, 29.0, 1_200)
     assert plan_exposure(BOUNDS, steady, 0.8, 0.05).switch_fits
     assert not plan_exposure(BOUNDS, traffic(1_000.0, 29.0, 1_200, high=2_000.0), 0.8, 0.05).switch_fits
 
 
-def test_a_share_stays_until_it_differs_much():
+def test_a_share_is_unchanged_until_the_next_one_differs_much():
     assert plan_exposure(BOUNDS, traffic(3_300.0, 15.0, 1_240), 15.0, 0.027).share == 0.027
 
 
-def test_rates_come_from_windows_of_a_second_and_remember_a_burst():
+def test_rates_are_measured_over_windows_of_a_second_and_include_a_past_burst():
     log = TrafficLog()
     total = 0.0
     for tick in range(60):
@@ -81,7 +81,7 @@
     assert 350 <= seen.low_rate <= 450
 
 
-def test_counts_that_come_late_to_a_new_holder_are_no_burst_without_end():
+def test_counts_that_arrive_late_at_a_new_holder_raise_the_rate_only_up_to_a_cap():
     log = TrafficLog()
     log.observe(20.0, 2_000, 100)
     seen = log.observe(21.0, 20_000, 1_000)
--- a/tests/unit/rollout/test_likelihood.py
+++ b/tests/unit/rollout/test_likelihood.py
@@ -1,4 +1,4 @@
-"""Tests of rates that may be looked at at any time."""
+"""The sequential test of a rate, which may be evaluated at any time."""
 
 import math
 import random
@@ -19,7 +19,7 @@
         (10, 10, 1.0, 1.0),
     ],
 )
-def test_an_upper_rate_narrows_with_answers(events, answers, least, most):
+def test_the_upper_rate_approaches_the_observed_rate_with_more_answers(events, answers, least, most):
     assert least <= upper_rate(events, answers) <= most
 
 
@@ -36,12 +36,12 @@
         (5, 5, 0.0, 10.0, 50.0),
     ],
 )
-def test_evidence_grows_with_what_the_null_rate_does_not_explain(events, answers, null_rate, least, most):
+def test_evidence_grows_with_the_excess_over_the_null_rate(events, answers, null_rate, least, most):
     assert least <= log_evidence(events, answers, null_rate) <= most
 
 
 @pytest.mark.parametrize("rate", [0.004, 0.14])
-def test_a_rate_that_is_looked_at_after_each_answer_alarms_no_more_often_than_promised(rate):
+def test_a_test_after_each_answer_gives_no_more_false_alarms_than_its_bound(rate):
     generator = random.Random(5)
     alarms = 0
     for _ in range(400):
--- a/tests/unit/rollout/test_planner.py
+++ b/tests/unit/rollout/test_planner.py
@@ -1,4 +1,4 @@
-"""Decisions on rollouts, one at a time."""
+"""Single decisions of the rollout planner."""
 
 import msgspec
 import pytest
@@ -22,7 +22,7 @@
 
 
 def counts(at_s, failed=0, rate=200.0, share=0.05, answered=None):
-    """Return counts of a steady service on one route."""
+    """Return the counts of a service with one route and a constant rate, ``at_s`` seconds after the order."""
     sent = int(rate * at_s)
     to_target = int(sent * share)
     seen = to_target if answered is None else answered
@@ -46,9 +46,9 @@
     ("bad in canary", RECORD, counts(15.0, failed=40), 15.0, ENOUGH, Phase.ROLLED_BACK, "failed on"),
     ("bad in the switch", SWITCHING, BAD, 29.5, ENOUGH, Phase.ROLLED_BACK, "failed on"),
     ("bad after the deadline", SWITCHING, BAD, 33.0, ENOUGH, Phase.ROLLED_BACK, "failed on"),
-    ("too few places", RECORD, GOOD, 29.5, Capacity(100, 70, 7), Phase.CANARY, "target slots"),
-    ("current side gone", RECORD, GOOD, 29.5, NO_CURRENT, Phase.SWITCHING, "covers the rest"),
-    ("no place at all", RECORD, GOOD, 29.5, Capacity(100, 0, 1), Phase.CANARY, "no target slots"),
+    ("too few slots", RECORD, GOOD, 29.5, Capacity(100, 70, 7), Phase.CANARY, "target slots"),
+    ("current back ends gone", RECORD, GOOD, 29.5, NO_CURRENT, Phase.SWITCHING, "covers the rest"),
+    ("no slots", RECORD, GOOD, 29.5, Capacity(100, 0, 1), Phase.CANARY, "no target slots"),
     ("few answers", RECORD, counts(29.5, answered=8), 29.5, ENOUGH, Phase.CANARY, "only 8"),
     ("suspect", RECORD, counts(29.5, failed=7), 29.5, ENOUGH, Phase.CANARY, "suspect"),
     ("suspect in the switch", SWITCHING, counts(29.5, failed=7), 29.5, ENOUGH, Phase.SWITCHING, "suspect"),
@@ -57,14 +57,14 @@
     ("late with few answers", SWITCHING, counts(33.0, answered=8), 33.0, ENOUGH, Phase.SWITCHING, "only 8"),
     ("switch after the deadline", RECORD, counts(31.0), 31.0, ENOUGH, Phase.SWITCHING, "covers the rest"),
     ("never clear", RECORD, counts(60.0, answered=8), 60.0, ENOUGH, Phase.ROLLED_BACK, "overdue"),
-    ("never enough places", RECORD, counts(60.0), 60.0, Capacity(100, 10, 1), Phase.ROLLED_BACK, "slots"),
+    ("never enough slots", RECORD, counts(60.0), 60.0, Capacity(100, 10, 1), Phase.ROLLED_BACK, "slots"),
     ("good but overdue", SWITCHING, counts(60.0), 60.0, ENOUGH, Phase.COMPLETE, "overdue"),
     ("no requests", RECORD, RolloutCounts(1), 60.0, ENOUGH, Phase.ROLLED_BACK, "overdue"),
     ("no back end", RECORD, RolloutCounts(1, 6_600), 33.1, Capacity(100, 0, 0), Phase.ROLLED_BACK, "no back end"),
     ("no back end yet", RECORD, RolloutCounts(1, 6_000), 32.9, Capacity(100, 0, 0), Phase.CANARY, "only 0"),
     ("runs already", RECORD, RolloutCounts(1, 0, 9), 2.0, NO_CURRENT, Phase.COMPLETE, "all back ends"),
     ("may run already", RECORD, RolloutCounts(1, 0, 9), 1.0, NO_CURRENT, Phase.CANARY, "only 0"),
-    ("current side lost", RECORD, RolloutCounts(1, 100, 9), 2.0, NO_CURRENT, Phase.CANARY, "only 0"),
+    ("current back ends lost", RECORD, RolloutCounts(1, 100, 9), 2.0, NO_CURRENT, Phase.CANARY, "only 0"),
 ]
 
 
@@ -78,7 +78,7 @@
 
 
 @pytest.mark.parametrize("phase", [Phase.COMPLETE, Phase.ROLLED_BACK])
-def test_a_final_phase_stays(phase):
+def test_a_final_phase_does_not_change(phase):
     record = msgspec.structs.replace(RECORD, phase=phase, reason="why")
     decision = decide(record, BAD, 29.5)
     assert (decision.phase, decision.reason) == (phase, "why")
@@ -100,7 +100,7 @@
         (5, MAX_DRAIN_S, Phase.COMPLETE),
     ],
 )
-def test_a_late_switch_settles_and_drains(in_flight, after_s, phase):
+def test_a_late_switch_lasts_its_least_time_and_waits_for_requests_in_flight(in_flight, after_s, phase):
     planner = RolloutPlanner(RolloutBounds())
     capacity = Capacity(100, 100, 10, in_flight)
     planner.decide(SWITCHING, counts(31.0), capacity, ORDERED_S + 31.0)
@@ -125,13 +125,13 @@
         (3, 1.0, False),
     ],
 )
-def test_the_canary_waits_for_back_ends_that_tell_a_sick_machine_from_a_bad_version(backends, at_s, waits):
+def test_the_canary_waits_for_enough_back_ends(backends, at_s, waits):
     decision = decide(RECORD, counts(at_s), at_s, Capacity(100, 10 * backends, backends))
     assert (decision.share == 0.0) is waits
 
 
 def late_in_the_switch(at_s, slow, usual):
-    """Return counts of a switch in which ``slow`` and ``usual`` answers of three target back ends came."""
+    """Return counts during a switch with ``slow`` and ``usual`` answers of each of three target back ends."""
     targets = [AnswerCounts("a", True, f"t{n}", slow + usual, 0, 0, {8: usual, 16: slow}) for n in range(3)]
     current = AnswerCounts("a", False, "", 5_000, 4, 0, {8: 5_000})
     return RolloutCounts(1, 5_000, 3 * (slow + usual), (current, *targets))
@@ -148,7 +148,7 @@
     assert SLOWNESS_PERSISTENCE_S <= rolled_back_s <= SLOWNESS_PERSISTENCE_S + 0.7
 
 
-def test_slowness_that_passes_in_the_switch_is_forgiven_once():
+def test_slowness_that_passes_during_the_switch_is_ignored_once():
     planner = RolloutPlanner(RolloutBounds())
     phase = Phase.SWITCHING
     for tick in range(20):
@@ -168,14 +168,14 @@
     assert "too few answers on b" in decision.reason
 
 
-def test_a_new_holder_starts_from_what_the_row_says_was_sent():
+def test_a_new_holder_counts_at_least_the_requests_in_the_record():
     record = msgspec.structs.replace(RECORD, current_requests=5_000, target_requests=900)
     decision = decide(record, RolloutCounts(1), 29.5)
     assert decision.inputs["target_requests"] == 900
     assert decision.inputs["current_requests"] == 5_000
 
 
-def test_a_later_order_starts_anew():
+def test_a_later_order_starts_with_an_empty_history():
     planner = RolloutPlanner(RolloutBounds())
     planner.decide(RECORD, GOOD, ENOUGH, ORDERED_S + 29.5)
     later = msgspec.structs.replace(RECORD, order=2, ordered_at_s=ORDERED_S + 40.0)
--- a/tests/unit/rollout/test_planner_property.py
+++ b/tests/unit/rollout/test_planner_property.py
@@ -1,6 +1,6 @@
-"""Bounds on bad versions and ends of good ones over drawn rollouts.
+"""Limits for bad versions and completion of good ones, over randomly drawn simulated rollouts.
 
-``python -m tests.unit.rollout.drawn_report --rollouts 10000`` plays as many as wanted, up to 60 s long.
+``python -m tests.unit.rollout.drawn_report --rollouts 10000`` simulates so many, of up to 60 s each.
 """
 
 import os
@@ -13,12 +13,12 @@
 
 ROLLOUTS = int(os.environ.get("WALLWELL_DRAWN_ROLLOUTS", "200"))
 LONGEST_S = 20.0
-"""Longest rollout here: with up to 60 s as on the design page each takes twice as long to play."""
+"""Longest rollout here: with up to 60 s as on the design page each takes twice as long to simulate."""
 
 
 @cache
 def results():
-    """Play all rollouts once: with even seeds of good versions, with odd ones of bad."""
+    """Simulate all rollouts once: even seeds draw good versions, odd ones bad versions."""
     return [simulate(seed, LONGEST_S) for seed in range(ROLLOUTS)]
 
 
@@ -42,13 +42,13 @@
     assert seeds(each for each in bad() if each.over_bound) == []
 
 
-def test_a_version_that_is_plainly_bad_gets_none_long_after_its_fiftieth_bad_answer():
+def test_a_plainly_bad_version_gets_no_request_long_after_its_fiftieth_bad_answer():
     assert seeds(each for each in bad() if each.is_plain and each.requests_too_late) == []
 
 
 @pytest.mark.parametrize(("has_traffic", "part"), [(True, 0.02), (False, 0.15)])
 def test_good_versions_are_complete_in_time_through_faults(has_traffic, part):
-    """Services with fewer than 600 requests in all may lack the answers that the end asks for."""
+    """Services with fewer than 600 requests in total may lack the answers that a completion requires."""
     mine = [each for each in good() if (each.scenario.rate * each.scenario.duration_s >= 600) is has_traffic]
     late = [each for each in mine if each.phase is not Phase.COMPLETE or not each.in_time]
     assert len(late) <= part * len(mine), (seeds(late), len(mine))
--- a/tests/unit/rollout/test_records.py
+++ b/tests/unit/rollout/test_records.py
@@ -1,4 +1,4 @@
-"""What a node knows of rollouts, whatever the order in which it hears of them."""
+"""A node's registry of rollouts, for orders, records and listings that arrive in any order."""
 
 import pytest
 
@@ -28,7 +28,7 @@
     assert registry.active == {}
 
 
-def test_an_order_without_a_record_counts_as_a_canary_that_gets_nothing():
+def test_an_order_without_a_record_is_a_canary_without_requests():
     effective = make_registry(order=ORDER).effective_record("svc")
     assert (effective.phase, effective.share, effective.target_version) == (Phase.CANARY, 0.0, "v2")
 
@@ -46,7 +46,7 @@
     assert registry.effective_record("svc").phase is Phase.ROLLED_BACK
 
 
-def test_a_new_order_takes_the_earlier_target_out_at_once():
+def test_a_new_order_excludes_the_earlier_target_at_once():
     registry = make_registry(record(Phase.SWITCHING), order=ORDER)
     registry.on_order(RolloutOrder("svc", "v3", 30.0, 11), 2.0)
     effective = registry.effective_record("svc")
@@ -63,17 +63,17 @@
         (Phase.COMPLETE, "v1", ("v1",), ()),
     ],
 )
-def test_what_earlier_rollouts_ended_with_stays_barred_unless_it_is_named_again(phase, target, barred, expected):
+def test_versions_excluded_by_earlier_rollouts_stay_excluded_unless_named_again(phase, target, barred, expected):
     opened = opening_record(RolloutOrder("svc", target, 9.0, 11), record(phase, barred=barred), 3.0)
     assert opened.barred == expected
 
 
-def test_a_complete_rollout_bars_all_versions_that_it_replaces():
+def test_a_complete_rollout_excludes_all_versions_that_it_replaces():
     assert exclude_replaced(record(barred=("v0",)), {"v1", "v2"}) == ("v0", "v1")
 
 
 @pytest.mark.parametrize(("phase", "software"), [(Phase.ROLLED_BACK, "v2"), (Phase.COMPLETE, "v1")])
-def test_back_ends_that_leave_after_a_rollout_get_nothing_more(phase, software):
+def test_back_ends_that_leave_after_a_rollout_get_no_requests(phase, software):
     registry = make_registry(record(phase, barred=("v1",) if phase is Phase.COMPLETE else ()))
     assert registry.is_excluded("svc", software)
     assert not registry.is_excluded("svc", "v7")
@@ -97,7 +97,7 @@
     assert registry.tally.by_service == {}
 
 
-def test_a_version_that_nobody_named_waits_for_its_order():
+def test_an_unannounced_version_waits_for_its_order():
     registry = make_registry()
     registry.on_backend_listed("svc", "v1", 0.0, at_start=True)
     registry.on_backend_listed("svc", "v2", 10.0, at_start=False)
@@ -106,7 +106,7 @@
     assert registry.effective_record("svc").target_version == "v2"
 
 
-def test_a_version_that_stays_unnamed_is_used_later():
+def test_an_unannounced_version_is_used_after_its_waiting_time():
     registry = make_registry()
     registry.on_backend_listed("svc", "v1", 0.0, at_start=True)
     registry.on_backend_listed("svc", "v2", 10.0, at_start=False)
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("at_start", [True, False])
-def test_versions_found_at_the_start_and_the_first_of_a_service_count_as_known(at_start):
+def test_versions_listed_at_the_start_and_the_first_of_a_service_do_not_wait(at_start):
     registry = make_registry()
     registry.on_backend_listed("svc", "v1", 10.0, at_start)
     if at_start:
@@ -124,14 +124,14 @@
     assert registry.active == {}
 
 
-def test_a_version_that_is_named_is_not_unannounced():
+def test_a_version_that_an_order_has_named_does_not_wait():
     registry = make_registry(order=ORDER)
     registry.on_backend_listed("svc", "v1", 0.0, at_start=True)
     registry.on_backend_listed("svc", "v2", 10.0, at_start=False)
     assert registry.active["svc"].unannounced_until_s == {}
 
 
-def test_a_version_that_waits_for_its_order_does_not_count_as_replaced():
+def test_an_unannounced_version_does_not_count_as_replaced():
     registry = make_registry(record())
     registry.on_backend_listed("svc", "v1", 0.0, at_start=True)
     registry.on_backend_listed("svc", "v3", 10.0, at_start=False)
--- a/tests/unit/rollout/test_restored_rollouts.py
+++ b/tests/unit/rollout/test_restored_rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts whose rows a store has lost that came back from an older copy."""
+"""Rollouts whose rows were lost when the store was restored from an older copy."""
 
 import asyncio
 
@@ -19,8 +19,8 @@
 
 @pytest.mark.parametrize("copied", ["before the order", "before the record", "in the canary"])
 @pytest.mark.parametrize("lost_in", [Phase.CANARY, Phase.SWITCHING])
-def test_a_rollout_goes_on_where_it_was_although_order_and_record_are_lost(copied, lost_in):
-    """The order is written again under another version: it is not a new one."""
+def test_a_rollout_continues_although_order_and_record_are_lost(copied, lost_in):
+    """The order is written again with another row version, which must not count as a new order."""
 
     async def scenario(fleet):
         copy = fleet.copy()
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("copied", ["before the order", "in the canary"])
 @pytest.mark.parametrize("end", [Phase.ROLLED_BACK, Phase.COMPLETE])
-def test_an_end_that_is_lost_is_written_again_and_nothing_is_tried_anew(copied, end):
+def test_a_lost_end_is_written_again_and_the_rollout_is_not_repeated(copied, end):
     async def scenario(fleet):
         copy = fleet.copy()
         fleet.order()
@@ -77,7 +77,7 @@
     assert effective == {end}
 
 
-def test_a_new_order_after_the_restore_is_carried_out_although_its_version_was_given_out_before():
+def test_a_new_order_after_a_restore_is_executed_although_its_row_version_was_used_before():
     async def scenario(fleet):
         copy = fleet.copy()
         for _ in range(30):
@@ -95,7 +95,7 @@
     assert run_scenario(scenario, versions=("v1", "v2", "v3")) == ("v1", "v2")
 
 
-def test_an_older_order_in_the_copy_does_not_undo_the_known_one():
+def test_an_older_order_in_the_copy_does_not_replace_the_accepted_one():
     async def scenario(fleet):
         fleet.order("v2")
         await fleet.until_phase(Phase.COMPLETE)
@@ -112,7 +112,7 @@
     assert run_scenario(scenario, versions=("v1", "v2", "v3")) == {"v3"}
 
 
-def test_an_older_order_that_still_stands_after_some_seconds_counts():
+def test_an_older_order_in_the_copy_takes_effect_if_no_other_follows():
     async def scenario(fleet):
         fleet.order("v2")
         await fleet.until_phase(Phase.COMPLETE)
--- a/tests/unit/rollout/test_rollout_network.py
+++ b/tests/unit/rollout/test_rollout_network.py
@@ -1,4 +1,4 @@
-"""Whole rollouts with the real planner under traffic: what a version that turns bad gets, at any moment."""
+"""Complete rollouts with the real planner and traffic: how many requests a version gets that turns bad."""
 
 import asyncio
 import random
@@ -13,11 +13,11 @@
 BOUNDS = RolloutBounds(exposure_share=0.1, exposure_requests=50, rollback_s=5.0)
 NODES = 10
 REQUESTS_PER_S = 20
-"""Requests a second at each node."""
+"""Requests per second at each node."""
 DURATION_S = 20.0
 TICK_S = 0.05
 BAD_ANSWERS = 50
-"""Bad answers of a version after which it may get requests for ``rollback_s`` more."""
+"""Number of bad answers after which a version may get requests for at most ``rollback_s`` more."""
 
 
 class Traffic:
@@ -60,12 +60,12 @@
         counts.first_delays[8] += 1
 
     def exposure(self):
-        """Return how many requests the target version got, by how many it may."""
+        """Return the number of requests that the target version got, as a fraction of its bound."""
         return len(self.target_sent_s) / (BOUNDS.exposure_share * self.requests + BOUNDS.exposure_requests)
 
 
 def run(bad_from_s=float("inf"), on_bad=None, failed_part=0.3):
-    """Play a rollout to its end and return the fleet's last record, the traffic and the time it took."""
+    """Run a rollout to its end and return the fleet's last record, the traffic and the duration in seconds."""
 
     async def scenario(fleet):
         fleet.order(duration_s=DURATION_S)
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("bad_from_s", [3.0, 8.0, 17.0])
-def test_a_bad_version_gets_nothing_long_after_its_50th_bad_answer_though_the_holder_is_killed(bad_from_s):
+def test_a_bad_version_gets_no_request_long_after_its_50th_bad_answer_although_the_holder_is_killed(bad_from_s):
     def kill_holder(fleet):
         if fleet.holder is not None:
             fleet.kill(fleet.holder)
--- a/tests/unit/rollout/test_service_rollout.py
+++ b/tests/unit/rollout/test_service_rollout.py
@@ -1,4 +1,4 @@
-"""Which back ends may get a request, by the phase of the service's rollout."""
+"""Selection of the back ends that may get a request, by the phase of the service's rollout."""
 
 import random
 from dataclasses import replace
@@ -71,7 +71,7 @@
         (Phase.ROLLED_BACK, 0.0, True, ["current"]),
     ],
 )
-def test_the_other_side_takes_a_request_only_where_the_phase_allows_it(phase, share, prefers_target, expected):
+def test_the_other_version_gets_a_request_only_if_the_phase_allows_it(phase, share, prefers_target, expected):
     barred = ("v1",) if phase is Phase.COMPLETE else ()
     service = rollout(phase, share, barred=barred)
     known = service.groups([*OLD, *NEW], NOW_S)
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(("phase", "is_served"), [(Phase.CANARY, True), (Phase.ROLLED_BACK, False)])
-def test_without_any_current_back_end_listed_the_target_serves_unless_rolled_back(phase, is_served):
+def test_without_current_back_ends_the_target_version_serves_unless_rolled_back(phase, is_served):
     tiers = rollout(phase).tiers(NEW, False, NOW_S)
     assert any(tiers) == is_served
 
@@ -90,17 +90,17 @@
     ("share", "current", "target", "count"),
     [(0.05, 40, 20, 3), (0.1, 40, 20, 4), (0.101, 40, 20, 5), (0.1, 40, 2, 2), (0.0, 40, 20, 0), (0.2, 0, 20, 3)],
 )
-def test_few_target_back_ends_carry_the_canary(share, current, target, count):
+def test_few_target_back_ends_get_canary_requests(share, current, target, count):
     assert len(canary_backends("svc", NEW[:target], current, share)) == count
 
 
-def test_all_nodes_pick_the_same_canary_and_keep_it_when_the_share_grows():
+def test_all_nodes_choose_the_same_canary_back_ends_also_when_the_share_grows():
     few = canary_backends("svc", NEW, 40, 0.1)
     assert canary_backends("svc", list(reversed(NEW)), 40, 0.1) == few
     assert canary_backends("svc", NEW, 40, 0.2)[: len(few)] == few
 
 
-def test_a_excluded_or_unannounced_version_gets_nothing():
+def test_an_excluded_or_unannounced_version_gets_no_requests():
     others = [backend("a", "v0"), backend("b", "v3")]
     service = rollout(Phase.COMPLETE, barred=("v0",), unannounced={"v3": NOW_S + 1})
     assert names(service.eligible_backends([*others, *NEW], NOW_S)) == names(NEW)
@@ -123,18 +123,18 @@
         (Phase.ROLLED_BACK, 0.0, NOW_S, 40),
     ],
 )
-def test_load_is_counted_of_the_back_ends_that_take_requests(phase, share, record_written_s, expected):
+def test_eligible_back_ends_are_those_that_get_requests_in_the_phase(phase, share, record_written_s, expected):
     assert len(rollout(phase, share, record_written_s).eligible_backends([*OLD, *NEW], NOW_S)) == expected
 
 
 def unnamed(known, unannounced_until_s=NOW_S + 2.0):
-    """Back ends of an ordinary replacement: ``known`` ones, and one of a version that waits for an order."""
+    """Return a replacement without an order: the back ends ``known`` and one of an unannounced version."""
     listed = [*known, backend("next-0", "v9")]
     return ServiceRollout("svc", None, {"v9": unannounced_until_s}), listed
 
 
 @pytest.mark.parametrize("end", ["none", "draining", "lapsed", "superseded", "gone"])
-def test_back_ends_of_an_unnamed_version_are_used_at_once_if_no_other_stays(end):
+def test_back_ends_of_an_unannounced_version_are_used_at_once_if_all_others_leave(end):
     last = backend("old-0", "v1")
     service, listed = unnamed([] if end == "none" else [last])
     assert names(service.eligible_backends(listed, NOW_S)) == ({"next-0"} if end == "none" else {"old-0"})
@@ -151,7 +151,7 @@
     assert "next-0" in names(service.tiers(listed, False, NOW_S)[-1])
 
 
-def test_back_ends_of_an_unnamed_version_wait_while_another_is_only_suspended():
+def test_back_ends_of_an_unannounced_version_wait_while_another_is_only_suspended():
     last = backend("old-0", "v1")
     last.suspended_until_s = NOW_S + 60.0
     service, listed = unnamed([last])
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("phase", [Phase.COMPLETE, Phase.ROLLED_BACK])
-def test_after_a_rollout_an_unnamed_version_is_used_at_once_if_no_other_stays(phase):
+def test_after_a_rollout_an_unannounced_version_is_used_at_once_if_all_others_leave(phase):
     service = rollout(phase, barred=("v1",), unannounced={"v9": NOW_S + 2.0})
     listed = [OLD[0], backend("next-0", "v9")]
     assert names(service.eligible_backends(listed, NOW_S)) == {"next-0"}
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize("phase", [Phase.CANARY, Phase.SWITCHING])
-def test_a_node_without_a_fresh_record_keeps_to_current_back_ends_that_are_only_suspended(phase):
+def test_a_node_without_a_fresh_record_uses_current_back_ends_that_are_only_suspended(phase):
     last = backend("old-0", "v1")
     last.suspended_until_s = NOW_S + 60.0
     service = rollout(phase, 0.2, record_written_s=NOW_S - 2.5)
--- a/tests/unit/rollout/test_tally_and_reports.py
+++ b/tests/unit/rollout/test_tally_and_reports.py
@@ -1,4 +1,4 @@
-"""What nodes count of a rollout, and what the one that decides makes of it."""
+"""Counting of requests and answers in a rollout, reports of the counts, and their sum at the lease holder."""
 
 import msgspec
 
@@ -37,38 +37,38 @@
     return CountedAttempt(counts, 10.0, is_warm), counts
 
 
-def test_a_whole_answer_counts_its_first_delay_and_its_mean_gap():
+def test_a_complete_answer_counts_its_first_delay_and_its_mean_gap():
     counted, counts = attempt()
     counted.on_answered(200, first_event_s=10.4, last_event_s=11.4, events=11)
     assert (counts.answered, counts.failed, counts.broken) == (1, 0, 0)
     assert (dict(counts.first_delays), dict(counts.piece_gaps)) == ({delay_bucket(0.4): 1}, {delay_bucket(0.1): 1})
 
 
-def test_a_failed_answer_is_an_answer_too():
+def test_a_failed_answer_counts_as_answered_too():
     counted, counts = attempt()
     counted.on_answered(500, 10.1, 0.0, 0)
     assert (counts.answered, counts.failed, dict(counts.piece_gaps)) == (1, 1, {})
 
 
-def test_delays_of_a_back_end_that_is_slow_from_its_start_are_left_out():
+def test_delays_of_a_back_end_that_is_slow_after_its_start_are_not_counted():
     counted, counts = attempt(is_warm=False)
     counted.on_answered(200, 10.4, 11.4, 11)
     assert (counts.answered, dict(counts.first_delays), dict(counts.piece_gaps)) == (1, {}, {})
 
 
-def test_an_attempt_given_up_for_its_silence_counts_with_the_time_it_was_waited_for():
+def test_an_attempt_that_timed_out_without_an_event_counts_the_time_waited():
     counted, counts = attempt()
     counted.on_timed_out(None, 12.0)
     assert (counts.answered, counts.broken, dict(counts.first_delays)) == (0, 1, {delay_bucket(2.0): 1})
 
 
-def test_an_attempt_given_up_after_its_first_piece_counts_as_broken_only():
+def test_an_attempt_that_timed_out_after_its_first_event_counts_as_broken_only():
     counted, counts = attempt()
     counted.on_timed_out(10.5, 12.0)
     assert (counts.broken, dict(counts.first_delays)) == (1, {})
 
 
-def test_the_current_side_is_counted_together_and_target_back_ends_one_by_one():
+def test_current_back_ends_are_counted_together_and_target_back_ends_separately():
     counts = ServiceTally(1)
     for name in ("a", "b"):
         counts.source_counts("r", True, name).answered += 1
@@ -91,15 +91,15 @@
     assert summed.target_requests == 5
 
 
-def test_totals_of_a_dead_node_stay_when_it_starts_again():
+def test_totals_of_a_dead_node_are_retained_when_it_starts_again():
     assert total(report("n1", life=1, target=5), report("n1", life=2, target=1)).target_requests == 6
 
 
-def test_counts_of_an_earlier_order_are_left_out():
+def test_counts_of_an_earlier_order_are_ignored():
     assert total(report("n1", target=5, order=6), report("n2", target=2)).target_requests == 2
 
 
-def test_a_new_holder_starts_from_what_the_record_says():
+def test_the_total_is_at_least_what_the_record_counts():
     record = msgspec.structs.replace(RECORD, current_requests=90, target_requests=8)
     summed = total(report("n1", current=10, target=2), record=record)
     assert (summed.current_requests, summed.target_requests) == (90, 8)
@@ -134,7 +134,7 @@
 
 
 class FakeHolder:
-    """Takes reports and remembers how many sources each one named; may start anew."""
+    """Receives reports and records the number of sources in each; can be restarted."""
 
     def __init__(self):
         self.named: list[int] = []
@@ -151,7 +151,7 @@
         self.fleet = FleetCounts()
 
 
-def test_a_report_names_only_sources_that_the_holder_does_not_know(run_async):
+def test_a_report_contains_only_sources_that_have_changed_since_the_last_one(run_async):
     async def work():
         holder = FakeHolder()
         server = PeerServer({CountsReport: holder.on_report})
@@ -161,7 +161,9 @@
         for name in ("a", "b", "c"):
             counts.source_counts("r", True, name).answered = 1
         for _ in range(3):
-            await sender.step()  # The first one makes the holder known, the second tells it everything.
+            await (
+                sender.step()
+            )  # The first two contain all counts: the holder's life is known only after the first.
         counts.source_counts("r", True, "b").answered += 4
         await sender.step()
         before = sum(each.answered for each in holder.fleet.total(RECORD).answers)
@@ -176,7 +178,7 @@
     assert run_async(work()) == ([3, 3, 0, 1, 0, 3, 0], 7, 7)
 
 
-def test_a_source_told_again_replaces_what_was_known_of_it():
+def test_newer_counts_of_a_source_replace_older_ones():
     first, second = tally(), tally()
     for counts, answered, delays in ((first, 2, {3: 2}), (second, 5, {3: 4, 9: 1})):
         source = counts.source_counts("r", False, "")
@@ -187,7 +189,7 @@
     assert (answers.answered, answers.first_delays) == (5, {3: 4, 9: 1})
 
 
-def test_a_holder_that_cannot_be_reached_costs_nothing_but_the_report(run_async):
+def test_an_unreachable_holder_does_not_prevent_counting(run_async):
     async def work():
         sender, fleet = reporter("n2", "n1", {"n1": NodeRecord("z", "127.0.0.1:1")})
         await sender.step()
@@ -196,7 +198,7 @@
     assert run_async(work()) == 1
 
 
-def test_nothing_is_kept_or_sent_while_no_rollout_is_on():
+def test_nothing_is_stored_or_sent_while_no_rollout_is_active():
     async def work():
         sender, fleet = reporter("n2", "n1", {"n1": NodeRecord("z", "127.0.0.1:1")}, counting=False)
         started_s = boot_time_s()
--- a/tests/unit/rollout/test_totals.py
+++ b/tests/unit/rollout/test_totals.py
@@ -1,10 +1,10 @@
-"""Totals of several nodes' lives."""
+"""Totals of answers, summed over nodes and over runs of their processes."""
 
 from wallwell.rollout.model import AnswerCounts, RolloutCounts
 from wallwell.rollout.totals import Totals, merge_counts
 
 
-def test_totals_of_lives_are_added_by_route_side_and_back_end():
+def test_totals_of_nodes_are_summed_by_route_version_and_back_end():
     first = RolloutCounts(
         7,
         10,
@@ -26,15 +26,15 @@
     )
 
 
-def test_totals_of_another_order_are_left_out():
+def test_totals_of_another_order_are_ignored():
     assert merge_counts([RolloutCounts(6, 10, 2), RolloutCounts(7, 1, 1)], 7) == RolloutCounts(7, 1, 1)
 
 
-def test_nothing_adds_up_to_nothing():
+def test_no_parts_give_empty_counts():
     assert merge_counts([], 7) == RolloutCounts(7)
 
 
-def test_quantiles_and_tails_go_by_buckets():
+def test_quantiles_and_tail_counts_by_bucket():
     totals = Totals(
         RolloutCounts(1, answers=(AnswerCounts("a", False, "", 10, first_delays={2: 5, 4: 4, 9: 1}),)), 0.0
     )
