--- a/src/wallwell/rollout/bad_answers.py
+++ b/src/wallwell/rollout/bad_answers.py
@@ -104,8 +104,7 @@
 
 
 def count_since(start: Totals, measure: Measure, baseline: RouteBaseline, now: BackendCount) -> BackendCount:
-    """Return a back end's bad and all answers since ``start``; 0 if a new lease holder has received fewer
-    counts."""
+    """Return a back end's bad and all answers since ``start``; 0 if a new holder has received fewer counts."""
     source, bad_answers, answers = now
     bad_before, answers_before = count_bad(start, measure, source, baseline.bucket)
     answers = max(answers - answers_before, 0)
--- a/src/wallwell/rollout/evidence.py
+++ b/src/wallwell/rollout/evidence.py
@@ -30,7 +30,7 @@
 RECENT_WINDOW_S = 4.0
 """Seconds of recent answers by which the current version is judged to be overloaded."""
 MIN_RECENT_ANSWERS = 30
-"""Answers of the current version in this span that the judgement needs."""
+"""Answers of the current version that are needed within a recent span to compute a recent rate."""
 OVERLOAD_FACTOR = 2.0
 """Ratio of the current version's recent rate of late answers to its overall rate above which it is overloaded."""
 OVERLOAD_DISCOUNT = 0.5
@@ -38,7 +38,7 @@
 PRESENT_WINDOW_S = 0.9
 """Least seconds of answers that represent the present state: counts of all nodes arrive within a second."""
 MIN_PRESENT_ANSWERS = 60
-"""Answers of the target version in this span that are needed to conclude that it is not slow."""
+"""Answers of the target version within the present window that are needed to conclude that it is not slow."""
 MAX_WINDOW_STARTS = 64
 """Number of test starts besides the order, spread over twice the duration, after which every rollout has ended."""
 MIN_START_SPACING_S = 0.5
@@ -73,8 +73,7 @@
             self._starts = {at: kept for at, kept in self._starts.items() if _is_start_retained(step, at)}
 
     def evidence(self, measures: tuple[Measure, ...], is_switching: bool) -> VersionEvidence:
-        """Return the strongest evidence by ``measures``; ``is_switching`` allows generations for their cold
-        caches."""
+        """Return the strongest evidence by ``measures``; ``is_switching`` allows for cold caches of generations."""
         first_start = (self._slowness_start if measures is SLOWNESS else None) or self._comparison_start
         windows = [(first_start, math.log(0.5 / MEASURE_COUNT))]
         starts = [each for each in self._starts.values() if first_start is None or each.at_s > first_start.at_s]
@@ -120,8 +119,7 @@
         log_weight: float,
         best: VersionEvidence,
     ) -> VersionEvidence:
-        """Return the stronger of ``best`` and one measure's evidence since ``start``, by route and over all
-        routes."""
+        """Return ``best`` or stronger evidence of one measure since ``start``, by route or over all routes."""
         all_routes = BadAnswers()
         route_weight = log_weight - math.log(2 * max(len(baselines), 1))
         if not any(self._may_be_bad(start, measure, baseline) for baseline in baselines):
--- a/src/wallwell/rollout/exposure.py
+++ b/src/wallwell/rollout/exposure.py
@@ -47,15 +47,14 @@
 SHARE_TOLERANCE = 0.25
 """Relative change up to which the share is not changed: each change costs a write and a row sent to all nodes."""
 MAX_SWITCH_S = 5.0
-"""Longest switch in seconds: a longer canary before it detects more versions that turn bad late."""
+"""Earliest begin of the switch, in seconds before the deadline: a longer canary detects more late defects."""
 ARRIVAL_DEVIATIONS = 2.0
 """Standard deviations added to the expected number of arrivals: for a normal distribution the sum is exceeded in
 about 1 of 40 plans."""
 
 
 class Traffic(msgspec.Struct, frozen=True):
-    """Requests sent to each version since the order, and rates in requests per second: the mean since the order,
-    the highest and the lowest recent one."""
+    """Requests sent to each version since the order; mean, highest recent and lowest recent rate per second."""
 
     current: int
     target: int
--- a/src/wallwell/rollout/likelihood.py
+++ b/src/wallwell/rollout/likelihood.py
@@ -16,8 +16,8 @@
 LOG_WEIGHT = -math.log(len(ALTERNATIVE_DISTANCES))
 """Logarithm of each alternative's weight in the mixture; all weights are equal."""
 NULL_DEVIATIONS = 2.0
-"""Standard deviations by which the null rate is set above the observed rate. For a normal distribution the null
-rate is then too low in about 1 of 40 rollouts."""
+"""Standard deviations by which the null rate is set above the observed rate; for a normal distribution it is then
+too low in about 1 of 40 rollouts."""
 MIN_NULL_RATE = 1e-4
 """Lowest null rate used in a test; keeps the logarithm of the ratio finite."""
 
--- a/src/wallwell/rollout/measures.py
+++ b/src/wallwell/rollout/measures.py
@@ -13,8 +13,7 @@
 from wallwell.rollout.totals import Totals
 
 USUAL_QUANTILE = 0.9
-"""Quantile of the current version's delays that counts as the usual delay. An answer is late if its delay exceeds
-the usual one by a factor."""
+"""Quantile of the current version's delays that counts as usual; answers later than it by a factor are late."""
 SLOW_SLACK_FACTOR = 1.25
 """Factor by which the target version's rate of late answers may exceed the current version's: its caches are colder
 and it runs on other back ends."""
--- a/src/wallwell/rollout/model.py
+++ b/src/wallwell/rollout/model.py
@@ -40,8 +40,7 @@
     """An operator's order to roll out a version.
 
     ``store_version`` is the version of the order's row in ``era`` of the store: of two orders in one era the later
-    one has the larger version. An order that the store has lost is written again, in a later era and with any
-    version.
+    one has the larger version. An order that the store has lost is written again in a later era, with any version.
     """
 
     service: str
@@ -119,8 +118,7 @@
 
 
 AnswerSource = tuple[str, bool, str]
-"""Origin of counted answers: route, whether of the target version, incarnation of the target back end (otherwise
-empty)."""
+"""Origin of counted answers: route, whether of the target version, incarnation of the target back end or empty."""
 
 
 class AnswerCounts(msgspec.Struct, frozen=True, array_like=True):
@@ -183,8 +181,7 @@
 
 
 BUCKETS_PER_DOUBLING = 2
-"""Resolution of delay histograms: neighbouring buckets are a factor of 1.4 apart. Fixed, since nodes exchange
-counts by bucket."""
+"""Buckets of delays: neighbours are a factor of 1.4 apart. Fixed, since nodes exchange counts by bucket."""
 SHORTEST_DELAY_S = 0.001
 """Upper end of the lowest bucket, in seconds. Fixed, since nodes exchange counts by bucket."""
 
--- a/src/wallwell/rollout/planner.py
+++ b/src/wallwell/rollout/planner.py
@@ -29,17 +29,16 @@
 from wallwell.rollout.totals import routes_short_of_answers
 
 ROLLBACK_LOG_EVIDENCE = math.log(2_000)
-"""Evidence for a rollback. By Ville's inequality a good version reaches it in at most 1 of 2,000
-rollouts."""
+"""Evidence for a rollback. By Ville's inequality a good version reaches it in at most 1 of 2,000 rollouts."""
 SUSPECT_LOG_EVIDENCE = -3.5
 """Weighted evidence that delays the switch and the end without a rollback: a likelihood ratio of 0.03. In simulated
 rollouts fewer than 1 in 100 good versions have as much at their end. With a ratio of 0.01 instead, 5 rather than 2
 of 400 good versions ended late, and 75 rather than 82 of 400 bad ones were completed."""
 SINGLE_TEST_ROLLBACK_LOG_EVIDENCE = math.log(3_000)
-"""Evidence of a single test, without its weight, that causes a rollback if the excess below is reached as well."""
+"""Unweighted evidence of a single test that causes a rollback if the test's excess of bad answers is large, too."""
 SINGLE_TEST_ROLLBACK_EXCESS = 20.0
-"""Bad answers above the allowed number. A bad version must be stopped after its 50th bad answer; the difference is
-for those given while counts and record are being sent."""
+"""Excess of bad answers in a single test that causes a rollback with strong evidence. A bad version must be stopped
+after its 50th bad answer; the difference is for those given while counts and record are being sent."""
 SLOWNESS_PERSISTENCE_S = 2.5
 """Seconds for which slowness must last during the switch, since then no answers of the current version distinguish
 it from an overload of both versions. With the lags of counts and record, half a second is left of the five within
@@ -47,7 +46,7 @@
 BACKENDS_TO_BEGIN_CANARY = 3
 """Number of target back ends at which the canary begins: with fewer, a faulty machine looks like a bad version."""
 CANARY_WAIT_FRACTION = 0.2
-"""Fraction of the duration for which the canary waits for these back ends; then it begins with fewer."""
+"""Fraction of the duration for which the canary waits for enough back ends; then it begins with fewer."""
 ANSWERS_TO_SWITCH = 16
 """Complete answers of the target version, over all routes, that are required for the switch."""
 ANSWERS_TO_COMPLETE = 20
--- a/src/wallwell/rollout/reporter.py
+++ b/src/wallwell/rollout/reporter.py
@@ -44,8 +44,8 @@
         holder: Callable[[], str],
         members: Callable[[], Mapping[str, NodeRecord]],
     ) -> None:
-        """``fleet`` stores all counts that this node has received; ``holder`` returns the lease holder's name,
-        empty if there is none."""
+        """``fleet`` stores all received counts; ``holder`` returns the lease holder's name, empty if there is
+        none."""
         self._node = node
         self._life = secrets.randbits(LIFE_BITS)
         self._tally = tally
--- a/src/wallwell/rollout/reports.py
+++ b/src/wallwell/rollout/reports.py
@@ -79,18 +79,18 @@
     answers: dict[tuple[str, int, AnswerSource], AnswerCounts] = field(default_factory=dict)
     total: ServiceTally = field(default_factory=lambda: ServiceTally(0))
 
-    def add_counts(self, life: tuple[str, int], counts: RolloutCounts) -> None:
-        """Replace the totals of a node's ``life`` where ``counts`` are newer."""
-        current, target = self.requests.get(life, (0, 0))
+    def add_counts(self, node_run: tuple[str, int], counts: RolloutCounts) -> None:
+        """Replace the totals of ``node_run`` (node and ``life``) where ``counts`` are newer."""
+        current, target = self.requests.get(node_run, (0, 0))
         newest = max(current, counts.current_requests), max(target, counts.target_requests)
-        self.requests[life] = newest
+        self.requests[node_run] = newest
         self.total.current_requests += newest[0] - current
         self.total.target_requests += newest[1] - target
         for each in counts.answers:
-            self._replace_answers(life, each)
+            self._replace_answers(node_run, each)
 
-    def _replace_answers(self, life: tuple[str, int], newest: AnswerCounts) -> None:
-        key = (*life, newest.source)
+    def _replace_answers(self, node_run: tuple[str, int], newest: AnswerCounts) -> None:
+        key = (*node_run, newest.source)
         before = self.answers.get(key)
         if before is not None and _ended_attempts(before) >= _ended_attempts(newest):
             return
--- a/src/wallwell/rollout/service_rollout.py
+++ b/src/wallwell/rollout/service_rollout.py
@@ -19,8 +19,8 @@
 from wallwell.routing.rendezvous import key_of, rendezvous_score
 
 MIN_CANARY_BACKENDS = 3
-"""Least number of target back ends that get canary requests, if so many exist: with fewer, a faulty machine looks
-like a bad version."""
+"""Least target back ends with canary requests, if so many exist: with fewer, one faulty machine looks like a bad
+version."""
 RECORD_VALID_FRACTION = 0.5
 """Fraction of ``rollback_s`` for which a record is valid after it was written. A node whose record is older sends
 nothing to the target version, since possibly no node compares its answers.
@@ -94,7 +94,7 @@
         return now_s - self.record_written_s < self.record_valid_s
 
     def draws_target(self, rng: random.Random, now_s: float) -> bool:
-        """Choose a new request's version; True for the target version. Calls ``rng`` once in the canary phase, else
+        """Choose a new request's version; True for the target. Calls ``rng`` once in the canary phase, else
         never."""
         record = self.record
         if record is None or record.phase is Phase.ROLLED_BACK:
--- a/src/wallwell/rollout/store.py
+++ b/src/wallwell/rollout/store.py
@@ -9,7 +9,7 @@
 from wallwell.rollout.model import RolloutRecord
 
 LEASE_NAME = "software"
-"""Name of the lease whose holder writes these rows."""
+"""Name of the lease whose holder writes the rows of rollouts."""
 RECORD_PREFIX = "software/"
 """Key prefix of records in this product's own table; the service's name follows."""
 
--- a/src/wallwell/rollout/tally.py
+++ b/src/wallwell/rollout/tally.py
@@ -110,8 +110,8 @@
         self.counts.broken += 1
 
     def on_timed_out(self, first_event_s: float | None, now_s: float) -> None:
-        """Count an attempt that timed out at ``now_s``, after its first event at ``first_event_s``. If there was no
-        event, the time waited is counted as the delay, since the answer would have taken longer."""
+        """Count an attempt that timed out at ``now_s``, with its first event at ``first_event_s``. Without an event
+        the time waited is counted as the delay, since the answer would have taken longer."""
         self.counts.broken += 1
         if first_event_s is None and self.is_warm:
             self.counts.first_delays[delay_bucket(now_s - self.sent_s)] += 1
--- a/src/wallwell/rollout/totals.py
+++ b/src/wallwell/rollout/totals.py
@@ -16,8 +16,7 @@
 
 
 def merge_counts(parts: Iterable[RolloutCounts], order: int) -> RolloutCounts:
-    """Return the sum of the nodes' requests and answers for ``order``; ``parts`` of other orders are ignored. Each
-    run of a node's process is a part of its own."""
+    """Return the sum of the ``parts`` (one for each run of a node's process) that belong to ``order``."""
     current_requests = target_requests = 0
     answers: dict[AnswerSource, AnswerCounts] = {}
     for part in parts:
@@ -86,8 +85,7 @@
         return (0, 0) if each is None else (each.failed, each.answered)
 
     def count_above(self, source: AnswerSource, delay_field: str, bucket: int) -> tuple[int, int]:
-        """Return the numbers of answers above ``bucket`` and in all buckets of ``delay_field``, which is
-        ``first_delays`` or ``piece_gaps``."""
+        """Return the numbers of answers above ``bucket`` and of all in ``first_delays`` or ``piece_gaps``."""
         cached = self._above_by_bucket.get((source, delay_field, bucket))
         if cached is not None:
             return cached
