--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -153,7 +153,7 @@
                 ZoneLoad: self._load_reporter.on_zone,
                 RegionLoad: self._load_reporter.between_regions.on_region,
                 CacheRequest: self._kv_store_watch.answer,
-                CountsReport: self._reporter.on_report,
+                CountsReport: self._reporter.on_counts_report,
             }
         )
 
--- a/src/wallwell/rollout/driver.py
+++ b/src/wallwell/rollout/driver.py
@@ -145,7 +145,7 @@
         self._registry.release_unannounced_versions(now_s)
         self._registry.accept_deferred_orders(now_s)
         due = [service for service in self._registry.due_services() if self._state.knows_service(service)]
-        self._counts.retain_services(due)
+        self._counts.forget_other_services(due)
         self._turn.set_due(bool(due), now_s)
         if not due or not await self._turn.hold(now_s):
             self._rows.clear()
--- a/src/wallwell/rollout/exposure.py
+++ b/src/wallwell/rollout/exposure.py
@@ -136,8 +136,8 @@
     budget = min(CANARY_FRACTION * bound, max(HIGH_TRAFFIC_CANARY_FRACTION * bound, HIGH_TRAFFIC_CANARY_REQUESTS))
     budget_left = max(budget - spent, 0.0)
     expected = max(traffic.high_rate * left_s, 1.0)
-    least_share = MIN_SHARE_FRACTION * bounds.exposure_share
-    return min(max(budget_left / expected, least_share), MAX_CANARY_SHARE)
+    min_share = MIN_SHARE_FRACTION * bounds.exposure_share
+    return min(max(budget_left / expected, min_share), MAX_CANARY_SHARE)
 
 
 def _keep_if_similar(share: float, next_share: float) -> float:
--- a/src/wallwell/rollout/model.py
+++ b/src/wallwell/rollout/model.py
@@ -182,12 +182,12 @@
 
 BUCKETS_PER_DOUBLING = 2
 """Buckets of delays: neighbours are a factor of 1.4 apart. Fixed, since nodes exchange counts by bucket."""
-SHORTEST_DELAY_S = 0.001
+MIN_DELAY_S = 0.001
 """Upper end of the lowest bucket, in seconds. Fixed, since nodes exchange counts by bucket."""
 
 
 def delay_bucket(delay_s: float) -> int:
     """Return the bucket of a delay in seconds: two for each doubling, from a millisecond."""
-    if delay_s <= SHORTEST_DELAY_S:
+    if delay_s <= MIN_DELAY_S:
         return 0
-    return math.floor(BUCKETS_PER_DOUBLING * math.log2(delay_s / SHORTEST_DELAY_S))
+    return math.floor(BUCKETS_PER_DOUBLING * math.log2(delay_s / MIN_DELAY_S))
--- a/src/wallwell/rollout/reporter.py
+++ b/src/wallwell/rollout/reporter.py
@@ -17,20 +17,20 @@
 from wallwell.rollout.tally import RolloutTally
 
 REPORT_INTERVAL_S = 0.3
-"""Seconds between two reports of a node in a fleet of up to :data:`NODES_AT_FULL_RATE` nodes; short compared with
-``rollback_s`` (5 s by default)."""
-NODES_AT_FULL_RATE = 100
+"""Seconds between two reports of a node in a fleet of up to :data:`MAX_NODES_AT_FULL_RATE` nodes; short compared
+with ``rollback_s`` (5 s by default)."""
+MAX_NODES_AT_FULL_RATE = 100
 """Largest number of nodes at which each reports at the full rate. Nodes of larger fleets report less often, so that
 the lease holder receives at most some 330 reports a second."""
 ANSWER_TIMEOUT_S = 0.3
 """Time-out for the reply to a report, in seconds: one interval of a small fleet, when the next report is due."""
-LIFE_BITS = 63
-"""Bits of the random number ``life``, which identifies a run of a node's process; a positive JSON integer."""
+NODE_INCARNATION_BITS = 63
+"""Bits of a node's incarnation, a random number drawn at its start; a positive JSON integer."""
 
 
-def report_interval_s(nodes: int) -> float:
-    """Return the seconds between two reports of a node, in a fleet of so many ``nodes``."""
-    return REPORT_INTERVAL_S * max(1.0, nodes / NODES_AT_FULL_RATE)
+def report_interval_s(node_count: int) -> float:
+    """Return the seconds between two reports of a node, in a fleet of ``node_count`` nodes."""
+    return REPORT_INTERVAL_S * max(1.0, node_count / MAX_NODES_AT_FULL_RATE)
 
 
 class CountsReporter:
@@ -47,7 +47,7 @@
         """``fleet`` stores all received counts; ``holder`` returns the lease holder's name, empty if there is
         none."""
         self._node = node
-        self._life = secrets.randbits(LIFE_BITS)
+        self._node_incarnation = secrets.randbits(NODE_INCARNATION_BITS)
         self._tally = tally
         self._fleet = fleet
         self._holder = holder
@@ -68,7 +68,7 @@
             self._acknowledged.clear()
             return
         counts = self._tally.snapshot()
-        self._fleet.add_report(CountsReport(self._node, self._life, counts))
+        self._fleet.add_report(CountsReport(self._node, self._node_incarnation, counts))
         holder = self._holder()
         member = self._members().get(holder)
         if holder == self._node or member is None or not member.relay:
@@ -77,18 +77,18 @@
         unacknowledged = (
             self._acknowledged.unacknowledged(counts) if self._acknowledged.holder[0] == holder else counts
         )
-        report = CountsReport(self._node, self._life, unacknowledged)
+        report = CountsReport(self._node, self._node_incarnation, unacknowledged)
         try:
             reply = await self._links.to(holder, member.relay).ask(report, CountsAcknowledged, ANSWER_TIMEOUT_S)
         except PeerUnavailableError:
             return  # Not logged: the next report contains these counts too, and may go to another holder.
         self._acknowledged.on_acknowledged((holder, reply.life), unacknowledged)
 
-    async def on_report(self, report: CountsReport) -> CountsAcknowledged:
+    async def on_counts_report(self, report: CountsReport) -> CountsAcknowledged:
         """Add another node's report, whoever holds the lease, and return the acknowledgement: the row of a lease
         that this node has just acquired may arrive later."""
         self._fleet.add_report(report)
-        return CountsAcknowledged(self._life)
+        return CountsAcknowledged(self._node_incarnation)
 
     def close(self) -> None:
         """Close the connection to the lease holder."""
--- a/src/wallwell/rollout/reports.py
+++ b/src/wallwell/rollout/reports.py
@@ -1,8 +1,8 @@
 """Counts of a rollout that nodes report to the lease holder, and the holder's sum of them. No I/O.
 
 A report contains a node's totals without the sources that have not changed since the holder received them. So its
-size grows with the node's answers, not with the number of back ends. The holder stores totals by node and by
-``life`` (one run of the node's process), also after the node's death.
+size grows with the node's answers, not with the number of back ends. The holder stores totals by node and
+incarnation, also after the node's death.
 
 :class:`AcknowledgedCounts` belongs to a reporting node, :class:`FleetCounts` to the lease holder.
 """
@@ -21,7 +21,7 @@
 
 
 class CountsReport(PeerMessage, frozen=True):
-    """A node's totals by service. ``life`` is a random number drawn at each start of the node."""
+    """A node's totals by service. ``life`` is the node's incarnation, a random number drawn at its start."""
 
     node: str
     life: int
@@ -29,14 +29,14 @@
 
 
 class CountsAcknowledged(msgspec.Struct, frozen=True):
-    """Reply to :class:`CountsReport` with the receiving node's ``life``; counts of its earlier ones are lost."""
+    """Reply to :class:`CountsReport` with the receiving node's incarnation; counts of earlier ones are lost."""
 
     life: int
 
 
 @dataclass
 class AcknowledgedCounts:
-    """Counts that a node's reports can omit, since the lease holder has received them in its present ``life``."""
+    """Counts that a node's reports can omit: the lease holder received them in its present incarnation."""
 
     holder: tuple[str, int] = ("", 0)
     _answers: dict[tuple[str, int, AnswerSource], int] = field(default_factory=dict)
@@ -71,26 +71,26 @@
 
 @dataclass
 class _ServiceTotals:
-    """The newest totals of one rollout for every ``life`` of every node, and their sum."""
+    """The newest totals of one rollout for every incarnation of every node, and their sum."""
 
     order: int
     requests: dict[tuple[str, int], tuple[int, int]] = field(default_factory=dict)
-    """Requests to the current and to the target version, by node and ``life``."""
+    """Requests to the current and to the target version, by node and incarnation."""
     answers: dict[tuple[str, int, AnswerSource], AnswerCounts] = field(default_factory=dict)
     total: ServiceTally = field(default_factory=lambda: ServiceTally(0))
 
-    def add_counts(self, node_run: tuple[str, int], counts: RolloutCounts) -> None:
+    def add_counts(self, node_key: tuple[str, int], counts: RolloutCounts) -> None:
         """Replace the totals of ``node_run`` (node and ``life``) where ``counts`` are newer."""
-        current, target = self.requests.get(node_run, (0, 0))
+        current, target = self.requests.get(node_key, (0, 0))
         newest = max(current, counts.current_requests), max(target, counts.target_requests)
-        self.requests[node_run] = newest
+        self.requests[node_key] = newest
         self.total.current_requests += newest[0] - current
         self.total.target_requests += newest[1] - target
         for each in counts.answers:
-            self._replace_answers(node_run, each)
+            self._replace_answers(node_key, each)
 
-    def _replace_answers(self, node_run: tuple[str, int], newest: AnswerCounts) -> None:
-        key = (*node_run, newest.source)
+    def _replace_answers(self, node_key: tuple[str, int], newest: AnswerCounts) -> None:
+        key = (*node_key, newest.source)
         before = self.answers.get(key)
         if before is not None and _ended_attempts(before) >= _ended_attempts(newest):
             return
@@ -126,7 +126,7 @@
             target_requests=max(counts.target_requests, record.target_requests),
         )
 
-    def retain_services(self, services: Iterable[str]) -> None:
+    def forget_other_services(self, services: Iterable[str]) -> None:
         """Drop the counts of all services but these, as their rollouts have ended."""
         if self._services:
             kept = set(services)
--- a/src/wallwell/rollout/totals.py
+++ b/src/wallwell/rollout/totals.py
@@ -16,7 +16,7 @@
 
 
 def merge_counts(parts: Iterable[RolloutCounts], order: int) -> RolloutCounts:
-    """Return the sum of the ``parts`` (one for each run of a node's process) that belong to ``order``."""
+    """Return the sum of the ``parts`` (one for each incarnation of a node) that belong to ``order``."""
     current_requests = target_requests = 0
     answers: dict[AnswerSource, AnswerCounts] = {}
     for part in parts:
--- a/tests/unit/rollout/drawn_rollouts.py
+++ b/tests/unit/rollout/drawn_rollouts.py
@@ -30,7 +30,7 @@
 TICK_S = 0.15
 TICKS_A_DECISION = 2
 BOUNDS = RolloutBounds()
-LEAST_CANARY_BACKENDS = 3
+MIN_CANARY_BACKENDS = 3
 PLACES = 8
 NORMAL_FROM = 60
 """Number of trials from which a count is drawn from the normal distribution instead."""
@@ -209,7 +209,7 @@
         at_s = tick * TICK_S
         scenario = self.scenario
         part = self._target_part(at_s) if self._started(at_s) else 0.0
-        used = max(LEAST_CANARY_BACKENDS, math.ceil(part * scenario.target_backends))
+        used = max(MIN_CANARY_BACKENDS, math.ceil(part * scenario.target_backends))
         backends = min(used, self._started(at_s))
         for route in scenario.routes:
             arrived = self._draws.poisson(scenario.rate * scenario.load(at_s) * route.part * TICK_S)
@@ -365,6 +365,6 @@
             self.result.exposed += rest
 
 
-def simulate(seed: int, longest_s: float = 60.0) -> Result:
+def simulate(seed: int, max_duration_s: float = 60.0) -> Result:
     """Simulate the rollout of a bad version if the seed is odd, of a good version if it is even."""
-    return SimulatedRollout(draw_scenario(seed, seed % 2 == 1, longest_s)).run()
+    return SimulatedRollout(draw_scenario(seed, seed % 2 == 1, max_duration_s)).run()
--- a/tests/unit/rollout/drawn_scenarios.py
+++ b/tests/unit/rollout/drawn_scenarios.py
@@ -45,7 +45,7 @@
 
     seed: int
     rate: float
-    nodes: int
+    node_count: int
     duration_s: float
     routes: Sequence[Route]
     current_backends: int
@@ -66,12 +66,12 @@
     @property
     def row_lag_s(self) -> float:
         """Seconds until the last node has received a row."""
-        return 0.05 + 0.55 * self.nodes / 410
+        return 0.05 + 0.55 * self.node_count / 410
 
     @property
     def count_lag_s(self) -> float:
         """Age in seconds of the counts that the planner receives."""
-        return 0.3 + 0.7 * self.nodes / 410
+        return 0.3 + 0.7 * self.node_count / 410
 
     def load(self, at_s: float) -> float:
         """Return the request rate at a time as a multiple of the mean rate."""
@@ -81,19 +81,19 @@
         return load
 
 
-def draw_scenario(seed: int, is_bad: bool, longest_s: float = 60.0) -> Scenario:
+def draw_scenario(seed: int, is_bad: bool, max_duration_s: float = 60.0) -> Scenario:
     """Draw a rollout from all rates, sizes and durations that the planner supports."""
     generator = random.Random(seed)
     rate = math.exp(generator.uniform(math.log(20), math.log(3_300)))
     scale = math.log(rate / 20) / math.log(165)
-    nodes = max(3, min(410, round(3 * math.exp(scale * math.log(137) * generator.uniform(0.6, 1.1)))))
-    duration = generator.uniform(8.0, longest_s)
+    node_count = max(3, min(410, round(3 * math.exp(scale * math.log(137) * generator.uniform(0.6, 1.1)))))
+    duration = generator.uniform(8.0, max_duration_s)
     routes = _draw_routes(generator)
     change = generator.choice([1.0, 1.0, 0.5, 2.0])
     return Scenario(
         seed=seed,
         rate=rate,
-        nodes=nodes,
+        node_count=node_count,
         duration_s=duration,
         routes=routes,
         current_backends=(backends := generator.randint(4, 30)),
--- a/tests/unit/rollout/test_planner_property.py
+++ b/tests/unit/rollout/test_planner_property.py
@@ -12,14 +12,14 @@
 from wallwell.rollout.model import Phase
 
 ROLLOUTS = int(os.environ.get("WALLWELL_DRAWN_ROLLOUTS", "200"))
-LONGEST_S = 20.0
+MAX_DURATION_S = 20.0
 """Longest rollout here: with up to 60 s as on the design page each takes twice as long to simulate."""
 
 
 @cache
 def results():
     """Simulate all rollouts once: even seeds draw good versions, odd ones bad versions."""
-    return [simulate(seed, LONGEST_S) for seed in range(ROLLOUTS)]
+    return [simulate(seed, MAX_DURATION_S) for seed in range(ROLLOUTS)]
 
 
 def bad():
@@ -59,8 +59,8 @@
     assert len(rolled_back) <= len(good()) // 500, seeds(rolled_back)
 
 
-@pytest.mark.parametrize(("least_rate", "most"), [(20, 0.15), (600, 0.1)])
-def test_few_bad_versions_are_complete_after_many_bad_answers(least_rate, most):
-    mine = [each for each in bad() if each.scenario.rate >= least_rate]
+@pytest.mark.parametrize(("min_rate", "most"), [(20, 0.15), (600, 0.1)])
+def test_few_bad_versions_are_complete_after_many_bad_answers(min_rate, most):
+    mine = [each for each in bad() if each.scenario.rate >= min_rate]
     missed = [each for each in mine if each.phase is Phase.COMPLETE and each.is_evident]
     assert len(missed) <= most * len(mine), seeds(missed)
--- a/tests/unit/rollout/test_tally_and_reports.py
+++ b/tests/unit/rollout/test_tally_and_reports.py
@@ -121,7 +121,7 @@
 def test_a_report_reaches_the_holder_over_a_link(run_async):
     async def work():
         holder, fleet = reporter("n1", "n1", {})
-        server = PeerServer({CountsReport: holder.on_report})
+        server = PeerServer({CountsReport: holder.on_counts_report})
         await server.start("127.0.0.1", 0)
         sender, _ = reporter("n2", "n1", {"n1": NodeRecord("z", server.address)})
         await sender.step()
@@ -141,7 +141,7 @@
         self.life = 1
         self.fleet = FleetCounts()
 
-    async def on_report(self, report):
+    async def on_counts_report(self, report):
         self.named.append(sum(len(each.answers) for each in report.counts.values()))
         self.fleet.add_report(report)
         return CountsAcknowledged(self.life)
@@ -154,7 +154,7 @@
 def test_a_report_contains_only_sources_that_have_changed_since_the_last_one(run_async):
     async def work():
         holder = FakeHolder()
-        server = PeerServer({CountsReport: holder.on_report})
+        server = PeerServer({CountsReport: holder.on_counts_report})
         await server.start("127.0.0.1", 0)
         sender, _ = reporter("n2", "n1", {"n1": NodeRecord("z", server.address)})
         counts = sender._tally.by_service["svc"]
--- a/tests/unit/rollout/test_totals.py
+++ b/tests/unit/rollout/test_totals.py
@@ -1,4 +1,4 @@
-"""Totals of answers, summed over nodes and over runs of their processes."""
+"""Totals of answers, summed over nodes and their incarnations."""
 
 from wallwell.rollout.model import AnswerCounts, RolloutCounts
 from wallwell.rollout.totals import Totals, merge_counts
