--- a/src/wallwell/rollout/driver.py
+++ b/src/wallwell/rollout/driver.py
@@ -196,7 +196,7 @@
         decision = self._planner.decide(record, counts, capacity, self._clock.to_store_s(now_s))
         if decision.phase is Phase.COMPLETE and now_s - (self._lease_since_s or now_s) < MIN_LEASE_TO_COMPLETE_S:
             decision = RolloutDecision(
-                record.phase, record.share, "this node has held the lease for too short a time", decision.inputs
+                record.phase, record.share, "the lease was taken a moment ago", decision.inputs
             )
         decided = self._new_record(record, counts, decision)
         if _is_written_at_once(record, decided) or now_s - rows.written_s >= HEARTBEAT_S:
--- a/src/wallwell/rollout/planner.py
+++ b/src/wallwell/rollout/planner.py
@@ -243,7 +243,7 @@
         return Phase.CANARY, reason_to_wait
     if 0.0 < inputs.left_s <= LAST_DECISION_S and inputs.target_answers >= ANSWERS_TO_COMPLETE:
         return Phase.COMPLETE, "good, the deadline is near"
-    return Phase.SWITCHING, "good, the unused bound covers the rest"
+    return Phase.SWITCHING, "good, what is left of the bound covers the rest"
 
 
 def _decide_in_switching(inputs: _DecisionInputs, switched_for_s: float) -> tuple[Phase, str]:
@@ -255,21 +255,21 @@
     if 0.0 < inputs.left_s <= COMPLETE_MARGIN_S:
         return Phase.COMPLETE, "good, the deadline is near"
     if switched_for_s < MIN_SWITCHING_S:
-        return Phase.SWITCHING, "waiting for answers at full load"
+        return Phase.SWITCHING, "answers at full load are to come"
     if inputs.capacity.current_in_flight == 0:
-        return Phase.COMPLETE, "good, no requests in flight at current back ends"
+        return Phase.COMPLETE, "good, nothing under way on the current side"
     if inputs.left_s <= 0.0 and switched_for_s >= MAX_DRAIN_S:
         return Phase.COMPLETE, "good, overdue"
-    return Phase.SWITCHING, "requests in flight at current back ends"
+    return Phase.SWITCHING, "requests are under way on the current side"
 
 
 def _missing_slots(inputs: _DecisionInputs) -> str:
     """Return how many slots the target version has if too few to serve all requests; empty if it has enough."""
     capacity = inputs.capacity
     if capacity.target_slots <= 0:
-        return "no target slots"
+        return "no target places"
     if capacity.target_slots < MIN_SLOTS_RATIO * capacity.current_slots:
-        return f"{capacity.target_slots} target slots for {capacity.current_slots} current ones"
+        return f"{capacity.target_slots} target places for {capacity.current_slots} current ones"
     return ""
 
 
