--- a/src/wallwell/rollout/records.py
+++ b/src/wallwell/rollout/records.py
@@ -1,8 +1,8 @@
-"""What one node knows of rollouts: operators' orders, records of the node that decides, listed versions. Pure.
+"""One node's state of rollouts: operators' orders, records of the lease holder, listed versions. No I/O.
 
-Inputs: orders from the operators' table, records from this product's table, versions from the back ends' table,
-each from a feed of its own and in any order. Owns this node's :class:`ServiceRollout` objects, by which requests
-are sent, and its counts of them.
+Inputs: orders from the operators' table, records from this product's table, versions from the back ends' table;
+each table has its own feed, and rows of different tables arrive in any order. Owns this node's
+:class:`ServiceRollout` objects, by which requests are routed, and its counts of requests.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from wallwell.rollout.tally import RolloutTally
 
 UNANNOUNCED_WAIT_S = 2.0
-"""Seconds from its first listing for which a version that no order has named gets nothing. Entries and orders come
-on different feeds, of which one may be behind by its wait and a relay's (0.8 s each)."""
+"""Seconds from its first listing for which a version that no order has named gets no requests. Back ends and orders
+arrive on different feeds, and one may lag by the time of its own long poll and a relay's (0.8 s each)."""
 MAX_EXCLUDED = 16
-"""Excluded versions that a record names; older ones are long gone: it bounds the row."""
+"""Largest number of excluded versions in a record, which bounds the row; back ends of older ones are long gone."""
 
 
 def opening_record(
     order: RolloutOrder, previous: RolloutRecord | None, ordered_at_s: float, written_at_s: float = 0.0
 ) -> RolloutRecord:
-    """Return the first record of an order. The target version of an earlier rollout that is not complete is
-    excluded."""
+    """Return the first record of an order. The target version of the ``previous`` rollout is excluded unless that
+    rollout is complete."""
     excluded = list(previous.barred) if previous is not None else []
     if previous is not None and previous.phase is not Phase.COMPLETE:
         excluded.append(previous.target_version)
@@ -48,116 +48,115 @@
     return tuple(dict.fromkeys(version for version in versions if version != target))[-MAX_EXCLUDED:]
 
 
-def exclude_replaced(record: RolloutRecord, known: Iterable[str]) -> tuple[str, ...]:
-    """Return the versions excluded once a rollout is complete: all that the target version replaces."""
-    return _without_target((*record.barred, *sorted(known)), record.target_version)
+def exclude_replaced(record: RolloutRecord, listed_versions: Iterable[str]) -> tuple[str, ...]:
+    """Return the versions that are excluded once the rollout is complete: all that the target version replaces."""
+    return _without_target((*record.barred, *sorted(listed_versions)), record.target_version)
 
 
 @dataclass
-class RolloutBook:
-    """Rollouts by service. ``active`` holds those that requests go by; most services have no entry."""
+class RolloutRegistry:
+    """Rollouts by service. ``active`` contains those that affect routing; most services have no entry."""
 
     bounds: RolloutBounds = field(default_factory=RolloutBounds)
     active: dict[str, ServiceRollout] = field(default_factory=dict)
     tally: RolloutTally = field(default_factory=RolloutTally)
     orders: dict[str, RolloutOrder] = field(default_factory=dict)
     ordered_at_s: dict[str, float] = field(default_factory=dict)
-    """When this node saw the order of a service first, on its own clock."""
+    """When this node first saw the order of a service, on its own clock."""
     _records: dict[str, RolloutRecord] = field(default_factory=dict)
     _positions: dict[str, StorePosition] = field(default_factory=dict)
-    """Where the records' rows stand in the store's history."""
+    """Era and version of the row of each record."""
     _order_positions: dict[str, StorePosition] = field(default_factory=dict)
-    """The same of the orders' rows as they were read last: an order may be written again in a later era."""
-    _held_back: dict[str, tuple[RolloutOrder, float]] = field(default_factory=dict)
-    """Orders that may be older than the known ones, and the time on this node's clock from which they count."""
+    """Era and version of the row of each order as last read: an order may be written again in a later era."""
+    _deferred_orders: dict[str, tuple[RolloutOrder, float]] = field(default_factory=dict)
+    """Orders that may be older than the accepted ones, and when they take effect, on this node's clock."""
     _unconfirmed: set[str] = field(default_factory=set)
-    """Services whose record the store may have lost: it has come back from a copy since it was read."""
-    _known: dict[str, set[str]] = field(default_factory=dict)
+    """Services whose record the store may have lost: it was restored from a copy after the record was read."""
+    _listed_versions: dict[str, set[str]] = field(default_factory=dict)
     """Versions that back ends have listed, by service."""
     _unannounced: dict[str, dict[str, float]] = field(default_factory=dict)
-    """Versions that no order has named, by service, with the time on this node's clock until which they get
-    nothing."""
+    """Versions that no order has named, by service, and until when they get no requests, on this node's clock."""
 
-    def on_order(self, order: RolloutOrder, seen_at_s: float, counts_from_s: float = float("-inf")) -> bool:
-        """Apply an operator's order; returns False for one that is not newer than the known one.
+    def on_order(self, order: RolloutOrder, seen_at_s: float, effective_from_s: float = float("-inf")) -> bool:
+        """Apply an operator's order; return False if it is not newer than the accepted one or takes effect later.
 
-        ``counts_from_s``: an order of a later era that asks for something else may until then be one from before
-        the known one, which the copy lacks.
+        An order of a later era with other parameters may be older than the accepted one, if the copy from which the
+        store was restored lacks the accepted one. Such an order takes effect at ``effective_from_s``.
         """
-        known = self.orders.get(order.service)
+        accepted = self.orders.get(order.service)
         position = self._order_positions.get(order.service)
-        if known is not None and position is not None:
+        if accepted is not None and position is not None:
             if order.position <= position:
                 return False
-            if order.era != position.era and order.asks_for == known.asks_for:
+            if order.era != position.era and order.parameters == accepted.parameters:
                 self._order_positions[order.service] = order.position
-                self._held_back.pop(order.service, None)
+                self._deferred_orders.pop(order.service, None)
                 return False
-            if order.era != position.era and seen_at_s < counts_from_s:
-                self._held_back[order.service] = (order, counts_from_s)
+            if order.era != position.era and seen_at_s < effective_from_s:
+                self._deferred_orders[order.service] = (order, effective_from_s)
                 return False
         self._accept(order, seen_at_s)
         return True
 
     def _accept(self, order: RolloutOrder, seen_at_s: float) -> None:
-        self._held_back.pop(order.service, None)
+        self._deferred_orders.pop(order.service, None)
         self._order_positions[order.service] = order.position
         self.orders[order.service] = order
         self.ordered_at_s[order.service] = seen_at_s
-        self._refresh(order.service)
+        self._rebuild(order.service)
 
-    def release_held_back(self, now_s: float) -> None:
-        """Let orders count that nothing has contradicted in time."""
-        for order, counts_from_s in list(self._held_back.values()):
-            if now_s >= counts_from_s:
+    def accept_deferred_orders(self, now_s: float) -> None:
+        """Accept the deferred orders that are due and that no other order has replaced."""
+        for order, effective_from_s in list(self._deferred_orders.values()):
+            if now_s >= effective_from_s:
                 self._accept(order, now_s)
 
-    def on_restored(self) -> None:
-        """The store has come back from a copy, in which records may be missing or older."""
+    def on_store_restored(self) -> None:
+        """Mark all records as unconfirmed: the store was restored from a copy, in which they may be older."""
         self._unconfirmed.update(self._records)
 
     def on_record(self, record: RolloutRecord, position: StorePosition, record_written_s: float) -> bool:
-        """Apply a record as the store keeps it; returns whether the phase or order is another one.
+        """Apply a record that was read from the store; return whether the phase or order has changed.
 
-        ``position`` is its row's: one older than the known one changes nothing. ``record_written_s`` is when it was
-        written, on this node's clock.
+        ``position`` is the era and version of its row; a record older than the applied one is ignored.
+        ``record_written_s`` is when it was written, on this node's clock.
         """
-        known = self._records.get(record.service)
-        known_position = self._positions.get(record.service, position)
-        if position < known_position:
+        applied = self._records.get(record.service)
+        applied_position = self._positions.get(record.service, position)
+        if position < applied_position:
             return False
-        if known is not None and position.era > known_position.era and _is_earlier(record, known):
-            return False  # The copy's; what is known is written again.
+        if applied is not None and position.era > applied_position.era and _is_outdated(record, applied):
+            return False  # From the copy: the applied record is written again.
         self._unconfirmed.discard(record.service)
         self._records[record.service] = record
         self._positions[record.service] = position
         rollout = self.active.get(record.service)
-        if known is not None and rollout is not None and _is_same_rollout(known, record):
+        if applied is not None and rollout is not None and _has_same_routing(applied, record):
             rollout.record_written_s = max(rollout.record_written_s, record_written_s)
             return False
-        self._refresh(record.service, record_written_s)
-        return known is None or (known.order, known.phase) != (record.order, record.phase)
+        self._rebuild(record.service, record_written_s)
+        return applied is None or (applied.order, applied.phase) != (record.order, record.phase)
 
-    def lost_record(self, service: str, stored: RolloutRecord | None) -> RolloutRecord | None:
-        """Return the record that is to be written again instead of the stored one; None if that is as new."""
-        known = self._records.get(service)
-        if known is None or service not in self._unconfirmed:
+    def record_to_restore(self, service: str, stored: RolloutRecord | None) -> RolloutRecord | None:
+        """Return the record that must be written over the ``stored`` one; None if the stored one is as new."""
+        applied = self._records.get(service)
+        if applied is None or service not in self._unconfirmed:
             return None
-        return known if stored is None or _is_earlier(stored, known) else None
+        return applied if stored is None or _is_outdated(stored, applied) else None
 
     def record(self, service: str) -> RolloutRecord | None:
-        """Return the record as the store keeps it."""
+        """Return the newest record read from the store; None if there is none."""
         return self._records.get(service)
 
-    def effective(self, service: str) -> RolloutRecord | None:
-        """Return what holds for requests: the record, or the beginning of an order that has none yet."""
+    def effective_record(self, service: str) -> RolloutRecord | None:
+        """Return the record that applies to requests: the newest, or the first one of an order without any."""
         order, record = self.orders.get(service), self._records.get(service)
         if order is None or (record is not None and record.covers(order)):
             return record
         return opening_record(order, record, ordered_at_s=0.0)
 
     def is_excluded(self, service: str, software: str) -> bool:
-        """Whether a version gets nothing any more because of how a rollout ended."""
+        """Whether a version gets no requests because a rollout replaced it or rolled it back."""
         rollout = self.active.get(service)
         record = rollout.record if rollout is not None else None
         if record is None:
@@ -172,23 +171,23 @@
         return record is not None and not record.phase.is_final and software == record.target_version
 
     def is_due(self, service: str) -> bool:
-        """Whether something is left to decide, or a record to be written again."""
-        record = self.effective(service)
+        """Whether the rollout has not ended, or its record may have to be written again."""
+        record = self.effective_record(service)
         return record is not None and (not record.phase.is_final or service in self._unconfirmed)
 
-    def due(self) -> list[str]:
-        """Return the services for which :meth:`is_due`."""
+    def due_services(self) -> list[str]:
+        """Return the services for which :meth:`is_due` is true."""
         return [service for service in self.active if self.is_due(service)]
 
-    def _refresh(self, service: str, record_written_s: float = float("-inf")) -> None:
-        record = self.effective(service)
-        before = self.active.get(service)
+    def _rebuild(self, service: str, record_written_s: float = float("-inf")) -> None:
+        record = self.effective_record(service)
+        previous = self.active.get(service)
         unannounced = self._unannounced.get(service, {})
         if record is None and not unannounced:
             self.active.pop(service, None)
             return
         record_written_s = max(
-            record_written_s, before.record_written_s if before is not None else record_written_s
+            record_written_s, previous.record_written_s if previous is not None else record_written_s
         )
         record_valid_s = self.bounds.rollback_s * RECORD_VALID_FRACTION
         self.active[service] = ServiceRollout(service, record, unannounced, record_written_s, record_valid_s)
@@ -199,52 +198,53 @@
 
     # --- versions of back ends -------------------------------------------------------------------------
 
-    def on_listed(self, service: str, version: str, now_s: float, at_start: bool) -> None:
-        """A back end is listed. A version that no order has named gets nothing at first if others are known."""
-        known = self._known.setdefault(service, set())
-        if version in known:
+    def on_backend_listed(self, service: str, version: str, now_s: float, at_start: bool) -> None:
+        """Register the version of a listed back end. If no order has named it and the service has other versions,
+        it gets no requests for :data:`UNANNOUNCED_WAIT_S`, except ``at_start`` of this node."""
+        listed = self._listed_versions.setdefault(service, set())
+        if version in listed:
             return
-        is_first = not known
-        known.add(version)
+        is_first = not listed
+        listed.add(version)
         if is_first or at_start or self._is_named(service, version):
             return
         self._unannounced.setdefault(service, {})[version] = now_s + UNANNOUNCED_WAIT_S
-        self._refresh(service)
+        self._rebuild(service)
 
     def _is_named(self, service: str, version: str) -> bool:
-        record = self.effective(service)
+        record = self.effective_record(service)
         return record is not None and (version == record.target_version or version in record.barred)
 
-    def known_versions(self, service: str) -> set[str]:
-        """Return every version that was listed for a service, without unannounced ones."""
-        return self._known.get(service, set()) - set(self._unannounced.get(service, {}))
+    def announced_versions(self, service: str) -> set[str]:
+        """Return all versions that were listed for a service, except unannounced ones."""
+        return self._listed_versions.get(service, set()) - set(self._unannounced.get(service, {}))
 
-    def release_unannounced(self, now_s: float) -> None:
-        """Let unannounced versions be used whose wait is over."""
+    def release_unannounced_versions(self, now_s: float) -> None:
+        """Allow requests to unannounced versions whose waiting time has ended."""
         for service, waits in list(self._unannounced.items()):
-            left = {version: until_s for version, until_s in waits.items() if now_s < until_s}
-            if len(left) == len(waits):
+            still_waiting = {version: until_s for version, until_s in waits.items() if now_s < until_s}
+            if len(still_waiting) == len(waits):
                 continue
-            if left:
-                self._unannounced[service] = left
+            if still_waiting:
+                self._unannounced[service] = still_waiting
             else:
                 del self._unannounced[service]
-            self._refresh(service)
+            self._rebuild(service)
 
 
-def _is_earlier(record: RolloutRecord, known: RolloutRecord) -> bool:
-    """Whether a record read after a return from a copy is older than the known one.
+def _is_outdated(record: RolloutRecord, applied: RolloutRecord) -> bool:
+    """Whether a record read after the store was restored from a copy is older than the applied one.
 
-    It is if it was written earlier, by the store's steady clock. What ended a rollout stays, though a holder that
-    knows only the copy goes on with it: what was rolled back is not tried again.
+    It is older if it was written earlier by the store's steady clock. An ended rollout stays ended, even if a lease
+    holder that has only the copy's record continues it: a version that was rolled back is not tried again.
     """
-    if record.written_at_s < known.written_at_s:
+    if record.written_at_s < applied.written_at_s:
         return True
-    return known.phase.is_final and not record.phase.is_final and record.asks_for == known.asks_for
+    return applied.phase.is_final and not record.phase.is_final and record.parameters == applied.parameters
 
 
-def _is_same_rollout(one: RolloutRecord, other: RolloutRecord) -> bool:
-    """Whether two records mean the same for requests."""
+def _has_same_routing(one: RolloutRecord, other: RolloutRecord) -> bool:
+    """Whether two records have the same effect on the routing of requests."""
     return (one.order, one.target_version, one.phase, one.share, one.barred) == (
         other.order,
         other.target_version,
--- a/src/wallwell/rollout/reports.py
+++ b/src/wallwell/rollout/reports.py
@@ -1,10 +1,10 @@
-"""Counts of a rollout as nodes report them to the holder of the lease, and the holder's sum of them. Pure.
+"""Counts of a rollout that nodes report to the lease holder, and the holder's sum of them. No I/O.
 
-A report holds a node's totals, but of its sources only those that have changed since the holder received them. So
-its size grows with the node's answers, not with the number of back ends. Totals are kept by node and life, beyond a
-node's death.
+A report contains a node's totals without the sources that have not changed since the holder received them. So its
+size grows with the node's answers, not with the number of back ends. The holder stores totals by node and
+incarnation, also after the node's death.
 
-:class:`TakenCounts` belongs to a reporting node, :class:`FleetCounts` to the one that decides.
+:class:`AcknowledgedCounts` belongs to a reporting node, :class:`FleetCounts` to the lease holder.
 """
 
 from __future__ import annotations
@@ -16,110 +16,109 @@
 import msgspec
 
 from wallwell.cluster.peer_link import PeerMessage
-from wallwell.rollout.model import AnswerCounts, RolloutCounts, RolloutRecord, Source
+from wallwell.rollout.model import AnswerCounts, AnswerSource, RolloutCounts, RolloutRecord
 from wallwell.rollout.tally import ServiceTally
 
 
 class CountsReport(PeerMessage, frozen=True):
-    """A node's totals by service. ``life`` is a random number of its own for each of the node's starts."""
+    """A node's totals by service. ``life`` is the node's incarnation, a random number drawn at its start."""
 
     node: str
     life: int
     counts: dict[str, RolloutCounts]
 
 
-class CountsTaken(msgspec.Struct, frozen=True):
-    """Answer to :class:`CountsReport`: the life of the receiving node, which knows nothing from its earlier
-    lives."""
+class CountsAcknowledged(msgspec.Struct, frozen=True):
+    """Reply to :class:`CountsReport` with the receiving node's incarnation; counts of earlier ones are lost."""
 
     life: int
 
 
 @dataclass
-class TakenCounts:
-    """What a node's reports can leave out, since the holder has received it in its present life."""
+class AcknowledgedCounts:
+    """Counts that a node's reports can omit: the lease holder received them in its present incarnation."""
 
     holder: tuple[str, int] = ("", 0)
-    _answers: dict[tuple[str, int, Source], int] = field(default_factory=dict)
+    _answers: dict[tuple[str, int, AnswerSource], int] = field(default_factory=dict)
 
-    def not_yet_taken(self, counts: Mapping[str, RolloutCounts]) -> dict[str, RolloutCounts]:
-        """Return the totals without the sources whose newest counts the holder has."""
-        found = {}
+    def unacknowledged(self, counts: Mapping[str, RolloutCounts]) -> dict[str, RolloutCounts]:
+        """Return the totals without the sources whose newest counts the lease holder already has."""
+        changed = {}
         for service, each in counts.items():
-            new = tuple(
+            changed_answers = tuple(
                 answers
                 for answers in each.answers
-                if self._answers.get((service, each.order, answers.source)) != _ended(answers)
+                if self._answers.get((service, each.order, answers.source)) != _ended_attempts(answers)
             )
-            found[service] = msgspec.structs.replace(each, answers=new)
-        return found
+            changed[service] = msgspec.structs.replace(each, answers=changed_answers)
+        return changed
 
-    def on_taken(self, holder: tuple[str, int], counts: Mapping[str, RolloutCounts]) -> None:
-        """A report was received. A holder other than before is sent everything again."""
+    def on_acknowledged(self, holder: tuple[str, int], counts: Mapping[str, RolloutCounts]) -> None:
+        """Record that a report was received. If the holder has changed, everything will be sent again."""
         if holder != self.holder:
             self.holder = holder
             self._answers.clear()
             return
         for service, each in counts.items():
             for answers in each.answers:
-                self._answers[(service, each.order, answers.source)] = _ended(answers)
+                self._answers[(service, each.order, answers.source)] = _ended_attempts(answers)
 
     def clear(self) -> None:
-        """No rollout is active."""
+        """Forget all acknowledgements, as no rollout is active."""
         self.holder = ("", 0)
         self._answers.clear()
 
 
 @dataclass
 class _ServiceTotals:
-    """The newest totals of every life of every node in one rollout, and their sum."""
+    """The newest totals of one rollout for every incarnation of every node, and their sum."""
 
     order: int
     requests: dict[tuple[str, int], tuple[int, int]] = field(default_factory=dict)
-    """Requests to the current and to the target version, by node and life."""
-    answers: dict[tuple[str, int, Source], AnswerCounts] = field(default_factory=dict)
+    """Requests to the current and to the target version, by node and incarnation."""
+    answers: dict[tuple[str, int, AnswerSource], AnswerCounts] = field(default_factory=dict)
     total: ServiceTally = field(default_factory=lambda: ServiceTally(0))
 
-    def take(self, life: tuple[str, int], counts: RolloutCounts) -> None:
-        """Add what is new in the totals of a node's life."""
-        current, target = self.requests.get(life, (0, 0))
+    def add_counts(self, node_key: tuple[str, int], counts: RolloutCounts) -> None:
+        """Replace the totals of ``node_run`` (node and ``life``) where ``counts`` are newer."""
+        current, target = self.requests.get(node_key, (0, 0))
         newest = max(current, counts.current_requests), max(target, counts.target_requests)
-        self.requests[life] = newest
+        self.requests[node_key] = newest
         self.total.current_requests += newest[0] - current
         self.total.target_requests += newest[1] - target
         for each in counts.answers:
-            self._take_answers(life, each)
+            self._replace_answers(node_key, each)
 
-    def _take_answers(self, life: tuple[str, int], newest: AnswerCounts) -> None:
-        key = (*life, newest.source)
+    def _replace_answers(self, node_key: tuple[str, int], newest: AnswerCounts) -> None:
+        key = (*node_key, newest.source)
         before = self.answers.get(key)
-        if before is not None and _ended(before) >= _ended(newest):
+        if before is not None and _ended_attempts(before) >= _ended_attempts(newest):
             return
         self.answers[key] = newest
-        _add(self.total, newest, 1)
+        _add_answers(self.total, newest, 1)
         if before is not None:
-            _add(self.total, before, -1)
+            _add_answers(self.total, before, -1)
 
 
 @dataclass
 class FleetCounts:
-    """What all nodes together sent and received, by service."""
+    """Requests and answers of all nodes together, by service."""
 
     _services: dict[str, _ServiceTotals] = field(default_factory=dict)
 
-    def take(self, report: CountsReport) -> None:
-        """Add a node's report; counts older than known ones change nothing."""
+    def add_report(self, report: CountsReport) -> None:
+        """Add a node's report; counts older than stored ones change nothing."""
         for service, counts in report.counts.items():
-            known = self._services.get(service)
-            if known is None or known.order < counts.order:
-                known = self._services[service] = _ServiceTotals(counts.order)
-            if known.order == counts.order:
-                known.take((report.node, report.life), counts)
+            totals = self._services.get(service)
+            if totals is None or totals.order < counts.order:
+                totals = self._services[service] = _ServiceTotals(counts.order)
+            if totals.order == counts.order:
+                totals.add_counts((report.node, report.life), counts)
 
     def total(self, record: RolloutRecord) -> RolloutCounts:
-        """Return what all nodes sent and received in a rollout; at least the requests that its record counts."""
-        known = self._services.get(record.service)
-        counts = known.total.counts() if known is not None and known.order == record.order else RolloutCounts(0)
+        """Return all nodes' requests and answers in a rollout; at least as many requests as in its record."""
+        sums = self._services.get(record.service)
+        counts = sums.total.snapshot() if sums is not None and sums.order == record.order else RolloutCounts(0)
         return msgspec.structs.replace(
             counts,
             order=record.order,
@@ -127,20 +126,20 @@
             target_requests=max(counts.target_requests, record.target_requests),
         )
 
-    def keep(self, services: Iterable[str]) -> None:
-        """Forget all other services, whose rollouts have ended."""
+    def forget_other_services(self, services: Iterable[str]) -> None:
+        """Drop the counts of all services but these, as their rollouts have ended."""
         if self._services:
             kept = set(services)
-            self._services = {service: known for service, known in self._services.items() if service in kept}
+            self._services = {service: totals for service, totals in self._services.items() if service in kept}
 
 
-def _ended(answers: AnswerCounts) -> int:
-    """Return how many attempts have ended; it grows with every change."""
+def _ended_attempts(answers: AnswerCounts) -> int:
+    """Return the number of attempts that have ended; it grows with every change of the counts."""
     return answers.answered + answers.broken
 
 
-def _add(total: ServiceTally, answers: AnswerCounts, factor: int) -> None:
-    source = total.of(answers.route, answers.is_target, answers.backend)
+def _add_answers(total: ServiceTally, answers: AnswerCounts, factor: int) -> None:
+    source = total.source_counts(answers.route, answers.is_target, answers.backend)
     source.answered += factor * answers.answered
     source.failed += factor * answers.failed
     source.broken += factor * answers.broken
--- a/tests/unit/rollout/drawn_rollouts.py
+++ b/tests/unit/rollout/drawn_rollouts.py
@@ -1,7 +1,7 @@
-"""Rollouts with drawn arrivals and answers in passed time, for the property test of the planner.
+"""Simulated rollouts with randomly drawn arrivals and answers, for the property test of the planner.
 
-Arrivals, sides, answers and delays are drawn by tick and by cell (route, side, back end). Nodes know a row after a
-lag, the planner knows counts after another. :mod:`tests.unit.rollout.drawn_report` prints what became of many.
+Arrivals, versions, answers and delays are drawn by tick and by cell (route, version, back end). Nodes receive a row
+after one lag, the planner receives counts after another. :mod:`tests.unit.rollout.drawn_report` prints statistics.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from tests.unit.rollout.drawn_scenarios import Badness, Route, Scenario, draw_scenario
+from tests.unit.rollout.drawn_scenarios import Defect, Route, Scenario, draw_scenario
 from wallwell.rollout.model import (
     BUCKETS_PER_DOUBLING,
     AnswerCounts,
@@ -30,15 +30,15 @@
 TICK_S = 0.15
 TICKS_A_DECISION = 2
 BOUNDS = RolloutBounds()
-LEAST_CANARY_BACKENDS = 3
+MIN_CANARY_BACKENDS = 3
 PLACES = 8
 NORMAL_FROM = 60
-"""Draws from which a count is drawn by the normal distribution."""
+"""Number of trials from which a count is drawn from the normal distribution instead."""
 
 
 @cache
 def _delays(median_s: float, spread: float, factor: float) -> tuple[list[int], list[float], list[float]]:
-    """Return buckets of a log-normal delay, their parts and the running sums of these."""
+    """Return the buckets of a log-normal delay, their probabilities and the running sums of these."""
     middle = BUCKETS_PER_DOUBLING * math.log2(median_s * factor / 0.001)
     deviation = BUCKETS_PER_DOUBLING * spread / math.log(2)
     buckets = [at for at in range(math.floor(middle - 4 * deviation), math.ceil(middle + 4 * deviation)) if at >= 0]
@@ -51,13 +51,13 @@
 
 
 class Draws:
-    """Counts drawn from a seeded generator."""
+    """Draws counts from a seeded generator."""
 
     def __init__(self, seed: int) -> None:
         self._generator = random.Random(seed)
 
-    def some(self, number: int, part: float) -> int:
-        """Return how many of ``number`` come out with a chance of ``part`` each."""
+    def binomial(self, number: int, part: float) -> int:
+        """Return a binomial count: the successes in ``number`` trials with probability ``part`` each."""
         if number <= 0 or part <= 0.0:
             return 0
         if part >= 1.0:
@@ -66,12 +66,12 @@
         if number > NORMAL_FROM and variance > 9.0:
             return min(number, max(0, round(self._generator.gauss(number * part, math.sqrt(variance)))))
         if number > NORMAL_FROM:
-            return min(number, self.arrivals(number * part))
+            return min(number, self.poisson(number * part))
         chance = self._generator.random
         return sum(chance() < part for _ in range(number))
 
-    def arrivals(self, mean: float) -> int:
-        """Return a Poisson count."""
+    def poisson(self, mean: float) -> int:
+        """Return a Poisson count with the given mean."""
         if mean > NORMAL_FROM:
             return max(0, round(self._generator.gauss(mean, math.sqrt(mean))))
         left, number = math.exp(-mean), 0
@@ -82,18 +82,18 @@
         return number
 
     def delays(self, number: int, median_s: float, spread: float, factor: float) -> Counter[int]:
-        """Return delays by bucket."""
+        """Return ``number`` delays, counted by bucket."""
         buckets, parts, running = _delays(median_s, spread, factor)
         if number <= NORMAL_FROM:
             return Counter(self._generator.choices(buckets, cum_weights=running, k=number))
         return Counter(
-            {at: count for at, part in zip(buckets, parts, strict=True) if (count := self.some(number, part))}
+            {at: count for at, part in zip(buckets, parts, strict=True) if (count := self.binomial(number, part))}
         )
 
 
 @dataclass
-class Cell:
-    """What one side or one target back end has answered on a route."""
+class CellCounts:
+    """Answers of the current version or of one target back end on a route."""
 
     answered: int = 0
     failed: int = 0
@@ -101,8 +101,8 @@
     first_delays: Counter[int] = field(default_factory=Counter)
     piece_gaps: Counter[int] = field(default_factory=Counter)
 
-    def add(self, other: Cell) -> None:
-        """Add other answers."""
+    def add(self, other: CellCounts) -> None:
+        """Add the counts of ``other``."""
         self.answered += other.answered
         self.failed += other.failed
         self.broken += other.broken
@@ -112,7 +112,7 @@
 
 @dataclass
 class Result:
-    """How a rollout went."""
+    """Result of a simulated rollout."""
 
     scenario: Scenario
     phase: Phase = Phase.CANARY
@@ -123,26 +123,26 @@
     bad_answers: int = 0
     fiftieth_at_s: float = math.inf
     requests_too_late: int = 0
-    """Requests sent to a bad version after ``rollback_s`` after its 50th bad answer, before the end."""
+    """Requests sent to a bad version later than ``rollback_s`` after its 50th bad answer and before the end."""
 
     @property
     def over_bound(self) -> bool:
-        """Whether the target side got more than operators allow."""
+        """Whether the target version got more requests than the bound allows."""
         return self.exposed > BOUNDS.exposure_share * self.requests + BOUNDS.exposure_requests
 
     @property
-    def shows(self) -> bool:
-        """Whether the version gave bad answers enough that anyone should have seen it: 20, of a plain kind."""
+    def is_evident(self) -> bool:
+        """Whether the version gave enough plainly bad answers (20) that it should have been detected."""
         return self.bad_answers >= 20 and self.is_plain
 
     @property
     def is_plain(self) -> bool:
-        """Whether nothing hides the badness.
+        """Whether the defect is not hidden by other effects.
 
-        Less than four times slower may be within the spread of usual answers; failures of fewer than 10 in 100 are
-        hidden by a sick machine of the current side, which may fail as often.
+        Answers less than four times slower may be within the spread of usual answers; failures of fewer than 10 in
+        100 are hidden by a faulty machine of the current version, which may fail as often.
         """
-        bad = self.scenario.bad
+        bad = self.scenario.defect
         if bad is None:
             return False
         if bad.kind == "slowness":
@@ -155,8 +155,8 @@
         return self.ended_at_s <= self.scenario.duration_s
 
 
-class DrawnRollout:
-    """One rollout from the order to its end."""
+class SimulatedRollout:
+    """Simulates one rollout from the order to its end."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -165,14 +165,14 @@
         self._planner = RolloutPlanner(BOUNDS)
         self._record = RolloutRecord("s", "v2", 1, 0.0, scenario.duration_s, Phase.CANARY)
         self._rows: list[tuple[float, float]] = [(-9.0, 0.0)]
-        self._cells: dict[tuple[str, bool, str], Cell] = defaultdict(Cell)
+        self._cells: dict[tuple[str, bool, str], CellCounts] = defaultdict(CellCounts)
         self._sent = [0, 0]
-        self._due: dict[int, list[tuple[tuple[str, bool, str], Cell, int]]] = defaultdict(list)
+        self._due: dict[int, list[tuple[tuple[str, bool, str], CellCounts, int]]] = defaultdict(list)
         self._seen: list[RolloutCounts] = []
         self._holder_changed = False
 
     def run(self) -> Result:
-        """Play to the end and return how it went."""
+        """Simulate to the end and return the result."""
         tick = 0
         last = 3.0 * self.scenario.duration_s + 10
         while tick * TICK_S < last and not (
@@ -184,11 +184,11 @@
                 self._seen.append(self._counts())
                 self._decide(tick * TICK_S)
             tick += 1
-        self._expect_rest(tick)
+        self._add_remaining_requests(tick)
         return self.result
 
     def _target_part(self, at_s: float) -> float:
-        """Return the part of requests that goes to the target side, as nodes know the rows at a time."""
+        """Return the fraction of requests for the target version, by the rows that nodes have received."""
         part, left = 0.0, 1.0
         for written_s, chance in reversed(self._rows):
             known = min(1.0, max(0.0, (at_s - written_s) / self.scenario.row_lag_s))
@@ -199,7 +199,7 @@
         return part
 
     def _started(self, at_s: float) -> int:
-        """Return how many target back ends have started."""
+        """Return the number of target back ends that have started."""
         late_s = 0.3 * self.scenario.duration_s if self.scenario.fault == "late start" else 0.05 * 20
         if at_s >= late_s:
             return self.scenario.target_backends
@@ -209,16 +209,16 @@
         at_s = tick * TICK_S
         scenario = self.scenario
         part = self._target_part(at_s) if self._started(at_s) else 0.0
-        used = max(LEAST_CANARY_BACKENDS, math.ceil(part * scenario.target_backends))
+        used = max(MIN_CANARY_BACKENDS, math.ceil(part * scenario.target_backends))
         backends = min(used, self._started(at_s))
         for route in scenario.routes:
-            arrived = self._draws.arrivals(scenario.rate * scenario.load(at_s) * route.part * TICK_S)
-            to_target = self._draws.some(arrived, part)
+            arrived = self._draws.poisson(scenario.rate * scenario.load(at_s) * route.part * TICK_S)
+            to_target = self._draws.binomial(arrived, part)
             self._count_sent(arrived, to_target, at_s)
             self._send(tick, route, False, "", arrived - to_target)
             left = to_target
             for number in range(backends):
-                taken = self._draws.some(left, 1.0 / (backends - number))
+                taken = self._draws.binomial(left, 1.0 / (backends - number))
                 left -= taken
                 self._send(tick, route, True, f"t{number}", taken)
 
@@ -232,14 +232,14 @@
             self.result.requests_too_late += to_target
 
     def _send(self, tick: int, route: Route, is_target: bool, backend: str, number: int) -> None:
-        """Draw what becomes of requests of one cell and when they are answered."""
+        """Draw the outcomes of the requests of one cell and the times of their answers."""
         if not number:
             return
         at_s = tick * TICK_S
         badly = 0
-        bad = self.scenario.bad
+        bad = self.scenario.defect
         if is_target and bad is not None and self._is_bad(bad, route, at_s):
-            badly = self._draws.some(number, bad.part)
+            badly = self._draws.binomial(number, bad.part)
         fault = self._fault(at_s, is_target, backend)
         usual = self._outcome(route, number - badly, is_target, fault, 1.0, False)
         self._queue(tick, route, is_target, backend, usual, fault[2], 0)
@@ -256,13 +256,13 @@
                 badly,
             )
 
-    def _is_bad(self, bad: Badness, route: Route, at_s: float) -> bool:
+    def _is_bad(self, bad: Defect, route: Route, at_s: float) -> bool:
         if at_s < bad.from_s or bad.route not in ("", route.name):
             return False
         return self.scenario.load(at_s) >= bad.above_load
 
     def _fault(self, at_s: float, is_target: bool, backend: str) -> tuple[float, float, float]:
-        """Return parts that fail and that break off by the fault, and by which factor delays grow."""
+        """Return the fractions that fail and that break off because of the fault, and the factor of delays."""
         scenario = self.scenario
         strikes = 0.0 <= at_s - scenario.fault_at_s < scenario.fault_span_s
         match scenario.fault:
@@ -288,13 +288,13 @@
         fault: tuple[float, float, float],
         slower: float,
         fails: bool,
-    ) -> Cell:
-        cell = Cell()
+    ) -> CellCounts:
+        cell = CellCounts()
         failing, breaking, factor = fault
-        cell.broken = self._draws.some(number, breaking)
+        cell.broken = self._draws.binomial(number, breaking)
         cell.answered = number - cell.broken
         cell.failed = (
-            cell.answered if fails else self._draws.some(cell.answered, 1 - (1 - route.failing) * (1 - failing))
+            cell.answered if fails else self._draws.binomial(cell.answered, 1 - (1 - route.failing) * (1 - failing))
         )
         if is_target:
             factor *= self.scenario.side_factor
@@ -308,7 +308,7 @@
         return cell
 
     def _queue(
-        self, tick: int, route: Route, is_target: bool, backend: str, cell: Cell, factor: float, badly: int
+        self, tick: int, route: Route, is_target: bool, backend: str, cell: CellCounts, factor: float, badly: int
     ) -> None:
         due = tick + round(route.latency_s * factor / TICK_S)
         self._due[due].append(((route.name, is_target, backend), cell, badly))
@@ -354,8 +354,8 @@
         if decision.phase.is_final:
             self.result.phase, self.result.reason, self.result.ended_at_s = decision.phase, decision.reason, at_s
 
-    def _expect_rest(self, tick: int) -> None:
-        """Add the requests still to come before the deadline, as the end distributes them."""
+    def _add_remaining_requests(self, tick: int) -> None:
+        """Add the requests still to arrive before the deadline, all to the version that the end selects."""
         rest = 0
         while tick * TICK_S < self.scenario.duration_s:
             rest += round(self.scenario.rate * self.scenario.load(tick * TICK_S) * TICK_S)
@@ -365,6 +365,6 @@
             self.result.exposed += rest
 
 
-def play(seed: int, longest_s: float = 60.0) -> Result:
-    """Play a rollout: with an odd seed of a bad version, with an even one of a good one."""
-    return DrawnRollout(draw_scenario(seed, seed % 2 == 1, longest_s)).run()
+def simulate(seed: int, max_duration_s: float = 60.0) -> Result:
+    """Simulate the rollout of a bad version if the seed is odd, of a good version if it is even."""
+    return SimulatedRollout(draw_scenario(seed, seed % 2 == 1, max_duration_s)).run()
--- a/tests/unit/rollout/drawn_scenarios.py
+++ b/tests/unit/rollout/drawn_scenarios.py
@@ -1,4 +1,4 @@
-"""What a drawn rollout meets: routes, rates, a fault, and how its version is bad."""
+"""Randomly drawn conditions of a simulated rollout: routes, rates, a fault, and the version's defect."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 
 @dataclass(frozen=True)
 class Route:
-    """A route: its part of requests, failures by nature, median and spread of delays, time to the whole answer."""
+    """A route: its fraction of requests, usual failure rate, median and spread of delays, and time to the complete
+    answer."""
 
     name: str
     part: float
@@ -26,8 +27,9 @@
 
 
 @dataclass(frozen=True)
-class Badness:
-    """How a version is bad. ``part`` of answers fail, or are ``factor`` times slower, from ``from_s`` on."""
+class Defect:
+    """Defect of a bad version: a fraction ``part`` of answers fails, or is ``factor`` times slower, from ``from_s``
+    on."""
 
     kind: str
     part: float
@@ -39,11 +41,11 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """All that is drawn before a rollout begins."""
+    """Everything that is drawn before a rollout begins."""
 
     seed: int
     rate: float
-    nodes: int
+    node_count: int
     duration_s: float
     routes: Sequence[Route]
     current_backends: int
@@ -59,39 +61,39 @@
     load_change_at_s: float
     load_change_span_s: float
     holder_changes_at_s: float
-    bad: Badness | None
+    defect: Defect | None
 
     @property
     def row_lag_s(self) -> float:
-        """Time until the last node knows a row."""
-        return 0.05 + 0.55 * self.nodes / 410
+        """Seconds until the last node has received a row."""
+        return 0.05 + 0.55 * self.node_count / 410
 
     @property
     def count_lag_s(self) -> float:
-        """Age of the counts that the planner sees."""
-        return 0.3 + 0.7 * self.nodes / 410
+        """Age in seconds of the counts that the planner receives."""
+        return 0.3 + 0.7 * self.node_count / 410
 
     def load(self, at_s: float) -> float:
-        """Return the rate at a time by the mean one."""
+        """Return the request rate at a time as a multiple of the mean rate."""
         load = 1.0 + self.wave_part * math.sin(2 * math.pi * at_s / self.wave_span_s)
         if 0.0 <= at_s - self.load_change_at_s < self.load_change_span_s:
             load *= self.load_change
         return load
 
 
-def draw_scenario(seed: int, is_bad: bool, longest_s: float = 60.0) -> Scenario:
-    """Draw a rollout over all rates, sizes and durations that are planned for."""
+def draw_scenario(seed: int, is_bad: bool, max_duration_s: float = 60.0) -> Scenario:
+    """Draw a rollout from all rates, sizes and durations that the planner supports."""
     generator = random.Random(seed)
     rate = math.exp(generator.uniform(math.log(20), math.log(3_300)))
     scale = math.log(rate / 20) / math.log(165)
-    nodes = max(3, min(410, round(3 * math.exp(scale * math.log(137) * generator.uniform(0.6, 1.1)))))
-    duration = generator.uniform(8.0, longest_s)
+    node_count = max(3, min(410, round(3 * math.exp(scale * math.log(137) * generator.uniform(0.6, 1.1)))))
+    duration = generator.uniform(8.0, max_duration_s)
     routes = _draw_routes(generator)
     change = generator.choice([1.0, 1.0, 0.5, 2.0])
     return Scenario(
         seed=seed,
         rate=rate,
-        nodes=nodes,
+        node_count=node_count,
         duration_s=duration,
         routes=routes,
         current_backends=(backends := generator.randint(4, 30)),
@@ -107,7 +109,7 @@
         load_change_at_s=generator.uniform(0.0, duration),
         load_change_span_s=generator.uniform(1.0, 5.0) if change > 1.0 else math.inf,
         holder_changes_at_s=generator.uniform(0.0, duration) if generator.random() < 0.2 else math.inf,
-        bad=_draw_badness(generator, routes, duration) if is_bad else None,
+        defect=_draw_defect(generator, routes, duration) if is_bad else None,
     )
 
 
@@ -131,9 +133,9 @@
     return routes
 
 
-def _draw_badness(generator: random.Random, routes: Sequence[Route], duration_s: float) -> Badness:
+def _draw_defect(generator: random.Random, routes: Sequence[Route], duration_s: float) -> Defect:
     kind = generator.choice(KINDS)
-    return Badness(
+    return Defect(
         kind,
         generator.uniform(0.05, 0.6) if kind == "failures" else generator.uniform(0.2, 1.0),
         generator.uniform(2.0, 8.0),
