--- a/src/wallwell/cluster/lease_turn.py
+++ b/src/wallwell/cluster/lease_turn.py
@@ -13,7 +13,7 @@
 from wallwell.cluster.leases import LEASE_PREFIX, LeaseKeeper
 from wallwell.errors import LeaseLostError, PlatformUnavailableError
 from wallwell.events import Event, emit
-from wallwell.routing.rendezvous import key_of, rendezvous_score
+from wallwell.routing.rendezvous import rendezvous_key, rendezvous_score
 from wallwell.storage.feed import FeedRow
 
 RENEW_FRACTION = 0.4
@@ -106,7 +106,7 @@
         begins_s = max(self._due_since_s, self._keeper.may_begin_at_s())
         if self.holder == self._node:
             return begins_s
-        key = key_of(self._name)
+        key = rendezvous_key(self._name)
         names = sorted({*self._members(), self._node}, key=lambda name: rendezvous_score(name, key))
         delay_s = names.index(self._node) * CANDIDATE_STEP_S
         if self.holder:
--- a/src/wallwell/cluster/peer_health.py
+++ b/src/wallwell/cluster/peer_health.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass, field
 
-from wallwell.routing.doubling_pause import doubling_pause_s
+from wallwell.routing.exponential_delay import exponential_delay_s
 
 FIRST_PAUSE_S = 2.0
 """Seconds of the first pause: longer than the 1.3 s in which a peer that does not answer is found, so that less
@@ -41,7 +41,7 @@
         health = self._by_name.setdefault(name, PeerHealth())
         if now_s < health.until_s:
             return
-        health.until_s = now_s + doubling_pause_s(FIRST_PAUSE_S, MAX_PAUSE_S, health.failures)
+        health.until_s = now_s + exponential_delay_s(FIRST_PAUSE_S, MAX_PAUSE_S, health.failures)
         health.failures += 1
 
     def on_success(self, name: str) -> None:
--- a/src/wallwell/cluster/stated_limits.py
+++ b/src/wallwell/cluster/stated_limits.py
@@ -122,8 +122,8 @@
             service=backend.record.service,
             started_unix_ms=backend.record.started_unix_ms,
             limit_per_s=None if limit.per_s == NO_LIMIT_PER_S else limit.per_s,
-            source="answer" if limit.read_s == limit.own_read_s else "peer",
-            age_ms=round((now_s - limit.read_s) * 1000),
+            source="answer" if limit.read_at_s == limit.own_read_at_s else "peer",
+            age_ms=round((now_s - limit.read_at_s) * 1000),
         )
 
     # --- what is counted -------------------------------------------------------------------------------
@@ -165,7 +165,7 @@
         for incarnation, backend in self._known.items():
             limit = backend.request_limit
             assert limit is not None
-            age_s = now_s - limit.own_read_s
+            age_s = now_s - limit.own_read_at_s
             if age_s < REPORTED_FOR_S:
                 per_s = None if limit.own_per_s == NO_LIMIT_PER_S else limit.own_per_s
                 started_unix_ms = backend.record.started_unix_ms
@@ -177,7 +177,7 @@
         for incarnation, backend in list(self._known.items()):
             limit = backend.request_limit
             assert limit is not None
-            has_ended = limit.per_s == NO_LIMIT_PER_S and now_s - limit.read_s >= REPORTED_FOR_S
+            has_ended = limit.per_s == NO_LIMIT_PER_S and now_s - limit.read_at_s >= REPORTED_FOR_S
             if has_ended or self._backends.get(incarnation) is not backend:
                 del self._known[incarnation]
                 self._logged_s.pop(incarnation, None)
--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -23,7 +23,7 @@
 
 from wallwell.cluster.peer_health import PeersHealth
 from wallwell.deployment.topology import ONE_REGION, Topology
-from wallwell.routing.rendezvous import key_of, rendezvous_score
+from wallwell.routing.rendezvous import rendezvous_key, rendezvous_score
 
 MEMBERS_PER_RELAY = 40
 """Members of a zone that one relay serves: at 2 KB for each answer of a load report, 40 take 13 Mbit/s of its link
@@ -36,7 +36,7 @@
 DELEGATES_PER_RELAY = 3
 """Members of each zone, by the number of its relays, that may be delegates of their region: with three zones nine
 nodes have to be gone at once before no sums are exchanged with another region."""
-_ZONES_KEY = key_of("zones")
+_ZONES_KEY = rendezvous_key("zones")
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
@@ -83,7 +83,7 @@
         if len(earlier) < (FOLLOWING_ZONES_OF_REGION if has_regions else FOLLOWING_ZONES):
             return []
         relays = [peer for zone in earlier for peer in self._relays_of(zone, now_s)]
-        relays.sort(key=lambda peer: rendezvous_score(peer.name, key_of(self.zone)))
+        relays.sort(key=lambda peer: rendezvous_score(peer.name, rendezvous_key(self.zone)))
         if has_regions:
             relays.sort(key=lambda peer: _zone_rank(self.members[peer.name].zone))
         return relays
@@ -111,7 +111,7 @@
         working = [name for name in before if self.health.is_working(name, now_s)][:relays]
         if len(working) < relays:
             return []
-        working.sort(key=lambda name: rendezvous_score(name, key_of(self.node)))
+        working.sort(key=lambda name: rendezvous_score(name, rendezvous_key(self.node)))
         return [self._peer(name) for name in working]
 
     def relays(self, now_s: float) -> list[Peer]:
@@ -159,7 +159,7 @@
 
     def _order_of(self, zone: str, names: list[str]) -> tuple[list[str], int]:
         """Return a zone's members in their order, and how many of them relay for the others: the first ones."""
-        key = key_of(zone)
+        key = rendezvous_key(zone)
         ordered = sorted(
             names, key=lambda name: (self.members[name].link_mbps, rendezvous_score(name, key), name), reverse=True
         )
--- a/src/wallwell/node/backend_rows.py
+++ b/src/wallwell/node/backend_rows.py
@@ -55,7 +55,7 @@
             self._store_returned_s = now_s
         if followed.whole:
             self._held_back.clear()
-            for backend in self._state.backends.unnamed({row.key for row in followed.page.rows}):
+            for backend in self._state.backends.missing_from({row.key for row in followed.page.rows}):
                 self._on_missing(backend, now_s)
         may_be_old = followed.whole and now_s < self._copy_settles_at_s()
         unreadable: list[tuple[str, str]] = []
--- a/src/wallwell/node/crash_probe.py
+++ b/src/wallwell/node/crash_probe.py
@@ -57,7 +57,7 @@
             if backend.superseded:
                 return True
             if await self._check.is_refused(backend.record):
-                if refused_s is not None and backend.silence.sent_s <= refused_s:
+                if refused_s is not None and backend.silence.last_received_s <= refused_s:
                     return True
                 refused_s, listening = boot_time_s(), 0
             else:
--- a/src/wallwell/node/crash_watch.py
+++ b/src/wallwell/node/crash_watch.py
@@ -24,12 +24,12 @@
 from wallwell.node.crash_probe import CrashCheck, CrashProbe
 from wallwell.node.state import NodeState
 from wallwell.routing.health.backend import Backend
-from wallwell.routing.rendezvous import key_of, owner
+from wallwell.routing.rendezvous import owner, rendezvous_key
 from wallwell.storage.feed import FeedRow
 from wallwell.storage.table import Put, TableService, Transaction
 
 CRASH_PREFIX = "crash/"
-"""Rows ``crash/CONTENT/START``, by :attr:`Backend.start`; the value names the node that saw it."""
+"""Rows ``crash/CONTENT/START``, by :attr:`Backend.start_id`; the value names the node that saw it."""
 MAX_WRITES = 100
 """Entries of one transaction (the store's bound)."""
 MAX_UNWRITTEN = 4096
@@ -78,11 +78,11 @@
         """The connection of an attempt ended before its answer was whole."""
         if backend.has_announced_leave or (backend.is_leaving(boot_time_s()) and not backend.superseded):
             return  # The end of a planned stop.
-        broken = self._broken.get(backend.start)
+        broken = self._broken.get(backend.start_id)
         if broken is not None:
             broken.add(content)
             return
-        self._broken[backend.start] = {content}
+        self._broken[backend.start_id] = {content}
         self._probes.begin(self._examine(backend))
 
     def on_answered(self, content: str) -> None:
@@ -91,7 +91,7 @@
         self._write({_key(content, incarnation): False for incarnation in crashes})
 
     async def _examine(self, backend: Backend) -> None:
-        start = backend.start
+        start = backend.start_id
         try:
             has_crashed = await self._probe.has_crashed(backend)
         finally:
@@ -197,7 +197,7 @@
         members = {*self._members(), self._state.node}
         for content, incarnation in self._state.quarantine.expire(now_s):
             key = _key(content, incarnation)
-            if owner(members, key_of(content)) == self._state.node:
+            if owner(members, rendezvous_key(content)) == self._state.node:
                 self._write({key: False})
             else:
                 self._unwritten.pop(key, None)  # Written now, it would count anew at every node.
--- a/src/wallwell/node/kv_store_watch.py
+++ b/src/wallwell/node/kv_store_watch.py
@@ -123,7 +123,7 @@
             page = await self._from_store(address, cache)
         if page is None:
             return False
-        cache.take(page)
+        cache.apply_page(page)
         self._advanced.set()
         self._advanced = asyncio.Event()
         return True
@@ -174,12 +174,12 @@
     async def answer(self, request: CacheRequest) -> CacheReply:
         """Answer a peer from the copy, once there is something new or the agreed wait is over."""
         cache = self._state.kv_store_contents.get(request.address)
-        if cache is None or not cache.known:
+        if cache is None or not cache.has_been_read:
             return CacheReply()
         give_up_s = boot_time_s() + request.wait_s
         while cache.position == request.position and (left_s := give_up_s - boot_time_s()) > 0:
             await ends_within(self._advanced.wait(), left_s)
-        return CacheReply(cache.after(request.position), cache.reachable)
+        return CacheReply(cache.changes_since(request.position), cache.reachable)
 
     def close(self) -> None:
         """Close the connections to peers."""
--- a/src/wallwell/node/metrics.py
+++ b/src/wallwell/node/metrics.py
@@ -75,7 +75,7 @@
         yield GaugeMetricFamily("wallwell_nodes", "Nodes that share budgets.", value=state.node_count)
 
     def _collect_backends(self, now_s: float) -> Iterator[Metric]:
-        listed = list(self._state.backends.all())
+        listed = list(self._state.backends.all_backends())
         opened = sum(each.is_open(now_s) for each in listed)
         yield GaugeMetricFamily("wallwell_backends", "Listed back ends.", value=len(listed))
         yield GaugeMetricFamily("wallwell_backends_open", "Back ends that get new requests.", value=opened)
--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -87,7 +87,7 @@
         self._pool = adapter.pool
         self._clock = StoreClock()
         self._order = UpstreamOrder(profile.name, profile.zone, topology=profile.topology)
-        self.state.zones.on_return = self._order.on_zone_returned
+        self.state.zones.on_zone_returned = self._order.on_zone_returned
         adapter.notices.on_notice = partial(apply_notice, self.state)
         self._tasks: list[asyncio.Task[None]] = []
 
--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -181,7 +181,7 @@
             service == each.service for route in config.routes for each in route.services
         ):
             return True
-        return bool(self.backends.of_service(service))
+        return bool(self.backends.backends_of_service(service))
 
     def is_fresh(self, arrival_s: float) -> bool:
         """Whether a request that arrived then may rely on the configuration known here."""
@@ -208,12 +208,12 @@
 
     def on_connect_timeout(self, backend: Backend, now_s: float) -> None:
         """A connection to a back end neither came up nor was refused."""
-        if self.zones.on_connect_timeout(backend, self.backends.all(), now_s):
+        if self.zones.on_connect_timeout(backend, self.backends.all_backends(), now_s):
             emit(Event.ZONE_SUSPECTED, zone=backend.record.zone)
 
     def on_sign_of_life(self, backend: Backend, now_s: float) -> None:
         """Something came from a back end's machine."""
-        if self.zones.on_answer(backend, self.backends.all(), now_s):
+        if self.zones.on_answer(backend, self.backends.all_backends(), now_s):
             emit(Event.ZONE_RETURNED, zone=backend.record.zone)
 
     @property
@@ -236,9 +236,9 @@
         again.
         """
         if reported:
-            backend.learn_version(model, reported)
+            backend.set_reported_version(model, reported)
             return
         newest = self.weights.newest(model)
         listed = backend.record.versions.get(model, 0)
         believed = backend.believed_version(model)
-        backend.learn_version(model, listed if believed == newest else max(newest, listed))
+        backend.set_reported_version(model, listed if believed == newest else max(newest, listed))
--- a/src/wallwell/placement/weights_roll.py
+++ b/src/wallwell/placement/weights_roll.py
@@ -22,7 +22,7 @@
 from wallwell.deployment.weights import OVERDUE_FRACTION, NamedVersion, WeightsTargets
 from wallwell.placement.weights_roll_timing import RollCircumstances, start_delay_s
 from wallwell.routing.health.backend import Backend
-from wallwell.routing.selection.prefix_home import CHUNK_TOKENS, regional_pools
+from wallwell.routing.selection.prefix_home import PREFILL_CHUNK_TOKENS, engine_pool_of_all_regions
 
 LONGEST_DELAY_FRACTION = 0.52
 """Fraction of the time allowed for a version (``version_s``) after which a weights roll begins at the latest, so
@@ -86,8 +86,12 @@
     engines: Sequence[Backend], topology: Topology = ONE_REGION
 ) -> tuple[list[Backend], list[Backend]]:
     """Return the pools for short and long prompts, each in the order in which its engines load."""
-    short = regional_pools(engines, 0, topology)
-    long = [engine for engine in regional_pools(engines, CHUNK_TOKENS + 1, topology) if engine not in short]
+    short = engine_pool_of_all_regions(engines, 0, topology)
+    long = [
+        engine
+        for engine in engine_pool_of_all_regions(engines, PREFILL_CHUNK_TOKENS + 1, topology)
+        if engine not in short
+    ]
     return short, long
 
 
@@ -190,7 +194,7 @@
         identity = task.backend.incarnation
         self._in_progress.discard(identity)
         if done:
-            task.backend.learn_version(task.model, task.version)
+            task.backend.set_reported_version(task.model, task.version)
             self._retry_at_s.pop(identity, None)
         else:
             self._retry_at_s[identity] = now_s + RETRY_S
--- a/src/wallwell/placement/weights_roll_driver.py
+++ b/src/wallwell/placement/weights_roll_driver.py
@@ -23,7 +23,7 @@
 from wallwell.events import Event, emit
 from wallwell.node.state import NodeState
 from wallwell.placement.weights_roll import EngineReport, LoadTask, OrderReply, WeightsOrder, WeightsRollPlanner
-from wallwell.routing.health.backend import Backend, LoadInProgress
+from wallwell.routing.health.backend import Backend, ExpectedWeightsLoad
 from wallwell.storage.feed import FeedRow
 from wallwell.storage.table import Put, TableService, Transaction
 
@@ -81,9 +81,9 @@
     """Versions and the store's time (s) of their naming, for nodes that start later."""
 
 
-def _announced_load(model: str, version: int, now_s: float) -> LoadInProgress:
+def _announced_load(model: str, version: int, now_s: float) -> ExpectedWeightsLoad:
     """Return what nodes assume of an engine once its load is announced."""
-    return LoadInProgress(model, version, now_s + LOADING_HINT_S, now_s + SETTLE_S - ORDER_LEAD_S)
+    return ExpectedWeightsLoad(model, version, now_s + LOADING_HINT_S, now_s + SETTLE_S - ORDER_LEAD_S)
 
 
 class WeightsRollDriver:
@@ -130,11 +130,11 @@
         for incarnation, version in progress.finished:
             backend = self._state.backends.get(incarnation)
             if backend is not None and backend.believed_version(progress.model) < version:
-                backend.learn_version(progress.model, version)
+                backend.set_reported_version(progress.model, version)
         for incarnation, version in progress.loading:
             backend = self._state.backends.get(incarnation)
             if backend is not None:
-                backend.expect_load(_announced_load(progress.model, version, now_s), now_s)
+                backend.expect_weights_load(_announced_load(progress.model, version, now_s), now_s)
 
     # --- loop ------------------------------------------------------------------------------------------
 
@@ -167,7 +167,7 @@
         targets, rollouts = self._state.weights, self._state.rollouts
         return [
             each
-            for each in self._state.backends.all()
+            for each in self._state.backends.all_backends()
             if any(targets.newest(model) for model in each.record.versions)
             and not rollouts.is_excluded(each.record.service, each.record.software)
         ]
@@ -190,7 +190,7 @@
         for task in tasks:
             self._loading[task.backend.incarnation] = task
             now_s = boot_time_s()
-            task.backend.expect_load(_announced_load(task.model, task.version, now_s), now_s)
+            task.backend.expect_weights_load(_announced_load(task.model, task.version, now_s), now_s)
         await self._publish(tasks[0].model)
         for task in tasks:
             self._tasks.begin(self._load(task))
@@ -221,7 +221,7 @@
             now_s = boot_time_s()
             incarnation = task.backend.incarnation
             self._loading.pop(incarnation, None)
-            task.backend.loading = None
+            task.backend.expected_load = None
             self._planner.finish(task, done, now_s)
         if not done:
             return
--- a/src/wallwell/platform/worker_notices.py
+++ b/src/wallwell/platform/worker_notices.py
@@ -13,8 +13,8 @@
 from wallwell.events import Event, emit
 from wallwell.platform import names
 from wallwell.routing.health.backend_notice import NO_NOTICE, BackendNotice, BackendNotices
-from wallwell.routing.health.backoff import MAX_LOGGED_CHARS, stated_backoff
-from wallwell.routing.health.request_limit import NO_LIMIT_PER_S, LimitStatement, read_limit
+from wallwell.routing.health.backoff import MAX_LOGGED_CHARS, parse_retry_after
+from wallwell.routing.health.request_limit import NO_LIMIT_PER_S, LimitStatement, parse_limit_headers
 
 BACKOFF_STATUSES = frozenset((HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE))
 """Statuses on which ``names.RETRY_AFTER`` asks this node to send the worker nothing, as HTTP defines both."""
@@ -49,7 +49,7 @@
     """Return for how long the worker wants nothing, 0 if it does not say; what cannot be understood is logged."""
     if message.code not in BACKOFF_STATUSES:
         return 0.0
-    stated = stated_backoff(message.headers.getall(names.RETRY_AFTER, ()))
+    stated = parse_retry_after(message.headers.getall(names.RETRY_AFTER, ()))
     for text in stated.unreadable:
         emit(Event.BACKEND_NOTICE_UNREADABLE, backend=incarnation, retry_after=text)
     return stated.seconds
@@ -58,7 +58,7 @@
 def _limit_statement(message: RawResponseMessage, incarnation: str, sent_s: float | None) -> LimitStatement | None:
     """Return what an answer says of its worker's limit; that it names none means something for requests only."""
     texts = message.headers.getall(names.REQUEST_LIMIT, ())
-    per_s = read_limit(texts)
+    per_s = parse_limit_headers(texts)
     if per_s is None:
         text = ", ".join(texts)[:MAX_LOGGED_CHARS]
         emit(Event.BACKEND_NOTICE_UNREADABLE, backend=incarnation, request_limit=text)
--- a/src/wallwell/rollout/driver.py
+++ b/src/wallwell/rollout/driver.py
@@ -260,7 +260,7 @@
             emit(Event.ROLLOUT_STATUS_WRITTEN, service=record.service, status=after.status)
 
     def _capacity(self, service: str, now_s: float) -> Capacity:
-        groups = self._book.active[service].groups(self._state.backends.of_service(service), now_s)
+        groups = self._book.active[service].groups(self._state.backends.backends_of_service(service), now_s)
         current = [each for each in groups.current if not each.is_leaving(now_s)]
         target = [each for each in groups.target if each.is_open(now_s)]
         is_load_known = self._state.node_count == 1 or all(each.peers_load is not None for each in groups.current)
--- a/src/wallwell/rollout/service_rollout.py
+++ b/src/wallwell/rollout/service_rollout.py
@@ -16,7 +16,7 @@
 
 from wallwell.rollout.model import Phase, RolloutRecord
 from wallwell.routing.health.backend import Backend
-from wallwell.routing.rendezvous import key_of, rendezvous_score
+from wallwell.routing.rendezvous import rendezvous_key, rendezvous_score
 
 MIN_CANARY_BACKENDS = 3
 """Target back ends that carry the canary, if there are as many: with fewer, a sick machine looks like a bad
@@ -159,6 +159,6 @@
     if share <= 0 or not target:
         return []
     count = max(MIN_CANARY_BACKENDS, math.ceil(share * current_count))
-    key = key_of(service)
+    key = rendezvous_key(service)
     staying = [each for each in target if not each.has_announced_leave and not each.superseded] or target
     return sorted(staying, key=lambda each: rendezvous_score(each.incarnation, key), reverse=True)[:count]
--- a/src/wallwell/routing/doubling_pause.py
+++ b/src/wallwell/routing/exponential_delay.py
@@ -8,6 +8,6 @@
 before."""
 
 
-def doubling_pause_s(first_s: float, longest_s: float, failures_before: int) -> float:
-    """Return the pause in seconds after a failure that ``failures_before`` others in a row went before."""
-    return min(longest_s, first_s * (1 << min(failures_before, MAX_DOUBLINGS)))
+def exponential_delay_s(first_s: float, max_s: float, previous_failures: int) -> float:
+    """Return the pause in seconds after a failure that ``previous_failures`` others in a row went before."""
+    return min(max_s, first_s * (1 << min(previous_failures, MAX_DOUBLINGS)))
--- a/src/wallwell/routing/health/backend.py
+++ b/src/wallwell/routing/health/backend.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class LoadInProgress:
+class ExpectedWeightsLoad:
     """Weights that an engine is to load, expected until the version is in place or ``until_s`` has passed.
 
     The engine takes requests until ``from_s``, when it receives the order.
@@ -52,7 +52,7 @@
     """Until when it is slow from its start."""
     versions: dict[str, int] = field(default_factory=dict)
     """Weights version believed to be in place, per model."""
-    loading: LoadInProgress | None = None
+    expected_load: ExpectedWeightsLoad | None = None
     gone: bool = False
     leaving_since_s: float | None = None
     """When its entry or one of its answers first said that it leaves. Nothing takes that back: leaving ends with
@@ -73,7 +73,7 @@
         return self.record.incarnation
 
     @property
-    def start(self) -> str:
+    def start_id(self) -> str:
         """Names this start, since a back end may start again under its identity; the identity if it does not say
         when it started."""
         started_unix_ms = self.record.started_unix_ms
@@ -84,9 +84,9 @@
         """Whether it says now how many requests it takes from all nodes together."""
         return self.request_limit is not None and self.request_limit.per_s != NO_LIMIT_PER_S
 
-    def fleet_load(self, nodes: int = 1) -> int:
+    def fleet_load(self, node_count: int = 1) -> int:
         """Return the requests of all nodes in flight; without reports each is taken to send as much as this one."""
-        return self.load * nodes if self.peers_load is None else self.load + self.peers_load
+        return self.load * node_count if self.peers_load is None else self.load + self.peers_load
 
     def is_open(self, now_s: float) -> bool:
         """Whether the back end may get new requests."""
@@ -97,8 +97,8 @@
     def is_serving(self, now_s: float) -> bool:
         """Whether requests to it can be expected to be served: it is open, and not only to be tried again after a
         suspension that its failures have brought on."""
-        is_tried = self.consecutive_failures > 0 and now_s < self.suspended_until_s + suspension.TRIED_FOR_S
-        return self.is_open(now_s) and not is_tried
+        is_on_trial = self.consecutive_failures > 0 and now_s < self.suspended_until_s + suspension.RECOVERY_TRIAL_S
+        return self.is_open(now_s) and not is_on_trial
 
     @property
     def has_announced_leave(self) -> bool:
@@ -119,30 +119,34 @@
         its connections."""
         return self.gone and self.superseded
 
-    def still_serves(self, bound_s: float, now_s: float) -> bool:
-        """Whether it is leaving, but has not been known to for ``bound_s`` yet."""
+    def is_within_leaving_grace(self, grace_s: float, now_s: float) -> bool:
+        """Whether it is leaving, but has not been known to for ``grace_s`` yet."""
         if self.leaving_since_s is None or self._has_ended(now_s):
             return False
-        return now_s < self.leaving_since_s + bound_s
+        return now_s < self.leaving_since_s + grace_s
 
-    def is_loading(self, now_s: float) -> bool:
+    def is_loading_weights(self, now_s: float) -> bool:
         """Whether it is believed to be loading weights by an order."""
-        return self.loading is not None and now_s >= self.loading.from_s and self.is_about_to_load(now_s)
+        return (
+            self.expected_load is not None
+            and now_s >= self.expected_load.from_s
+            and self.has_pending_weights_load(now_s)
+        )
 
-    def expect_load(self, load: LoadInProgress, now_s: float) -> None:
+    def expect_weights_load(self, load: ExpectedWeightsLoad, now_s: float) -> None:
         """Expect a load; another announcement of the same one does not delay its beginning."""
-        known = self.loading
+        expected = self.expected_load
         if (
-            known is not None
-            and now_s < known.until_s
-            and (known.model, known.version) == (load.model, load.version)
+            expected is not None
+            and now_s < expected.until_s
+            and (expected.model, expected.version) == (load.model, load.version)
         ):
-            load = replace(load, from_s=min(load.from_s, known.from_s))
-        self.loading = load
+            load = replace(load, from_s=min(load.from_s, expected.from_s))
+        self.expected_load = load
 
-    def is_about_to_load(self, now_s: float) -> bool:
+    def has_pending_weights_load(self, now_s: float) -> bool:
         """Whether an order to load weights is believed to be carried out or to come at any moment."""
-        load = self.loading
+        load = self.expected_load
         return load is not None and now_s < load.until_s and self.believed_version(load.model) < load.version
 
     def on_success(self, now_s: float) -> None:
@@ -152,12 +156,12 @@
 
     def is_answering(self, now_s: float) -> bool:
         """Whether it has answered this node recently, so that a silence means that it is busy."""
-        return suspension.answered_recently(self.last_success_s, now_s)
+        return suspension.has_answered_recently(self.last_success_s, now_s)
 
     def on_failure(self, now_s: float, unreachable: bool) -> bool:
         """Note a failure; returns True if the back end is now suspended, see :mod:`.suspension`."""
         self.consecutive_failures += 1
-        until_s = suspension.suspended_until_s(self.consecutive_failures, unreachable, now_s)
+        until_s = suspension.failure_suspension_end_s(self.consecutive_failures, unreachable, now_s)
         if until_s is None:
             return False
         self.suspended_until_s = until_s
@@ -176,7 +180,7 @@
         if now_s < self.suspended_until_s:
             return False
         self.consecutive_refusals += 1
-        until_s = suspension.refused_until_s(self.consecutive_refusals, now_s)
+        until_s = suspension.refusal_suspension_end_s(self.consecutive_refusals, now_s)
         if until_s is None:
             return False
         self.suspend_at_least_until(until_s)
@@ -186,15 +190,15 @@
         """Send it nothing before ``until_s``; a longer suspension stays."""
         self.suspended_until_s = max(self.suspended_until_s, until_s)
 
-    def forgive_failures(self, return_s: float) -> None:
-        """Forget its failures and end its suspension at ``return_s`` at the latest."""
+    def reset_failures(self, end_s: float) -> None:
+        """Forget its failures and end its suspension at ``end_s`` at the latest."""
         self.consecutive_failures = 0
-        self.suspended_until_s = min(self.suspended_until_s, return_s)
+        self.suspended_until_s = min(self.suspended_until_s, end_s)
 
     def believed_version(self, model: str) -> int:
         """Weights version to expect; 0 if nothing is known of the model."""
         return self.versions.get(model, 0)
 
-    def learn_version(self, model: str, version: int) -> None:
+    def set_reported_version(self, model: str, version: int) -> None:
         """Take a version that the back end itself has reported."""
         self.versions[model] = version
--- a/src/wallwell/routing/health/backend_registry.py
+++ b/src/wallwell/routing/health/backend_registry.py
@@ -14,12 +14,12 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.routing.health.backend import Backend
 
-MAX_SUPERSEDED_KNOWN = 1000
+MAX_SUPERSEDED_REMEMBERED = 1000
 """Superseded incarnations remembered. Entries of ended ones stay for seconds, in which far fewer end."""
-MAX_LEAVING_KNOWN = 1000
+MAX_LEAVING_REMEMBERED = 1000
 """Leaving back ends remembered, listed or not. An entry that lapsed may return some seconds later, in which far
 fewer leave."""
-MAX_GONE_KNOWN = 1000
+MAX_GONE_REMEMBERED = 1000
 """Back ends remembered whose entries have gone. A store that comes back from a copy some seconds old may list those
 that went meanwhile, and far fewer go in that time."""
 
@@ -46,11 +46,11 @@
         """Return a listed back end."""
         return self._by_incarnation.get(incarnation)
 
-    def all(self) -> Iterable[Backend]:
+    def all_backends(self) -> Iterable[Backend]:
         """Every listed back end."""
         return self._by_incarnation.values()
 
-    def of_service(self, service: str) -> list[Backend]:
+    def backends_of_service(self, service: str) -> list[Backend]:
         """Listed back ends of a service, in the order of their identities."""
         return self._by_service.get(service, [])
 
@@ -58,12 +58,12 @@
         """This node's requests in flight by back end, without the idle ones."""
         return {incarnation: each.load for incarnation, each in self._by_incarnation.items() if each.load}
 
-    def learn_peer_loads(self, loads: Mapping[str, int]) -> None:
+    def set_peer_loads(self, loads: Mapping[str, int]) -> None:
         """Take what all other nodes have in flight; a back end that they do not name has nothing."""
         for incarnation, backend in self._by_incarnation.items():
             backend.peers_load = loads.get(incarnation, 0)
 
-    def forget_peer_loads(self) -> None:
+    def clear_peer_loads(self) -> None:
         """Drop the loads of other nodes: their last report is too old."""
         for backend in self._by_incarnation.values():
             backend.peers_load = None
@@ -78,24 +78,24 @@
         if backend is not None and backend.record.is_later_start_than(record):
             return backend
         if backend is None or record.is_later_start_than(backend.record):
-            backend = self._begin(record, backend)
+            backend = self._add_start(record, backend)
         else:
-            record = _with_known(record, backend.record)
+            record = _fill_from_previous(record, backend.record)
         if record.versions != backend.record.versions or not backend.versions:
-            backend.versions = _newer_versions(record.versions, backend.versions)
+            backend.versions = _newest_versions(record.versions, backend.versions)
         if (record.service, record.address) != (backend.record.service, backend.record.address):
-            self._drop(backend)
+            self._remove_from_indices(backend)
             backend.record = record
-            self._add(backend)
+            self._add_to_indices(backend)
         backend.record = record
         backend.lapses_at_s = None
         return backend
 
-    def _begin(self, record: BackendRecord, earlier: Backend | None) -> Backend:
+    def _add_start(self, record: BackendRecord, earlier: Backend | None) -> Backend:
         """Add a start of a back end; ``earlier`` is the one before it under its identity."""
-        leaving_since_s = self._leaving_since_s.get(_start_of(record))
+        leaving_since_s = self._leaving_since_s.get(_start_key(record))
         if earlier is not None:
-            self._drop(earlier)
+            self._remove_from_indices(earlier)
             earlier.gone = earlier.superseded = True
             if record.draining and leaving_since_s is None:
                 # Its answers may have said so while its entry still was that of the earlier start.
@@ -104,8 +104,8 @@
         backend = Backend(record, superseded=is_superseded, leaving_since_s=leaving_since_s)
         if not is_superseded:
             self._supersede_at(record.address)
-        self._gone.pop(_start_of(record), None)
-        self._add(backend)
+        self._gone.pop(_start_key(record), None)
+        self._add_to_indices(backend)
         return backend
 
     def on_leaving(self, backend: Backend, now_s: float) -> bool:
@@ -116,8 +116,8 @@
         if backend.leaving_since_s is not None:
             return False
         backend.leaving_since_s = now_s
-        self._leaving_since_s[_start_of(backend.record)] = now_s
-        if len(self._leaving_since_s) > MAX_LEAVING_KNOWN:
+        self._leaving_since_s[_start_key(backend.record)] = now_s
+        if len(self._leaving_since_s) > MAX_LEAVING_REMEMBERED:
             del self._leaving_since_s[next(iter(self._leaving_since_s))]
         service = backend.record.service
         self._by_service[service] = list(self._by_service[service])
@@ -132,17 +132,17 @@
             if not each.superseded:
                 each.superseded = True
                 self._superseded[each.incarnation] = None
-        while len(self._superseded) > MAX_SUPERSEDED_KNOWN:
+        while len(self._superseded) > MAX_SUPERSEDED_REMEMBERED:
             del self._superseded[next(iter(self._superseded))]
 
-    def _restore_at(self, address: str) -> None:
+    def _restore_superseded_at(self, address: str) -> None:
         """An entry went: if only superseded ones are left at its address, they have not ended after all.
 
         A node that starts knows the order of two incarnations only by when their entries were written.
         """
-        left = self._by_address.get(address, [])
-        if all(each.superseded for each in left):
-            for each in left:
+        remaining = self._by_address.get(address, [])
+        if all(each.superseded for each in remaining):
+            for each in remaining:
                 each.superseded = False
                 self._superseded.pop(each.incarnation, None)
 
@@ -167,55 +167,55 @@
         """The entry is gone: the back end gets nothing new."""
         backend = self._by_incarnation.get(incarnation)
         if backend is not None:
-            self._drop(backend)
+            self._remove_from_indices(backend)
             backend.gone = True
-            self._gone[_start_of(backend.record)] = None
-            if len(self._gone) > MAX_GONE_KNOWN:
+            self._gone[_start_key(backend.record)] = None
+            if len(self._gone) > MAX_GONE_REMEMBERED:
                 del self._gone[next(iter(self._gone))]
-            self._restore_at(backend.record.address)
+            self._restore_superseded_at(backend.record.address)
 
     def is_gone(self, record: BackendRecord) -> bool:
         """Whether this start of a back end was listed and its entry has gone since."""
-        return _start_of(record) in self._gone
+        return _start_key(record) in self._gone
 
-    def unnamed(self, incarnations: set[str]) -> list[Backend]:
+    def missing_from(self, incarnations: set[str]) -> list[Backend]:
         """Return the back ends that a whole listing does not name."""
-        return [each for known, each in self._by_incarnation.items() if known not in incarnations]
+        return [each for incarnation, each in self._by_incarnation.items() if incarnation not in incarnations]
 
     # --- indices, kept up with each change: entries change with every heartbeat of a back end that starts ---------
 
-    def _add(self, backend: Backend) -> None:
+    def _add_to_indices(self, backend: Backend) -> None:
         self._by_incarnation[backend.incarnation] = backend
-        bisect.insort(self._by_service.setdefault(backend.record.service, []), backend, key=_identity)
+        bisect.insort(self._by_service.setdefault(backend.record.service, []), backend, key=_incarnation_of)
         self._by_address.setdefault(backend.record.address, []).append(backend)
 
-    def _drop(self, backend: Backend) -> None:
+    def _remove_from_indices(self, backend: Backend) -> None:
         del self._by_incarnation[backend.incarnation]
         for index, key in ((self._by_service, backend.record.service), (self._by_address, backend.record.address)):
-            left = [each for each in index[key] if each is not backend]
-            if left:
-                index[key] = left
+            remaining = [each for each in index[key] if each is not backend]
+            if remaining:
+                index[key] = remaining
             else:
                 del index[key]
 
 
-def _with_known(record: BackendRecord, known: BackendRecord) -> BackendRecord:
+def _fill_from_previous(record: BackendRecord, previous: BackendRecord) -> BackendRecord:
     """Return an entry with what it leaves out and the one before it said."""
-    versions = record.versions or known.versions
-    started = known.started_unix_ms if record.started_unix_ms is None else record.started_unix_ms
+    versions = record.versions or previous.versions
+    started = previous.started_unix_ms if record.started_unix_ms is None else record.started_unix_ms
     if versions is record.versions and started == record.started_unix_ms:
         return record
     return dataclasses.replace(record, versions=versions, started_unix_ms=started)
 
 
-def _newer_versions(listed: Mapping[str, int], believed: Mapping[str, int]) -> dict[str, int]:
+def _newest_versions(listed: Mapping[str, int], believed: Mapping[str, int]) -> dict[str, int]:
     """Return the weights versions of the listed models. Those of one start never fall: a lower one is old news."""
     return {model: max(version, believed.get(model, 0)) for model, version in listed.items()}
 
 
-def _start_of(record: BackendRecord) -> tuple[str, int | None]:
+def _start_key(record: BackendRecord) -> tuple[str, int | None]:
     return record.incarnation, record.started_unix_ms
 
 
-def _identity(backend: Backend) -> str:
+def _incarnation_of(backend: Backend) -> str:
     return backend.incarnation
--- a/src/wallwell/routing/health/backoff.py
+++ b/src/wallwell/routing/health/backoff.py
@@ -34,15 +34,15 @@
     """Headers that are no number, cut for the log. HTTP also allows a date there, which back ends do not send."""
 
 
-def stated_backoff(headers: Iterable[str]) -> StatedBackoff:
+def parse_retry_after(headers: Iterable[str]) -> StatedBackoff:
     """Read the ``Retry-After`` headers of one refusal."""
     longest_s = 0.0
     unreadable: list[str] = []
-    for text in headers:
+    for header in headers:
         try:
-            longest_s = max(longest_s, float(text))  # The first one stays where the other is not a number.
+            longest_s = max(longest_s, float(header))  # The first one stays where the other is not a number.
         except ValueError:
-            unreadable.append(text[:MAX_LOGGED_CHARS])
+            unreadable.append(header[:MAX_LOGGED_CHARS])
     return StatedBackoff(longest_s, tuple(unreadable))
 
 
@@ -82,7 +82,7 @@
         """Note that a request was accepted; returns the seconds since the first refusal if that ends a back-off."""
         if self._refused_since_s is None or self.is_in_force(now_s):
             return None
-        refused_s = now_s - self._refused_since_s
+        backoff_duration_s = now_s - self._refused_since_s
         self._refused_since_s = None
         self._trial_until_s = float("-inf")
-        return refused_s
+        return backoff_duration_s
--- a/src/wallwell/routing/health/request_limit.py
+++ b/src/wallwell/routing/health/request_limit.py
@@ -25,20 +25,20 @@
 
     per_s: float
     """Requests a second from all nodes together; ``NO_LIMIT_PER_S`` if it names no limit."""
-    sent_s: float = -math.inf
+    request_sent_s: float = -math.inf
     """When the request was sent that it answers, on this node's clock. Minus infinity for other calls, whose order
     with requests is not known."""
 
 
-def read_limit(texts: Sequence[str]) -> float | None:
+def parse_limit_headers(headers: Sequence[str]) -> float | None:
     """Return the lowest limit that an answer's headers name; None if one of them is no decimal number.
 
     ``NO_LIMIT_PER_S`` if there is no such header.
     """
     lowest_per_s = NO_LIMIT_PER_S
-    for text in texts:
+    for header in headers:
         try:
-            per_s = float(text)
+            per_s = float(header)
         except ValueError:
             return None
         if not 0.0 <= per_s < math.inf:
@@ -53,21 +53,21 @@
 
     per_s: float = NO_LIMIT_PER_S
     """In force."""
-    read_s: float = -math.inf
+    read_at_s: float = -math.inf
     """When a node last read the one in force in an answer."""
     own_per_s: float = NO_LIMIT_PER_S
-    own_read_s: float = -math.inf
+    own_read_at_s: float = -math.inf
     """When this node last read one, or that there is none."""
 
     def on_answer(self, statement: LimitStatement, now_s: float) -> None:
         """Take what an answer to this node says."""
-        if statement.per_s > self.per_s and statement.sent_s <= self.read_s:
+        if statement.per_s > self.per_s and statement.request_sent_s <= self.read_at_s:
             return
         self.per_s = self.own_per_s = statement.per_s
-        self.read_s = self.own_read_s = now_s
+        self.read_at_s = self.own_read_at_s = now_s
 
-    def on_reported(self, per_s: float, read_s: float) -> None:
+    def on_reported(self, per_s: float, read_at_s: float) -> None:
         """Take what another node read, unless something newer is known."""
-        if read_s > self.read_s:
+        if read_at_s > self.read_at_s:
             self.per_s = per_s
-            self.read_s = read_s
+            self.read_at_s = read_at_s
--- a/src/wallwell/routing/health/silence.py
+++ b/src/wallwell/routing/health/silence.py
@@ -18,9 +18,9 @@
 import math
 from dataclasses import dataclass
 
-HALF_LIFE_S = 4.0
+USUAL_SILENCE_HALF_LIFE_S = 4.0
 """Seconds in which half of the largest silence is forgotten."""
-LONG_FACTOR = 1.5
+LONG_SILENCE_FACTOR = 1.5
 """Multiple of the largest usual silence that counts as long; 1.3 was worse, see above."""
 MIN_LONG_SILENCE_S = 0.18
 """Seconds below which no silence is long, whatever is usual; 0.15 was worse, see above."""
@@ -30,49 +30,49 @@
 """Seconds between two probes of a silent back end: a probe costs it one connection."""
 
 
-def long_silence_s(usual_s: float | None) -> float:
-    """Return from when on a silence is long; ``usual_s`` is the largest usual one, None if nothing was heard."""
-    if usual_s is None:
+def long_silence_threshold_s(usual_silence_s: float | None) -> float:
+    """Return from when on a silence is long; ``usual_silence_s`` is None if nothing was received."""
+    if usual_silence_s is None:
         return MAX_LONG_SILENCE_S
-    return min(MAX_LONG_SILENCE_S, max(MIN_LONG_SILENCE_S, LONG_FACTOR * usual_s))
+    return min(MAX_LONG_SILENCE_S, max(MIN_LONG_SILENCE_S, LONG_SILENCE_FACTOR * usual_silence_s))
 
 
 @dataclass
 class Silence:
     """What this node hears of one back end while requests are in flight there."""
 
-    heard_s: float = float("-inf")
+    silent_since_s: float = float("-inf")
     """When it last sent anything, or was last sent a request after it had nothing in flight."""
-    sent_s: float = float("-inf")
+    last_received_s: float = float("-inf")
     """When it last sent anything: a sign of life, which requests to it are not."""
-    _largest_s: float | None = None
-    _updated_s: float = 0.0
-    _probed_s: float = float("-inf")
+    _largest_silence_s: float | None = None
+    _largest_updated_s: float = 0.0
+    _last_probe_s: float = float("-inf")
 
     def on_idle_ended(self, now_s: float) -> None:
         """A request is sent while none was in flight: silence counts from here."""
-        self.heard_s = now_s
+        self.silent_since_s = now_s
 
-    def on_heard(self, now_s: float) -> None:
+    def on_received(self, now_s: float) -> None:
         """The back end sent something."""
-        silent_s = now_s - self.heard_s
-        usual_s = self.usual_s(now_s)
-        if usual_s is None or silent_s >= usual_s:
-            self._largest_s = silent_s
-            self._updated_s = now_s
-        self.heard_s = self.sent_s = now_s
+        silence_s = now_s - self.silent_since_s
+        usual_silence_s = self.usual_silence_s(now_s)
+        if usual_silence_s is None or silence_s >= usual_silence_s:
+            self._largest_silence_s = silence_s
+            self._largest_updated_s = now_s
+        self.silent_since_s = self.last_received_s = now_s
 
-    def usual_s(self, now_s: float) -> float | None:
+    def usual_silence_s(self, now_s: float) -> float | None:
         """Return the largest usual silence, None if nothing has been heard yet."""
-        if self._largest_s is None:
+        if self._largest_silence_s is None:
             return None
-        return self._largest_s * math.exp2(-(now_s - self._updated_s) / HALF_LIFE_S)
+        return self._largest_silence_s * math.exp2(-(now_s - self._largest_updated_s) / USUAL_SILENCE_HALF_LIFE_S)
 
     def begin_probe_if_due(self, now_s: float) -> bool:
         """Return whether the back end is to be probed now, and count it as probed if so."""
-        if now_s - self._probed_s < PROBE_INTERVAL_S:
+        if now_s - self._last_probe_s < PROBE_INTERVAL_S:
             return False
-        if now_s - self.heard_s < long_silence_s(self.usual_s(now_s)):
+        if now_s - self.silent_since_s < long_silence_threshold_s(self.usual_silence_s(now_s)):
             return False
-        self._probed_s = now_s
+        self._last_probe_s = now_s
         return True
--- a/src/wallwell/routing/health/suspension.py
+++ b/src/wallwell/routing/health/suspension.py
@@ -15,11 +15,11 @@
 
 from __future__ import annotations
 
-from wallwell.routing.doubling_pause import doubling_pause_s
+from wallwell.routing.exponential_delay import exponential_delay_s
 
-FIRST_PAUSE_S = 0.6
+FIRST_SUSPENSION_S = 0.6
 """Seconds of the first suspension: a process that was restarted may be back by then."""
-MAX_PAUSE_S = 4.0
+MAX_SUSPENSION_S = 4.0
 """Bound of the suspension in seconds, and so of how late a return is noticed."""
 FAILURES_TO_SUSPEND = 2
 """Failures in a row from which a back end that can be reached is suspended: one alone is as likely the request's as
@@ -27,22 +27,22 @@
 REFUSALS_TO_SUSPEND = 2
 """Refusals in a row from which a back end is suspended that does not say for how long it wants nothing: one alone
 may have met the moment in which its queue was full."""
-FIRST_REFUSAL_PAUSE_S = 0.2
+FIRST_REFUSAL_SUSPENSION_S = 0.2
 """Seconds of the first suspension after refusals: a full back end has free slots again within a fraction of a
 request's duration."""
-MAX_REFUSAL_PAUSE_S = 1.6
+MAX_REFUSAL_SUSPENSION_S = 1.6
 """Bound of the suspension after refusals in seconds."""
 UNREACHABLE_FAILURES_TO_SUSPEND = 1
 """The same for one that cannot be reached: there is nothing that the next request could find out."""
-TRIED_FOR_S = 2.0
+RECOVERY_TRIAL_S = 2.0
 """Seconds after a suspension within which a request will have shown whether the back end works again. After that it
 counts as working: perhaps nobody has asked it."""
-ANSWERING_S = 1.5
+RECENT_ANSWER_S = 1.5
 """Seconds for which an answer shows that a back end works: longer than the gap between two answers of a busy
 engine."""
 
 
-def suspended_until_s(consecutive_failures: int, unreachable: bool, now_s: float) -> float | None:
+def failure_suspension_end_s(consecutive_failures: int, unreachable: bool, now_s: float) -> float | None:
     """Return until when a back end is suspended that failed now; None if it is not.
 
     ``consecutive_failures`` counts this failure and those before it since the last answer.
@@ -50,10 +50,10 @@
     threshold = UNREACHABLE_FAILURES_TO_SUSPEND if unreachable else FAILURES_TO_SUSPEND
     if consecutive_failures < threshold:
         return None
-    return now_s + doubling_pause_s(FIRST_PAUSE_S, MAX_PAUSE_S, consecutive_failures - threshold)
+    return now_s + exponential_delay_s(FIRST_SUSPENSION_S, MAX_SUSPENSION_S, consecutive_failures - threshold)
 
 
-def refused_until_s(consecutive_refusals: int, now_s: float) -> float | None:
+def refusal_suspension_end_s(consecutive_refusals: int, now_s: float) -> float | None:
     """Return until when a back end is suspended that refused a request now; None if it is not.
 
     ``consecutive_refusals`` counts this refusal and those before it since the last request that was accepted.
@@ -61,9 +61,9 @@
     if consecutive_refusals < REFUSALS_TO_SUSPEND:
         return None
     refusals_before = consecutive_refusals - REFUSALS_TO_SUSPEND
-    return now_s + doubling_pause_s(FIRST_REFUSAL_PAUSE_S, MAX_REFUSAL_PAUSE_S, refusals_before)
+    return now_s + exponential_delay_s(FIRST_REFUSAL_SUSPENSION_S, MAX_REFUSAL_SUSPENSION_S, refusals_before)
 
 
-def answered_recently(last_success_s: float, now_s: float) -> bool:
+def has_answered_recently(last_success_s: float, now_s: float) -> bool:
     """Whether a back end answered so recently that a silence means that it is busy."""
-    return now_s - last_success_s < ANSWERING_S
+    return now_s - last_success_s < RECENT_ANSWER_S
--- a/src/wallwell/routing/health/zone_suspicion.py
+++ b/src/wallwell/routing/health/zone_suspicion.py
@@ -31,9 +31,9 @@
 their zone answer, which ends the suspicion at once."""
 TIMEOUT_WINDOW_S = 2.0
 """Seconds for which a time-out counts; a node with few requests tries a back end in some hundred milliseconds."""
-PROBE_INTERVAL_S = 0.5
+ZONE_PROBE_INTERVAL_S = 0.5
 """Seconds between two probes of a zone: how late its return is noticed, against connections that cannot come up."""
-SUSPENSION_S = 1.5
+ZONE_SUSPENSION_S = 1.5
 """Seconds for which back ends of a suspected zone get nothing after a time-out: past the next probe."""
 RETURN_SPREAD_S = 0.3
 """Seconds over which the back ends of a zone return, so that requests do not all go there in the moment in which it
@@ -41,41 +41,41 @@
 
 
 @dataclass
-class _Zone:
+class _ZoneState:
     """What was seen of a zone since its last sign of life."""
 
-    timed_out_s: dict[str, float] = field(default_factory=dict)
+    timed_out_at_s: dict[str, float] = field(default_factory=dict)
     """When a connection to each of its back ends last timed out."""
     suspected: bool = False
-    probed_s: float = float("-inf")
+    probed_at_s: float = float("-inf")
 
     def recent_timeouts(self, now_s: float) -> dict[str, float]:
         """Return the time-outs within the window."""
-        return {each: at_s for each, at_s in self.timed_out_s.items() if now_s - at_s < TIMEOUT_WINDOW_S}
+        return {each: at_s for each, at_s in self.timed_out_at_s.items() if now_s - at_s < TIMEOUT_WINDOW_S}
 
     def note_timeout(self, incarnation: str, now_s: float) -> bool:
         """Note a time-out; returns True if the zone is now suspected and was not before."""
-        self.timed_out_s = self.recent_timeouts(now_s)
-        self.timed_out_s[incarnation] = now_s
-        if self.suspected or len(self.timed_out_s) < TIMEOUTS_TO_SUSPECT:
+        self.timed_out_at_s = self.recent_timeouts(now_s)
+        self.timed_out_at_s[incarnation] = now_s
+        if self.suspected or len(self.timed_out_at_s) < TIMEOUTS_TO_SUSPECT:
             return False
         self.suspected = True
         return True
 
     def is_probe_due(self, now_s: float) -> bool:
         """Whether one of its back ends is to be probed now."""
-        if now_s - self.probed_s < PROBE_INTERVAL_S:
+        if now_s - self.probed_at_s < ZONE_PROBE_INTERVAL_S:
             return False
         return self.suspected or len(self.recent_timeouts(now_s)) >= TIMEOUTS_TO_PROBE
 
-    def to_probe(self, staying: list[Backend], now_s: float) -> list[Backend]:
+    def probe_candidates(self, not_leaving: list[Backend], now_s: float) -> list[Backend]:
         """Return those of its back ends of which any may be probed.
 
         Whether others are cut off as well is shown by one that has not timed out; those that have may be dead.
         """
         recent = self.recent_timeouts(now_s)
-        others = [each for each in staying if each.incarnation not in recent]
-        return others or (staying if self.suspected else [])
+        others = [each for each in not_leaving if each.incarnation not in recent]
+        return others or (not_leaving if self.suspected else [])
 
 
 class ZoneSuspicion:
@@ -83,47 +83,47 @@
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._zones: dict[str, _Zone] = {}
+        self._zones: dict[str, _ZoneState] = {}
         """Zones into which a connection has timed out since their last sign of life."""
-        self.on_return: Callable[[str], None] = lambda zone: None
+        self.on_zone_returned: Callable[[str], None] = lambda zone: None
         """Called with a zone that was suspected and has given a sign of life."""
 
     def on_connect_timeout(self, backend: Backend, listed: Iterable[Backend], now_s: float) -> bool:
         """A connection to a back end timed out; returns True if its zone is now suspected and was not before."""
-        name = backend.record.zone
-        if not name:
+        zone_name = backend.record.zone
+        if not zone_name:
             return False  # Back ends that name no zone need have none in common.
-        zone = self._zones.setdefault(name, _Zone())
-        is_new = zone.note_timeout(backend.incarnation, now_s)
-        if zone.suspected:
+        state = self._zones.setdefault(zone_name, _ZoneState())
+        is_newly_suspected = state.note_timeout(backend.incarnation, now_s)
+        if state.suspected:
             for each in listed:
-                if each.record.zone == name:
-                    each.suspend_at_least_until(now_s + SUSPENSION_S)
-        return is_new
+                if each.record.zone == zone_name:
+                    each.suspend_at_least_until(now_s + ZONE_SUSPENSION_S)
+        return is_newly_suspected
 
     def on_answer(self, backend: Backend, listed: Iterable[Backend], now_s: float) -> bool:
         """A back end gave a sign of life, be it a refusal; returns True if its zone was suspected."""
-        name = backend.record.zone
-        zone = self._zones.pop(name, None)
-        if zone is None or not zone.suspected:
+        zone_name = backend.record.zone
+        state = self._zones.pop(zone_name, None)
+        if state is None or not state.suspected:
             return False
         for each in listed:
-            if each.record.zone == name:
-                wait_s = 0.0 if each is backend else self._rng.uniform(0.0, RETURN_SPREAD_S)
-                each.forgive_failures(now_s + wait_s)
-        self.on_return(name)
+            if each.record.zone == zone_name:
+                delay_s = 0.0 if each is backend else self._rng.uniform(0.0, RETURN_SPREAD_S)
+                each.reset_failures(now_s + delay_s)
+        self.on_zone_returned(zone_name)
         return True
 
     def begin_probes(self, listed: Iterable[Backend], now_s: float) -> list[Backend]:
         """Return the back ends to be probed now, one of each zone at most, and count their zones as probed."""
         if not self._zones:
             return []
-        due = {name: zone for name, zone in self._zones.items() if zone.is_probe_due(now_s)}
+        due = {zone_name: state for zone_name, state in self._zones.items() if state.is_probe_due(now_s)}
         probed = []
-        for name, zone in due.items():
-            staying = [each for each in listed if each.record.zone == name and not each.is_leaving(now_s)]
-            candidates = zone.to_probe(staying, now_s)
+        for zone_name, state in due.items():
+            not_leaving = [each for each in listed if each.record.zone == zone_name and not each.is_leaving(now_s)]
+            candidates = state.probe_candidates(not_leaving, now_s)
             if candidates:
-                zone.probed_s = now_s
+                state.probed_at_s = now_s
                 probed.append(self._rng.choice(candidates))
         return probed
--- a/src/wallwell/routing/rendezvous.py
+++ b/src/wallwell/routing/rendezvous.py
@@ -10,13 +10,13 @@
 
 import xxhash
 
-_MASK = (1 << 64) - 1
+_KEY_MASK = (1 << 64) - 1
 """Keys are the seeds of the hash, which are 64 bits wide."""
 
 
 def rendezvous_score(name: str, key: int) -> int:
     """Return the score of ``name`` for ``key``; the highest score owns the key."""
-    return xxhash.xxh3_64_intdigest(name.encode(), key & _MASK)
+    return xxhash.xxh3_64_intdigest(name.encode(), key & _KEY_MASK)
 
 
 def owners(names: Iterable[str], key: int, count: int = 1) -> list[str]:
@@ -30,6 +30,6 @@
     return max(names, key=lambda name: (rendezvous_score(name, key), name))
 
 
-def key_of(text: str) -> int:
+def rendezvous_key(text: str) -> int:
     """Return a 64-bit key for a text."""
     return xxhash.xxh3_64_intdigest(text.encode())
--- a/src/wallwell/routing/selection/candidates.py
+++ b/src/wallwell/routing/selection/candidates.py
@@ -60,48 +60,48 @@
     listed: Sequence[Backend],
     requirement: WeightsRequirement | None,
     now_s: float,
-    without: Collection[Backend] = (),
+    excluded: Collection[Backend] = (),
 ) -> list[Backend]:
     """Return those of the listed that may get a request now, last resorts only if there are no others.
 
-    ``requirement`` is None for calls, which need no weights. Those ``without`` have used up their limits.
+    ``requirement`` is None for calls, which need no weights. Those ``excluded`` have used up their limits.
     """
-    if without:
-        listed = [each for each in listed if each not in without]
-    usable = [each for each in listed if each.is_open(now_s)] or _last_resorts(listed, now_s)
+    if excluded:
+        listed = [each for each in listed if each not in excluded]
+    usable = [each for each in listed if each.is_open(now_s)] or _last_resort_backends(listed, now_s)
     if requirement is None:
         return usable
-    current = _on_due_weights(usable, requirement, OVERDUE_FRACTION, now_s)
+    current = _with_required_weights(usable, requirement, OVERDUE_FRACTION, now_s)
     if not current:
         # Better the last moments of older weights than no engine at all; ``begin_by_s`` bounds when it begins.
-        current = _on_due_weights(usable, requirement, LAST_RESORT_FRACTION, now_s)
-    return [each for each in current if not each.is_loading(now_s)] or current
+        current = _with_required_weights(usable, requirement, LAST_RESORT_FRACTION, now_s)
+    return [each for each in current if not each.is_loading_weights(now_s)] or current
 
 
-def _last_resorts(listed: Sequence[Backend], now_s: float) -> list[Backend]:
+def _last_resort_backends(listed: Sequence[Backend], now_s: float) -> list[Backend]:
     """Return what is left where no back end is open: one that may have recovered or still serves is better than
     none.
 
     A back end that has asked for back-off has said that it would refuse.
     """
-    staying = [each for each in listed if not each.is_leaving(now_s)]
-    candidates = staying or [each for each in listed if each.still_serves(LEAVING_GRACE_S, now_s)]
+    not_leaving = [each for each in listed if not each.is_leaving(now_s)]
+    candidates = not_leaving or [each for each in listed if each.is_within_leaving_grace(LEAVING_GRACE_S, now_s)]
     return [each for each in candidates if not each.backoff.is_in_force(now_s)]
 
 
-def backoff_ends_s(listed: Sequence[Backend], now_s: float) -> float | None:
+def earliest_backoff_end_s(listed: Sequence[Backend], now_s: float) -> float | None:
     """Return when the first back-off ends, None if a back end that stays has not asked for any."""
-    staying = [each for each in listed if not each.is_leaving(now_s)]
-    if not staying or any(not each.backoff.is_in_force(now_s) for each in staying):
+    not_leaving = [each for each in listed if not each.is_leaving(now_s)]
+    if not not_leaving or any(not each.backoff.is_in_force(now_s) for each in not_leaving):
         return None
-    return min(each.backoff.until_s for each in staying)
+    return min(each.backoff.until_s for each in not_leaving)
 
 
-def candidates_of_tiers(
+def candidates_from_tiers(
     tiers: Sequence[Sequence[Backend]],
     requirement: WeightsRequirement | None,
     now_s: float,
-    without: Collection[Backend] = (),
+    excluded: Collection[Backend] = (),
 ) -> Candidates:
     """Return the candidates of the first tier that can serve the request; there is at least one tier.
 
@@ -109,13 +109,13 @@
     passed over first; if that leaves none, the first that has a last resort is taken.
     """
     for tier in tiers:
-        if any(each.is_open(now_s) and each not in without for each in tier):
-            usable = usable_backends(tier, requirement, now_s, without)
+        if any(each.is_open(now_s) and each not in excluded for each in tier):
+            usable = usable_backends(tier, requirement, now_s, excluded)
             if usable:
                 return Candidates(tier, usable)
     # Every back end is suspended or on old weights: the last resort of the side that the request belongs to.
-    by_tier = [Candidates(tier, usable_backends(tier, requirement, now_s, without)) for tier in tiers]
-    return next((each for each in by_tier if each.usable), by_tier[0])
+    candidates_by_tier = [Candidates(tier, usable_backends(tier, requirement, now_s, excluded)) for tier in tiers]
+    return next((each for each in candidates_by_tier if each.usable), candidates_by_tier[0])
 
 
 def begin_by_s(backend: Backend, requirement: WeightsRequirement) -> float:
@@ -124,11 +124,11 @@
     The time is on this node's clock, infinity if the weights are the newest.
     """
     allowance_s = requirement.allowance_s - BEGIN_MARGIN_S
-    believed = backend.believed_version(requirement.model)
-    return requirement.targets.begin_by_s(requirement.model, believed, allowance_s)
+    believed_version = backend.believed_version(requirement.model)
+    return requirement.targets.begin_by_s(requirement.model, believed_version, allowance_s)
 
 
-def without_unresponsive_zones(
+def exclude_unresponsive_zones(
     candidates: Sequence[Backend], unresponsive_zones: Collection[str], own_zone: str
 ) -> Sequence[Backend]:
     """Leave out the zones into which this request's connections timed out; then the node's own zone goes first.
@@ -143,12 +143,12 @@
     return in_own_zone or responsive or candidates
 
 
-def _on_due_weights(
+def _with_required_weights(
     usable: Sequence[Backend], requirement: WeightsRequirement, fraction: float, now_s: float
 ) -> list[Backend]:
     """Return the engines with every version that was named at least this fraction of the allowance ago."""
     model = requirement.model
-    newest_in_place = max((each.believed_version(model) for each in usable), default=0)
+    newest_believed_version = max((each.believed_version(model) for each in usable), default=0)
     due_after_s = requirement.allowance_s * fraction
-    minimum = requirement.targets.minimum_version(model, now_s, due_after_s, newest_in_place)
-    return [each for each in usable if each.believed_version(model) >= minimum]
+    minimum_version = requirement.targets.minimum_version(model, now_s, due_after_s, newest_believed_version)
+    return [each for each in usable if each.believed_version(model) >= minimum_version]
--- a/src/wallwell/routing/selection/kv_store.py
+++ b/src/wallwell/routing/selection/kv_store.py
@@ -16,11 +16,11 @@
 
 from wallwell.routing.selection.prefix_home import PromptPart, shared_parts
 
-MAX_JOURNAL = 4000
+MAX_JOURNAL_ENTRIES = 4000
 """Changes remembered for peers; a peer that is further behind takes everything anew."""
-SAVE_UNDER_WAY_S = 1.5
+EXPECTED_SAVE_S = 1.5
 """Seconds that a save is expected to take until the store reports it; this node saves the same again only then."""
-MAX_SAVES_KNOWN = 1000
+MAX_PENDING_SAVES = 1000
 """Saves remembered as under way before those that are over are dropped: it bounds memory."""
 BLOCK_TOKENS = 16
 """Tokens of a block of KV cache; a store may hold a part without its last, incomplete block."""
@@ -50,7 +50,7 @@
     whole: bool = False
 
 
-class _Key(msgspec.Struct, frozen=True):
+class _PartKey(msgspec.Struct, frozen=True):
     scope: str
     part: str
 
@@ -63,22 +63,22 @@
         self.reachable = True
         self.has_gaps = False
         """Whether an event is missing, so that the copy may differ from what the store holds."""
-        self._tokens: dict[_Key, int] = {}
-        self._journal: deque[CacheEntry] = deque(maxlen=MAX_JOURNAL)
-        self._saving_until_s: dict[_Key, float] = {}
+        self._tokens_by_part: dict[_PartKey, int] = {}
+        self._journal: deque[CacheEntry] = deque(maxlen=MAX_JOURNAL_ENTRIES)
+        self._saving_until_s: dict[_PartKey, float] = {}
 
     @property
-    def known(self) -> bool:
+    def has_been_read(self) -> bool:
         """Whether what the store holds has been read."""
         return self.position.epoch != -1
 
     # --- following -------------------------------------------------------------------------------------
 
-    def take(self, page: CachePage) -> None:
+    def apply_page(self, page: CachePage) -> None:
         """Apply a page; one that is older than this copy changes nothing."""
         is_older = page.position.epoch == self.position.epoch and page.position.number < self.position.number
         if page.whole and not is_older:
-            self._tokens = {_Key(each.scope, each.part): each.tokens for each in page.entries}
+            self._tokens_by_part = {_PartKey(each.scope, each.part): each.tokens for each in page.entries}
             self._journal.clear()
             self.has_gaps = False
             self.position = page.position
@@ -95,24 +95,24 @@
     def _apply(self, entry: CacheEntry) -> None:
         if entry.number != self.position.number + 1:
             self.has_gaps = True
-        key = _Key(entry.scope, entry.part)
+        key = _PartKey(entry.scope, entry.part)
         if entry.tokens:
-            self._tokens[key] = entry.tokens
+            self._tokens_by_part[key] = entry.tokens
         else:
-            self._tokens.pop(key, None)
+            self._tokens_by_part.pop(key, None)
         self._journal.append(entry)
         self.position = CachePosition(self.position.epoch, entry.number)
 
-    def after(self, position: CachePosition) -> CachePage:
+    def changes_since(self, position: CachePosition) -> CachePage:
         """Return what a peer that knows the events up to a position lacks."""
-        if position.epoch == self.position.epoch and position.number >= self._floor():
-            lacking = tuple(entry for entry in self._journal if entry.number > position.number)
-            return CachePage(self.position, lacking)
+        if position.epoch == self.position.epoch and position.number >= self._journal_floor():
+            missing = tuple(entry for entry in self._journal if entry.number > position.number)
+            return CachePage(self.position, missing)
         number = self.position.number
-        entries = [CacheEntry(number, key.scope, key.part, tokens) for key, tokens in self._tokens.items()]
+        entries = [CacheEntry(number, key.scope, key.part, tokens) for key, tokens in self._tokens_by_part.items()]
         return CachePage(self.position, tuple(entries), whole=True)
 
-    def _floor(self) -> int:
+    def _journal_floor(self) -> int:
         """Return the number after which every change is in the journal."""
         return self._journal[0].number - 1 if self._journal else self.position.number
 
@@ -120,29 +120,32 @@
 
     def holds(self, scope: str, parts: Sequence[PromptPart]) -> bool:
         """Whether every part is held but for an incomplete block."""
-        return all(self._tokens.get(_Key(scope, part.identity), 0) > part.tokens - BLOCK_TOKENS for part in parts)
+        return all(
+            self._tokens_by_part.get(_PartKey(scope, part.identity), 0) > part.tokens - BLOCK_TOKENS
+            for part in parts
+        )
 
-    def held_tokens(self, scope: str, parts: Sequence[PromptPart]) -> int:
+    def held_prefix_tokens(self, scope: str, parts: Sequence[PromptPart]) -> int:
         """Return how many tokens of a prompt are held, from its beginning to the first that are missing."""
         total = 0
         for part in parts:
-            held = self._tokens.get(_Key(scope, part.identity), 0)
+            held = self._tokens_by_part.get(_PartKey(scope, part.identity), 0)
             total += held
             if held <= part.tokens - BLOCK_TOKENS:
                 break
         return total
 
-    def begin_save(self, scope: str, parts: Sequence[PromptPart], now_s: float) -> bool:
+    def begin_save_if_needed(self, scope: str, parts: Sequence[PromptPart], now_s: float) -> bool:
         """Whether the prompt should be saved now; counts it as being saved if so."""
         shared = shared_parts(parts)
         if not shared or self.holds(scope, shared):
             return False
-        key = _Key(scope, shared[-1].identity)
+        key = _PartKey(scope, shared[-1].identity)
         if now_s < self._saving_until_s.get(key, float("-inf")):
             return False
-        if len(self._saving_until_s) >= MAX_SAVES_KNOWN:
+        if len(self._saving_until_s) >= MAX_PENDING_SAVES:
             self._saving_until_s = {
                 each: until_s for each, until_s in self._saving_until_s.items() if until_s > now_s
             }
-        self._saving_until_s[key] = now_s + SAVE_UNDER_WAY_S
+        self._saving_until_s[key] = now_s + EXPECTED_SAVE_S
         return True
--- a/src/wallwell/routing/selection/kv_store_choice.py
+++ b/src/wallwell/routing/selection/kv_store_choice.py
@@ -22,7 +22,7 @@
 from wallwell.routing.selection.kv_store import KvStoreContents
 from wallwell.routing.selection.prefix_home import PromptPart, shared_parts
 
-SAVE_FRESHNESS_S = 2.0
+MAX_CONFIRMATION_AGE_S = 2.0
 """Seconds since the last confirmation by the platform's store after which nothing is saved.
 
 By then a weights roll may be under way that this node does not know of."""
@@ -47,7 +47,7 @@
     topology: Topology
 
 
-def home_store(stores: KvStores, placement: int, engine_zone: str) -> str:
+def home_store_address(stores: KvStores, placement_key: int, engine_zone: str) -> str:
     """Return the address of the store where prompts placed by a key are saved, empty if there is none.
 
     It stands in the region of the engine, whichever node sends the prompt there.
@@ -58,10 +58,10 @@
         for store in stores.listed
         if between(engine_zone, store.zone) is not Distance.OTHER_REGION
     ]
-    return owner(addresses, placement) if addresses else ""
+    return owner(addresses, placement_key) if addresses else ""
 
 
-def is_unreachable(stores: KvStores, address: str) -> bool:
+def is_store_unreachable(stores: KvStores, address: str) -> bool:
     """Whether a store is known not to answer."""
     contents = stores.contents.get(address)
     return contents is not None and not contents.reachable
@@ -77,46 +77,52 @@
     return not delays.is_fleet_behind(now_s)
 
 
-def best_source(stores: KvStores, home: str, scope: str, parts: Sequence[PromptPart], engine_zone: str) -> str:
-    """Return the store that holds most of the shared parts; ``home``, where they are saved, if none has more.
+def best_source_address(
+    stores: KvStores, home_address: str, scope: str, parts: Sequence[PromptPart], engine_zone: str
+) -> str:
+    """Return the store that holds most of the shared parts; ``home_address`` if none has more.
 
     Where there are regions, stores near the engine count for more. After a change of weights, a first part that
     many prompts share is saved at the home of one of them first; engines that fetched from the other homes would
     prefill it again.
     """
     shared = shared_parts(parts)
-    saved = {}
+    weighted_tokens = {}
     for store in stores.listed:
         address = store.kv_store_address
         contents = stores.contents.get(address)
-        if contents is not None and contents.known and contents.reachable:
-            saved[address] = contents.held_tokens(scope, shared) * _weight(stores, engine_zone, store)
-    if home not in saved:
-        return home
-    return max(saved, key=lambda address: (saved[address], address == home))
+        if contents is not None and contents.has_been_read and contents.reachable:
+            weighted_tokens[address] = contents.held_prefix_tokens(scope, shared) * _distance_weight(
+                stores, engine_zone, store
+            )
+    if home_address not in weighted_tokens:
+        return home_address
+    return max(weighted_tokens, key=lambda address: (weighted_tokens[address], address == home_address))
 
 
-def may_save(is_about_to_load: bool, confirmed_at_s: float, now_s: float) -> bool:
+def may_save(has_pending_weights_load: bool, confirmed_at_s: float, now_s: float) -> bool:
     """Whether what an engine computes now is certainly made by the weights that are believed to be in place.
 
     ``confirmed_at_s`` is when the platform's store last confirmed what this node knows. Both times are on one
     clock.
     """
-    return not is_about_to_load and now_s - confirmed_at_s <= SAVE_FRESHNESS_S
+    return not has_pending_weights_load and now_s - confirmed_at_s <= MAX_CONFIRMATION_AGE_S
 
 
-def begins_save(stores: KvStores, address: str, scope: str, parts: Sequence[PromptPart], now_s: float) -> bool:
+def begin_store_save_if_needed(
+    stores: KvStores, address: str, scope: str, parts: Sequence[PromptPart], now_s: float
+) -> bool:
     """Whether a store lacks shared parts that nobody is saving yet; notes that they are being saved if so.
 
     A store whose contents are not known yet is taken to lack them.
     """
     contents = stores.contents.get(address)
-    if contents is None or not contents.known:
+    if contents is None or not contents.has_been_read:
         return True
-    return contents.begin_save(scope, parts, now_s)
+    return contents.begin_save_if_needed(scope, parts, now_s)
 
 
-def _weight(stores: KvStores, engine_zone: str, store: Service) -> float:
+def _distance_weight(stores: KvStores, engine_zone: str, store: Service) -> float:
     """Return what a token in a store counts for; 1 without regions."""
     if not stores.topology.has_regions:
         return DISTANCE_WEIGHTS[Distance.SAME_ZONE]
--- a/src/wallwell/routing/selection/prefill_rate.py
+++ b/src/wallwell/routing/selection/prefill_rate.py
@@ -8,11 +8,11 @@
 
 from dataclasses import dataclass
 
-DEFAULT_S = 0.07
+DEFAULT_SECONDS_PER_UNIT = 0.07
 """Seconds per unit of load until something has been observed."""
-SMOOTHING = 0.1
+SMOOTHING_FACTOR = 0.1
 """Weight of the newest observation in the average: ten prompts or so decide."""
-SHORTEST_S = 0.005
+MIN_SECONDS_PER_UNIT = 0.005
 """Least seconds per unit that one observation counts as, so that the load limit stays finite."""
 
 
@@ -20,12 +20,12 @@
 class PrefillRate:
     """Seconds from sending to the first token, by unit of an engine's load with the prompt's own."""
 
-    seconds_per_unit: float = DEFAULT_S
+    seconds_per_unit: float = DEFAULT_SECONDS_PER_UNIT
 
     def observe(self, load: int, first_token_s: float) -> None:
         """Learn from a first token that came from an engine with ``load`` units, the prompt's own among them."""
-        seen_s = max(SHORTEST_S, first_token_s / max(1, load))
-        self.seconds_per_unit += SMOOTHING * (seen_s - self.seconds_per_unit)
+        observed_s = max(MIN_SECONDS_PER_UNIT, first_token_s / max(1, load))
+        self.seconds_per_unit += SMOOTHING_FACTOR * (observed_s - self.seconds_per_unit)
 
     def load_limit(self, objective_s: float) -> float:
         """Return the load up to which an engine still begins a prompt within its objective."""
--- a/src/wallwell/routing/selection/prefix_home.py
+++ b/src/wallwell/routing/selection/prefix_home.py
@@ -15,17 +15,17 @@
 
 from wallwell.deployment.topology import Topology
 from wallwell.routing.health.backend import Backend
-from wallwell.routing.rendezvous import key_of, rendezvous_score
+from wallwell.routing.rendezvous import rendezvous_key, rendezvous_score
 
-CHUNK_TOKENS = 4096
+PREFILL_CHUNK_TOKENS = 4096
 """Prompt tokens that engines prefill in one step; a longer prompt holds up the streams beside it for several
 steps."""
 SHORT_POOL_DIVISOR = 3
 """One engine in so many is kept for prompts of at most one chunk."""
-MIN_ENGINES_TO_DIVIDE = 3
+MIN_ENGINES_FOR_POOLS = 3
 """Engines from which pools are formed: with fewer, a pool would have none or one of them."""
-_POOL_KEY = key_of("short prompts")
-SHARED_TOKENS_WORTH_THE_WAY = 1024
+_SHORT_POOL_KEY = rendezvous_key("short prompts")
+MIN_SHARED_TOKENS_FOR_COMMON_HOME = 1024
 """Shared tokens from which a prompt has one home in all regions.
 
 It parts short prompts (some 200 shared tokens) from long ones (6,300, which take 67 ms to prefill at the 94
@@ -46,7 +46,7 @@
 
 def placement_key(parts: Sequence[PromptPart], scope: str) -> int:
     """Return the key that places a prompt: its longest shared prefix."""
-    return key_of("\x1f".join((scope, *(part.identity for part in shared_parts(parts)))))
+    return rendezvous_key("\x1f".join((scope, *(part.identity for part in shared_parts(parts)))))
 
 
 def engine_pool(engines: Sequence[Backend], prompt_tokens: int) -> list[Backend]:
@@ -56,14 +56,14 @@
     their gaps. Long prompts therefore stay away from the engines that carry short ones. All nodes pick the same
     engines.
     """
-    if len(engines) < MIN_ENGINES_TO_DIVIDE:
+    if len(engines) < MIN_ENGINES_FOR_POOLS:
         return list(engines)
-    ordered = sorted(engines, key=lambda engine: rendezvous_score(engine.incarnation, _POOL_KEY))
-    count = max(1, len(engines) // SHORT_POOL_DIVISOR)
-    return ordered[count:] if is_long(prompt_tokens) else ordered[:count]
+    ordered = sorted(engines, key=lambda engine: rendezvous_score(engine.incarnation, _SHORT_POOL_KEY))
+    short_count = max(1, len(engines) // SHORT_POOL_DIVISOR)
+    return ordered[short_count:] if is_long_prompt(prompt_tokens) else ordered[:short_count]
 
 
-def regional_pools(engines: Sequence[Backend], prompt_tokens: int, topology: Topology) -> list[Backend]:
+def engine_pool_of_all_regions(engines: Sequence[Backend], prompt_tokens: int, topology: Topology) -> list[Backend]:
     """Return the engines of all regions meant for a prompt of this length; each region's are divided by themselves.
 
     Regions alternate in the list, so that any leading part of it is spread over them.
@@ -78,24 +78,24 @@
     return [engine for engine in alternating if engine is not None]
 
 
-def home_region(key: int, shared_tokens: int, pool: Sequence[Backend], topology: Topology) -> str:
+def prefill_region(key: int, shared_tokens: int, pool: Sequence[Backend], topology: Topology) -> str:
     """Return the region in which a prompt is prefilled: the node's, or that of its home if much of it is shared.
 
     Prefilling much again takes longer than the way to the other region and back, and the stores of one region need
     not hold what all callers share. ``pool`` holds the engines of all regions that are meant for the prompt's
     length.
     """
-    if shared_tokens < SHARED_TOKENS_WORTH_THE_WAY or not pool:
+    if shared_tokens < MIN_SHARED_TOKENS_FOR_COMMON_HOME or not pool:
         return topology.own_region
-    home = max(pool, key=lambda engine: rendezvous_score(engine.incarnation, key))
-    return topology.region_of(home.record.zone)
+    home_engine = max(pool, key=lambda engine: rendezvous_score(engine.incarnation, key))
+    return topology.region_of(home_engine.record.zone)
 
 
-def is_long(prompt_tokens: int) -> bool:
+def is_long_prompt(prompt_tokens: int) -> bool:
     """Whether a prompt is prefilled in several chunks."""
-    return prompt_tokens > CHUNK_TOKENS
+    return prompt_tokens > PREFILL_CHUNK_TOKENS
 
 
 def request_load(prompt_tokens: int) -> int:
     """Return what a generation counts in an engine's load: one, and one more for each whole chunk to prefill."""
-    return 1 + prompt_tokens // CHUNK_TOKENS
+    return 1 + prompt_tokens // PREFILL_CHUNK_TOKENS
--- a/src/wallwell/routing/selection/split.py
+++ b/src/wallwell/routing/selection/split.py
@@ -11,7 +11,7 @@
 
 from wallwell.deployment.routes import Route, WeightedService
 
-ROUND = 100
+CHOICES_PER_ROUND = 100
 """Choices after which whole percentages recur; other weights come close. Computed once for a route and node."""
 
 
@@ -19,7 +19,7 @@
 class WeightedSplit:
     """Current credit per route and service; the service with most credit is chosen and pays the total."""
 
-    _credit: dict[str, dict[str, float]] = field(default_factory=dict)
+    _credit_by_route: dict[str, dict[str, float]] = field(default_factory=dict)
 
     def choose(self, route: Route, offset: float) -> str:
         """Return the service of the next request of ``route``.
@@ -28,14 +28,14 @@
         """
         if len(route.services) == 1:
             return route.services[0].service
-        credit = self._credit.get(route.name)
+        credit = self._credit_by_route.get(route.name)
         if credit is None or set(credit) != {each.service for each in route.services}:
             credit = _initial_credit(route.services, offset)
-            self._credit[route.name] = credit
-        return _next(route.services, credit)
+            self._credit_by_route[route.name] = credit
+        return _choose_next(route.services, credit)
 
 
-def _next(services: Sequence[WeightedService], credit: dict[str, float]) -> str:
+def _choose_next(services: Sequence[WeightedService], credit: dict[str, float]) -> str:
     """Return the next service of a round, and bring its credit up to date."""
     for each in services:
         credit[each.service] += each.weight
@@ -52,6 +52,6 @@
     as 88, 12 and 0 in 100.
     """
     credit = {each.service: 0.0 for each in services}
-    for _ in range(int(offset * ROUND)):
-        _next(services, credit)
+    for _ in range(int(offset * CHOICES_PER_ROUND)):
+        _choose_next(services, credit)
     return credit
--- a/src/wallwell/serving/attempt_learning.py
+++ b/src/wallwell/serving/attempt_learning.py
@@ -37,9 +37,9 @@
         """The head of an answer came."""
         generation = active.request.generation
         if generation is not None and head.weights_version:
-            backend.learn_version(generation.model, head.weights_version)
+            backend.set_reported_version(generation.model, head.weights_version)
         now_s = boot_time_s()
-        backend.silence.on_heard(now_s)
+        backend.silence.on_received(now_s)
         self._state.on_sign_of_life(backend, now_s)
         self._learn_acceptance(backend, now_s)
         if head.ok:
@@ -53,7 +53,7 @@
 
     def on_stream_data(self, active: ActiveRequest, backend: Backend, now_s: float) -> None:
         """Bytes of a stream came."""
-        backend.silence.on_heard(now_s)
+        backend.silence.on_received(now_s)
         self._state.on_sign_of_life(backend, now_s)
         self._choice.learn_first_token(active, now_s)
 
--- a/src/wallwell/serving/backend_choice.py
+++ b/src/wallwell/serving/backend_choice.py
@@ -15,9 +15,9 @@
 from wallwell.routing.admission.remaining_time import ShortestAnswer
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.retry.retry_after import overload_retry_after_s
-from wallwell.routing.selection.call_choice import choose_for_call
-from wallwell.routing.selection.engine_choice import FleetView, Prompt, choose_for_generation
-from wallwell.routing.selection.prefix_home import is_long, shared_parts
+from wallwell.routing.selection.call_choice import choose_backend_for_call
+from wallwell.routing.selection.engine_choice import FleetView, Prompt, choose_engine_for_generation
+from wallwell.routing.selection.prefix_home import is_long_prompt, shared_parts
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.version_choice import eligible_backends
 
@@ -38,17 +38,17 @@
         state = self._state
         generation = active.request.generation
         if generation is None:
-            return choose_for_call(candidates, state.node_count, state.zone, state.topology, state.rng)
+            return choose_backend_for_call(candidates, state.node_count, state.zone, state.topology, state.rng)
         if listed is None:
-            listed = state.backends.of_service(active.service)
+            listed = state.backends.backends_of_service(active.service)
         prompt = Prompt(
-            key=active.placement,
+            placement_key=active.placement,
             tokens=generation.prompt_tokens,
             shared_tokens=sum(part.tokens for part in shared_parts(generation.parts)),
             objective_s=active.route.objective_s,
         )
         fleet = FleetView(state.node_count, state.topology, state.prefill_rate)
-        return choose_for_generation(prompt, candidates, listed, fleet)
+        return choose_engine_for_generation(prompt, candidates, listed, fleet)
 
     def refuse_if_overloaded(self, active: ActiveRequest, now_s: float) -> None:
         """Refuse a fraction of new generations while engines have too much to do. Raises :class:`OverloadedError`.
@@ -85,7 +85,7 @@
             return
         delay_s = now_s - timing.sent_s
         self._state.first_token_delays.observe(delay_s, active.route.objective_s, now_s)
-        if is_long(generation.prompt_tokens):
+        if is_long_prompt(generation.prompt_tokens):
             self._state.prefill_rate.observe(timing.load_when_sent, delay_s)
         timing.sent_s = None
 
--- a/src/wallwell/serving/cache_planning.py
+++ b/src/wallwell/serving/cache_planning.py
@@ -9,10 +9,10 @@
 from wallwell.node.state import NodeState
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.selection.kv_store_choice import (
-    begins_save,
-    best_source,
-    home_store,
-    is_unreachable,
+    begin_store_save_if_needed,
+    best_source_address,
+    home_store_address,
+    is_store_unreachable,
     is_worth_fetching,
     may_save,
 )
@@ -36,14 +36,14 @@
         scope = _scope(active, generation.model, version)
         stores = state.kv_stores
         # Without a known weights version nothing can be named that is certainly made by the same weights.
-        home = home_store(stores, active.placement, zone) if version else ""
-        if not home or is_unreachable(stores, home):
+        home = home_store_address(stores, active.placement, zone) if version else ""
+        if not home or is_store_unreachable(stores, home):
             return CachePlan(scope)
         fetch_from = ""
         if is_worth_fetching(parts, state.first_token_delays, now_s):
-            fetch_from = best_source(stores, home, scope, parts, zone)
-        is_safe = may_save(backend.is_about_to_load(now_s), state.freshness.confirmed_at_s, now_s)
-        saves = is_safe and begins_save(stores, home, scope, parts, now_s)
+            fetch_from = best_source_address(stores, home, scope, parts, zone)
+        is_safe = may_save(backend.has_pending_weights_load(now_s), state.freshness.confirmed_at_s, now_s)
+        saves = is_safe and begin_store_save_if_needed(stores, home, scope, parts, now_s)
         return CachePlan(scope, fetch_from, home if saves else "")
 
 
--- a/src/wallwell/serving/liveness.py
+++ b/src/wallwell/serving/liveness.py
@@ -63,7 +63,7 @@
                 self._end_attempts(backend)
             elif not backend.gone and backend.silence.begin_probe_if_due(now_s):
                 self._probes.begin(self._probe(backend))
-        for backend in self._state.zones.begin_probes(self._state.backends.all(), now_s):
+        for backend in self._state.zones.begin_probes(self._state.backends.all_backends(), now_s):
             self._probes.begin(self._probe_zone(backend))
 
     async def _probe_zone(self, backend: Backend) -> None:
@@ -75,7 +75,7 @@
 
     async def _probe(self, backend: Backend) -> None:
         probed_s = boot_time_s()
-        if await self._check.is_reachable(backend.record) or backend.silence.heard_s >= probed_s:
+        if await self._check.is_reachable(backend.record) or backend.silence.silent_since_s >= probed_s:
             return
         now_s = boot_time_s()
         backend.on_failure(now_s, unreachable=True)
@@ -83,7 +83,7 @@
         emit(
             Event.BACKEND_SILENT,
             backend=backend.incarnation,
-            silent_ms=round((now_s - backend.silence.heard_s) * 1000),
+            silent_ms=round((now_s - backend.silence.silent_since_s) * 1000),
             attempts=len(self._interruptible.get(backend, ())),
         )
         self._end_attempts(backend)
--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -29,7 +29,7 @@
 from wallwell.routing.retry.attempt_history import NOT_ARRIVED
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.routing.retry.retry_policy import GiveUp, RetryPolicy
-from wallwell.routing.selection.candidates import backoff_ends_s, without_unresponsive_zones
+from wallwell.routing.selection.candidates import earliest_backoff_end_s, exclude_unresponsive_zones
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.admission import Admission
 from wallwell.serving.attempt import Attempts
@@ -189,7 +189,7 @@
         untried = [each for each in usable if each.incarnation not in tried]
         candidates = untried or (usable if self._is_proved_unrun(active) else [])
         unresponsive = active.history.unresponsive_zones
-        return listed, without_unresponsive_zones(candidates, unresponsive, self._state.zone)
+        return listed, exclude_unresponsive_zones(candidates, unresponsive, self._state.zone)
 
     def _hold(
         self,
@@ -201,7 +201,7 @@
         if limit_waits_s:
             ends_s: float | None = now_s + min(limit_waits_s.values())
         else:
-            ends_s = backoff_ends_s(listed, now_s)
+            ends_s = earliest_backoff_end_s(listed, now_s)
         if ends_s is None:
             return None
         objective_left_s = active.request.arrived_s + active.route.objective_s - now_s
--- a/src/wallwell/serving/request_errors.py
+++ b/src/wallwell/serving/request_errors.py
@@ -22,7 +22,7 @@
 from wallwell.node.state import NodeState
 from wallwell.outcomes import Outcome
 from wallwell.routing.retry.retry_after import RefusalCause
-from wallwell.routing.selection.candidates import backoff_ends_s
+from wallwell.routing.selection.candidates import earliest_backoff_end_s
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.retry_after import RetryAfter
 
@@ -75,8 +75,8 @@
         if limit_waits_s:
             detail = "limits of the back ends are used up"
             return self.exhausted(active, detail, RefusalCause.ALL_LIMITED, min(limit_waits_s))
-        listed = self._state.backends.of_service(active.service)
-        if backoff_ends_s(listed, now_s) is not None:
+        listed = self._state.backends.backends_of_service(active.service)
+        if earliest_backoff_end_s(listed, now_s) is not None:
             return self.exhausted(active, "every back end asked for back-off", RefusalCause.ALL_BACKING_OFF)
         is_any_present = any(not each.is_leaving(now_s) for each in listed)
         cause = RefusalCause.WEIGHTS_TOO_OLD if is_any_present else RefusalCause.NO_BACKEND_LISTED
--- a/src/wallwell/serving/retry_after.py
+++ b/src/wallwell/serving/retry_after.py
@@ -9,7 +9,7 @@
 from wallwell.clock import boot_time_s
 from wallwell.node.state import NodeState
 from wallwell.routing.retry.retry_after import RefusalCause, RefusalCircumstances, retry_after_s
-from wallwell.routing.selection.candidates import backoff_ends_s
+from wallwell.routing.selection.candidates import earliest_backoff_end_s
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.messages import CallerRequest
 
@@ -68,11 +68,11 @@
         """Return when the first back-off of a service ends, 0 for refusals of another cause."""
         if cause is not RefusalCause.ALL_BACKING_OFF:
             return 0.0
-        ends_s = backoff_ends_s(self._state.backends.of_service(service), now_s)
+        ends_s = earliest_backoff_end_s(self._state.backends.backends_of_service(service), now_s)
         return 0.0 if ends_s is None else ends_s - now_s
 
     def _suspension_ends_in_s(self, service: str, now_s: float) -> float:
         """Return when the first back end of a service may be tried again, 0 if one may be now."""
-        listed = self._state.backends.of_service(service)
+        listed = self._state.backends.backends_of_service(service)
         waits = [each.suspended_until_s - now_s for each in listed if not each.is_leaving(now_s)]
         return max(0.0, min(waits, default=0.0))
--- a/src/wallwell/serving/version_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -19,7 +19,7 @@
 from wallwell.routing.selection.candidates import (
     Candidates,
     WeightsRequirement,
-    candidates_of_tiers,
+    candidates_from_tiers,
     usable_backends,
 )
 from wallwell.serving.active_request import ActiveRequest
@@ -30,7 +30,7 @@
     state: NodeState, active: ActiveRequest, now_s: float, without: Collection[Backend] = ()
 ) -> Candidates:
     """Return the back ends among which the next attempt's is chosen; those ``without`` are listed, not usable."""
-    listed = state.backends.of_service(active.service)
+    listed = state.backends.backends_of_service(active.service)
     generation = active.request.generation
     requirement = None if generation is None else _weights_requirement(state, generation.model)
     rollout = state.rollouts.active.get(active.service)
@@ -39,7 +39,7 @@
     if active.prefers_target is None:
         active.prefers_target = rollout.draws_target(state.rng, now_s)
     prefers_target = active.prefers_target and _may_prefer_target(rollout, now_s)
-    return candidates_of_tiers(rollout.tiers(listed, prefers_target, now_s), requirement, now_s, without)
+    return candidates_from_tiers(rollout.tiers(listed, prefers_target, now_s), requirement, now_s, without)
 
 
 def generation_begins_by_s(state: NodeState, backend: Backend, model: str) -> float:
@@ -59,7 +59,7 @@
 
 def eligible_backends(state: NodeState, service: str, now_s: float) -> Sequence[Backend]:
     """Return the back ends that new requests of a service are meant for."""
-    listed = state.backends.of_service(service)
+    listed = state.backends.backends_of_service(service)
     rollout = state.rollouts.active.get(service)
     return listed if rollout is None else rollout.eligible_backends(listed, now_s)
 
--- a/src/wallwell/standalone/backends/service_client.py
+++ b/src/wallwell/standalone/backends/service_client.py
@@ -13,7 +13,7 @@
 import aiohttp
 
 from wallwell.events import Event, emit
-from wallwell.routing.health.backoff import MAX_BACKOFF_S, stated_backoff
+from wallwell.routing.health.backoff import MAX_BACKOFF_S, parse_retry_after
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.standalone.backends.attempt import AttemptFailed
 from wallwell.standalone.backends.engine_protocol import REQUEST_ID
@@ -102,7 +102,7 @@
     logged."""
     if response.status != HTTPStatus.SERVICE_UNAVAILABLE:
         return 0.0
-    stated = stated_backoff(response.headers.getall("Retry-After", ()))
+    stated = parse_retry_after(response.headers.getall("Retry-After", ()))
     for text in stated.unreadable:
         emit(Event.BACKEND_NOTICE_UNREADABLE, backend=str(response.url.authority), retry_after=text)
     return min(stated.seconds, MAX_BACKOFF_S)
--- a/src/wallwell/standalone/cluster/member_table.py
+++ b/src/wallwell/standalone/cluster/member_table.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from wallwell.routing.rendezvous import key_of
+from wallwell.routing.rendezvous import rendezvous_key
 from wallwell.standalone.cluster.members import GossipMember, MemberChange, MembershipTimings
 from wallwell.standalone.cluster.messages import DigestEntry, EngineNews, LoadRecord, MemberRecord, MemberStatus
 
@@ -56,7 +56,7 @@
         """Return a hash of the set of live members, whatever their order."""
         roster = 0
         for name in self.alive():
-            roster ^= key_of(name)
+            roster ^= rendezvous_key(name)
         return roster
 
     def take_changes(self) -> list[MemberChange]:
--- a/src/wallwell/standalone/cluster/published_engines.py
+++ b/src/wallwell/standalone/cluster/published_engines.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-from wallwell.routing.rendezvous import key_of, owner
+from wallwell.routing.rendezvous import owner, rendezvous_key
 from wallwell.standalone.cluster.member_table import MemberTable
 from wallwell.standalone.cluster.messages import EngineNews
 
@@ -57,7 +57,7 @@
         if self._to_read_for != (alive, names):
             self._to_read_for = (alive, names)
             own = self._table.node
-            self._to_read = {name for name in names if owner(alive, key_of(f"reader/{name}")) == own}
+            self._to_read = {name for name in names if owner(alive, rendezvous_key(f"reader/{name}")) == own}
         return self._to_read
 
     def serving(self) -> dict[str, EngineNews]:
--- a/src/wallwell/standalone/cluster/regions.py
+++ b/src/wallwell/standalone/cluster/regions.py
@@ -12,7 +12,7 @@
 import random
 from dataclasses import dataclass, field
 
-from wallwell.routing.rendezvous import key_of, owners
+from wallwell.routing.rendezvous import owners, rendezvous_key
 from wallwell.standalone.cluster.messages import Action, FetchConfig, RegionNews, RegionSummary, Send
 
 DELEGATES = 2
@@ -37,7 +37,7 @@
 
     def is_delegate(self, alive: list[str]) -> bool:
         """Whether this node exchanges summaries for its region."""
-        return self.node in owners(alive, key_of(f"delegate/{self.region}"), DELEGATES)
+        return self.node in owners(alive, rendezvous_key(f"delegate/{self.region}"), DELEGATES)
 
     def refresh_own(self, config_head: int, contacts: tuple[str, ...], now_ms: int) -> None:
         """Rebuild the own region's summary."""
--- a/src/wallwell/standalone/placement/controller.py
+++ b/src/wallwell/standalone/placement/controller.py
@@ -15,7 +15,7 @@
 from wallwell.cluster.leases import LeaseKeeper
 from wallwell.errors import LeaseLostError, PlatformUnavailableError
 from wallwell.events import Event, emit
-from wallwell.routing.rendezvous import key_of, owner
+from wallwell.routing.rendezvous import owner, rendezvous_key
 from wallwell.standalone.backends.engine_client import EngineClient
 from wallwell.standalone.backends.engine_protocol import EngineLoadOrder
 from wallwell.standalone.callers.context import NodeContext
@@ -56,7 +56,7 @@
 
     async def _reconcile(self, model: str, spec: ModelSpec) -> None:
         context = self._context
-        if owner(context.node.membership.alive(), key_of(f"placement/{model}")) != context.settings.node:
+        if owner(context.node.membership.alive(), rendezvous_key(f"placement/{model}")) != context.settings.node:
             return
         engines = context.engines_for(model)
         serving = context.node.engines.serving()
--- a/tests/unit/cluster/test_load_reporter.py
+++ b/tests/unit/cluster/test_load_reporter.py
@@ -132,7 +132,7 @@
                 node.server.close()
         monkeypatch.setattr("wallwell.cluster.load_reporter.REPORT_LIFETIME_S", 0.0)
         await follower.exchange.step()
-        return follower.peers_loads(), follower.backends.get("e1").fleet_load(nodes=3)
+        return follower.peers_loads(), follower.backends.get("e1").fleet_load(node_count=3)
 
     assert with_nodes("aaa", scenario) == ([None, None, None], 3)
 
--- a/tests/unit/cluster/test_relay_network.py
+++ b/tests/unit/cluster/test_relay_network.py
@@ -221,7 +221,7 @@
 
 
 def test_what_is_known_in_the_last_zone_is_as_fresh_as_bounds_need():
-    """The oldest page of the store from which prompts are saved is two seconds old (``SAVE_FRESHNESS_S``)."""
+    """The oldest page of the store from which prompts are saved is two seconds old (``MAX_CONFIRMATION_AGE_S``)."""
 
     async def work():
         network = Network("aabbccddeeffgg")
--- a/tests/unit/cluster/test_stated_limits.py
+++ b/tests/unit/cluster/test_stated_limits.py
@@ -12,7 +12,7 @@
 from wallwell.cluster.stated_limits import LOG_INTERVAL_S, REPORTED_FOR_S, ReportedLimit
 from wallwell.deployment.backends import BackendRecord
 from wallwell.routing.admission.fleet_limits import FleetLimits
-from wallwell.routing.health.request_limit import NO_LIMIT_PER_S, LimitStatement, read_limit
+from wallwell.routing.health.request_limit import NO_LIMIT_PER_S, LimitStatement, parse_limit_headers
 
 BACKEND = "i-0"
 BORN, BORN_AGAIN = 1_000, 2_000
@@ -59,7 +59,7 @@
     ],
 )
 def test_a_limit_is_a_decimal_number_that_is_not_negative(texts, per_s):
-    assert read_limit(texts) == per_s
+    assert parse_limit_headers(texts) == per_s
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/node/test_backend_rows.py
+++ b/tests/unit/node/test_backend_rows.py
@@ -81,7 +81,9 @@
 
     def open(self):
         now_s = boot_time_s()
-        return sorted(each.incarnation for each in self.state.backends.of_service("svc") if each.is_open(now_s))
+        return sorted(
+            each.incarnation for each in self.state.backends.backends_of_service("svc") if each.is_open(now_s)
+        )
 
     async def pass_time(self, seconds, told=True):
         """Let time pass; a store that is there tells every half a second that nothing has changed."""
@@ -196,7 +198,7 @@
     """A changed entry with older versions had requests sent that the engine then refused."""
     registry = BackendRegistry()
     backend = registry.upsert(BackendRecord("e", "llm", "e", "z", 8, versions={"m": 1}))
-    backend.learn_version("m", 3)
+    backend.set_reported_version("m", 3)
     registry.upsert(BackendRecord("e", "llm", "e", "z", 9, versions={"m": 2}))
     assert backend.believed_version("m") == 3
 
@@ -281,7 +283,7 @@
         await followed.pass_time(AWAY_S, told=False)
         followed.take(whole=True)
         await followed.pass_time(2.5, told=False)
-        return [each.incarnation for each in followed.state.backends.all()]
+        return [each.incarnation for each in followed.state.backends.all_backends()]
 
     assert play(scenario) == []
 
--- a/tests/unit/node/test_crash_watch.py
+++ b/tests/unit/node/test_crash_watch.py
@@ -65,7 +65,7 @@
 
 
 def sign_of_life(node):
-    node.backend().silence.on_heard(boot_time_s())
+    node.backend().silence.on_received(boot_time_s())
 
 
 def goes_on_sending(node):
--- a/tests/unit/node/test_unreadable_rows.py
+++ b/tests/unit/node/test_unreadable_rows.py
@@ -44,7 +44,7 @@
         self.rows.apply(FollowedPage(FeedPage(tuple(stored), self.version, 0.0), whole, 0.0, 0.0))
 
     def names(self):
-        return [each.incarnation for each in self.state.backends.of_service("svc")]
+        return [each.incarnation for each in self.state.backends.backends_of_service("svc")]
 
 
 @pytest.fixture
--- a/tests/unit/placement/test_weights_roll.py
+++ b/tests/unit/placement/test_weights_roll.py
@@ -12,7 +12,7 @@
 )
 from wallwell.placement.weights_roll_timing import SOONEST_S
 from wallwell.routing.health.backend import Backend
-from wallwell.routing.health.suspension import FIRST_PAUSE_S
+from wallwell.routing.health.suspension import FIRST_SUSPENSION_S
 
 ALLOWANCE_S = 8.0
 DUE_S = ALLOWANCE_S * LONGEST_DELAY_FRACTION
@@ -127,7 +127,7 @@
     """Guards against one that is counted each time its suspension has just run out, and serves nobody."""
     plan, listed = planner((2, 0.0)), engines(6)
     for crashed in listed[:2]:
-        crashed.on_failure(SOONEST_S - FIRST_PAUSE_S, unreachable=True)
+        crashed.on_failure(SOONEST_S - FIRST_SUSPENSION_S, unreachable=True)
         if has_returned:
             crashed.on_success(SOONEST_S)
     assert all(each.is_open(SOONEST_S) for each in listed)
--- a/tests/unit/placement/test_weights_roll_driver.py
+++ b/tests/unit/placement/test_weights_roll_driver.py
@@ -291,7 +291,7 @@
                 assert backend.believed_version("m") <= engine.version
                 if engine.version >= 2 and boot_time_s() > engine.busy_until_s + 0.5:
                     assert backend.believed_version("m") == engine.version
-                    assert not backend.is_loading(boot_time_s())
+                    assert not backend.is_loading_weights(boot_time_s())
 
     play(scenario)
 
--- a/tests/unit/rollout/test_driver.py
+++ b/tests/unit/rollout/test_driver.py
@@ -124,7 +124,7 @@
             each.record.software
             for node in fleet.nodes
             for each in node.book.active["svc"].eligible_backends(
-                node.state.backends.of_service("svc"), boot_time_s()
+                node.state.backends.backends_of_service("svc"), boot_time_s()
             )
         }
         await fleet.until(lambda: fleet.record().target_version == "v3")
@@ -173,7 +173,7 @@
 
 
 def backends(fleet):
-    return fleet.nodes[0].state.backends.of_service("svc")
+    return fleet.nodes[0].state.backends.backends_of_service("svc")
 
 
 def test_a_version_of_which_no_back_end_ever_comes_is_rolled_back_and_the_current_one_serves():
--- a/tests/unit/routing/health/test_backend_registry.py
+++ b/tests/unit/routing/health/test_backend_registry.py
@@ -6,13 +6,17 @@
 
 from wallwell.deployment.backends import BackendRecord
 from wallwell.routing.health import backend_registry
-from wallwell.routing.health.backend import Backend, LoadInProgress
-from wallwell.routing.health.backend_registry import MAX_LEAVING_KNOWN, MAX_SUPERSEDED_KNOWN, BackendRegistry
+from wallwell.routing.health.backend import Backend, ExpectedWeightsLoad
+from wallwell.routing.health.backend_registry import (
+    MAX_LEAVING_REMEMBERED,
+    MAX_SUPERSEDED_REMEMBERED,
+    BackendRegistry,
+)
 from wallwell.routing.health.suspension import (
-    FIRST_PAUSE_S,
-    FIRST_REFUSAL_PAUSE_S,
-    MAX_PAUSE_S,
-    MAX_REFUSAL_PAUSE_S,
+    FIRST_REFUSAL_SUSPENSION_S,
+    FIRST_SUSPENSION_S,
+    MAX_REFUSAL_SUSPENSION_S,
+    MAX_SUSPENSION_S,
 )
 
 
@@ -33,7 +37,7 @@
 def test_a_version_learnt_from_the_engine_outlives_rows_that_do_not_change_it():
     registry = BackendRegistry()
     backend = registry.upsert(record(m=1))
-    backend.learn_version("m", 2)
+    backend.set_reported_version("m", 2)
     registry.upsert(record(draining=True, m=1))
     assert backend.believed_version("m") == 2
     registry.upsert(record(m=3))
@@ -44,12 +48,12 @@
     registry = BackendRegistry()
     gone = registry.upsert(record("i-1"))
     registry.upsert(record("i-2"))
-    assert registry.unnamed({"i-2"}) == [gone]
+    assert registry.missing_from({"i-2"}) == [gone]
     registry.lapse("i-1", 5.0)
     assert registry.remove_lapsed(5.0) == [gone]
     assert gone.gone
     assert not gone.is_open(0.0)
-    assert [each.incarnation for each in registry.of_service("s")] == ["i-2"]
+    assert [each.incarnation for each in registry.backends_of_service("s")] == ["i-2"]
 
 
 def test_a_lapsed_entry_counts_until_its_time_and_again_when_it_is_back():
@@ -67,11 +71,11 @@
 def test_an_unreachable_back_end_is_suspended_at_once_and_for_longer_each_time():
     backend = Backend(record())
     assert backend.on_failure(10.0, unreachable=True)
-    assert not backend.is_open(10.0 + FIRST_PAUSE_S / 2)
-    assert backend.is_open(10.0 + FIRST_PAUSE_S)
+    assert not backend.is_open(10.0 + FIRST_SUSPENSION_S / 2)
+    assert backend.is_open(10.0 + FIRST_SUSPENSION_S)
     for _ in range(20):
         backend.on_failure(20.0, unreachable=True)
-    assert backend.suspended_until_s == 20.0 + MAX_PAUSE_S
+    assert backend.suspended_until_s == 20.0 + MAX_SUSPENSION_S
 
 
 def test_single_failures_do_not_suspend_a_back_end_that_still_answers():
@@ -89,25 +93,25 @@
 )
 def test_a_load_is_over_when_its_version_is_seen_or_its_time_has_passed(now_s, believed, expected):
     backend = Backend(record(m=1), versions={"m": believed})
-    backend.loading = LoadInProgress("m", 2, until_s=5.0)
-    assert backend.is_loading(now_s) is expected
+    backend.expected_load = ExpectedWeightsLoad("m", 2, until_s=5.0)
+    assert backend.is_loading_weights(now_s) is expected
 
 
 def test_an_engine_serves_until_its_order_but_keeps_nothing_from_the_word_of_it():
     backend = Backend(record(m=1), versions={"m": 1})
-    backend.expect_load(LoadInProgress("m", 2, until_s=5.0, from_s=1.2), 1.0)
-    assert [backend.is_about_to_load(now_s) for now_s in (1.0, 1.3, 5.1)] == [True, True, False]
-    assert [backend.is_loading(now_s) for now_s in (1.0, 1.3, 5.1)] == [False, True, False]
+    backend.expect_weights_load(ExpectedWeightsLoad("m", 2, until_s=5.0, from_s=1.2), 1.0)
+    assert [backend.has_pending_weights_load(now_s) for now_s in (1.0, 1.3, 5.1)] == [True, True, False]
+    assert [backend.is_loading_weights(now_s) for now_s in (1.0, 1.3, 5.1)] == [False, True, False]
 
 
 def test_hearing_of_a_load_again_does_not_put_it_off():
     backend = Backend(record(m=1), versions={"m": 1})
-    backend.expect_load(LoadInProgress("m", 2, until_s=5.0, from_s=1.2), 1.0)
-    backend.expect_load(LoadInProgress("m", 2, until_s=6.0, from_s=2.2), 2.0)
-    assert backend.is_loading(2.0)
-    backend.expect_load(LoadInProgress("m", 3, until_s=7.0, from_s=3.2), 3.0)
-    assert not backend.is_loading(3.0)
-    assert backend.is_loading(3.3)
+    backend.expect_weights_load(ExpectedWeightsLoad("m", 2, until_s=5.0, from_s=1.2), 1.0)
+    backend.expect_weights_load(ExpectedWeightsLoad("m", 2, until_s=6.0, from_s=2.2), 2.0)
+    assert backend.is_loading_weights(2.0)
+    backend.expect_weights_load(ExpectedWeightsLoad("m", 3, until_s=7.0, from_s=3.2), 3.0)
+    assert not backend.is_loading_weights(3.0)
+    assert backend.is_loading_weights(3.3)
 
 
 def test_a_new_incarnation_ends_those_listed_at_its_address():
@@ -155,13 +159,13 @@
     before = registry.upsert(record(started=1000, m=2))
     registry.on_leaving(before, 3.0)
     before.backoff.on_requested(50.0, 3.0)
-    before.learn_version("m", 5)
+    before.set_reported_version("m", 5)
     after = registry.upsert(record(started=2000, m=2))
     assert before.gone and after is not before
     assert after.is_open(4.0)
     assert after.believed_version("m") == 2
-    assert list(registry.all()) == [after]
-    assert registry.of_service("s") == [after]
+    assert list(registry.all_backends()) == [after]
+    assert registry.backends_of_service("s") == [after]
 
 
 @pytest.mark.parametrize("is_listed", [True, False], ids=["listed", "its entry had gone"])
@@ -189,10 +193,10 @@
 def test_groups_of_back_ends_are_formed_anew_when_one_leaves():
     registry = BackendRegistry()
     backend = registry.upsert(record())
-    listed = registry.of_service("s")
+    listed = registry.backends_of_service("s")
     registry.on_leaving(backend, 3.0)
-    assert registry.of_service("s") is not listed
-    assert registry.of_service("s") == listed
+    assert registry.backends_of_service("s") is not listed
+    assert registry.backends_of_service("s") == listed
 
 
 def test_another_incarnation_does_not_leave_with_the_one_before():
@@ -203,11 +207,11 @@
 
 def test_leaving_incarnations_are_not_remembered_without_bound():
     registry = BackendRegistry()
-    for index in range(MAX_LEAVING_KNOWN + 50):
+    for index in range(MAX_LEAVING_REMEMBERED + 50):
         registry.on_leaving(registry.upsert(record(f"i-{index}")), 3.0)
         registry.remove(f"i-{index}")
-    assert len(registry._leaving_since_s) == MAX_LEAVING_KNOWN
-    assert registry.upsert(record(f"i-{MAX_LEAVING_KNOWN + 49}")).is_leaving(4.0)
+    assert len(registry._leaving_since_s) == MAX_LEAVING_REMEMBERED
+    assert registry.upsert(record(f"i-{MAX_LEAVING_REMEMBERED + 49}")).is_leaving(4.0)
 
 
 def test_failures_answers_and_the_return_of_a_zone_do_not_shorten_a_back_off():
@@ -215,7 +219,7 @@
     backend.backoff.on_requested(10.0, 0.0)
     backend.on_failure(1.0, unreachable=True)
     backend.on_success(2.0)
-    backend.forgive_failures(2.0)
+    backend.reset_failures(2.0)
     backend.suspend_at_least_until(3.0)
     assert [backend.is_open(now_s) for now_s in (9.9, 10.0)] == [False, True]
 
@@ -230,7 +234,7 @@
         pauses_s.append(round(backend.suspended_until_s - now_s, 3))
         now_s = backend.suspended_until_s
     assert pauses_s == [0.2, 0.4, 0.8, 1.6, 1.6, 1.6, 1.6, 1.6]
-    assert pauses_s[0] == FIRST_REFUSAL_PAUSE_S and pauses_s[-1] == MAX_REFUSAL_PAUSE_S
+    assert pauses_s[0] == FIRST_REFUSAL_SUSPENSION_S and pauses_s[-1] == MAX_REFUSAL_SUSPENSION_S
 
 
 def test_a_request_that_is_taken_ends_a_row_of_refusals():
@@ -247,15 +251,15 @@
     backend.on_refused(4.0)
     backend.on_refused(5.0)
     backend.on_refused(5.0)
-    assert backend.suspended_until_s == 5.0 + FIRST_REFUSAL_PAUSE_S
+    assert backend.suspended_until_s == 5.0 + FIRST_REFUSAL_SUSPENSION_S
 
 
 def test_ended_incarnations_are_not_remembered_without_bound():
     registry = BackendRegistry()
-    for index in range(MAX_SUPERSEDED_KNOWN + 50):
+    for index in range(MAX_SUPERSEDED_REMEMBERED + 50):
         registry.upsert(record(f"i-{index}", address="a:1"))
         registry.remove(f"i-{index - 1}")
-    assert len(registry._superseded) == MAX_SUPERSEDED_KNOWN
+    assert len(registry._superseded) == MAX_SUPERSEDED_REMEMBERED
 
 
 def test_a_changed_entry_costs_the_same_whatever_the_number_of_back_ends(monkeypatch):
@@ -268,12 +272,14 @@
     for record in records:
         registry.upsert(record)
     compared = []
-    monkeypatch.setattr(backend_registry, "_identity", lambda backend: compared.append(1) or backend.incarnation)
+    monkeypatch.setattr(
+        backend_registry, "_incarnation_of", lambda backend: compared.append(1) or backend.incarnation
+    )
     for record in records:
         registry.upsert(dataclasses.replace(record, draining=True))
     assert not compared
     for service in ("svc0", "svc1", "svc2"):
-        listed = [each.incarnation for each in registry.of_service(service)]
+        listed = [each.incarnation for each in registry.backends_of_service(service)]
         assert listed == sorted(record.incarnation for record in records if record.service == service)
 
 
@@ -283,8 +289,8 @@
     registry.upsert(record)
     registry.upsert(dataclasses.replace(record, service="new", address="10.0.0.2:80"))
     successor = registry.upsert(BackendRecord("i-2", "new", "10.0.0.1:80", "z", 8))
-    assert registry.of_service("old") == []
-    assert [each.incarnation for each in registry.of_service("new")] == ["i-1", "i-2"]
+    assert registry.backends_of_service("old") == []
+    assert [each.incarnation for each in registry.backends_of_service("new")] == ["i-1", "i-2"]
     assert not registry.get("i-1").superseded
     registry.upsert(BackendRecord("i-3", "new", "10.0.0.2:80", "z", 8))
     assert registry.get("i-1").superseded
--- a/tests/unit/routing/health/test_silence.py
+++ b/tests/unit/routing/health/test_silence.py
@@ -3,13 +3,13 @@
 import pytest
 
 from wallwell.routing.health.silence import (
-    HALF_LIFE_S,
-    LONG_FACTOR,
+    LONG_SILENCE_FACTOR,
     MAX_LONG_SILENCE_S,
     MIN_LONG_SILENCE_S,
     PROBE_INTERVAL_S,
+    USUAL_SILENCE_HALF_LIFE_S,
     Silence,
-    long_silence_s,
+    long_silence_threshold_s,
 )
 
 
@@ -18,7 +18,7 @@
     silence.on_idle_ended(now_s)
     for silent_s in silences_s:
         now_s += silent_s
-        silence.on_heard(now_s)
+        silence.on_received(now_s)
     return silence, now_s
 
 
@@ -27,7 +27,7 @@
     [
         ([], MAX_LONG_SILENCE_S),
         ([0.02, 0.02], MIN_LONG_SILENCE_S),
-        ([0.02, 0.3], 0.3 * LONG_FACTOR),
+        ([0.02, 0.3], 0.3 * LONG_SILENCE_FACTOR),
         ([0.9], MAX_LONG_SILENCE_S),
     ],
     ids=["nothing known", "quick", "reads long prompts", "slow"],
@@ -40,7 +40,7 @@
 
 def test_a_large_silence_is_forgotten():
     silence, now_s = heard(0.4)
-    assert silence.usual_s(now_s + HALF_LIFE_S) == pytest.approx(0.2)
+    assert silence.usual_silence_s(now_s + USUAL_SILENCE_HALF_LIFE_S) == pytest.approx(0.2)
 
 
 def test_it_is_not_asked_all_the_time():
@@ -53,13 +53,13 @@
     silence, now_s = heard(0.02)
     silence.on_idle_ended(now_s + 60.0)
     assert not silence.begin_probe_if_due(now_s + 60.1)
-    silence.on_heard(now_s + 60.05)
-    assert silence.usual_s(now_s + 60.05) == pytest.approx(0.05)
+    silence.on_received(now_s + 60.05)
+    assert silence.usual_silence_s(now_s + 60.05) == pytest.approx(0.05)
 
 
 @pytest.mark.parametrize(
-    ("usual_s", "expected_s"),
+    ("usual_silence_s", "expected_s"),
     [(None, 1.0), (0.0, 0.18), (0.1, 0.18), (0.2, 0.3), (0.5, 0.75), (0.7, 1.0), (30.0, 1.0)],
 )
-def test_a_long_silence_follows_the_usual_one_between_two_bounds(usual_s, expected_s):
-    assert long_silence_s(usual_s) == pytest.approx(expected_s)
+def test_a_long_silence_follows_the_usual_one_between_two_bounds(usual_silence_s, expected_s):
+    assert long_silence_threshold_s(usual_silence_s) == pytest.approx(expected_s)
--- a/tests/unit/routing/health/test_suspension.py
+++ b/tests/unit/routing/health/test_suspension.py
@@ -5,11 +5,11 @@
 from hypothesis import strategies as st
 
 from wallwell.routing.health.suspension import (
-    ANSWERING_S,
-    FIRST_PAUSE_S,
-    MAX_PAUSE_S,
-    answered_recently,
-    suspended_until_s,
+    FIRST_SUSPENSION_S,
+    MAX_SUSPENSION_S,
+    RECENT_ANSWER_S,
+    failure_suspension_end_s,
+    has_answered_recently,
 )
 
 
@@ -28,18 +28,18 @@
     ],
 )
 def test_pauses_double_up_to_their_bound(failures, unreachable, pause_s):
-    until_s = suspended_until_s(failures, unreachable, now_s=0.0)
+    until_s = failure_suspension_end_s(failures, unreachable, now_s=0.0)
     assert until_s == (None if pause_s is None else pytest.approx(pause_s))
 
 
 @given(st.integers(1, 10_000), st.booleans(), st.floats(0.0, 1e6))
 def test_a_pause_is_bounded_and_never_shorter_after_more_failures(failures, unreachable, now_s):
-    until_s, later_s = (suspended_until_s(count, unreachable, now_s) for count in (failures, failures + 1))
+    until_s, later_s = (failure_suspension_end_s(count, unreachable, now_s) for count in (failures, failures + 1))
     if until_s is not None:
-        assert now_s + FIRST_PAUSE_S <= until_s <= later_s <= now_s + MAX_PAUSE_S
+        assert now_s + FIRST_SUSPENSION_S <= until_s <= later_s <= now_s + MAX_SUSPENSION_S
 
 
 def test_an_answer_counts_for_a_while():
-    assert answered_recently(10.0, 10.0 + ANSWERING_S - 0.01)
-    assert not answered_recently(10.0, 10.0 + ANSWERING_S)
-    assert not answered_recently(float("-inf"), 10.0)
+    assert has_answered_recently(10.0, 10.0 + RECENT_ANSWER_S - 0.01)
+    assert not has_answered_recently(10.0, 10.0 + RECENT_ANSWER_S)
+    assert not has_answered_recently(float("-inf"), 10.0)
--- a/tests/unit/routing/health/test_zone_suspicion.py
+++ b/tests/unit/routing/health/test_zone_suspicion.py
@@ -9,10 +9,10 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.health.zone_suspicion import (
-    PROBE_INTERVAL_S,
     RETURN_SPREAD_S,
-    SUSPENSION_S,
     TIMEOUT_WINDOW_S,
+    ZONE_PROBE_INTERVAL_S,
+    ZONE_SUSPENSION_S,
     ZoneSuspicion,
 )
 
@@ -28,7 +28,7 @@
         ]
         self.suspicion = ZoneSuspicion(random.Random(5))
         self.returned = []
-        self.suspicion.on_return = self.returned.append
+        self.suspicion.on_zone_returned = self.returned.append
 
     def named(self, name):
         return next(each for each in self.listed if each.incarnation == name)
@@ -85,9 +85,9 @@
     zones.time_out("a1")
     (third,) = zones.probe(10.0)
     assert third in A[2:]
-    assert zones.probe(10.0 + PROBE_INTERVAL_S / 2) == []
+    assert zones.probe(10.0 + ZONE_PROBE_INTERVAL_S / 2) == []
     assert zones.time_out(third) == [True]
-    probed = {name for step in range(1, 40) for name in zones.probe(10.0 + PROBE_INTERVAL_S * step)}
+    probed = {name for step in range(1, 40) for name in zones.probe(10.0 + ZONE_PROBE_INTERVAL_S * step)}
     assert probed == set(A)
 
 
@@ -103,11 +103,11 @@
     zones = Zones()
     zones.time_out("a0", "a1", "a2")
     for step in range(20):
-        now_s = 10.0 + step * (PROBE_INTERVAL_S + 0.12)
+        now_s = 10.0 + step * (ZONE_PROBE_INTERVAL_S + 0.12)
         assert zones.open(now_s) == B
         for name in zones.probe(now_s):
             zones.time_out(name, at_s=now_s + 0.12)
-    assert zones.open(now_s + 0.12 + SUSPENSION_S) == A + B
+    assert zones.open(now_s + 0.12 + ZONE_SUSPENSION_S) == A + B
 
 
 def test_all_come_back_with_the_first_answer_spread_over_a_short_time():
@@ -137,7 +137,7 @@
         zones = Zones()
         zones.suspicion = ZoneSuspicion(random.Random(seed))
         zones.time_out("a0", "a1", "a2")
-        (probed,) = zones.probe(10.0 + PROBE_INTERVAL_S)
+        (probed,) = zones.probe(10.0 + ZONE_PROBE_INTERVAL_S)
         assert probed in ("a3", "a4")
 
 
@@ -162,5 +162,5 @@
             probed_s[name[0]] = float("-inf")
         else:
             for probed in zones.probe(now_s):
-                assert now_s - probed_s[probed[0]] >= PROBE_INTERVAL_S
+                assert now_s - probed_s[probed[0]] >= ZONE_PROBE_INTERVAL_S
                 probed_s[probed[0]] = now_s
--- a/tests/unit/routing/selection/test_call_choice.py
+++ b/tests/unit/routing/selection/test_call_choice.py
@@ -5,13 +5,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.unit.routing.selection.drawn_fleet import backends, topologies
-from wallwell.routing.selection.call_choice import choose_for_call
+from tests.unit.routing.selection.fleet_strategies import backends, topologies
+from wallwell.routing.selection.call_choice import choose_backend_for_call
 
 
 @given(backends(min_size=1, all_open=True), topologies(), st.sampled_from([1, 3, 200]), st.integers(0, 1000))
 def test_a_candidate_is_chosen_and_the_own_zone_goes_first(candidates, topology, nodes, seed):
-    chosen = choose_for_call(candidates, nodes, topology.zone, topology, random.Random(seed))
+    chosen = choose_backend_for_call(candidates, nodes, topology.zone, topology, random.Random(seed))
     assert chosen in candidates
     near = [
         each
@@ -26,7 +26,7 @@
 @given(backends(min_size=1, all_open=True), topologies(), st.integers(0, 1000))
 def test_one_random_number_is_drawn_for_each_free_back_end_of_the_zone_or_one_in_all(candidates, topology, seed):
     rng, expected = random.Random(seed), random.Random(seed)
-    choose_for_call(candidates, 1, topology.zone, topology, rng)
+    choose_backend_for_call(candidates, 1, topology.zone, topology, rng)
     near = [
         each
         for each in candidates
--- a/tests/unit/routing/selection/test_candidates.py
+++ b/tests/unit/routing/selection/test_candidates.py
@@ -6,20 +6,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.unit.routing.selection.drawn_fleet import MODEL, NOW_S, ZONES, backends, weights_targets
+from tests.unit.routing.selection.fleet_strategies import MODEL, NOW_S, ZONES, backends, weights_targets
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.weights import OVERDUE_FRACTION, WeightsTargets
-from wallwell.routing.health.backend import Backend, LoadInProgress
+from wallwell.routing.health.backend import Backend, ExpectedWeightsLoad
 from wallwell.routing.selection.candidates import (
     BEGIN_MARGIN_S,
     LAST_RESORT_FRACTION,
     LEAVING_GRACE_S,
     WeightsRequirement,
-    backoff_ends_s,
     begin_by_s,
-    candidates_of_tiers,
+    candidates_from_tiers,
+    earliest_backoff_end_s,
+    exclude_unresponsive_zones,
     usable_backends,
-    without_unresponsive_zones,
 )
 
 ALLOWANCE_S = 8.0
@@ -111,7 +111,7 @@
 
 
 OLD, NEW = engine("old", 1), engine("new", 2)
-LOADING = engine("loading", 1, loading=LoadInProgress(MODEL, 2, NOW_S + 1))
+LOADING = engine("loading", 1, expected_load=ExpectedWeightsLoad(MODEL, 2, NOW_S + 1))
 OVERDUE_S = ALLOWANCE_S * OVERDUE_FRACTION + 0.001
 LAST_RESORT_S = ALLOWANCE_S * LAST_RESORT_FRACTION + 0.001
 
@@ -150,7 +150,7 @@
     ids=["first", "first is suspended", "first is empty", "first leaves", "second is empty", "nothing left"],
 )
 def test_the_first_tier_that_can_serve_is_taken(tiers, listed, usable):
-    found = candidates_of_tiers(tiers, None, NOW_S)
+    found = candidates_from_tiers(tiers, None, NOW_S)
     assert (names(found.listed), names(found.usable)) == (listed, usable)
 
 
@@ -172,7 +172,7 @@
 )
 def test_unresponsive_zones_are_left_out_and_the_own_zone_goes_first(unresponsive, left):
     listed = [engine("a", zone="z1"), engine("b", zone="z2"), engine("c", zone="z3")]
-    assert names(without_unresponsive_zones(listed, unresponsive, "z1")) == left
+    assert names(exclude_unresponsive_zones(listed, unresponsive, "z1")) == left
 
 
 @given(backends(), weights_targets(), st.booleans())
@@ -187,7 +187,7 @@
     if any(each.is_open(NOW_S) for each in listed):
         assert all(each.is_open(NOW_S) for each in usable)
     if not is_generation and staying:
-        assert bool(usable) == (backoff_ends_s(listed, NOW_S) is None)
+        assert bool(usable) == (earliest_backoff_end_s(listed, NOW_S) is None)
 
 
 @pytest.mark.parametrize(
@@ -201,10 +201,10 @@
     ],
 )
 def test_the_end_of_back_off_counts_where_all_that_stay_ask_for_it(listed, ends_in_s):
-    ends_s = backoff_ends_s(listed, NOW_S)
+    ends_s = earliest_backoff_end_s(listed, NOW_S)
     assert (None if ends_s is None else ends_s - NOW_S) == pytest.approx(ends_in_s)
 
 
 @given(backends(min_size=1), st.sets(st.sampled_from(ZONES)), st.sampled_from(ZONES))
 def test_leaving_zones_out_never_leaves_nothing(listed, unresponsive, own_zone):
-    assert without_unresponsive_zones(listed, unresponsive, own_zone)
+    assert exclude_unresponsive_zones(listed, unresponsive, own_zone)
--- a/tests/unit/routing/selection/test_engine_choice.py
+++ b/tests/unit/routing/selection/test_engine_choice.py
@@ -6,18 +6,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.unit.routing.selection.drawn_fleet import backends, topologies
+from tests.unit.routing.selection.fleet_strategies import backends, topologies
 from wallwell.deployment.backends import BackendRecord
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.selection.engine_choice import (
     FleetView,
     Prompt,
-    choose_engine,
-    choose_for_generation,
+    choose_engine_by_key,
+    choose_engine_for_generation,
     choose_from_tiers,
 )
 from wallwell.routing.selection.prefill_rate import PrefillRate
-from wallwell.routing.selection.prefix_home import CHUNK_TOKENS, PromptPart, engine_pool, placement_key
+from wallwell.routing.selection.prefix_home import PREFILL_CHUNK_TOKENS, PromptPart, engine_pool, placement_key
 
 
 def engines(count):
@@ -31,39 +31,39 @@
 def test_the_order_of_the_list_does_not_matter():
     listed = engines(6)
     key = placement_key(parts("a", "b", "own"), "")
-    assert choose_engine(listed, key) is choose_engine(listed[::-1], key)
+    assert choose_engine_by_key(listed, key) is choose_engine_by_key(listed[::-1], key)
 
 
 def test_losing_an_engine_moves_only_its_own_prefixes():
     listed = engines(6)
     keys = [placement_key(parts(f"p{index}", "own"), "") for index in range(200)]
-    before = [choose_engine(listed, key) for key in keys]
-    after = [choose_engine(listed[1:], key) for key in keys]
+    before = [choose_engine_by_key(listed, key) for key in keys]
+    after = [choose_engine_by_key(listed[1:], key) for key in keys]
     assert all(new is old for old, new in zip(before, after, strict=True) if old is not listed[0])
 
 
 def test_a_loaded_home_is_passed_over_for_the_next_in_order():
     listed = engines(4)
     key = placement_key(parts("hot", "own"), "")
-    home = choose_engine(listed, key)
+    home = choose_engine_by_key(listed, key)
     home.load = 40
-    second = choose_engine(listed, key)
+    second = choose_engine_by_key(listed, key)
     assert second is not home
     second.load = 41
     home.load = 0
-    assert choose_engine(listed, key) is home
+    assert choose_engine_by_key(listed, key) is home
 
 
 def test_no_engine_gives_no_choice():
-    assert choose_engine([], 1) is None
+    assert choose_engine_by_key([], 1) is None
 
 
 def test_requests_overflow_to_the_next_tier_when_the_first_is_full():
     """Before, 109 short prompts of 2 s went to the one engine of their pool while others stood idle."""
     first, second = engines(4)[:1], engines(4)[1:]
-    assert choose_from_tiers((first, second), 1, nodes=7) is first[0]
+    assert choose_from_tiers((first, second), 1, node_count=7) is first[0]
     first[0].load = first[0].record.slots // 7 + 1
-    assert choose_from_tiers((first, second), 1, nodes=7) in second
+    assert choose_from_tiers((first, second), 1, node_count=7) in second
 
 
 @pytest.mark.parametrize("idle", [0, 1, 3, 10])
@@ -72,7 +72,9 @@
     listed = engines(59)
     for number, engine in enumerate(listed):
         engine.peers_load = 70 + number % 7 if number >= idle else 1
-    chosen = Counter(choose_from_tiers((listed[20:], listed), key, nodes=195).incarnation for key in range(300))
+    chosen = Counter(
+        choose_from_tiers((listed[20:], listed), key, node_count=195).incarnation for key in range(300)
+    )
     assert max(chosen.values()) <= 20
 
 
@@ -81,12 +83,12 @@
     for engine in listed:
         engine.peers_load = 70
     listed[4].peers_load = 140
-    chosen = {choose_from_tiers((listed,), key, nodes=3).incarnation for key in range(200)}
+    chosen = {choose_from_tiers((listed,), key, node_count=3).incarnation for key in range(200)}
     assert chosen == {each.incarnation for each in listed} - {"i-4"}
 
 
 def test_without_engines_there_is_no_choice():
-    assert choose_from_tiers(((), ()), 1, nodes=1) is None
+    assert choose_from_tiers(((), ()), 1, node_count=1) is None
 
 
 def test_the_load_of_other_nodes_counts():
@@ -94,12 +96,12 @@
     for engine in listed:
         engine.peers_load = 2
     key = placement_key(parts("hot", "own"), "")
-    home = choose_from_tiers((listed,), key, nodes=79)
+    home = choose_from_tiers((listed,), key, node_count=79)
     home.peers_load = 30
-    second = choose_from_tiers((listed,), key, nodes=79)
+    second = choose_from_tiers((listed,), key, node_count=79)
     assert second is not home
     home.peers_load = 3
-    assert choose_from_tiers((listed,), key, nodes=79) is home
+    assert choose_from_tiers((listed,), key, node_count=79) is home
 
 
 def test_a_prefix_stays_at_its_home_in_a_large_fleet_while_the_home_has_headroom():
@@ -108,14 +110,14 @@
     for engine in listed:
         engine.peers_load = 1
     key = placement_key(parts("shared", "own"), "")
-    home = choose_from_tiers((listed,), key, nodes=79)
+    home = choose_from_tiers((listed,), key, node_count=79)
     home.load = 1
-    assert choose_from_tiers((listed,), key, nodes=79) is home
+    assert choose_from_tiers((listed,), key, node_count=79) is home
 
 
 def test_a_long_prompt_goes_to_another_pool_rather_than_wait_beyond_its_objective():
     listed = engines(6)
-    pool = engine_pool(listed, CHUNK_TOKENS + 1)
+    pool = engine_pool(listed, PREFILL_CHUNK_TOKENS + 1)
     others = [each for each in listed if each not in pool]
     for each in pool:
         each.load = 10
@@ -139,12 +141,12 @@
     st.data(),
     topologies(),
     st.integers(0, 2**64 - 1),
-    st.sampled_from([100, 2000, CHUNK_TOKENS + 1, 20_000]),
+    st.sampled_from([100, 2000, PREFILL_CHUNK_TOKENS + 1, 20_000]),
 )
 def test_one_of_the_candidates_is_chosen_whatever_their_order(listed, data, topology, key, tokens):
     candidates = data.draw(st.lists(st.sampled_from(listed), min_size=1, unique=True))
     fleet = FleetView(3, topology, PrefillRate())
     prompt = Prompt(key, tokens, tokens // 2, 0.4)
-    chosen = choose_for_generation(prompt, candidates, listed, fleet)
+    chosen = choose_engine_for_generation(prompt, candidates, listed, fleet)
     assert chosen in candidates
-    assert chosen is choose_for_generation(prompt, candidates[::-1], listed, fleet)
+    assert chosen is choose_engine_for_generation(prompt, candidates[::-1], listed, fleet)
--- a/tests/unit/routing/selection/test_kv_store_choice.py
+++ b/tests/unit/routing/selection/test_kv_store_choice.py
@@ -6,12 +6,12 @@
 from wallwell.deployment.topology import ONE_REGION, Topology
 from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
 from wallwell.routing.selection.kv_store_choice import (
-    SAVE_FRESHNESS_S,
+    MAX_CONFIRMATION_AGE_S,
     KvStores,
-    begins_save,
-    best_source,
-    home_store,
-    is_unreachable,
+    begin_store_save_if_needed,
+    best_source_address,
+    home_store_address,
+    is_store_unreachable,
     may_save,
 )
 from wallwell.routing.selection.prefix_home import PromptPart
@@ -29,19 +29,19 @@
 def holding(tokens=0):
     contents = KvStoreContents()
     entries = (CacheEntry(1, "m:1", "shared", tokens),) if tokens else ()
-    contents.take(CachePage(CachePosition(1, 1), entries, whole=True))
+    contents.apply_page(CachePage(CachePosition(1, 1), entries, whole=True))
     return contents
 
 
 def homes(topology, engine_zone):
-    return {home_store(stores(topology=topology), key, engine_zone) for key in range(50)}
+    return {home_store_address(stores(topology=topology), key, engine_zone) for key in range(50)}
 
 
 def test_homes_are_stores_of_the_engines_region():
     assert homes(REGIONS, "z1") == homes(REGIONS, "z2") == {"s1", "s2"}
     assert homes(REGIONS, "z3") == {"s3"}
     assert homes(ONE_REGION, "z1") == set(ZONES)
-    assert home_store(KvStores((), {}, ONE_REGION), 1, "z1") == ""
+    assert home_store_address(KvStores((), {}, ONE_REGION), 1, "z1") == ""
 
 
 @pytest.mark.parametrize(
@@ -61,26 +61,26 @@
 )
 def test_parts_come_from_the_store_that_holds_most_weighed_by_distance(held, source):
     known = stores({address: holding(tokens) for address, tokens in held.items()})
-    assert best_source(known, "s1", "m:1", PARTS, "z1") == source
+    assert best_source_address(known, "s1", "m:1", PARTS, "z1") == source
 
 
 @pytest.mark.parametrize(
-    ("is_about_to_load", "age_s", "saves"),
-    [(False, SAVE_FRESHNESS_S, True), (True, 0.0, False), (False, SAVE_FRESHNESS_S + 0.01, False)],
+    ("has_pending_weights_load", "age_s", "saves"),
+    [(False, MAX_CONFIRMATION_AGE_S, True), (True, 0.0, False), (False, MAX_CONFIRMATION_AGE_S + 0.01, False)],
 )
-def test_nothing_is_saved_that_may_be_made_by_two_versions_of_weights(is_about_to_load, age_s, saves):
-    assert may_save(is_about_to_load, 100.0, 100.0 + age_s) is saves
+def test_nothing_is_saved_that_may_be_made_by_two_versions_of_weights(has_pending_weights_load, age_s, saves):
+    assert may_save(has_pending_weights_load, 100.0, 100.0 + age_s) is saves
 
 
 def test_a_store_that_lacks_parts_is_sent_them_once_and_one_that_is_unknown_each_time():
     known = stores({"s1": holding(), "s2": holding(2000)})
-    assert [begins_save(known, "s1", "m:1", PARTS, at_s) for at_s in (0.0, 0.1)] == [True, False]
-    assert not begins_save(known, "s2", "m:1", PARTS, 0.0)
-    assert [begins_save(known, "s3", "m:1", PARTS, at_s) for at_s in (0.0, 0.1)] == [True, True]
+    assert [begin_store_save_if_needed(known, "s1", "m:1", PARTS, at_s) for at_s in (0.0, 0.1)] == [True, False]
+    assert not begin_store_save_if_needed(known, "s2", "m:1", PARTS, 0.0)
+    assert [begin_store_save_if_needed(known, "s3", "m:1", PARTS, at_s) for at_s in (0.0, 0.1)] == [True, True]
 
 
 def test_only_a_store_that_was_seen_to_fail_is_unreachable():
     silent = holding()
     silent.reachable = False
     known = stores({"s1": silent, "s2": holding()})
-    assert [is_unreachable(known, address) for address in ZONES] == [True, False, False]
+    assert [is_store_unreachable(known, address) for address in ZONES] == [True, False, False]
--- a/tests/unit/routing/selection/test_prefill_rate.py
+++ b/tests/unit/routing/selection/test_prefill_rate.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wallwell.routing.selection.prefill_rate import DEFAULT_S, PrefillRate
+from wallwell.routing.selection.prefill_rate import DEFAULT_SECONDS_PER_UNIT, PrefillRate
 
 
 @pytest.mark.parametrize("seconds_per_unit", [0.02, 0.08, 0.3])
@@ -18,7 +18,7 @@
 def test_one_observation_changes_little_and_none_lifts_the_limit():
     rate = PrefillRate()
     rate.observe(3, 30.0)
-    assert rate.seconds_per_unit < 20 * DEFAULT_S
+    assert rate.seconds_per_unit < 20 * DEFAULT_SECONDS_PER_UNIT
     for _ in range(100):
         rate.observe(0, 0.0)
     assert rate.load_limit(0.6) < 200
--- a/tests/unit/routing/selection/test_prefix_home.py
+++ b/tests/unit/routing/selection/test_prefix_home.py
@@ -5,7 +5,7 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.selection.prefix_home import (
-    CHUNK_TOKENS,
+    PREFILL_CHUNK_TOKENS,
     PromptPart,
     engine_pool,
     placement_key,
@@ -30,13 +30,15 @@
 @pytest.mark.parametrize(("count", "short"), [(1, 1), (2, 2), (3, 1), (6, 2), (9, 3)])
 def test_pools_are_apart_and_cover_every_engine(count, short):
     listed = engines(count)
-    for_short = {each.incarnation for each in engine_pool(listed, CHUNK_TOKENS)}
-    for_long = {each.incarnation for each in engine_pool(listed, CHUNK_TOKENS + 1)}
+    for_short = {each.incarnation for each in engine_pool(listed, PREFILL_CHUNK_TOKENS)}
+    for_long = {each.incarnation for each in engine_pool(listed, PREFILL_CHUNK_TOKENS + 1)}
     assert len(for_short) == short
     assert for_short | for_long == {each.incarnation for each in listed}
     assert count < 3 or not for_short & for_long
 
 
-@pytest.mark.parametrize(("tokens", "load"), [(0, 1), (CHUNK_TOKENS - 1, 1), (CHUNK_TOKENS, 2), (40_000, 10)])
+@pytest.mark.parametrize(
+    ("tokens", "load"), [(0, 1), (PREFILL_CHUNK_TOKENS - 1, 1), (PREFILL_CHUNK_TOKENS, 2), (40_000, 10)]
+)
 def test_long_prompts_count_several_times(tokens, load):
     assert request_load(tokens) == load
--- a/tests/unit/serving/test_cache_planning.py
+++ b/tests/unit/serving/test_cache_planning.py
@@ -17,10 +17,10 @@
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind, Service
-from wallwell.routing.health.backend import LoadInProgress
+from wallwell.routing.health.backend import ExpectedWeightsLoad
 from wallwell.routing.retry.first_token import Delays
 from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
-from wallwell.routing.selection.kv_store_choice import MIN_FETCH_TOKENS, home_store
+from wallwell.routing.selection.kv_store_choice import MIN_FETCH_TOKENS, home_store_address
 from wallwell.routing.selection.prefix_home import placement_key
 from wallwell.serving.pipeline import RequestPipeline
 
@@ -30,7 +30,7 @@
 
 def cache_of(*parts):
     contents = KvStoreContents()
-    contents.take(
+    contents.apply_page(
         CachePage(CachePosition(1, 1), tuple(CacheEntry(1, "m:1", each, 2000) for each in parts), whole=True)
     )
     return contents
@@ -61,7 +61,7 @@
 
 
 def loading(fleet):
-    fleet.backends.get("i-0").loading = LoadInProgress("m", 2, boot_time_s() + 1.0)
+    fleet.backends.get("i-0").expected_load = ExpectedWeightsLoad("m", 2, boot_time_s() + 1.0)
 
 
 def old_confirmation(fleet):
@@ -127,7 +127,7 @@
         services = tuple(Service(each, kv_store_address=each) for each in (STORE, OTHER_STORE))
         fleet.apply_config(dataclasses.replace(fleet.config, version=3, services=services))
         placement = placement_key(make_generation(2000).parts, "")
-        home = home_store(fleet.kv_stores, placement, "z1")
+        home = home_store_address(fleet.kv_stores, placement, "z1")
         other = OTHER_STORE if home == STORE else STORE
         fleet.kv_store_contents[home], fleet.kv_store_contents[other] = (
             cache_of(*home_parts),
--- a/tests/unit/serving/test_call_placement.py
+++ b/tests/unit/serving/test_call_placement.py
@@ -7,7 +7,7 @@
 from tests.unit.serving.fakes import make_state
 from tests.virtual_time import run_virtual
 from wallwell.deployment.backends import BackendRecord
-from wallwell.routing.selection.call_choice import choose_for_call
+from wallwell.routing.selection.call_choice import choose_backend_for_call
 
 SLOTS = 6
 PICKS = 600
@@ -23,9 +23,9 @@
             backend = state.backends.upsert(record)
             backend.peers_load = load
             backend.load = (own or {}).get(record.incarnation, 0)
-        candidates = state.backends.of_service("svc")
+        candidates = state.backends.backends_of_service("svc")
         return Counter(
-            choose_for_call(candidates, state.node_count, state.zone, state.topology, state.rng).incarnation
+            choose_backend_for_call(candidates, state.node_count, state.zone, state.topology, state.rng).incarnation
             for _ in range(PICKS)
         )
 
--- a/tests/unit/serving/test_liveness.py
+++ b/tests/unit/serving/test_liveness.py
@@ -58,7 +58,7 @@
         started_s = boot_time_s()
         await RequestPipeline(state, client, liveness=liveness).serve(request, reply)
         watching.cancel()
-        suspended = [each.suspended_until_s > boot_time_s() for each in state.backends.all()]
+        suspended = [each.suspended_until_s > boot_time_s() for each in state.backends.all_backends()]
         assert not liveness._interruptible
         return reply, client, check, reply.ended_at_s - started_s, suspended
 
--- a/tests/unit/serving/test_overload_refusals.py
+++ b/tests/unit/serving/test_overload_refusals.py
@@ -28,7 +28,7 @@
 
     async def work():
         state = make_state(STREAM, versions={"m": 1})
-        for backend in state.backends.all():
+        for backend in state.backends.all_backends():
             backend.peers_load = peers_load
         client, reply = FakeClient(*scripts), FakeReply()
         await RequestPipeline(state, client).serve(make_request(generation=generation), reply)
--- a/tests/unit/serving/test_pipeline.py
+++ b/tests/unit/serving/test_pipeline.py
@@ -143,11 +143,11 @@
 def test_a_busy_back_end_is_not_suspended_for_being_slow():
     async def work():
         fleet = make_state(SAFE, backends=2)
-        for each in fleet.backends.all():
+        for each in fleet.backends.all_backends():
             each.on_success(boot_time_s())
         client = FakeClient(Script(head_after_s=60.0), OK)
         await RequestPipeline(fleet, client).serve(make_request(), FakeReply())
-        return [each.consecutive_failures for each in fleet.backends.all()]
+        return [each.consecutive_failures for each in fleet.backends.all_backends()]
 
     assert run_virtual(work()) == [0, 0]
 
--- a/tests/unit/serving/test_pipeline_generations.py
+++ b/tests/unit/serving/test_pipeline_generations.py
@@ -30,7 +30,7 @@
 from wallwell.deployment.routes import RouteKind, TenantAccess
 from wallwell.outcomes import Outcome
 from wallwell.routing.retry.attempt_outcome import TransportEvent as T
-from wallwell.routing.selection.prefill_rate import DEFAULT_S, SMOOTHING
+from wallwell.routing.selection.prefill_rate import DEFAULT_SECONDS_PER_UNIT, SMOOTHING_FACTOR
 from wallwell.routing.selection.prefix_home import request_load
 from wallwell.serving.messages import CallerGoneError
 from wallwell.serving.pipeline import RequestPipeline
@@ -98,7 +98,7 @@
         await asyncio.sleep(1.0)
         serving.cancel()
         await asyncio.gather(serving, return_exceptions=True)
-        return client.cancelled, [each.in_flight for each in fleet.backends.all()]
+        return client.cancelled, [each.in_flight for each in fleet.backends.all_backends()]
 
     assert run_virtual(work()) == (1, [0, 0, 0])
 
@@ -133,7 +133,7 @@
 def test_an_engine_on_overdue_weights_begins_nothing():
     def name_long_ago(fleet):
         fleet.weights.name("m", 2, boot_time_s() - 7.9)
-        fleet.backends.get("i-1").learn_version("m", 2)
+        fleet.backends.get("i-1").set_reported_version("m", 2)
 
     _, client, _ = play([stream(event(1))], ONCE, generate(), versions={"m": 1}, prepare=name_long_ago)
     assert client.sent[0].backend.incarnation == "i-1"
@@ -207,8 +207,12 @@
     states = []
     slow = stream(event(1), 1.0, event(2), head_after_s=2.0)
     play([slow], ONCE, generate(tokens=tokens), versions={"m": 1}, prepare=states.append)
-    expected_s = DEFAULT_S + SMOOTHING * (2.0 / request_load(tokens + 10) - DEFAULT_S)
-    assert states[0].prefill_rate.seconds_per_unit == pytest.approx(expected_s if learns else DEFAULT_S, rel=0.01)
+    expected_s = DEFAULT_SECONDS_PER_UNIT + SMOOTHING_FACTOR * (
+        2.0 / request_load(tokens + 10) - DEFAULT_SECONDS_PER_UNIT
+    )
+    assert states[0].prefill_rate.seconds_per_unit == pytest.approx(
+        expected_s if learns else DEFAULT_SECONDS_PER_UNIT, rel=0.01
+    )
 
 
 # --- callers that have left ----------------------------------------------------------------------------
--- a/tests/unit/serving/test_regions.py
+++ b/tests/unit/serving/test_regions.py
@@ -28,7 +28,7 @@
 from wallwell.node.metrics import metrics_text
 from wallwell.placement.weights_roll import pools_by_prompt_length
 from wallwell.routing.retry.attempt_outcome import AttemptLog
-from wallwell.routing.selection.call_choice import choose_for_call
+from wallwell.routing.selection.call_choice import choose_backend_for_call
 from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
 from wallwell.routing.selection.prefix_home import PromptPart
 from wallwell.serving.active_request import ActiveRequest
@@ -74,7 +74,7 @@
 def holding(*parts, tokens=2000):
     cache = KvStoreContents()
     entries = tuple(CacheEntry(1, "m:1", part, tokens) for part in parts)
-    cache.take(CachePage(CachePosition(1, 1), entries, whole=True))
+    cache.apply_page(CachePage(CachePosition(1, 1), entries, whole=True))
     return cache
 
 
@@ -189,9 +189,11 @@
 
     async def work():
         state = fleet_state(node_zone, ENGINE_ZONES)
-        for engine in state.backends.all():
+        for engine in state.backends.all_backends():
             engine.peers_load = loads[MAP[engine.record.zone]]
-        candidates = [each for each in state.backends.of_service("svc") if MAP[each.record.zone] not in without]
+        candidates = [
+            each for each in state.backends.backends_of_service("svc") if MAP[each.record.zone] not in without
+        ]
         state.prefill_rate.seconds_per_unit = 0.095
         choice = BackendChoice(state)
         chosen = Counter()
@@ -250,13 +252,15 @@
 
     async def work():
         state = fleet_state("a1", ENGINE_ZONES)
-        for engine in state.backends.all():
+        for engine in state.backends.all_backends():
             engine.peers_load = SLOTS if MAP[engine.record.zone] == "a" else 2
         state.backends.get("i-2").peers_load = 0
         choice = BackendChoice(state)
         chosen = Counter()
         for number in range(300):
-            chosen[choice.choose(exchange_of(f"p{number}"), state.backends.of_service("svc")).incarnation] += 1
+            chosen[
+                choice.choose(exchange_of(f"p{number}"), state.backends.backends_of_service("svc")).incarnation
+            ] += 1
         return chosen
 
     chosen = run_virtual(work())
@@ -275,10 +279,10 @@
 
     async def work():
         state = fleet_state(zone, ENGINE_ZONES)
-        for engine in state.backends.all():
+        for engine in state.backends.all_backends():
             engine.peers_load = (loads or {}).get(MAP[engine.record.zone], 0)
         choice = BackendChoice(state)
-        candidates = state.backends.of_service("svc")
+        candidates = state.backends.backends_of_service("svc")
         return [choice.choose(exchange_of(f"p{number}", tokens), candidates).record for number in range(50)]
 
     return run_virtual(work())
@@ -304,7 +308,7 @@
 
 def test_each_region_has_engines_of_its_own_for_short_prompts():
     state = run_virtual(async_state())
-    listed = state.backends.of_service("svc")
+    listed = state.backends.backends_of_service("svc")
     short, long = pools_by_prompt_length(listed, state.topology)
     for region in ("a", "b"):
         assert sum(MAP[each.record.zone] == region for each in short) == 2
@@ -314,7 +318,7 @@
 def test_half_of_a_pool_is_half_of_each_region():
     """Engines are reloaded half a pool at a time: never all of a region's at once."""
     state = run_virtual(async_state())
-    for pool in pools_by_prompt_length(state.backends.of_service("svc"), state.topology):
+    for pool in pools_by_prompt_length(state.backends.backends_of_service("svc"), state.topology):
         first_half = pool[: len(pool) // 2]
         assert len({MAP[each.record.zone] for each in first_half}) == 2
 
@@ -334,9 +338,9 @@
         for index, (zone, load) in enumerate(loads.items()):
             record = BackendRecord(f"b{index}", "calls", f"10.0.1.{index}:1", zone, CALL_SLOTS)
             state.backends.upsert(record).peers_load = load
-        candidates = state.backends.of_service("calls")
+        candidates = state.backends.backends_of_service("calls")
         return Counter(
-            choose_for_call(candidates, state.node_count, state.zone, state.topology, state.rng).record.zone
+            choose_backend_for_call(candidates, state.node_count, state.zone, state.topology, state.rng).record.zone
             for _ in range(400)
         )
 
--- a/tests/unit/serving/test_response_timeout.py
+++ b/tests/unit/serving/test_response_timeout.py
@@ -100,7 +100,11 @@
         state, reply = make_state(make_route(attempts=2)), FakeReply()
         client = UnresponsiveNetwork(unresponsive=2)
         await RequestPipeline(state, client).serve(make_request(), reply)
-        return reply.status, len(client.sent), sum(each.suspended_until_s > 0 for each in state.backends.all())
+        return (
+            reply.status,
+            len(client.sent),
+            sum(each.suspended_until_s > 0 for each in state.backends.all_backends()),
+        )
 
     assert run_virtual(work()) == (200, 1, 2)
 
@@ -114,7 +118,7 @@
 
     async def send(self, dispatch):
         backend = self.state.backends.get(dispatch.backend.incarnation)
-        asyncio.get_running_loop().call_later(0.2, backend.learn_version, "m", 2)
+        asyncio.get_running_loop().call_later(0.2, backend.set_reported_version, "m", 2)
         return await super().send(dispatch)
 
 
--- a/tests/unit/serving/test_rollout_requests.py
+++ b/tests/unit/serving/test_rollout_requests.py
@@ -65,7 +65,7 @@
 
 def suspend(software):
     def prepare(state):
-        for each in state.backends.all():
+        for each in state.backends.all_backends():
             if each.record.software == software:
                 each.suspended_until_s = boot_time_s() + 60
 
@@ -160,7 +160,7 @@
         for prefix in range(60):
             parts = (PromptPart(f"shared-{prefix}", 100), PromptPart("own", 10))
             await pipeline.serve(make_request(generation=Generation("m", parts)), FakeReply())
-        target = [each for each in state.backends.all() if each.record.software == "v2"]
+        target = [each for each in state.backends.all_backends() if each.record.software == "v2"]
         pool = {each.incarnation for each in engine_pool(target, 110)}
         return pool, {each.backend.incarnation for each in client.sent}
 
@@ -173,7 +173,7 @@
     """Its first attempt was on the current side, since no target back end was usable then."""
 
     def prepare(state):
-        for each in state.backends.all():
+        for each in state.backends.all_backends():
             if each.record.software == "v2":
                 each.suspended_until_s = boot_time_s() + 1.0
         state.rollouts.active["svc"].record_written_s -= 1.0
@@ -186,7 +186,7 @@
 @pytest.mark.parametrize(("phase", "is_refused"), [(Phase.CANARY, True), (Phase.SWITCHING, False)])
 def test_overload_is_that_of_the_side_that_takes_requests(phase, is_refused):
     def prepare(state):
-        for each in state.backends.all():
+        for each in state.backends.all_backends():
             each.peers_load = 24 if each.record.software == "v1" else 0
 
     _, reply, _ = serve([PIECES], phase=phase, route=STREAM, generation=make_generation(), prepare=prepare)
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -61,7 +61,7 @@
 from wallwell.rollout.store import StoredRollout
 from wallwell.routing.admission.request_content import content_digest
 from wallwell.routing.health.backend_notice import BackendNotices
-from wallwell.routing.rendezvous import key_of, owner
+from wallwell.routing.rendezvous import owner, rendezvous_key
 from wallwell.routing.selection.kv_store import CachePage, CachePosition
 from wallwell.serving.counters import FleetCounters
 from wallwell.serving.messages import AttemptError, CachePlan, CallerRequest, Dispatch
@@ -643,7 +643,7 @@
         }
     if table == "servers":
         node._listing.apply(followed)
-        return {each.incarnation: _backend(each.record) for each in state.backends.all()}
+        return {each.incarnation: _backend(each.record) for each in state.backends.all_backends()}
     node._members.apply(followed)
     return {
         "members": {name: [each.zone, each.relay, each.link_mbps] for name, each in node._order.members.items()},
@@ -994,7 +994,7 @@
 
 def owner_of(names: list[str], text: str) -> str:
     """Return which of several nodes has a key."""
-    return owner(names, key_of(text))
+    return owner(names, rendezvous_key(text))
 
 
 def digest_of_content(host: str, target: str, caller: str, body: bytes) -> str:
