--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -236,9 +236,9 @@
         again.
         """
         if reported:
-            backend.set_reported_version(model, reported)
+            backend.set_believed_version(model, reported)
             return
         newest = self.weights.newest(model)
         listed = backend.record.versions.get(model, 0)
         believed = backend.believed_version(model)
-        backend.set_reported_version(model, listed if believed == newest else max(newest, listed))
+        backend.set_believed_version(model, listed if believed == newest else max(newest, listed))
--- a/src/wallwell/placement/weights_roll.py
+++ b/src/wallwell/placement/weights_roll.py
@@ -194,7 +194,7 @@
         identity = task.backend.incarnation
         self._in_progress.discard(identity)
         if done:
-            task.backend.set_reported_version(task.model, task.version)
+            task.backend.set_believed_version(task.model, task.version)
             self._retry_at_s.pop(identity, None)
         else:
             self._retry_at_s[identity] = now_s + RETRY_S
--- a/src/wallwell/placement/weights_roll_driver.py
+++ b/src/wallwell/placement/weights_roll_driver.py
@@ -130,7 +130,7 @@
         for incarnation, version in progress.finished:
             backend = self._state.backends.get(incarnation)
             if backend is not None and backend.believed_version(progress.model) < version:
-                backend.set_reported_version(progress.model, version)
+                backend.set_believed_version(progress.model, version)
         for incarnation, version in progress.loading:
             backend = self._state.backends.get(incarnation)
             if backend is not None:
--- a/src/wallwell/routing/health/__init__.py
+++ b/src/wallwell/routing/health/__init__.py
@@ -1,7 +1,7 @@
-"""Decisions: when a back end or a zone is left out and when it is taken back.
+"""Decisions on when a back end or a zone gets no requests, and when it gets requests again.
 
-:mod:`.suspension` decides it for one back end after failures, :mod:`.zone_suspicion` for all of a zone, and
-:mod:`.silence` when a back end that says nothing is probed, :mod:`.backoff` when one that asked for back-off gets
-requests again. What they decide on and write to is :mod:`.backend`; what a back end states about itself in its
-answers is a :mod:`.backend_notice`.
+:mod:`.suspension` decides this for one back end after failures, :mod:`.zone_suspicion` for all back ends of a
+zone, and :mod:`.backoff` for a back end that asked for back-off. :mod:`.silence` decides when a silent back end is
+probed. The state of a back end is in :mod:`.backend`; a :mod:`.backend_notice` is what a back end states about
+itself in an answer.
 """
--- a/src/wallwell/routing/health/backend.py
+++ b/src/wallwell/routing/health/backend.py
@@ -1,9 +1,10 @@
-"""What this node has observed of one listed back end, and what follows for sending it requests. Pure.
+"""State of one listed back end as observed by this node, and whether the back end may get requests. Pure.
 
 Owns the observations: requests in flight, failures, suspension, weights versions believed to be in place, silence,
-and what it has stated about itself. Relies on :mod:`.suspension` for how long a failure suspends, on
-:mod:`.backoff` for how long it is left alone at its own request, and on :mod:`.silence` for when it is probed. The
-selection of back ends reads it; the pipeline and the watches of a node write to it. Times are on this node's clock.
+and what the back end has stated about itself. Relies on :mod:`.suspension` for the duration of suspensions, on
+:mod:`.backoff` for the back-off that a back end asks for, and on :mod:`.silence` for when it is probed. The
+selection of back ends reads this state; the request pipeline and the node's background tasks update it. Times are
+on this node's clock.
 """
 
 from __future__ import annotations
@@ -19,9 +20,9 @@
 
 @dataclass(frozen=True)
 class ExpectedWeightsLoad:
-    """Weights that an engine is to load, expected until the version is in place or ``until_s`` has passed.
+    """A weights load announced for an engine, expected until the version is in place or ``until_s`` has passed.
 
-    The engine takes requests until ``from_s``, when it receives the order.
+    The engine accepts requests until ``from_s``, when it receives the order to load.
     """
 
     model: str
@@ -34,58 +35,58 @@
 class Backend:
     """A listed back end and this node's own observations of it. Times are on this node's clock.
 
-    Compared by identity: each choice of an engine tests some thousand times whether one is in a list.
+    Compared by identity, for speed: each choice of an engine makes some thousand membership tests in lists.
     """
 
     record: BackendRecord
     in_flight: int = 0
     load: int = 0
-    """This node's requests in flight, long prompts counted several times."""
+    """This node's requests in flight, in load units: a long prompt counts several times."""
     peers_load: int | None = None
-    """The same of all other nodes by their recent reports; None without such reports."""
+    """Load of all other nodes by their recent reports, in load units; None without recent reports."""
     consecutive_failures: int = 0
     consecutive_refusals: int = 0
-    """Requests refused as it was full, since the last one that it accepted."""
+    """Requests refused because the back end was full, since the last accepted request."""
     suspended_until_s: float = 0.0
     last_success_s: float = float("-inf")
     slow_until_s: float = float("-inf")
-    """Until when it is slow from its start."""
+    """Until when the back end is expected to be slow after its start."""
     versions: dict[str, int] = field(default_factory=dict)
     """Weights version believed to be in place, per model."""
     expected_load: ExpectedWeightsLoad | None = None
     gone: bool = False
     leaving_since_s: float | None = None
-    """When its entry or one of its answers first said that it leaves. Nothing takes that back: leaving ends with
-    the end of the back end, and an entry that says otherwise is older."""
+    """When its entry or one of its answers first announced that it leaves. Never reset: a back end leaves until it
+    ends, and an entry without the announcement is older."""
     backoff: RequestedBackoff = field(default_factory=RequestedBackoff)
     request_limit: RequestLimit | None = None
-    """What it has stated of how many requests it takes; None if it never stated a limit."""
+    """Limit of requests that the back end has stated; None if it never stated one."""
     superseded: bool = False
-    """Whether a later incarnation has been listed at its address, or a later start of this one, so that it has
-    ended."""
+    """Whether the back end has ended, since a later incarnation has been listed at its address, or a later start
+    of this incarnation."""
     lapses_at_s: float | None = None
-    """When it counts as gone unless it is listed again; None while it is listed."""
+    """When the back end counts as gone unless it is listed again; None while it is listed."""
     silence: Silence = field(default_factory=Silence)
 
     @property
     def incarnation(self) -> str:
-        """The identity of this life of the back end."""
+        """The identity of this incarnation of the back end."""
         return self.record.incarnation
 
     @property
     def start_id(self) -> str:
-        """Names this start, since a back end may start again under its identity; the identity if it does not say
-        when it started."""
+        """Identifies this start, since a back end may restart under the same incarnation. Equals the incarnation if
+        the back end does not state when it started."""
         started_unix_ms = self.record.started_unix_ms
         return self.incarnation if started_unix_ms is None else f"{self.incarnation}@{started_unix_ms}"
 
     @property
     def is_limited(self) -> bool:
-        """Whether it says now how many requests it takes from all nodes together."""
+        """Whether it currently states a limit of requests from all nodes together."""
         return self.request_limit is not None and self.request_limit.per_s != NO_LIMIT_PER_S
 
     def fleet_load(self, node_count: int = 1) -> int:
-        """Return the requests of all nodes in flight; without reports each is taken to send as much as this one."""
+        """Return the load of all nodes; without reports, every node is assumed to have the load of this one."""
         return self.load * node_count if self.peers_load is None else self.load + self.peers_load
 
     def is_open(self, now_s: float) -> bool:
@@ -95,18 +96,18 @@
         return self.backoff.allows_request(now_s)
 
     def is_serving(self, now_s: float) -> bool:
-        """Whether requests to it can be expected to be served: it is open, and not only to be tried again after a
-        suspension that its failures have brought on."""
+        """Whether requests to it can be expected to be served: it is open, and not on trial after a suspension for
+        failures."""
         is_on_trial = self.consecutive_failures > 0 and now_s < self.suspended_until_s + suspension.RECOVERY_TRIAL_S
         return self.is_open(now_s) and not is_on_trial
 
     @property
     def has_announced_leave(self) -> bool:
-        """Whether it leaves by its own word, in its entry or its answers."""
+        """Whether it has announced, in its entry or its answers, that it leaves."""
         return self.record.draining or self.leaving_since_s is not None
 
     def is_leaving(self, now_s: float) -> bool:
-        """Whether it leaves by its own word, is gone or superseded."""
+        """Whether it has announced that it leaves, or is gone or superseded."""
         return self.has_announced_leave or self._has_ended(now_s)
 
     def _has_ended(self, now_s: float) -> bool:
@@ -115,18 +116,18 @@
 
     @property
     def is_replaced(self) -> bool:
-        """Whether it is listed no more, and a later one has taken its address or its identity: nobody answers on
+        """Whether it is no longer listed and a later start has its address or identity, so that nothing answers on
         its connections."""
         return self.gone and self.superseded
 
     def is_within_leaving_grace(self, grace_s: float, now_s: float) -> bool:
-        """Whether it is leaving, but has not been known to for ``grace_s`` yet."""
+        """Whether it has not ended, and this node learned less than ``grace_s`` ago that it leaves."""
         if self.leaving_since_s is None or self._has_ended(now_s):
             return False
         return now_s < self.leaving_since_s + grace_s
 
     def is_loading_weights(self, now_s: float) -> bool:
-        """Whether it is believed to be loading weights by an order."""
+        """Whether it is believed to be loading weights that it was ordered to load."""
         return (
             self.expected_load is not None
             and now_s >= self.expected_load.from_s
@@ -134,7 +135,7 @@
         )
 
     def expect_weights_load(self, load: ExpectedWeightsLoad, now_s: float) -> None:
-        """Expect a load; another announcement of the same one does not delay its beginning."""
+        """Record an announced load of weights. A repeated announcement does not delay the load's start."""
         expected = self.expected_load
         if (
             expected is not None
@@ -145,21 +146,21 @@
         self.expected_load = load
 
     def has_pending_weights_load(self, now_s: float) -> bool:
-        """Whether an order to load weights is believed to be carried out or to come at any moment."""
+        """Whether it is believed to be loading weights or to be about to get the order."""
         load = self.expected_load
         return load is not None and now_s < load.until_s and self.believed_version(load.model) < load.version
 
     def on_success(self, now_s: float) -> None:
-        """Note an answer: failures before it count no more."""
+        """Record an answer, which resets the count of failures."""
         self.consecutive_failures = 0
         self.last_success_s = now_s
 
     def is_answering(self, now_s: float) -> bool:
-        """Whether it has answered this node recently, so that a silence means that it is busy."""
+        """Whether it has answered this node recently, so that a silence only shows that it is busy."""
         return suspension.has_answered_recently(self.last_success_s, now_s)
 
     def on_failure(self, now_s: float, unreachable: bool) -> bool:
-        """Note a failure; returns True if the back end is now suspended, see :mod:`.suspension`."""
+        """Record a failure; returns True if it suspends the back end, see :mod:`.suspension`."""
         self.consecutive_failures += 1
         until_s = suspension.failure_suspension_end_s(self.consecutive_failures, unreachable, now_s)
         if until_s is None:
@@ -168,14 +169,14 @@
         return True
 
     def on_accepted(self, now_s: float) -> float | None:
-        """Note that it took a request; returns the seconds since its first refusal if that ends a back-off."""
+        """Record an accepted request; returns the seconds since the first refusal if this ends a back-off."""
         self.consecutive_refusals = 0
         return self.backoff.on_accepted(now_s)
 
     def on_refused(self, now_s: float) -> bool:
-        """Note that it refused a request since it was full; returns True if it is now suspended.
+        """Record a request refused because the back end was full; returns True if this suspends the back end.
 
-        Those that are refused during a suspension were sent before it and count as one.
+        Refusals during a suspension are not counted: those requests were sent before it.
         """
         if now_s < self.suspended_until_s:
             return False
@@ -187,18 +188,18 @@
         return True
 
     def suspend_at_least_until(self, until_s: float) -> None:
-        """Send it nothing before ``until_s``; a longer suspension stays."""
+        """Suspend the back end until ``until_s``; a longer suspension stays in force."""
         self.suspended_until_s = max(self.suspended_until_s, until_s)
 
     def reset_failures(self, end_s: float) -> None:
-        """Forget its failures and end its suspension at ``end_s`` at the latest."""
+        """Reset the count of failures, and end the suspension at ``end_s`` at the latest."""
         self.consecutive_failures = 0
         self.suspended_until_s = min(self.suspended_until_s, end_s)
 
     def believed_version(self, model: str) -> int:
-        """Weights version to expect; 0 if nothing is known of the model."""
+        """Return the weights version that the engine is believed to have; 0 if unknown."""
         return self.versions.get(model, 0)
 
-    def set_reported_version(self, model: str, version: int) -> None:
-        """Take a version that the back end itself has reported."""
+    def set_believed_version(self, model: str, version: int) -> None:
+        """Set the weights version that the engine is believed to have of a model."""
         self.versions[model] = version
--- a/src/wallwell/routing/health/backend_notice.py
+++ b/src/wallwell/routing/health/backend_notice.py
@@ -1,8 +1,8 @@
-"""What a back end states about itself in an answer, beside the answer to the request. Pure.
+"""Notices: what a back end states about itself in the headers of its answers. Pure.
 
-Decoded in ``platform/`` from the head of each answer that a node reads, of whatever status and to whatever call,
-and handed on by one :class:`BackendNotices`, so that no path of a request has a copy of its own. It is newer than
-the listing, and comes also while the store cannot be read.
+Decoded in ``platform/`` from the head of each answer that a node reads, whatever its status and the call. A single
+:class:`BackendNotices` passes them on, so that the request paths need no code of their own for it. A notice is
+newer than the store's listing, and arrives even while the store cannot be read.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 
 
 class BackendNotice(msgspec.Struct, frozen=True):
-    """What one answer states about its back end."""
+    """Statements of one answer about its back end."""
 
     leaving: bool = False
-    """Whether it is about to end, so that it must get nothing new."""
+    """Whether the back end is about to end and must get no new requests."""
     backoff_s: float = 0.0
-    """Seconds for which it wants nothing from this node; 0 if it does not ask for that."""
+    """Seconds of back-off that the back end asks of this node; 0 if none."""
     limit: LimitStatement | None = None
-    """What it says of a limit of requests; None if it says nothing that can be understood."""
+    """Statement about the limit of requests; None if there is no readable one."""
 
 
 NO_NOTICE = BackendNotice()
 
 
 class BackendNotices:
-    """Hands notices from the clients of back ends to the node that they were wired for."""
+    """Passes notices from the clients of back ends to their node."""
 
     def __init__(self) -> None:
         self.on_notice: Callable[[str, BackendNotice], None] = lambda incarnation, notice: None
-        """Called with the incarnation that answered and what it stated, unless that is nothing."""
+        """Called with the incarnation that answered and its notice, unless the notice is empty."""
--- a/src/wallwell/routing/health/backend_registry.py
+++ b/src/wallwell/routing/health/backend_registry.py
@@ -1,8 +1,8 @@
-"""The back ends of every service by incarnation, reconciled with the rows of the store. Pure.
+"""Registry of the back ends of every service, reconciled with the rows of the store. Pure.
 
-Owns which incarnations are listed, superseded or lapsed; what was observed of each is in :mod:`.backend`. Relies on
-rows being applied in the order of the store, by ``node/backend_rows.py``. A back end whose entry is missing stays
-for some time, since entries go and return with a single missed heartbeat.
+Owns which incarnations are listed, superseded or lapsed; observations of each are in :mod:`.backend`. Relies on
+``node/backend_rows.py`` to apply rows in the order of the store. A back end whose entry is missing stays registered
+for some time, since a single missed heartbeat removes an entry and the next one restores it.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 from wallwell.routing.health.backend import Backend
 
 MAX_SUPERSEDED_REMEMBERED = 1000
-"""Superseded incarnations remembered. Entries of ended ones stay for seconds, in which far fewer end."""
+"""Superseded incarnations remembered. Entries of ended ones remain for seconds, in which far fewer end."""
 MAX_LEAVING_REMEMBERED = 1000
-"""Leaving back ends remembered, listed or not. An entry that lapsed may return some seconds later, in which far
-fewer leave."""
+"""Leaving back ends remembered, listed or not. A lapsed entry may return some seconds later, and far fewer leave in
+that time."""
 MAX_GONE_REMEMBERED = 1000
-"""Back ends remembered whose entries have gone. A store that comes back from a copy some seconds old may list those
-that went meanwhile, and far fewer go in that time."""
+"""Removed back ends remembered. A store restored from a copy some seconds old may list back ends that were removed
+since the copy; far fewer are removed in that time."""
 
 
 class BackendRegistry:
-    """Back ends by incarnation, reconciled with the rows of the store."""
+    """The listed back ends, indexed by incarnation, service and address."""
 
     def __init__(self) -> None:
         self._superseded: dict[str, None] = {}
-        """Superseded incarnations in the order of their ends; their entries may lapse and be listed again."""
+        """Superseded incarnations, oldest first; their entries may lapse and be listed again."""
         self._leaving_since_s: dict[tuple[str, int | None], float] = {}
-        """When starts of back ends were first known to leave, in that order. Kept beyond their entries: one that
-        lapsed while the store was away may be listed again as it was."""
+        """When this node learned that a start of a back end leaves, oldest first. Kept after the entry is removed:
+        an entry that lapsed while the store was unavailable may be listed again without the announcement."""
         self._gone: dict[tuple[str, int | None], None] = {}
-        """Starts of back ends that were removed and have not been listed again, in that order."""
+        """Starts of back ends that were removed and not listed again, oldest first."""
         self._by_incarnation: dict[str, Backend] = {}
         self._by_service: dict[str, list[Backend]] = {}
         self._by_address: dict[str, list[Backend]] = {}
@@ -43,36 +43,36 @@
         return len(self._by_incarnation)
 
     def get(self, incarnation: str) -> Backend | None:
-        """Return a listed back end."""
+        """Return a listed back end; None if the incarnation is not listed."""
         return self._by_incarnation.get(incarnation)
 
     def all_backends(self) -> Iterable[Backend]:
-        """Every listed back end."""
+        """Return every listed back end."""
         return self._by_incarnation.values()
 
     def backends_of_service(self, service: str) -> list[Backend]:
-        """Listed back ends of a service, in the order of their identities."""
+        """Return the listed back ends of a service, sorted by incarnation."""
         return self._by_service.get(service, [])
 
     def own_loads(self) -> dict[str, int]:
-        """This node's requests in flight by back end, without the idle ones."""
+        """Return this node's load on each back end by incarnation, in load units, without idle ones."""
         return {incarnation: each.load for incarnation, each in self._by_incarnation.items() if each.load}
 
     def set_peer_loads(self, loads: Mapping[str, int]) -> None:
-        """Take what all other nodes have in flight; a back end that they do not name has nothing."""
+        """Set the load of all other nodes by incarnation; a back end that is not named has none."""
         for incarnation, backend in self._by_incarnation.items():
             backend.peers_load = loads.get(incarnation, 0)
 
     def clear_peer_loads(self) -> None:
-        """Drop the loads of other nodes: their last report is too old."""
+        """Discard the loads of other nodes because the last report is too old."""
         for backend in self._by_incarnation.values():
             backend.peers_load = None
 
     def upsert(self, record: BackendRecord) -> Backend:
-        """Take a new or changed entry; observations of the same start of a back end are kept.
+        """Apply a new or changed entry and return its back end; observations of the same start are kept.
 
-        A later start under the same identity knows nothing of the one before, and nothing observed of that one
-        holds for it. An entry of an earlier start changes nothing.
+        A later start under the same incarnation is a new back end without observations. An entry of an earlier
+        start is ignored.
         """
         backend = self._by_incarnation.get(record.incarnation)
         if backend is not None and backend.record.is_later_start_than(record):
@@ -92,13 +92,13 @@
         return backend
 
     def _add_start(self, record: BackendRecord, earlier: Backend | None) -> Backend:
-        """Add a start of a back end; ``earlier`` is the one before it under its identity."""
+        """Add a start of a back end; ``earlier`` is the previous start under the same incarnation."""
         leaving_since_s = self._leaving_since_s.get(_start_key(record))
         if earlier is not None:
             self._remove_from_indices(earlier)
             earlier.gone = earlier.superseded = True
             if record.draining and leaving_since_s is None:
-                # Its answers may have said so while its entry still was that of the earlier start.
+                # Answers of this start may have announced it while the entry was still that of the earlier start.
                 leaving_since_s = earlier.leaving_since_s
         is_superseded = record.incarnation in self._superseded
         backend = Backend(record, superseded=is_superseded, leaving_since_s=leaving_since_s)
@@ -109,9 +109,9 @@
         return backend
 
     def on_leaving(self, backend: Backend, now_s: float) -> bool:
-        """A back end is known to leave, by its entry or an answer; returns False if that was known.
+        """Record that a back end announced, by entry or answer, that it leaves; returns False if known before.
 
-        Its service gets a new list, as with any change of its entry: groups of a rollout are formed anew.
+        Its service gets a new list, as after any change of an entry, so that rollouts form their groups again.
         """
         if backend.leaving_since_s is not None:
             return False
@@ -124,9 +124,9 @@
         return True
 
     def _supersede_at(self, address: str) -> None:
-        """A new incarnation is listed at an address: those listed there before have ended.
+        """Mark the back ends listed at an address as superseded, because a new incarnation is listed there.
 
-        The entry of one that crashed stays for some heartbeats, and requests for it are refused by its successor.
+        The entry of a crashed back end remains for some heartbeats, and its successor refuses requests for it.
         """
         for each in self._by_address.get(address, ()):
             if not each.superseded:
@@ -136,9 +136,10 @@
             del self._superseded[next(iter(self._superseded))]
 
     def _restore_superseded_at(self, address: str) -> None:
-        """An entry went: if only superseded ones are left at its address, they have not ended after all.
+        """After the removal of an entry, restore those at its address if all of them are superseded.
 
-        A node that starts knows the order of two incarnations only by when their entries were written.
+        The removed back end did not succeed them after all. A node that starts can order two incarnations only by
+        the times at which their entries were written.
         """
         remaining = self._by_address.get(address, [])
         if all(each.superseded for each in remaining):
@@ -147,7 +148,7 @@
                 self._superseded.pop(each.incarnation, None)
 
     def lapse(self, incarnation: str, at_s: float) -> None:
-        """The entry is missing, but may be listed again until ``at_s``; the earliest such time counts."""
+        """Record that an entry is missing and counts as gone from ``at_s`` on; an earlier time stays in force."""
         backend = self._by_incarnation.get(incarnation)
         if backend is not None and (backend.lapses_at_s is None or at_s < backend.lapses_at_s):
             backend.lapses_at_s = at_s
@@ -164,7 +165,7 @@
         return lapsed
 
     def remove(self, incarnation: str) -> None:
-        """The entry is gone: the back end gets nothing new."""
+        """Remove a back end whose entry was removed; it gets no new requests."""
         backend = self._by_incarnation.get(incarnation)
         if backend is not None:
             self._remove_from_indices(backend)
@@ -175,14 +176,14 @@
             self._restore_superseded_at(backend.record.address)
 
     def is_gone(self, record: BackendRecord) -> bool:
-        """Whether this start of a back end was listed and its entry has gone since."""
+        """Whether this start of a back end was listed and has been removed since."""
         return _start_key(record) in self._gone
 
     def missing_from(self, incarnations: set[str]) -> list[Backend]:
-        """Return the back ends that a whole listing does not name."""
+        """Return the back ends whose incarnations are not in a whole listing."""
         return [each for incarnation, each in self._by_incarnation.items() if incarnation not in incarnations]
 
-    # --- indices, kept up with each change: entries change with every heartbeat of a back end that starts ---------
+    # --- indices, updated incrementally: the entry of a starting back end changes with every heartbeat ------------
 
     def _add_to_indices(self, backend: Backend) -> None:
         self._by_incarnation[backend.incarnation] = backend
@@ -200,7 +201,7 @@
 
 
 def _fill_from_previous(record: BackendRecord, previous: BackendRecord) -> BackendRecord:
-    """Return an entry with what it leaves out and the one before it said."""
+    """Return an entry with the fields that it omits filled from the previous entry."""
     versions = record.versions or previous.versions
     started = previous.started_unix_ms if record.started_unix_ms is None else record.started_unix_ms
     if versions is record.versions and started == record.started_unix_ms:
@@ -209,7 +210,8 @@
 
 
 def _newest_versions(listed: Mapping[str, int], believed: Mapping[str, int]) -> dict[str, int]:
-    """Return the weights versions of the listed models. Those of one start never fall: a lower one is old news."""
+    """Return the newest weights version of each listed model. Versions of one start never decrease, so a lower one
+    is out of date."""
     return {model: max(version, believed.get(model, 0)) for model, version in listed.items()}
 
 
--- a/src/wallwell/routing/health/suspension.py
+++ b/src/wallwell/routing/health/suspension.py
@@ -1,16 +1,16 @@
-"""Decides for how long a back end gets no requests after failures. Pure.
+"""Decides for how long a back end is suspended, so that it gets no requests, after failures. Pure.
 
-Inputs are what this node has seen of the back end: its failures since it last answered, whether the last one showed
-that it cannot be reached, and when it last answered. Times and pauses are seconds on this node's clock.
+Inputs are this node's observations of the back end: its failures since it last answered, whether the last failure
+shows that it is unreachable, and when it last answered. Times and durations are seconds on this node's clock.
 
-A back end that cannot be reached is suspended at its first failure: each request that tries it loses the time of a
-connection attempt. One that is reached and fails is suspended from the second failure in a row, since some of its
-requests may still succeed. So is one that refuses requests as it is full: each refusal costs a retry, of which the
-fleet has few. Pauses double while failures go on, so that a back end that is gone costs few attempts,
-and are bounded, so that one that has returned is used again within seconds.
+An unreachable back end is suspended at its first failure, since each request to it loses the time of a connection
+attempt. A reachable back end is suspended from its second failure in a row, since some of its requests may still
+succeed; the same holds for refusals by a full back end, each of which costs one of the fleet's few retries.
+Suspensions double while failures continue, so that a back end that is gone costs few attempts. They are bounded, so
+that one that has returned is used again within seconds.
 
-A request that ends by silence alone is no failure while the back end answers others: it is busy, and suspending it
-moves its load to back ends that are as busy. Suspending engines for being slow makes the others slower.
+A request that ends only because the back end is silent is not a failure while the back end answers others. It is
+busy, and a suspension would move its load to equally busy back ends and make those slower.
 """
 
 from __future__ import annotations
@@ -18,32 +18,31 @@
 from wallwell.routing.exponential_delay import exponential_delay_s
 
 FIRST_SUSPENSION_S = 0.6
-"""Seconds of the first suspension: a process that was restarted may be back by then."""
+"""Seconds of the first suspension; a restarted process may be back by then."""
 MAX_SUSPENSION_S = 4.0
-"""Bound of the suspension in seconds, and so of how late a return is noticed."""
+"""Longest suspension in seconds, and so the longest delay until a return is noticed."""
 FAILURES_TO_SUSPEND = 2
-"""Failures in a row from which a back end that can be reached is suspended: one alone is as likely the request's as
-the back end's."""
+"""Failures in a row from which a reachable back end is suspended; a single one may be due to the request."""
 REFUSALS_TO_SUSPEND = 2
-"""Refusals in a row from which a back end is suspended that does not say for how long it wants nothing: one alone
-may have met the moment in which its queue was full."""
+"""Refusals in a row from which a back end that asks for no back-off is suspended; a single one may have met a queue
+that was full only for a moment."""
 FIRST_REFUSAL_SUSPENSION_S = 0.2
-"""Seconds of the first suspension after refusals: a full back end has free slots again within a fraction of a
+"""Seconds of the first suspension after refusals; a full back end has free slots again within a fraction of a
 request's duration."""
 MAX_REFUSAL_SUSPENSION_S = 1.6
-"""Bound of the suspension after refusals in seconds."""
+"""Longest suspension after refusals in seconds."""
 UNREACHABLE_FAILURES_TO_SUSPEND = 1
-"""The same for one that cannot be reached: there is nothing that the next request could find out."""
+"""Failures in a row from which an unreachable back end is suspended; another request would show nothing new."""
 RECOVERY_TRIAL_S = 2.0
-"""Seconds after a suspension within which a request will have shown whether the back end works again. After that it
-counts as working: perhaps nobody has asked it."""
+"""Seconds after a suspension in which a back end counts as on trial, until a request shows whether it works again.
+After that it counts as working, since perhaps no request was sent to it."""
 RECENT_ANSWER_S = 1.5
-"""Seconds for which an answer shows that a back end works: longer than the gap between two answers of a busy
+"""Seconds for which an answer shows that a back end works; longer than the time between two answers of a busy
 engine."""
 
 
 def failure_suspension_end_s(consecutive_failures: int, unreachable: bool, now_s: float) -> float | None:
-    """Return until when a back end is suspended that failed now; None if it is not.
+    """Return until when a back end that failed now is suspended; None if it is not suspended.
 
     ``consecutive_failures`` counts this failure and those before it since the last answer.
     """
@@ -54,7 +53,7 @@
 
 
 def refusal_suspension_end_s(consecutive_refusals: int, now_s: float) -> float | None:
-    """Return until when a back end is suspended that refused a request now; None if it is not.
+    """Return until when a back end that refused a request now is suspended; None if it is not suspended.
 
     ``consecutive_refusals`` counts this refusal and those before it since the last request that was accepted.
     """
@@ -65,5 +64,5 @@
 
 
 def has_answered_recently(last_success_s: float, now_s: float) -> bool:
-    """Whether a back end answered so recently that a silence means that it is busy."""
+    """Whether a back end answered so recently that a silence only shows that it is busy."""
     return now_s - last_success_s < RECENT_ANSWER_S
--- a/src/wallwell/routing/health/zone_suspicion.py
+++ b/src/wallwell/routing/health/zone_suspicion.py
@@ -1,18 +1,19 @@
-"""Decides when a whole zone is left out since it is cut off from this node, and when it is taken back. Pure.
-
-Inputs are connections into a zone that timed out, signs of life of its back ends, the listed back ends, the time in
-seconds on this node's clock, and a generator of random numbers.
-
-Connections into a zone that is cut off time out, where those to a crashed process are refused. Each back end tried
-there costs a request the whole time-out of a connection. So after a few time-outs without a sign of life from the
-zone between them, one more back end is probed with a new connection, and if that times out as well, all others of
-the zone are suspended. One of them is probed from time to time, and all return with the first sign of life of any.
-For a node inside the cut the same holds for each of the other zones.
-
-In a model of four zones of seven back ends and 25 calls a second, 6 connections timed out before a zone was
-suspected, the last 0.56 s after the first, and 18 within 0.64 s for a node that was cut off from three zones; all
-calls were answered. With suspensions of each back end alone, each costs each node a timed-out request again and
-again, and the last ones return up to 4 s after the cut has ended.
+"""Decides when all back ends of a zone that is cut off from this node are suspended, and when they return. Pure.
+
+Inputs are connect timeouts and answers of the back ends of a zone, the listed back ends, the time in seconds on
+this node's clock, and a random generator. Anything that a back end's machine sends is an answer here, even the
+refusal of a connection.
+
+Connections into a zone that is cut off time out, while those to a crashed process are refused. Each back end tried
+there costs a request the full connect timeout. So after timeouts of a few back ends of a zone, without an answer
+from the zone in between, another one is probed with a new connection. If the probe times out as well, all back ends
+of the zone are suspended. One of them is probed at intervals, and all return with the first answer of any. A node
+in the zone that is cut off does the same for each of the other zones.
+
+In a simulation of four zones with seven back ends each and 25 calls per second, 6 connections timed out before the
+zone was suspected, the last 0.56 s after the first. For a node that was cut off from three zones, 18 timed out
+within 0.64 s. All calls were answered. If only single back ends were suspended, each would cost each node a
+timed-out request repeatedly, and the last ones would return up to 4 s after the end of the cut.
 """
 
 from __future__ import annotations
@@ -24,37 +25,38 @@
 from wallwell.routing.health.backend import Backend
 
 TIMEOUTS_TO_PROBE = 2
-"""Back ends of a zone whose connections timed out, with no sign of life from it between, from which another one is
-probed: one alone looks like a lost packet."""
+"""Back ends of a zone that timed out, with no answer from the zone in between, from which another one is probed. A
+single timeout may be due to a lost packet."""
 TIMEOUTS_TO_SUSPECT = 3
-"""The same, from which the whole zone is suspected. Three that lose power at once look alike, but then others of
-their zone answer, which ends the suspicion at once."""
+"""Back ends of a zone that timed out, with no answer in between, from which the whole zone is suspected. Three that
+lose power at once look the same, but then the next answer of another one in the zone ends the suspicion."""
 TIMEOUT_WINDOW_S = 2.0
-"""Seconds for which a time-out counts; a node with few requests tries a back end in some hundred milliseconds."""
+"""Seconds for which a timeout counts; a node with few requests tries a back end every few tenths of a second."""
 ZONE_PROBE_INTERVAL_S = 0.5
-"""Seconds between two probes of a zone: how late its return is noticed, against connections that cannot come up."""
+"""Seconds between two probes of a zone. Shorter notices its return earlier, longer saves futile connections."""
 ZONE_SUSPENSION_S = 1.5
-"""Seconds for which back ends of a suspected zone get nothing after a time-out: past the next probe."""
+"""Seconds for which the back ends of a suspected zone are suspended after a timeout; longer than until the next
+probe times out."""
 RETURN_SPREAD_S = 0.3
-"""Seconds over which the back ends of a zone return, so that requests do not all go there in the moment in which it
-looks empty; a node knows the loads from other nodes after 0.05 to 0.2 s."""
+"""Seconds over which the return of a zone's back ends is spread, so that requests do not all go there while the
+zone looks idle. A node gets the loads from other nodes after 0.05 to 0.2 s."""
 
 
 @dataclass
 class _ZoneState:
-    """What was seen of a zone since its last sign of life."""
+    """Timeouts and probes of a zone since the last answer from it."""
 
     timed_out_at_s: dict[str, float] = field(default_factory=dict)
-    """When a connection to each of its back ends last timed out."""
+    """When a connection to each back end of the zone last timed out, by incarnation."""
     suspected: bool = False
     probed_at_s: float = float("-inf")
 
     def recent_timeouts(self, now_s: float) -> dict[str, float]:
-        """Return the time-outs within the window."""
+        """Return the timeouts within the window, by incarnation."""
         return {each: at_s for each, at_s in self.timed_out_at_s.items() if now_s - at_s < TIMEOUT_WINDOW_S}
 
     def note_timeout(self, incarnation: str, now_s: float) -> bool:
-        """Note a time-out; returns True if the zone is now suspected and was not before."""
+        """Record a timeout; returns True if the zone becomes suspected by it."""
         self.timed_out_at_s = self.recent_timeouts(now_s)
         self.timed_out_at_s[incarnation] = now_s
         if self.suspected or len(self.timed_out_at_s) < TIMEOUTS_TO_SUSPECT:
@@ -63,15 +65,15 @@
         return True
 
     def is_probe_due(self, now_s: float) -> bool:
-        """Whether one of its back ends is to be probed now."""
+        """Whether a back end of the zone should be probed now."""
         if now_s - self.probed_at_s < ZONE_PROBE_INTERVAL_S:
             return False
         return self.suspected or len(self.recent_timeouts(now_s)) >= TIMEOUTS_TO_PROBE
 
     def probe_candidates(self, not_leaving: list[Backend], now_s: float) -> list[Backend]:
-        """Return those of its back ends of which any may be probed.
+        """Return the back ends of the zone one of which should be probed, out of those that are not leaving.
 
-        Whether others are cut off as well is shown by one that has not timed out; those that have may be dead.
+        Back ends without a recent timeout are preferred, since those that timed out may have lost power.
         """
         recent = self.recent_timeouts(now_s)
         others = [each for each in not_leaving if each.incarnation not in recent]
@@ -79,20 +81,20 @@
 
 
 class ZoneSuspicion:
-    """What one node suspects of zones. Its effect is in the suspension of their back ends and nowhere else."""
+    """The zones that one node suspects to be cut off. Acts only by suspending their back ends."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._zones: dict[str, _ZoneState] = {}
-        """Zones into which a connection has timed out since their last sign of life."""
+        """Zones into which a connection has timed out since their last answer."""
         self.on_zone_returned: Callable[[str], None] = lambda zone: None
-        """Called with a zone that was suspected and has given a sign of life."""
+        """Called with the name of a suspected zone when one of its back ends answers."""
 
     def on_connect_timeout(self, backend: Backend, listed: Iterable[Backend], now_s: float) -> bool:
-        """A connection to a back end timed out; returns True if its zone is now suspected and was not before."""
+        """Record that a connection to a back end timed out; returns True if its zone becomes suspected by it."""
         zone_name = backend.record.zone
         if not zone_name:
-            return False  # Back ends that name no zone need have none in common.
+            return False  # Back ends without a zone need not be near each other.
         state = self._zones.setdefault(zone_name, _ZoneState())
         is_newly_suspected = state.note_timeout(backend.incarnation, now_s)
         if state.suspected:
@@ -102,7 +104,7 @@
         return is_newly_suspected
 
     def on_answer(self, backend: Backend, listed: Iterable[Backend], now_s: float) -> bool:
-        """A back end gave a sign of life, be it a refusal; returns True if its zone was suspected."""
+        """Record an answer of a back end or its machine; returns True if its zone was suspected."""
         zone_name = backend.record.zone
         state = self._zones.pop(zone_name, None)
         if state is None or not state.suspected:
@@ -115,7 +117,7 @@
         return True
 
     def begin_probes(self, listed: Iterable[Backend], now_s: float) -> list[Backend]:
-        """Return the back ends to be probed now, one of each zone at most, and count their zones as probed."""
+        """Return the back ends to probe now, at most one per zone, and record the probes of their zones."""
         if not self._zones:
             return []
         due = {zone_name: state for zone_name, state in self._zones.items() if state.is_probe_due(now_s)}
--- a/src/wallwell/routing/selection/__init__.py
+++ b/src/wallwell/routing/selection/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: which back end gets a request, by shared prefixes, load, region and weights of a split."""
+"""Choice of the back end of a request by shared prefixes, load, region and the weights of a traffic split."""
--- a/src/wallwell/routing/selection/call_choice.py
+++ b/src/wallwell/routing/selection/call_choice.py
@@ -1,11 +1,12 @@
-"""Which of its candidates a call of a service goes to. Pure.
+"""Chooses the back end of a service call among its candidates. Pure.
 
-Inputs are the candidates with the loads of all nodes, the number of nodes, where this node stands, and a random
-generator. Calls prefer the node's own zone while a back end there is at most half full, then the own region while
-enough of its slots are free; the rest is spread at random by free slots.
+Inputs are the candidates with the loads of all nodes, the number of nodes, the zone and region of this node, and a
+random generator. A call goes to the node's own zone while a back end there is below half load, else to the own
+region while enough of its slots are free. Calls that stay in neither are spread at random by free slots.
 
-Loads of other nodes are some hundred milliseconds old. If every node took the least loaded back end, all would take
-the same one in that time; so the choice is random, weighed by the square of the free slots.
+Loads of other nodes are some hundred milliseconds old. If every node chose the least loaded back end, all would
+choose the same one until the next load report. The choice is therefore random, weighted by the square of the free
+slots.
 """
 
 from __future__ import annotations
@@ -17,24 +18,24 @@
 from wallwell.routing.health.backend import Backend
 
 FREE_SLOTS_FLOOR = 0.25
-"""Free slots that a full back end counts as having, so that one is chosen if all are full.
+"""Free slots assumed of a full back end, so that one is chosen even if all are full.
 
-Beside one with a single free slot it gets one call in 17."""
+Next to a back end with one free slot, a full one gets one call in 17."""
 MIN_FREE_REGION_FRACTION = 0.25
-"""Fraction of a region's slots that has to be free for its calls to stay there.
+"""Fraction of the own region's slots that must be free for calls to stay in the region.
 
-What the fleet sends while loads grow old (0.1 to 0.2 s) takes some slots; with fewer free ones a call waits longer
-than the way to another region and back takes (40 ms)."""
+Calls that the fleet sends while loads are out of date (0.1 to 0.2 s) occupy some slots. With fewer free slots, a
+call waits longer than the round trip to another region takes (40 ms)."""
 MAX_OWN_ZONE_LOAD_FRACTION = 0.5
-"""Load of a back end of the own zone, by its slots, below which calls stay in the zone.
+"""Fraction of a back end's slots in use below which calls from its own zone go to it.
 
-Half of the slots are left for what other nodes send while loads grow old."""
+The other half is for what other nodes send while loads are out of date."""
 
 
 def choose_backend_for_call(
     candidates: Sequence[Backend], node_count: int, own_zone: str, topology: Topology, rng: random.Random
 ) -> Backend:
-    """Return the back end of a call's next attempt; there is at least one candidate."""
+    """Return the back end of a call's next attempt. ``candidates`` must not be empty."""
     in_own_zone = [
         each for each in candidates if each.record.zone == own_zone and _is_below_zone_limit(each, node_count)
     ]
@@ -50,7 +51,7 @@
 
 
 def _prefer_own_region(candidates: Sequence[Backend], node_count: int, topology: Topology) -> Sequence[Backend]:
-    """Return the candidates of the own region if enough of its slots are free, else all."""
+    """Return the candidates of the own region if enough of its slots are free, else all candidates."""
     if not topology.has_regions:
         return candidates
     in_own_region = [each for each in candidates if topology.is_own_region(each.record.zone)]
--- a/src/wallwell/routing/selection/candidates.py
+++ b/src/wallwell/routing/selection/candidates.py
@@ -1,20 +1,20 @@
 """Which back ends may get the next attempt of a request. Pure.
 
-Inputs are the listed back ends with what this node observed of each, the weights versions that operators have
-named, and the zones into which this request's connections timed out. Three rules apply, each with a last resort, so
-that a request that could be served somewhere is not refused:
-
-1. Back ends that have ended (gone, superseded) get nothing. Suspended ones get nothing while another is open, nor
-   do those that are being tried after a back-off. Those that leave get nothing while another stays, and then only
-   for ``LEAVING_GRACE_S``. One that has asked for back-off gets nothing until its end, one whose stated limit is
-   used up nothing at this moment.
-2. Generations go to engines that have every weights version that was named long enough ago
-   (``OVERDUE_FRACTION`` of the operators' bound, ``LAST_RESORT_FRACTION`` if no engine has them), and to engines
-   that are loading weights only if no other one is left.
-3. Zones into which a connection of the same request timed out are left out while other zones are left.
-
-``serving/version_choice.py`` reads the node's state for it, and says which side of a rollout is meant;
-``engine_choice`` and ``call_choice`` pick one of the result.
+Inputs are the listed back ends with this node's observations of each, the weights versions that operators have
+named, and the zones into which this request's connections timed out. Three rules apply. Each has a last resort, so
+that a request is not refused while some back end could serve it:
+
+1. A back end that is gone or superseded gets nothing. While another back end is open, suspended ones get nothing,
+   nor do those with a trial request after a back-off in flight. A leaving back end gets nothing while another one
+   is not leaving, and after that only for ``LEAVING_GRACE_S``. A back end that asked for back-off gets nothing
+   until the back-off ends; one whose stated limit is used up gets nothing at this moment.
+2. Generations go to engines that have every weights version named long enough ago (``OVERDUE_FRACTION`` of the
+   operators' bound, ``LAST_RESORT_FRACTION`` if no engine has them). Engines that are loading weights get
+   generations only if there are no others.
+3. Zones into which a connection of the same request timed out are excluded while there are other zones.
+
+``serving/version_choice.py`` passes in the node's state and decides which version of a rollout a request goes to;
+``engine_choice`` and ``call_choice`` choose one of the resulting back ends.
 """
 
 from __future__ import annotations
@@ -28,22 +28,23 @@
 LAST_RESORT_FRACTION = 0.93
 """Fraction of the operators' bound up to which older weights are used if no engine has newer ones.
 
-Of the default bound of 8 s it leaves 0.56 s, some twice ``BEGIN_MARGIN_S``."""
+With the default bound of 8 s, 0.56 s remain, about twice ``BEGIN_MARGIN_S``."""
 BEGIN_MARGIN_S = 0.25
-"""Seconds before the end of the operators' bound by which a generation on older weights has to have begun.
+"""Seconds before the end of the operators' bound by which a generation on older weights must have begun.
 
-A request begins some time after it was sent, and nodes learn names at different times."""
+A request begins some time after it was sent, and nodes learn of a named version at different times."""
 LEAVING_GRACE_S = 1.0
-"""Seconds after a node has learnt that a back end leaves, up to which it is used if all others leave as well: half
-of the shortest time in use (2 s) after which it must get nothing more, since it may have said so to the store
-before this node knew."""
+"""Seconds, from when this node learned that a back end leaves, for which it is used if all others leave too.
+
+Half of the shortest time in use (2 s) after which a leaving back end must get nothing more: it may have announced
+its leaving to the store before this node learned of it."""
 
 
 class Candidates(NamedTuple):
     """Back ends for the next attempt of a request."""
 
     listed: Sequence[Backend]
-    """All that may carry requests of its kind, from which engines' pools are formed."""
+    """All that may serve requests of this kind; pools of engines are formed from them."""
     usable: list[Backend]
 
 
@@ -53,7 +54,7 @@
     targets: WeightsTargets
     model: str
     allowance_s: float
-    """Seconds after its naming for which a version may be missing on an engine that gets generations."""
+    """Seconds after a version was named for which engines without it may get generations."""
 
 
 def usable_backends(
@@ -62,9 +63,9 @@
     now_s: float,
     excluded: Collection[Backend] = (),
 ) -> list[Backend]:
-    """Return those of the listed that may get a request now, last resorts only if there are no others.
+    """Return the listed back ends that may get a request now; last resorts only if there are no others.
 
-    ``requirement`` is None for calls, which need no weights. Those ``excluded`` have used up their limits.
+    ``requirement`` is None for calls, which need no weights. The ``excluded`` back ends have used up their limits.
     """
     if excluded:
         listed = [each for each in listed if each not in excluded]
@@ -73,16 +74,15 @@
         return usable
     current = _with_required_weights(usable, requirement, OVERDUE_FRACTION, now_s)
     if not current:
-        # Better the last moments of older weights than no engine at all; ``begin_by_s`` bounds when it begins.
+        # Older weights are better than no engine, up to ``begin_by_s``.
         current = _with_required_weights(usable, requirement, LAST_RESORT_FRACTION, now_s)
     return [each for each in current if not each.is_loading_weights(now_s)] or current
 
 
 def _last_resort_backends(listed: Sequence[Backend], now_s: float) -> list[Backend]:
-    """Return what is left where no back end is open: one that may have recovered or still serves is better than
-    none.
+    """Return the back ends to use while none is open: those that may have recovered or that still serve.
 
-    A back end that has asked for back-off has said that it would refuse.
+    Back ends that have asked for back-off are left out, since they would refuse the request.
     """
     not_leaving = [each for each in listed if not each.is_leaving(now_s)]
     candidates = not_leaving or [each for each in listed if each.is_within_leaving_grace(LEAVING_GRACE_S, now_s)]
@@ -90,7 +90,10 @@
 
 
 def earliest_backoff_end_s(listed: Sequence[Backend], now_s: float) -> float | None:
-    """Return when the first back-off ends, None if a back end that stays has not asked for any."""
+    """Return when the first back-off ends; None unless every back end that is not leaving has asked for one.
+
+    None if all back ends are leaving.
+    """
     not_leaving = [each for each in listed if not each.is_leaving(now_s)]
     if not not_leaving or any(not each.backoff.is_in_force(now_s) for each in not_leaving):
         return None
@@ -103,17 +106,17 @@
     now_s: float,
     excluded: Collection[Backend] = (),
 ) -> Candidates:
-    """Return the candidates of the first tier that can serve the request; there is at least one tier.
+    """Return the candidates of the first tier that can serve the request. ``tiers`` must not be empty.
 
-    A tier is a group of back ends that a rollout prefers to the later ones. Those without any open back end are
-    passed over first; if that leaves none, the first that has a last resort is taken.
+    A tier is a group of back ends that a rollout prefers to the later groups. The first tier with an open and
+    usable back end is chosen; if there is none, the first with a last resort.
     """
     for tier in tiers:
         if any(each.is_open(now_s) and each not in excluded for each in tier):
             usable = usable_backends(tier, requirement, now_s, excluded)
             if usable:
                 return Candidates(tier, usable)
-    # Every back end is suspended or on old weights: the last resort of the side that the request belongs to.
+    # Every back end is suspended or has old weights: use the last resort of the tier that the request belongs to.
     candidates_by_tier = [Candidates(tier, usable_backends(tier, requirement, now_s, excluded)) for tier in tiers]
     return next((each for each in candidates_by_tier if each.usable), candidates_by_tier[0])
 
@@ -121,20 +124,20 @@
 def begin_by_s(backend: Backend, requirement: WeightsRequirement) -> float:
     """Return until when a generation may begin at a back end on the weights it is believed to have.
 
-    The time is on this node's clock, infinity if the weights are the newest.
+    The time is on this node's clock; infinity if no newer weights version has been named.
     """
     allowance_s = requirement.allowance_s - BEGIN_MARGIN_S
-    believed_version = backend.believed_version(requirement.model)
-    return requirement.targets.begin_by_s(requirement.model, believed_version, allowance_s)
+    version = backend.believed_version(requirement.model)
+    return requirement.targets.begin_by_s(requirement.model, version, allowance_s)
 
 
 def exclude_unresponsive_zones(
     candidates: Sequence[Backend], unresponsive_zones: Collection[str], own_zone: str
 ) -> Sequence[Backend]:
-    """Leave out the zones into which this request's connections timed out; then the node's own zone goes first.
+    """Return the candidates outside zones into which this request's connections timed out, or all if none remain.
 
-    Each such connection costs the request the connect timeout (0.25 s on the platform), and nothing is less likely
-    to be cut off than the own zone.
+    Each time-out costs the request the connect timeout (0.25 s on the platform). So after the first one, back ends
+    of the node's own zone go first, since that zone is the least likely to be cut off.
     """
     if not unresponsive_zones:
         return candidates
@@ -150,5 +153,5 @@
     model = requirement.model
     newest_believed_version = max((each.believed_version(model) for each in usable), default=0)
     due_after_s = requirement.allowance_s * fraction
-    minimum_version = requirement.targets.minimum_version(model, now_s, due_after_s, newest_believed_version)
-    return [each for each in usable if each.believed_version(model) >= minimum_version]
+    required_version = requirement.targets.minimum_version(model, now_s, due_after_s, newest_believed_version)
+    return [each for each in usable if each.believed_version(model) >= required_version]
--- a/src/wallwell/routing/selection/engine_choice.py
+++ b/src/wallwell/routing/selection/engine_choice.py
@@ -1,15 +1,15 @@
-"""Which of its candidates a generation goes to. Pure.
+"""Chooses the engine of a generation among its candidates. Pure.
 
 Inputs are the prompt, the candidates, the listed engines from which pools are formed, and what the node knows of
-the fleet. In this order:
+the fleet. The choice is made in three steps:
 
-1. The region: the node's own, or that of the prompt's home if much of it is shared (``prefill_region``).
-2. Within it the pool for the prompt's length, then all engines, as long as enough of them have headroom; then the
-   other regions in the same way, up to ``OTHER_REGION_SLOTS_FRACTION`` of their slots.
-3. Among those engines the first in the order of the prompt's key that is within its load bound. A busy home is
-   thereby passed over for the same next engine on every node.
+1. Prefer a region: the node's own, or that of the prompt's home if many tokens are shared (``prefill_region``).
+2. In that region, use the pool for the prompt's length, else all engines, if enough of them have headroom.
+   Otherwise do the same in the other regions, up to ``OTHER_REGION_SLOTS_FRACTION`` of their slots.
+3. Choose the first of these engines, in the rendezvous order of the prompt's placement key, that is below its load
+   bound. Every node thus replaces a busy home by the same next engine.
 
-Without headroom anywhere the key alone decides, so that requests spread over all engines.
+If no engine has headroom, the region, the key and the load bound decide, so that requests spread over all engines.
 """
 
 from __future__ import annotations
@@ -25,47 +25,47 @@
 from wallwell.routing.selection.prefix_home import engine_pool_of_all_regions, is_long_prompt, prefill_region
 
 REGION_ROUND_TRIP_S = 0.04
-"""Seconds that the way to an engine of another region and back adds to a first token.
+"""Seconds that the round trip to an engine of another region adds to the time to the first token.
 
-Arithmetic: twice the 20 ms of one way between regions."""
+Calculated: twice the 20 ms of one way between regions."""
 OTHER_REGION_SLOTS_FRACTION = 0.75
-"""Fraction of another region's slots that this region's prompts may fill.
+"""Fraction of another region's slots that prompts from this region may fill.
 
-The rest is left to that region's own prompts, since its loads arrive here only some times a second."""
+The rest is reserved for prompts of that region, because its loads arrive here only a few times a second."""
 TIER_HEADROOM_DIVISOR = 3
-"""One engine in so many of a tier has to have headroom for the tier to be used.
+"""A tier is used if at least one engine in this many has headroom.
 
-Among fewer, all nodes with the same old loads would send the fleet's requests to a few."""
+With fewer, all nodes would send their requests to the same few engines, since all have the same outdated loads."""
 MIN_LOAD_BOUND = 3
-"""Requests under way below which an engine is never passed over.
+"""Requests in flight below which an engine is never skipped.
 
-In an idle fleet a second request at the same home is no reason to prefill its prefix elsewhere."""
+In an idle fleet, a second request at the same home does not justify prefilling its prefix on another engine."""
 LOAD_BOUND_FACTOR = 1.5
-"""Multiple of the mean load (plus one) from which an engine is passed over for the next in the key's order.
+"""Multiple of the mean load (plus one) from which an engine is skipped for the next one in the key's order.
 
-Larger keeps prefixes at their homes, smaller evens loads out."""
+A larger factor keeps more prefixes at their homes, a smaller one balances load better."""
 REGION_SWITCH_LOAD_RATIO = 1.25
-"""Mean load of a region's engines, relative to the other region's, from which prompts leave it without headroom.
+"""Ratio of mean engine loads from which prompts move to the other regions if no region has headroom.
 
-Less is made up for by the way and by what the region's engines and stores keep."""
+A lower ratio does not pay for the round trip and for the KV cache in the region's engines and stores."""
 RENDEZVOUS_SCORE_COUNT = 2**64
-"""Number of rendezvous scores; a score below a fraction of it is as likely as that fraction."""
+"""Number of possible rendezvous scores, which are uniformly distributed."""
 
 
 class Prompt(NamedTuple):
-    """What the choice needs to know of a generation."""
+    """Properties of a generation's prompt that decide its engine."""
 
     placement_key: int
-    """Places the prompt by its longest shared prefix (``prefix_home.placement_key``)."""
+    """Rendezvous key of the longest shared prefix (``prefix_home.placement_key``)."""
     tokens: int
     shared_tokens: int
-    """Tokens that other prompts may share."""
+    """Tokens of the parts that other prompts may share."""
     objective_s: float
-    """Within how many seconds the first token should come."""
+    """Seconds within which the first token should arrive."""
 
 
 class FleetView(NamedTuple):
-    """What the node knows of the fleet."""
+    """Size, topology and prefill rate of the fleet as this node knows them."""
 
     node_count: int
     topology: Topology
@@ -75,7 +75,7 @@
 def choose_engine_for_generation(
     prompt: Prompt, candidates: Sequence[Backend], listed: Sequence[Backend], fleet: FleetView
 ) -> Backend:
-    """Return the engine of a generation's next attempt; there is at least one candidate."""
+    """Return the engine of a generation's next attempt. ``candidates`` must not be empty."""
     topology, node_count, key = fleet.topology, fleet.node_count, prompt.placement_key
     pool = engine_pool_of_all_regions(listed, prompt.tokens, topology)
     preferred: Sequence[Backend] = candidates
@@ -109,7 +109,7 @@
 def _split_by_region(
     candidates: Sequence[Backend], region: str, topology: Topology
 ) -> tuple[Sequence[Backend], Sequence[Backend]]:
-    """Return the candidates of a region and those of others."""
+    """Return the candidates in a region, then those in other regions."""
     in_region: list[Backend] = []
     others: list[Backend] = []
     for each in candidates:
@@ -119,10 +119,10 @@
 
 
 def _load_limits(prompt: Prompt, prefill_rate: PrefillRate) -> tuple[float, float]:
-    """Return the loads up to which engines of this region and of others begin a prompt within its objective.
+    """Return the loads up to which engines begin a prompt within its objective, in the preferred and other regions.
 
-    Short prompts have no limit. A long one that would wait beyond its objective in its pool rather lengthens the
-    gaps of short ones on other engines.
+    Short prompts have no limit. A long prompt that would miss its objective in its pool goes to other engines, at
+    the cost of longer gaps between the tokens of their short prompts.
     """
     if not is_long_prompt(prompt.tokens):
         return math.inf, math.inf
@@ -133,13 +133,13 @@
 def _tiers_for_length(
     engines: Sequence[Backend], pool: Sequence[Backend]
 ) -> tuple[Sequence[Backend], Sequence[Backend]]:
-    """Return the engines that are meant for a prompt's length, and all of them."""
+    """Return two tiers: the engines of the pool for the prompt's length, and all engines."""
     pool_members = set(pool)
     return [each for each in engines if each in pool_members], engines
 
 
 def choose_engine_by_key(engines: Sequence[Backend], key: int, node_count: int = 1) -> Backend | None:
-    """Return the first engine in the key's order that is within its load bound; None without engines."""
+    """Return the first engine in the key's order that is below its load bound; None if there are no engines."""
     if not engines:
         return None
     loads = {engine.incarnation: engine.fleet_load(node_count) for engine in engines}
@@ -156,11 +156,11 @@
     load_limit: float = math.inf,
     slots_fraction: float = 1.0,
 ) -> Backend | None:
-    """Return an engine of the first tier in which enough have headroom; None if no tier has.
+    """Return an engine of the first tier in which enough engines have headroom; None if there is no such tier.
 
-    An engine has headroom while the load of all nodes is below a fraction of its slots and below ``load_limit``.
-    Loads of other nodes are some hundred milliseconds old, and all nodes have the same ones. If all of them chose
-    among the few engines that looked idle, these would get in that time what the whole fleet is sent.
+    An engine has headroom while its load from all nodes is below ``slots_fraction`` of its slots and below
+    ``load_limit``. Loads of other nodes are some hundred milliseconds old and the same on all nodes. If all nodes
+    chose among the few engines that look idle, these would get all requests of the fleet until the next report.
     """
     for tier in tiers:
         with_headroom = [
@@ -176,9 +176,9 @@
 def choose_from_tiers(
     tiers: Sequence[Sequence[Backend]], key: int, node_count: int, load_limit: float = math.inf
 ) -> Backend | None:
-    """Return an engine of the first tier in which enough have headroom.
+    """Return an engine of the first tier in which enough engines have headroom.
 
-    If no tier has, return one of the last tier by the key; None if that is empty.
+    If there is no such tier, return one of the last tier by the key; None if the last tier is empty.
     """
     return find_engine_with_headroom(tiers, key, node_count, load_limit) or choose_engine_by_key(
         tiers[-1], key, node_count
@@ -188,10 +188,10 @@
 def should_switch_region(
     preferred: Sequence[Backend], others: Sequence[Backend], key: int, node_count: int = 1
 ) -> bool:
-    """Whether a prompt goes to another region though its own is preferred, where neither has headroom.
+    """Whether a prompt leaves its preferred region while no region has headroom.
 
-    The fraction of the keys that leave grows with the difference of mean loads, so that loads that are known late
-    do not send all prompts to and fro. A prefix leaves as long as its key belongs to that fraction.
+    The fraction of keys that leave grows with the difference of the mean loads, so that outdated loads do not make
+    all prompts alternate between regions. A prefix leaves while the score of its key is within that fraction.
     """
     preferred_load = _mean_load(preferred, node_count)
     other_load = _mean_load(others, node_count)
--- a/src/wallwell/routing/selection/kv_store.py
+++ b/src/wallwell/routing/selection/kv_store.py
@@ -1,10 +1,10 @@
-"""What a KV store holds, from the events that it sends, and which prompts it lacks. Pure.
+"""Replica of the index of a KV store, built from the store's events. Pure.
 
-A store drops the parts that were used least recently. A prompt is therefore saved only if the store lacks a part
-that others may share: each save takes the whole prompt there, and its own part displaces parts that are shared.
+A store evicts the least recently used parts. A prompt is therefore saved only if the store lacks one of its parts
+that others may share: each save transfers the whole prompt, and the request's own part evicts shared parts.
 
-``node/kv_store_watch.py`` brings the pages, from a store itself or from a peer; ``kv_store_choice`` asks. A copy
-with gaps is still used: at worst a fetch finds less than expected, or a prompt is saved twice.
+``node/kv_store_watch.py`` applies pages from the store or from a peer; ``kv_store_choice`` queries the replica. A
+replica with gaps is still used: at worst a fetch finds less than expected, or a prompt is saved twice.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from wallwell.routing.selection.prefix_home import PromptPart, shared_parts
 
 MAX_JOURNAL_ENTRIES = 4000
-"""Changes remembered for peers; a peer that is further behind takes everything anew."""
+"""Changes kept for peers; a peer that is further behind gets the whole index."""
 EXPECTED_SAVE_S = 1.5
-"""Seconds that a save is expected to take until the store reports it; this node saves the same again only then."""
+"""Seconds until the store is expected to report a save; this node does not repeat the save before."""
 MAX_PENDING_SAVES = 1000
-"""Saves remembered as under way before those that are over are dropped: it bounds memory."""
+"""Pending saves from which expired ones are removed, to bound memory."""
 BLOCK_TOKENS = 16
-"""Tokens of a block of KV cache; a store may hold a part without its last, incomplete block."""
+"""Tokens in a block of KV cache; a store may hold a part without its last, incomplete block."""
 
 
 class CachePosition(msgspec.Struct, frozen=True, array_like=True):
-    """How far a store's events are known. ``epoch`` changes when the store restarts empty."""
+    """Position in a store's event sequence. ``epoch`` changes when the store restarts empty."""
 
     epoch: int = -1
     number: int = 0
 
 
 class CacheEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Tokens held now of a part under a scope, 0 if it was dropped. ``number`` counts the store's events."""
+    """Tokens that the store holds of a part in a cache scope, 0 if evicted. ``number`` is the event's number."""
 
     number: int
     scope: str
@@ -43,7 +43,7 @@
 
 
 class CachePage(msgspec.Struct, frozen=True):
-    """Changes up to ``position``, or everything held if ``whole``."""
+    """Changes up to ``position``, or the whole index if ``whole``."""
 
     position: CachePosition
     entries: tuple[CacheEntry, ...] = ()
@@ -56,26 +56,26 @@
 
 
 class KvStoreContents:
-    """One store's parts as far as its events are known."""
+    """Replica of one store's index: which parts it holds, as of the last event read."""
 
     def __init__(self) -> None:
         self.position = CachePosition()
         self.reachable = True
         self.has_gaps = False
-        """Whether an event is missing, so that the copy may differ from what the store holds."""
+        """Whether an event was missed, so that the replica may differ from the store."""
         self._tokens_by_part: dict[_PartKey, int] = {}
         self._journal: deque[CacheEntry] = deque(maxlen=MAX_JOURNAL_ENTRIES)
         self._saving_until_s: dict[_PartKey, float] = {}
 
     @property
     def has_been_read(self) -> bool:
-        """Whether what the store holds has been read."""
+        """Whether the whole index has been read at least once."""
         return self.position.epoch != -1
 
-    # --- following -------------------------------------------------------------------------------------
+    # --- replication -----------------------------------------------------------------------------------
 
     def apply_page(self, page: CachePage) -> None:
-        """Apply a page; one that is older than this copy changes nothing."""
+        """Apply a page of changes or the whole index. A page older than the replica is ignored."""
         is_older = page.position.epoch == self.position.epoch and page.position.number < self.position.number
         if page.whole and not is_older:
             self._tokens_by_part = {_PartKey(each.scope, each.part): each.tokens for each in page.entries}
@@ -104,7 +104,7 @@
         self.position = CachePosition(self.position.epoch, entry.number)
 
     def changes_since(self, position: CachePosition) -> CachePage:
-        """Return what a peer that knows the events up to a position lacks."""
+        """Return the changes since a peer's position, or the whole index if the journal begins after it."""
         if position.epoch == self.position.epoch and position.number >= self._journal_floor():
             missing = tuple(entry for entry in self._journal if entry.number > position.number)
             return CachePage(self.position, missing)
@@ -113,20 +113,20 @@
         return CachePage(self.position, tuple(entries), whole=True)
 
     def _journal_floor(self) -> int:
-        """Return the number after which every change is in the journal."""
+        """Return the event number after which every change is in the journal."""
         return self._journal[0].number - 1 if self._journal else self.position.number
 
-    # --- questions -------------------------------------------------------------------------------------
+    # --- queries ---------------------------------------------------------------------------------------
 
     def holds(self, scope: str, parts: Sequence[PromptPart]) -> bool:
-        """Whether every part is held but for an incomplete block."""
+        """Whether the store holds every part, except perhaps its incomplete last block."""
         return all(
             self._tokens_by_part.get(_PartKey(scope, part.identity), 0) > part.tokens - BLOCK_TOKENS
             for part in parts
         )
 
     def held_prefix_tokens(self, scope: str, parts: Sequence[PromptPart]) -> int:
-        """Return how many tokens of a prompt are held, from its beginning to the first that are missing."""
+        """Return the number of tokens of a prompt that are held, from its beginning to the first gap."""
         total = 0
         for part in parts:
             held = self._tokens_by_part.get(_PartKey(scope, part.identity), 0)
@@ -136,7 +136,7 @@
         return total
 
     def begin_save_if_needed(self, scope: str, parts: Sequence[PromptPart], now_s: float) -> bool:
-        """Whether the prompt should be saved now; counts it as being saved if so."""
+        """Return whether the prompt should be saved now; if so, record its save as pending."""
         shared = shared_parts(parts)
         if not shared or self.holds(scope, shared):
             return False
--- a/src/wallwell/routing/selection/kv_store_choice.py
+++ b/src/wallwell/routing/selection/kv_store_choice.py
@@ -1,13 +1,12 @@
-"""Which KV stores an engine fetches a prompt's shared parts from and saves them to. Pure.
+"""Chooses the KV stores from which an engine fetches the shared parts of a prompt and to which it saves them. Pure.
 
-Every prompt has a home among the stores of the engine's region, by rendezvous hashing of its placement key: all
-nodes save it there, so what one engine saved another one finds. Parts are fetched from the store that holds most of
-them, since prompts with a first part in common have different homes.
+Every prompt has a home among the stores of the engine's region, by rendezvous hashing of its placement key. All
+nodes save it there, so that other engines find what one engine saved. Parts are fetched from the store that holds
+most of them, since prompts that share only their first part have different homes.
 
-Streams go on while their engine changes weights, so KV that an engine computes at that moment is made by two
-versions of weights and must not be used under the older one. So nothing is saved by an engine that is about to
-change weights (see ``SETTLE_S`` of the weights roll), nor by a node whose knowledge of the store is too old to
-exclude that.
+Streams continue while their engine changes weights. KV cache computed at that moment mixes two weights versions and
+must not be used for the older one. An engine that is about to change weights therefore saves nothing (see
+``SETTLE_S`` of the weights roll), and neither does a node whose view of the store is too old to exclude a change.
 """
 
 from __future__ import annotations
@@ -23,34 +22,34 @@
 from wallwell.routing.selection.prefix_home import PromptPart, shared_parts
 
 MAX_CONFIRMATION_AGE_S = 2.0
-"""Seconds since the last confirmation by the platform's store after which nothing is saved.
+"""Seconds after the last confirmation by the platform's store from which on nothing is saved.
 
-By then a weights roll may be under way that this node does not know of."""
+A weights roll of which this node has not read may be in progress by then."""
 MIN_FETCH_TOKENS = 1024
-"""Shared tokens from which a prompt's parts are fetched also while the fleet is behind its objectives.
+"""Shared tokens from which a prompt's parts are fetched even while the fleet misses its objectives.
 
-Engines prefill fewer in some 25 ms (38 to 57 tokens a ms, by the deployment); a move may wait 2 s for its turn. In
-a deployment of 195 nodes prompts of 800 tokens waited that long to move 200 of them."""
+Engines prefill fewer tokens than this in about 25 ms (38 to 57 tokens per ms, depending on the deployment), while a
+transfer may queue for 2 s: so long waited prompts of 800 tokens, in a deployment of 195 nodes, to transfer 200."""
 DISTANCE_WEIGHTS = {Distance.SAME_ZONE: 1.0, Distance.SAME_REGION: 0.95, Distance.OTHER_REGION: 0.5}
-"""What a token in a store counts for by the distance of the store from the engine.
+"""Weight of a held token by the distance between store and engine.
 
-Moves take twice as long from another zone and ten times as long from another region. That is longer than prefilling
-there, but a second prefill costs an engine's work, and moves do not. The figures themselves are chosen."""
+A transfer takes twice as long from another zone and ten times as long from another region. The latter takes longer
+than a second prefill, but unlike that it costs no engine time."""
 
 
 class KvStores(NamedTuple):
-    """What a node knows of the KV stores."""
+    """The KV stores as a node knows them."""
 
     listed: Sequence[Service]
     contents: Mapping[str, KvStoreContents]
-    """What each holds, by address."""
+    """Replica of each store's index, by address."""
     topology: Topology
 
 
 def home_store_address(stores: KvStores, placement_key: int, engine_zone: str) -> str:
-    """Return the address of the store where prompts placed by a key are saved, empty if there is none.
+    """Return the address of the store where prompts with a placement key are saved; empty if there is none.
 
-    It stands in the region of the engine, whichever node sends the prompt there.
+    The store is in the region of the engine, whichever node sends the prompt to the engine.
     """
     between = stores.topology.between
     addresses = [
@@ -62,15 +61,15 @@
 
 
 def is_store_unreachable(stores: KvStores, address: str) -> bool:
-    """Whether a store is known not to answer."""
+    """Whether a store is known not to answer; False if nothing is known of it."""
     contents = stores.contents.get(address)
     return contents is not None and not contents.reachable
 
 
 def is_worth_fetching(parts: Sequence[PromptPart], delays: FirstTokenDelays, now_s: float) -> bool:
-    """Whether moving a prompt's shared parts is quicker than prefilling them.
+    """Whether fetching a prompt's shared parts is expected to be faster than prefilling them.
 
-    Moves queue while the fleet is behind its objectives, so only many tokens are worth one then.
+    Transfers queue while the fleet misses its objectives; only parts with many tokens are worth a fetch then.
     """
     if sum(part.tokens for part in shared_parts(parts)) >= MIN_FETCH_TOKENS:
         return True
@@ -80,11 +79,12 @@
 def best_source_address(
     stores: KvStores, home_address: str, scope: str, parts: Sequence[PromptPart], engine_zone: str
 ) -> str:
-    """Return the store that holds most of the shared parts; ``home_address`` if none has more.
+    """Return the address of the store that holds most of the shared parts.
 
-    Where there are regions, stores near the engine count for more. After a change of weights, a first part that
-    many prompts share is saved at the home of one of them first; engines that fetched from the other homes would
-    prefill it again.
+    Returns ``home_address`` if no other store holds more, or if nothing is known of the home store. If there are
+    regions, tokens are weighted by ``DISTANCE_WEIGHTS``. Other stores are considered because, after a change of
+    weights, a first part that many prompts share is saved at the home of one of them first. Engines that fetched
+    only from the homes of the other prompts would prefill it again.
     """
     shared = shared_parts(parts)
     weighted_tokens = {}
@@ -101,10 +101,9 @@
 
 
 def may_save(has_pending_weights_load: bool, confirmed_at_s: float, now_s: float) -> bool:
-    """Whether what an engine computes now is certainly made by the weights that are believed to be in place.
+    """Whether KV cache that an engine computes now certainly belongs to the weights version it is believed to have.
 
-    ``confirmed_at_s`` is when the platform's store last confirmed what this node knows. Both times are on one
-    clock.
+    ``confirmed_at_s`` is when the platform's store last confirmed this node's view. Both times are on one clock.
     """
     return not has_pending_weights_load and now_s - confirmed_at_s <= MAX_CONFIRMATION_AGE_S
 
@@ -112,9 +111,9 @@
 def begin_store_save_if_needed(
     stores: KvStores, address: str, scope: str, parts: Sequence[PromptPart], now_s: float
 ) -> bool:
-    """Whether a store lacks shared parts that nobody is saving yet; notes that they are being saved if so.
+    """Return whether shared parts should be saved to a store now; if so, record the save as pending.
 
-    A store whose contents are not known yet is taken to lack them.
+    True if the store lacks parts that this node is not already saving, or if its index has not been read yet.
     """
     contents = stores.contents.get(address)
     if contents is None or not contents.has_been_read:
@@ -123,7 +122,7 @@
 
 
 def _distance_weight(stores: KvStores, engine_zone: str, store: Service) -> float:
-    """Return what a token in a store counts for; 1 without regions."""
+    """Return the weight of a token held by a store; 1 if there are no regions."""
     if not stores.topology.has_regions:
         return DISTANCE_WEIGHTS[Distance.SAME_ZONE]
     return DISTANCE_WEIGHTS[stores.topology.between(engine_zone, store.zone)]
--- a/src/wallwell/serving/attempt_learning.py
+++ b/src/wallwell/serving/attempt_learning.py
@@ -37,7 +37,7 @@
         """The head of an answer came."""
         generation = active.request.generation
         if generation is not None and head.weights_version:
-            backend.set_reported_version(generation.model, head.weights_version)
+            backend.set_believed_version(generation.model, head.weights_version)
         now_s = boot_time_s()
         backend.silence.on_received(now_s)
         self._state.on_sign_of_life(backend, now_s)
--- a/tests/unit/node/test_backend_rows.py
+++ b/tests/unit/node/test_backend_rows.py
@@ -198,7 +198,7 @@
     """A changed entry with older versions had requests sent that the engine then refused."""
     registry = BackendRegistry()
     backend = registry.upsert(BackendRecord("e", "llm", "e", "z", 8, versions={"m": 1}))
-    backend.set_reported_version("m", 3)
+    backend.set_believed_version("m", 3)
     registry.upsert(BackendRecord("e", "llm", "e", "z", 9, versions={"m": 2}))
     assert backend.believed_version("m") == 3
 
--- a/tests/unit/routing/health/test_backend_registry.py
+++ b/tests/unit/routing/health/test_backend_registry.py
@@ -37,7 +37,7 @@
 def test_a_version_learnt_from_the_engine_outlives_rows_that_do_not_change_it():
     registry = BackendRegistry()
     backend = registry.upsert(record(m=1))
-    backend.set_reported_version("m", 2)
+    backend.set_believed_version("m", 2)
     registry.upsert(record(draining=True, m=1))
     assert backend.believed_version("m") == 2
     registry.upsert(record(m=3))
@@ -159,7 +159,7 @@
     before = registry.upsert(record(started=1000, m=2))
     registry.on_leaving(before, 3.0)
     before.backoff.on_requested(50.0, 3.0)
-    before.set_reported_version("m", 5)
+    before.set_believed_version("m", 5)
     after = registry.upsert(record(started=2000, m=2))
     assert before.gone and after is not before
     assert after.is_open(4.0)
--- a/tests/unit/serving/test_pipeline_generations.py
+++ b/tests/unit/serving/test_pipeline_generations.py
@@ -133,7 +133,7 @@
 def test_an_engine_on_overdue_weights_begins_nothing():
     def name_long_ago(fleet):
         fleet.weights.name("m", 2, boot_time_s() - 7.9)
-        fleet.backends.get("i-1").set_reported_version("m", 2)
+        fleet.backends.get("i-1").set_believed_version("m", 2)
 
     _, client, _ = play([stream(event(1))], ONCE, generate(), versions={"m": 1}, prepare=name_long_ago)
     assert client.sent[0].backend.incarnation == "i-1"
--- a/tests/unit/serving/test_response_timeout.py
+++ b/tests/unit/serving/test_response_timeout.py
@@ -118,7 +118,7 @@
 
     async def send(self, dispatch):
         backend = self.state.backends.get(dispatch.backend.incarnation)
-        asyncio.get_running_loop().call_later(0.2, backend.set_reported_version, "m", 2)
+        asyncio.get_running_loop().call_later(0.2, backend.set_believed_version, "m", 2)
         return await super().send(dispatch)
 
 
