--- a/src/wallwell/routing/health/backend_registry.py
+++ b/src/wallwell/routing/health/backend_registry.py
@@ -98,7 +98,7 @@
             self._remove_from_indices(earlier)
             earlier.gone = earlier.superseded = True
             if record.draining and leaving_since_s is None:
-                # Answers of this start may have announced it while the entry was still that of the earlier start.
+                # Its answers may have announced that it leaves while the entry was still that of the earlier start.
                 leaving_since_s = earlier.leaving_since_s
         is_superseded = record.incarnation in self._superseded
         backend = Backend(record, superseded=is_superseded, leaving_since_s=leaving_since_s)
--- a/src/wallwell/routing/selection/engine_choice.py
+++ b/src/wallwell/routing/selection/engine_choice.py
@@ -41,13 +41,13 @@
 
 In an idle fleet, a second request at the same home does not justify prefilling its prefix on another engine."""
 LOAD_BOUND_FACTOR = 1.5
-"""Multiple of the mean load (plus one) from which an engine is skipped for the next one in the key's order.
+"""Load, as a multiple of the mean load plus one, from which an engine is skipped for the next in the key's order.
 
 A larger factor keeps more prefixes at their homes, a smaller one balances load better."""
 REGION_SWITCH_LOAD_RATIO = 1.25
 """Ratio of mean engine loads from which prompts move to the other regions if no region has headroom.
 
-A lower ratio does not pay for the round trip and for the KV cache in the region's engines and stores."""
+Below this ratio, a move would cost more in round trips and lost KV cache than it gains."""
 RENDEZVOUS_SCORE_COUNT = 2**64
 """Number of possible rendezvous scores, which are uniformly distributed."""
 
--- a/tests/unit/routing/health/test_backend_registry.py
+++ b/tests/unit/routing/health/test_backend_registry.py
@@ -1,4 +1,4 @@
-"""Back ends follow their rows; observations stay with an incarnation and die with it."""
+"""The registry follows the rows of the store and keeps the observations of each start of a back end."""
 
 import dataclasses
 
@@ -25,7 +25,7 @@
     return BackendRecord(incarnation, service, address, "z", 4, draining, versions, started_unix_ms=started)
 
 
-def test_an_update_keeps_observations_of_the_same_incarnation():
+def test_an_update_keeps_the_observations_of_the_same_incarnation():
     registry = BackendRegistry()
     backend = registry.upsert(record(m=1))
     backend.in_flight = 3
@@ -34,7 +34,7 @@
     assert not backend.is_open(0.0)
 
 
-def test_a_version_learnt_from_the_engine_outlives_rows_that_do_not_change_it():
+def test_a_version_reported_by_the_engine_is_kept_while_rows_do_not_change_it():
     registry = BackendRegistry()
     backend = registry.upsert(record(m=1))
     backend.set_believed_version("m", 2)
@@ -44,7 +44,7 @@
     assert backend.believed_version("m") == 3
 
 
-def test_a_whole_listing_shows_what_it_does_not_name():
+def test_back_ends_missing_from_a_whole_listing_lapse():
     registry = BackendRegistry()
     gone = registry.upsert(record("i-1"))
     registry.upsert(record("i-2"))
@@ -56,7 +56,7 @@
     assert [each.incarnation for each in registry.backends_of_service("s")] == ["i-2"]
 
 
-def test_a_lapsed_entry_counts_until_its_time_and_again_when_it_is_back():
+def test_a_lapsed_entry_is_valid_until_its_time_and_again_when_it_is_listed():
     registry = BackendRegistry()
     backend = registry.upsert(record())
     registry.lapse("i-1", 5.0)
@@ -68,7 +68,7 @@
     assert registry.remove_lapsed(6.0) == []
 
 
-def test_an_unreachable_back_end_is_suspended_at_once_and_for_longer_each_time():
+def test_an_unreachable_back_end_is_suspended_at_its_first_failure_and_for_longer_each_time():
     backend = Backend(record())
     assert backend.on_failure(10.0, unreachable=True)
     assert not backend.is_open(10.0 + FIRST_SUSPENSION_S / 2)
@@ -89,22 +89,22 @@
 @pytest.mark.parametrize(
     ("now_s", "believed", "expected"),
     [(1.0, 1, True), (1.0, 2, False), (9.0, 1, False)],
-    ids=["yes", "in place", "old"],
+    ids=["loading", "in place", "expired"],
 )
-def test_a_load_is_over_when_its_version_is_seen_or_its_time_has_passed(now_s, believed, expected):
+def test_a_weights_load_ends_when_its_version_is_in_place_or_its_time_has_passed(now_s, believed, expected):
     backend = Backend(record(m=1), versions={"m": believed})
     backend.expected_load = ExpectedWeightsLoad("m", 2, until_s=5.0)
     assert backend.is_loading_weights(now_s) is expected
 
 
-def test_an_engine_serves_until_its_order_but_keeps_nothing_from_the_word_of_it():
+def test_an_engine_serves_until_the_order_to_load_but_a_load_is_pending_from_its_announcement():
     backend = Backend(record(m=1), versions={"m": 1})
     backend.expect_weights_load(ExpectedWeightsLoad("m", 2, until_s=5.0, from_s=1.2), 1.0)
     assert [backend.has_pending_weights_load(now_s) for now_s in (1.0, 1.3, 5.1)] == [True, True, False]
     assert [backend.is_loading_weights(now_s) for now_s in (1.0, 1.3, 5.1)] == [False, True, False]
 
 
-def test_hearing_of_a_load_again_does_not_put_it_off():
+def test_a_repeated_announcement_does_not_delay_a_weights_load():
     backend = Backend(record(m=1), versions={"m": 1})
     backend.expect_weights_load(ExpectedWeightsLoad("m", 2, until_s=5.0, from_s=1.2), 1.0)
     backend.expect_weights_load(ExpectedWeightsLoad("m", 2, until_s=6.0, from_s=2.2), 2.0)
@@ -114,7 +114,7 @@
     assert backend.is_loading_weights(3.3)
 
 
-def test_a_new_incarnation_ends_those_listed_at_its_address():
+def test_a_new_incarnation_supersedes_those_listed_at_its_address():
     registry = BackendRegistry()
     old = registry.upsert(record("i-1", address="a:1"))
     other = registry.upsert(record("i-2", address="b:1"))
@@ -123,7 +123,7 @@
     assert old.is_leaving(0.0)
 
 
-def test_an_ended_incarnation_that_is_listed_again_ends_nobody():
+def test_a_superseded_incarnation_that_is_listed_again_supersedes_none():
     registry = BackendRegistry()
     registry.upsert(record("i-1", address="a:1"))
     new = registry.upsert(record("i-2", address="a:1"))
@@ -133,7 +133,7 @@
     assert (again.is_open(0.0), new.is_open(0.0)) == (False, True)
 
 
-def test_an_incarnation_that_outlives_the_entry_of_its_successor_is_used_again():
+def test_a_superseded_incarnation_is_used_again_when_its_successor_is_removed():
     registry = BackendRegistry()
     alive = registry.upsert(record("i-2", address="a:1"))
     registry.upsert(record("i-1", address="a:1"))
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("later", ["ready", "lapsed and listed again", "moved"])
-def test_no_entry_takes_back_that_a_back_end_leaves(later):
+def test_no_later_entry_revokes_that_a_back_end_leaves(later):
     registry = BackendRegistry()
     backend = registry.upsert(record())
     assert registry.on_leaving(backend, 3.0)
@@ -154,7 +154,7 @@
     assert again.leaving_since_s == 3.0
 
 
-def test_a_later_start_under_the_same_identity_is_not_bound_by_what_the_one_before_said():
+def test_a_later_start_under_the_same_incarnation_has_no_observations_of_the_earlier_one():
     registry = BackendRegistry()
     before = registry.upsert(record(started=1000, m=2))
     registry.on_leaving(before, 3.0)
@@ -168,8 +168,8 @@
     assert registry.backends_of_service("s") == [after]
 
 
-@pytest.mark.parametrize("is_listed", [True, False], ids=["listed", "its entry had gone"])
-def test_late_news_of_an_earlier_start_changes_nothing(is_listed):
+@pytest.mark.parametrize("is_listed", [True, False], ids=["listed", "entry was removed"])
+def test_a_late_entry_of_an_earlier_start_is_ignored(is_listed):
     registry = BackendRegistry()
     registry.on_leaving(registry.upsert(record(started=1000)), 3.0)
     if not is_listed:
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize(("first", "second"), [(None, None), (None, 1000), (1000, None), (1000, 1000)])
-def test_entries_that_do_not_tell_two_starts_apart_speak_of_one(first, second):
+def test_entries_are_of_the_same_start_unless_their_start_times_differ(first, second):
     registry = BackendRegistry()
     backend = registry.upsert(record(started=first))
     registry.on_leaving(backend, 3.0)
@@ -190,7 +190,7 @@
     assert backend.record.started_unix_ms == (first if second is None else second)
 
 
-def test_groups_of_back_ends_are_formed_anew_when_one_leaves():
+def test_a_service_gets_a_new_list_when_one_of_its_back_ends_leaves():
     registry = BackendRegistry()
     backend = registry.upsert(record())
     listed = registry.backends_of_service("s")
@@ -199,13 +199,13 @@
     assert registry.backends_of_service("s") == listed
 
 
-def test_another_incarnation_does_not_leave_with_the_one_before():
+def test_a_new_incarnation_at_the_address_of_a_leaving_one_does_not_leave():
     registry = BackendRegistry()
     registry.on_leaving(registry.upsert(record("i-1", address="a:1")), 3.0)
     assert registry.upsert(record("i-2", address="a:1")).is_open(4.0)
 
 
-def test_leaving_incarnations_are_not_remembered_without_bound():
+def test_the_number_of_remembered_leaving_incarnations_is_bounded():
     registry = BackendRegistry()
     for index in range(MAX_LEAVING_REMEMBERED + 50):
         registry.on_leaving(registry.upsert(record(f"i-{index}")), 3.0)
@@ -224,20 +224,20 @@
     assert [backend.is_open(now_s) for now_s in (9.9, 10.0)] == [False, True]
 
 
-def test_a_back_end_that_refuses_in_a_row_is_suspended_for_longer_each_time():
+def test_a_back_end_that_refuses_repeatedly_is_suspended_for_longer_each_time():
     backend = Backend(record())
     assert not backend.on_refused(10.0)
-    now_s, pauses_s = 10.0, []
+    now_s, durations_s = 10.0, []
     for _ in range(8):
         assert backend.on_refused(now_s)
-        assert not backend.on_refused(now_s + 0.01)  # Sent before the suspension, so it shows nothing new.
-        pauses_s.append(round(backend.suspended_until_s - now_s, 3))
+        assert not backend.on_refused(now_s + 0.01)  # Sent before the suspension, so not counted.
+        durations_s.append(round(backend.suspended_until_s - now_s, 3))
         now_s = backend.suspended_until_s
-    assert pauses_s == [0.2, 0.4, 0.8, 1.6, 1.6, 1.6, 1.6, 1.6]
-    assert pauses_s[0] == FIRST_REFUSAL_SUSPENSION_S and pauses_s[-1] == MAX_REFUSAL_SUSPENSION_S
+    assert durations_s == [0.2, 0.4, 0.8, 1.6, 1.6, 1.6, 1.6, 1.6]
+    assert durations_s[0] == FIRST_REFUSAL_SUSPENSION_S and durations_s[-1] == MAX_REFUSAL_SUSPENSION_S
 
 
-def test_a_request_that_is_taken_ends_a_row_of_refusals():
+def test_an_accepted_request_resets_the_count_of_refusals():
     backend = Backend(record())
     for now_s in range(10):
         assert not backend.on_refused(float(now_s))
@@ -254,7 +254,7 @@
     assert backend.suspended_until_s == 5.0 + FIRST_REFUSAL_SUSPENSION_S
 
 
-def test_ended_incarnations_are_not_remembered_without_bound():
+def test_the_number_of_remembered_superseded_incarnations_is_bounded():
     registry = BackendRegistry()
     for index in range(MAX_SUPERSEDED_REMEMBERED + 50):
         registry.upsert(record(f"i-{index}", address="a:1"))
@@ -262,8 +262,11 @@
     assert len(registry._superseded) == MAX_SUPERSEDED_REMEMBERED
 
 
-def test_a_changed_entry_costs_the_same_whatever_the_number_of_back_ends(monkeypatch):
-    """Those that start change theirs with each heartbeat. With 3,000 of them every change sorted all: 0.9 ms."""
+def test_the_cost_of_a_changed_entry_does_not_grow_with_the_number_of_back_ends(monkeypatch):
+    """Guards against sorting all back ends at each changed entry, which took 0.9 ms with 3,000 back ends.
+
+    The entries of starting back ends change with every heartbeat.
+    """
     registry = BackendRegistry()
     records = [
         BackendRecord(f"i-{number * 7919 % 100_003:06d}", f"svc{number % 3}", f"10.0.0.{number}:80", "z", 8)
@@ -283,7 +286,7 @@
         assert listed == sorted(record.incarnation for record in records if record.service == service)
 
 
-def test_an_entry_that_moves_to_another_service_and_address_is_found_there_only():
+def test_an_entry_that_moves_to_another_service_and_address_is_indexed_only_there():
     registry = BackendRegistry()
     record = BackendRecord("i-1", "old", "10.0.0.1:80", "z", 8)
     registry.upsert(record)
@@ -299,5 +302,5 @@
     assert not registry.get("i-1").superseded
 
 
-def test_back_ends_are_compared_by_identity_so_that_looking_one_up_in_a_list_costs_little():
+def test_back_ends_are_compared_by_identity_for_fast_membership_tests():
     assert Backend(record()) not in [Backend(record())]
--- a/tests/unit/routing/health/test_backoff.py
+++ b/tests/unit/routing/health/test_backoff.py
@@ -1,4 +1,4 @@
-"""A back end that asked for back-off gets nothing until its end, then one request, then all."""
+"""A back end that asked for back-off gets nothing until it ends, then one trial request, then all."""
 
 import math
 
@@ -13,7 +13,7 @@
     return [backoff.allows_request(now_s) for now_s in times_s]
 
 
-def test_nothing_is_sent_until_the_end():
+def test_nothing_is_sent_until_the_back_off_ends():
     backoff = RequestedBackoff()
     assert allowed(backoff, 0.0) == [True]
     assert backoff.on_requested(3.0, 10.0)
@@ -21,21 +21,21 @@
 
 
 @pytest.mark.parametrize(("second_s", "end_s"), [(0.5, 13.0), (4.0, 15.0)], ids=["shorter", "longer"])
-def test_the_longest_of_several_holds(second_s, end_s):
+def test_the_longest_of_several_back_offs_is_in_force(second_s, end_s):
     backoff = RequestedBackoff()
     backoff.on_requested(3.0, 10.0)
     assert not backoff.on_requested(second_s, 11.0)
     assert allowed(backoff, end_s - 0.1, end_s) == [False, True]
 
 
-def test_an_answer_to_an_older_request_does_not_end_it():
+def test_an_answer_to_an_older_request_does_not_end_a_back_off():
     backoff = RequestedBackoff()
     backoff.on_requested(3.0, 10.0)
     assert backoff.on_accepted(10.1) is None
     assert allowed(backoff, 12.9) == [False]
 
 
-def test_after_the_end_one_request_goes_first_and_the_others_once_it_is_accepted():
+def test_after_a_back_off_one_trial_request_is_sent_and_the_others_once_it_is_accepted():
     backoff = RequestedBackoff()
     backoff.on_requested(3.0, 10.0)
     backoff.on_sent(13.0)
@@ -47,7 +47,7 @@
     assert backoff.on_accepted(13.08) is None
 
 
-def test_a_first_request_that_is_refused_begins_another_back_off():
+def test_a_refused_trial_request_begins_another_back_off():
     backoff = RequestedBackoff()
     backoff.on_requested(3.0, 10.0)
     backoff.on_sent(13.0)
@@ -57,7 +57,7 @@
     assert backoff.on_accepted(16.2) == pytest.approx(6.2)
 
 
-def test_a_first_request_without_any_answer_is_followed_by_another_one():
+def test_a_trial_request_without_an_answer_is_followed_by_another_one():
     backoff = RequestedBackoff()
     backoff.on_requested(3.0, 10.0)
     backoff.on_sent(13.0)
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("seconds", [1e9, math.inf])
-def test_no_figure_removes_a_back_end_for_good(seconds):
+def test_no_requested_duration_excludes_a_back_end_for_good(seconds):
     backoff = RequestedBackoff()
     backoff.on_requested(seconds, 10.0)
     assert allowed(backoff, 9.0 + MAX_BACKOFF_S, 10.0 + MAX_BACKOFF_S) == [False, True]
@@ -77,7 +77,7 @@
 
 
 @given(st.lists(EVENTS, max_size=30))
-def test_whatever_happens_nothing_is_sent_before_the_end_of_any_back_off_and_something_soon_after(events):
+def test_for_any_events_nothing_is_sent_before_every_back_off_ends_and_a_request_soon_after(events):
     backoff, now_s, end_s = RequestedBackoff(), 0.0, 0.0
     for kind, pause_s, seconds in events:
         now_s += pause_s
--- a/tests/unit/routing/health/test_suspension.py
+++ b/tests/unit/routing/health/test_suspension.py
@@ -1,4 +1,4 @@
-"""For how long a back end is left out after failures."""
+"""For how long a back end is suspended after failures."""
 
 import pytest
 from hypothesis import given
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ("failures", "unreachable", "pause_s"),
+    ("failures", "unreachable", "duration_s"),
     [
         (1, True, 0.6),
         (2, True, 1.2),
@@ -27,19 +27,19 @@
         (5, False, 4.0),
     ],
 )
-def test_pauses_double_up_to_their_bound(failures, unreachable, pause_s):
+def test_suspensions_double_up_to_their_maximum(failures, unreachable, duration_s):
     until_s = failure_suspension_end_s(failures, unreachable, now_s=0.0)
-    assert until_s == (None if pause_s is None else pytest.approx(pause_s))
+    assert until_s == (None if duration_s is None else pytest.approx(duration_s))
 
 
 @given(st.integers(1, 10_000), st.booleans(), st.floats(0.0, 1e6))
-def test_a_pause_is_bounded_and_never_shorter_after_more_failures(failures, unreachable, now_s):
+def test_a_suspension_is_bounded_and_never_shorter_after_more_failures(failures, unreachable, now_s):
     until_s, later_s = (failure_suspension_end_s(count, unreachable, now_s) for count in (failures, failures + 1))
     if until_s is not None:
         assert now_s + FIRST_SUSPENSION_S <= until_s <= later_s <= now_s + MAX_SUSPENSION_S
 
 
-def test_an_answer_counts_for_a_while():
+def test_an_answer_is_recent_for_a_limited_time():
     assert has_answered_recently(10.0, 10.0 + RECENT_ANSWER_S - 0.01)
     assert not has_answered_recently(10.0, 10.0 + RECENT_ANSWER_S)
     assert not has_answered_recently(float("-inf"), 10.0)
--- a/tests/unit/routing/health/test_zone_suspicion.py
+++ b/tests/unit/routing/health/test_zone_suspicion.py
@@ -1,4 +1,4 @@
-"""A zone is suspected when several connections into it time out, and is back with its first sign of life."""
+"""A zone is suspected when connections to several of its back ends time out, and returns with its first answer."""
 
 import random
 
@@ -17,8 +17,8 @@
 )
 
 
-class Zones:
-    """Five back ends in each of two zones."""
+class TwoZones:
+    """Five back ends in each of two zones, and the suspicion of one node."""
 
     def __init__(self):
         self.listed = [
@@ -30,24 +30,24 @@
         self.returned = []
         self.suspicion.on_zone_returned = self.returned.append
 
-    def named(self, name):
+    def backend(self, name):
         return next(each for each in self.listed if each.incarnation == name)
 
     def time_out(self, *names, at_s=10.0):
-        return [self.suspicion.on_connect_timeout(self.named(name), self.listed, at_s) for name in names]
+        return [self.suspicion.on_connect_timeout(self.backend(name), self.listed, at_s) for name in names]
 
     def answer(self, name, at_s=10.0):
-        return self.suspicion.on_answer(self.named(name), self.listed, at_s)
+        return self.suspicion.on_answer(self.backend(name), self.listed, at_s)
 
     def probe(self, at_s):
         return [each.incarnation for each in self.suspicion.begin_probes(self.listed, at_s)]
 
-    def open(self, at_s):
+    def open_names(self, at_s):
         return [each.incarnation for each in self.listed if each.is_open(at_s)]
 
 
-A = [f"a{number}" for number in range(5)]
-B = [f"b{number}" for number in range(5)]
+ZONE_A_NAMES = [f"a{number}" for number in range(5)]
+ZONE_B_NAMES = [f"b{number}" for number in range(5)]
 
 
 @pytest.mark.parametrize(
@@ -62,79 +62,79 @@
         ("a0 a1 +a1 a1 a0 a2", True),
     ],
 )
-def test_three_back_ends_with_no_sign_of_life_between_make_their_zone_suspected(events, suspected):
-    zones = Zones()
-    news = []
+def test_a_zone_is_suspected_when_three_back_ends_time_out_without_an_answer_in_between(events, suspected):
+    zones = TwoZones()
+    changes = []
     for event in events.split():
-        news += [zones.answer(event[1:])] if event.startswith("+") else zones.time_out(event)
-    assert any(news) is suspected
-    assert zones.open(10.0) == (B if suspected else A + B)
+        changes += [zones.answer(event[1:])] if event.startswith("+") else zones.time_out(event)
+    assert any(changes) is suspected
+    assert zones.open_names(10.0) == (ZONE_B_NAMES if suspected else ZONE_A_NAMES + ZONE_B_NAMES)
 
 
-def test_those_that_timed_out_long_ago_do_not_count():
-    zones = Zones()
+def test_old_timeouts_are_not_counted():
+    zones = TwoZones()
     zones.time_out("a0", "a1")
     assert zones.time_out("a2", at_s=10.0 + TIMEOUT_WINDOW_S) == [False]
 
 
-def test_another_one_is_asked_before_the_zone_is_suspected_and_one_at_a_time_after():
-    zones = Zones()
+def test_another_back_end_is_probed_before_a_zone_is_suspected_and_one_at_a_time_afterwards():
+    zones = TwoZones()
     assert zones.probe(9.0) == []
     zones.time_out("a0")
     assert zones.probe(10.0) == []
     zones.time_out("a1")
     (third,) = zones.probe(10.0)
-    assert third in A[2:]
+    assert third in ZONE_A_NAMES[2:]
     assert zones.probe(10.0 + ZONE_PROBE_INTERVAL_S / 2) == []
     assert zones.time_out(third) == [True]
     probed = {name for step in range(1, 40) for name in zones.probe(10.0 + ZONE_PROBE_INTERVAL_S * step)}
-    assert probed == set(A)
+    assert probed == set(ZONE_A_NAMES)
 
 
-def test_a_back_end_that_is_leaving_is_not_asked():
-    zones = Zones()
+def test_a_leaving_back_end_is_not_probed():
+    zones = TwoZones()
     zones.time_out("a0", "a1", "a2")
-    for name in A[1:]:
-        zones.named(name).gone = True
+    for name in ZONE_A_NAMES[1:]:
+        zones.backend(name).gone = True
     assert {name for step in range(1, 9) for name in zones.probe(10.0 + step)} == {"a0"}
 
 
-def test_a_suspected_zone_gets_nothing_while_its_probes_time_out():
-    zones = Zones()
+def test_a_suspected_zone_stays_suspended_while_its_probes_time_out():
+    zones = TwoZones()
     zones.time_out("a0", "a1", "a2")
     for step in range(20):
         now_s = 10.0 + step * (ZONE_PROBE_INTERVAL_S + 0.12)
-        assert zones.open(now_s) == B
+        assert zones.open_names(now_s) == ZONE_B_NAMES
         for name in zones.probe(now_s):
             zones.time_out(name, at_s=now_s + 0.12)
-    assert zones.open(now_s + 0.12 + ZONE_SUSPENSION_S) == A + B
+    assert zones.open_names(now_s + 0.12 + ZONE_SUSPENSION_S) == ZONE_A_NAMES + ZONE_B_NAMES
 
 
-def test_all_come_back_with_the_first_answer_spread_over_a_short_time():
-    zones = Zones()
+def test_all_back_ends_return_after_the_first_answer_spread_over_a_short_time():
+    zones = TwoZones()
     for failure in range(5):
-        zones.named("a0").on_failure(10.0 + failure, unreachable=True)
+        zones.backend("a0").on_failure(10.0 + failure, unreachable=True)
     zones.time_out("a0", "a1", "a2", at_s=15.0)
-    assert zones.named("a0").suspended_until_s > 17.0
+    assert zones.backend("a0").suspended_until_s > 17.0
     assert zones.answer("a3", at_s=15.5)
-    assert zones.open(15.5) == ["a3", *B]
-    assert zones.open(15.5 + RETURN_SPREAD_S) == A + B
+    assert zones.open_names(15.5) == ["a3", *ZONE_B_NAMES]
+    assert zones.open_names(15.5 + RETURN_SPREAD_S) == ZONE_A_NAMES + ZONE_B_NAMES
     assert len({each.suspended_until_s for each in zones.listed[:5]}) == 5
     assert zones.returned == ["a"]
     assert not zones.answer("a3", at_s=15.6)
-    assert zones.named("a0").consecutive_failures == 0
+    assert zones.backend("a0").consecutive_failures == 0
 
 
-def test_back_ends_that_name_no_zone_are_not_taken_for_one():
-    zones = Zones()
+def test_back_ends_without_a_zone_are_not_treated_as_one_zone():
+    zones = TwoZones()
     zones.listed = [Backend(BackendRecord(f"n{number}", "svc", f"n{number}:1", "", 8)) for number in range(5)]
     assert zones.time_out("n0", "n1", "n2", "n3") == [False] * 4
-    assert len(zones.open(10.0)) == 5
+    assert len(zones.open_names(10.0)) == 5
 
 
-def test_a_suspected_zone_is_asked_at_one_that_has_not_timed_out_so_that_dead_ones_do_not_keep_it_suspected():
+def test_a_suspected_zone_is_probed_at_a_back_end_without_timeout_so_that_dead_ones_do_not_keep_it_suspected():
     for seed in range(20):
-        zones = Zones()
+        zones = TwoZones()
         zones.suspicion = ZoneSuspicion(random.Random(seed))
         zones.time_out("a0", "a1", "a2")
         (probed,) = zones.probe(10.0 + ZONE_PROBE_INTERVAL_S)
@@ -145,14 +145,14 @@
 
 
 @given(st.integers(0, 99), st.lists(st.tuples(EVENTS, st.integers(0, 9), st.floats(0.0, 1.0)), max_size=60))
-def test_probes_of_a_zone_keep_their_distance_and_a_sign_of_life_ends_every_suspension(seed, events):
-    zones = Zones()
+def test_probes_of_a_zone_keep_their_interval_and_an_answer_ends_every_suspension(seed, events):
+    zones = TwoZones()
     zones.suspicion = ZoneSuspicion(random.Random(seed))
     probed_s = {"a": float("-inf"), "b": float("-inf")}
     now_s = 10.0
-    for event, index, waited_s in events:
-        now_s += waited_s
-        name = (A + B)[index]
+    for event, index, delay_s in events:
+        now_s += delay_s
+        name = (ZONE_A_NAMES + ZONE_B_NAMES)[index]
         if event == "time out":
             zones.time_out(name, at_s=now_s)
         elif event == "answer":
--- a/tests/unit/routing/selection/fleet_strategies.py
+++ b/tests/unit/routing/selection/fleet_strategies.py
@@ -1,4 +1,4 @@
-"""Back ends in drawn states, for tests of decisions over them."""
+"""Hypothesis strategies for back ends in arbitrary states, weights targets and topologies."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @st.composite
 def backends(draw, min_size=0, max_size=12, all_open=False, has_peer_loads=None):
-    """Draw the listed back ends of a service, in the order of their identities."""
+    """Draw the listed back ends of a service, sorted by incarnation."""
     count = draw(st.integers(min_size, max_size))
     has_loads = draw(st.booleans()) if has_peer_loads is None else has_peer_loads
     return [_backend(draw, index, all_open, has_loads) for index in range(count)]
@@ -54,7 +54,7 @@
 
 @st.composite
 def weights_targets(draw):
-    """Draw which versions were named when, some of them found at the node's start."""
+    """Draw named weights versions with times, some of which are estimated since a node found them at its start."""
     targets = WeightsTargets()
     for version in sorted(draw(st.sets(st.integers(1, 4)))):
         targets.name(MODEL, version, draw(TIMES_S), estimated=draw(RARELY_TRUE))
@@ -63,6 +63,6 @@
 
 @st.composite
 def topologies(draw):
-    """Draw where a node stands, with or without regions."""
+    """Draw the zone of a node, with or without regions."""
     zone = draw(st.sampled_from(ZONES))
     return Topology(zone, REGIONS if draw(st.booleans()) else {})
--- a/tests/unit/routing/selection/test_call_choice.py
+++ b/tests/unit/routing/selection/test_call_choice.py
@@ -1,4 +1,4 @@
-"""Which back end a call goes to: the own zone, then the own region, then by free slots."""
+"""A call goes to the own zone, else to the own region, else to any back end by free slots."""
 
 import random
 
@@ -10,28 +10,28 @@
 
 
 @given(backends(min_size=1, all_open=True), topologies(), st.sampled_from([1, 3, 200]), st.integers(0, 1000))
-def test_a_candidate_is_chosen_and_the_own_zone_goes_first(candidates, topology, nodes, seed):
-    chosen = choose_backend_for_call(candidates, nodes, topology.zone, topology, random.Random(seed))
+def test_a_candidate_is_chosen_and_the_own_zone_is_preferred(candidates, topology, node_count, seed):
+    chosen = choose_backend_for_call(candidates, node_count, topology.zone, topology, random.Random(seed))
     assert chosen in candidates
-    near = [
+    in_own_zone = [
         each
         for each in candidates
-        if each.record.zone == topology.zone and 2 * each.fleet_load(nodes) < each.record.slots
+        if each.record.zone == topology.zone and 2 * each.fleet_load(node_count) < each.record.slots
     ]
-    if near:
-        assert chosen in near
-        assert chosen.fleet_load(nodes) == min(each.fleet_load(nodes) for each in near)
+    if in_own_zone:
+        assert chosen in in_own_zone
+        assert chosen.fleet_load(node_count) == min(each.fleet_load(node_count) for each in in_own_zone)
 
 
 @given(backends(min_size=1, all_open=True), topologies(), st.integers(0, 1000))
-def test_one_random_number_is_drawn_for_each_free_back_end_of_the_zone_or_one_in_all(candidates, topology, seed):
+def test_one_random_number_is_drawn_per_free_back_end_of_the_own_zone_or_a_single_one(candidates, topology, seed):
     rng, expected = random.Random(seed), random.Random(seed)
     choose_backend_for_call(candidates, 1, topology.zone, topology, rng)
-    near = [
+    in_own_zone = [
         each
         for each in candidates
         if each.record.zone == topology.zone and 2 * each.fleet_load(1) < each.record.slots
     ]
-    for _ in range(len(near) or 1):
+    for _ in range(len(in_own_zone) or 1):
         expected.random()
     assert rng.getstate() == expected.getstate()
--- a/tests/unit/routing/selection/test_candidates.py
+++ b/tests/unit/routing/selection/test_candidates.py
@@ -1,4 +1,4 @@
-"""Which back ends may get a request, and what is left as a last resort."""
+"""Which back ends may get a request, and which ones only as a last resort."""
 
 import dataclasses
 
@@ -32,15 +32,15 @@
 
 
 def requirement(named_s=None, version=2):
-    """Return what generations need ``named_s`` seconds after a version's naming."""
+    """Return the requirement of generations ``named_s`` seconds after a version was named."""
     targets = WeightsTargets()
     if named_s is not None:
         targets.name(MODEL, version, NOW_S - named_s)
     return WeightsRequirement(targets, MODEL, ALLOWANCE_S)
 
 
-def names(found):
-    return [each.incarnation for each in found]
+def names(backends_found):
+    return [each.incarnation for each in backends_found]
 
 
 def draining(name):
@@ -65,15 +65,15 @@
     return backend
 
 
-def tried(name):
-    """Return a back end whose back-off is over, and whose first request after it is in flight."""
+def on_trial(name):
+    """Return a back end whose back-off is over and whose trial request is in flight."""
     backend = backing_off(name, -0.1)
     backend.backoff.on_sent(NOW_S - 0.05)
     return backend
 
 
 JUST_LEAVING = engine("just leaving", leaving_since_s=NOW_S - LEAVING_GRACE_S + 0.01)
-RESTING, TRIED = backing_off("resting", 2.0), tried("tried")
+BACKING_OFF, ON_TRIAL = backing_off("backing off", 2.0), on_trial("on trial")
 
 
 @pytest.mark.parametrize(
@@ -83,10 +83,10 @@
         ((SUSPENDED, *LEAVING), ["suspended"]),
         (LEAVING, []),
         ((), []),
-        ((OPEN, RESTING, TRIED, JUST_LEAVING), ["open"]),
-        ((TRIED, RESTING, JUST_LEAVING), ["tried"]),
-        ((SUSPENDED, RESTING, JUST_LEAVING), ["suspended"]),
-        ((RESTING, JUST_LEAVING), []),
+        ((OPEN, BACKING_OFF, ON_TRIAL, JUST_LEAVING), ["open"]),
+        ((ON_TRIAL, BACKING_OFF, JUST_LEAVING), ["on trial"]),
+        ((SUSPENDED, BACKING_OFF, JUST_LEAVING), ["suspended"]),
+        ((BACKING_OFF, JUST_LEAVING), []),
         ((JUST_LEAVING, *LEAVING), ["just leaving"]),
         ((backing_off("both", 2.0, leaving_since_s=NOW_S),), []),
         ((backing_off("over", -0.5),), ["over"]),
@@ -94,19 +94,19 @@
     ids=[
         "open",
         "suspended as last resort",
-        "left never",
+        "leaving ones never",
         "none",
         "open before all others",
-        "tried as last resort",
+        "on trial as last resort",
         "suspended before leaving",
-        "back-off is kept though another leaves",
-        "all leave and still serve",
+        "back-off is respected although another leaves",
+        "all leave, one of them within the grace",
         "leaving and backing off",
         "back-off is over",
     ],
 )
 @pytest.mark.parametrize("is_generation", [False, True])
-def test_suspended_back_ends_are_the_last_resort_and_leaving_ones_get_nothing(listed, usable, is_generation):
+def test_suspended_back_ends_are_a_last_resort_and_leaving_ones_get_nothing(listed, usable, is_generation):
     assert names(usable_backends(listed, requirement() if is_generation else None, NOW_S)) == usable
 
 
@@ -129,7 +129,7 @@
     ],
     ids=["not due", "due", "last resort", "last moment", "too old", "loading", "loading only"],
 )
-def test_generations_go_to_engines_on_due_weights(listed, named_s, usable):
+def test_generations_go_to_engines_with_the_due_weights_version(listed, named_s, usable):
     assert names(usable_backends(listed, requirement(named_s), NOW_S)) == usable
 
 
@@ -147,21 +147,21 @@
         (([SUSPENDED], []), ["suspended"], ["suspended"]),
         (([], [*LEAVING]), [], []),
     ],
-    ids=["first", "first is suspended", "first is empty", "first leaves", "second is empty", "nothing left"],
+    ids=["first", "first is suspended", "first is empty", "first leaves", "second is empty", "all leave"],
 )
-def test_the_first_tier_that_can_serve_is_taken(tiers, listed, usable):
+def test_the_first_tier_that_can_serve_is_chosen(tiers, listed, usable):
     found = candidates_from_tiers(tiers, None, NOW_S)
     assert (names(found.listed), names(found.usable)) == (listed, usable)
 
 
 def test_a_generation_on_older_weights_begins_before_their_allowance_ends():
-    needed = requirement(named_s=1.0)
-    assert begin_by_s(OLD, needed) == NOW_S - 1.0 + ALLOWANCE_S - BEGIN_MARGIN_S
-    assert begin_by_s(NEW, needed) == float("inf")
+    weights_requirement = requirement(named_s=1.0)
+    assert begin_by_s(OLD, weights_requirement) == NOW_S - 1.0 + ALLOWANCE_S - BEGIN_MARGIN_S
+    assert begin_by_s(NEW, weights_requirement) == float("inf")
 
 
 @pytest.mark.parametrize(
-    ("unresponsive", "left"),
+    ("unresponsive", "expected"),
     [
         (set(), ["a", "b", "c"]),
         ({"z2"}, ["a"]),
@@ -170,41 +170,41 @@
         ({"z1", "z2", "z3"}, ["a", "b", "c"]),
     ],
 )
-def test_unresponsive_zones_are_left_out_and_the_own_zone_goes_first(unresponsive, left):
+def test_unresponsive_zones_are_excluded_and_then_the_own_zone_is_preferred(unresponsive, expected):
     listed = [engine("a", zone="z1"), engine("b", zone="z2"), engine("c", zone="z3")]
-    assert names(exclude_unresponsive_zones(listed, unresponsive, "z1")) == left
+    assert names(exclude_unresponsive_zones(listed, unresponsive, "z1")) == expected
 
 
 @given(backends(), weights_targets(), st.booleans())
-def test_what_is_usable_is_listed_and_stays(listed, targets, is_generation):
-    needed = WeightsRequirement(targets, MODEL, ALLOWANCE_S) if is_generation else None
-    usable = usable_backends(listed, needed, NOW_S)
+def test_usable_back_ends_are_listed_and_not_leaving(listed, targets, is_generation):
+    weights_requirement = WeightsRequirement(targets, MODEL, ALLOWANCE_S) if is_generation else None
+    usable = usable_backends(listed, weights_requirement, NOW_S)
     assert usable == [each for each in listed if each in usable]
     assert not any(each.backoff.is_in_force(NOW_S) for each in usable)
-    staying = [each for each in listed if not each.is_leaving(NOW_S)]
+    not_leaving = [each for each in listed if not each.is_leaving(NOW_S)]
     for each in usable:
-        assert each in staying or (not staying and each.leaving_since_s + LEAVING_GRACE_S > NOW_S)
+        assert each in not_leaving or (not not_leaving and each.leaving_since_s + LEAVING_GRACE_S > NOW_S)
     if any(each.is_open(NOW_S) for each in listed):
         assert all(each.is_open(NOW_S) for each in usable)
-    if not is_generation and staying:
+    if not is_generation and not_leaving:
         assert bool(usable) == (earliest_backoff_end_s(listed, NOW_S) is None)
 
 
 @pytest.mark.parametrize(
     ("listed", "ends_in_s"),
     [
-        ((RESTING, backing_off("later", 3.0), *LEAVING), 2.0),
-        ((RESTING, OPEN), None),
-        ((RESTING, SUSPENDED), None),
+        ((BACKING_OFF, backing_off("later", 3.0), *LEAVING), 2.0),
+        ((BACKING_OFF, OPEN), None),
+        ((BACKING_OFF, SUSPENDED), None),
         (LEAVING, None),
         ((), None),
     ],
 )
-def test_the_end_of_back_off_counts_where_all_that_stay_ask_for_it(listed, ends_in_s):
+def test_the_earliest_back_off_end_is_returned_if_all_that_do_not_leave_asked_for_one(listed, ends_in_s):
     ends_s = earliest_backoff_end_s(listed, NOW_S)
     assert (None if ends_s is None else ends_s - NOW_S) == pytest.approx(ends_in_s)
 
 
 @given(backends(min_size=1), st.sets(st.sampled_from(ZONES)), st.sampled_from(ZONES))
-def test_leaving_zones_out_never_leaves_nothing(listed, unresponsive, own_zone):
+def test_excluding_zones_never_excludes_all_back_ends(listed, unresponsive, own_zone):
     assert exclude_unresponsive_zones(listed, unresponsive, own_zone)
--- a/tests/unit/routing/selection/test_engine_choice.py
+++ b/tests/unit/routing/selection/test_engine_choice.py
@@ -1,4 +1,4 @@
-"""Every node places a shared prefix on the same engine, and passes over engines that have too much to do."""
+"""Every node chooses the same engine for a shared prefix, and skips overloaded engines."""
 
 from collections import Counter
 
@@ -28,13 +28,13 @@
     return tuple(PromptPart(identity, 100) for identity in identities)
 
 
-def test_the_order_of_the_list_does_not_matter():
+def test_the_choice_does_not_depend_on_the_order_of_the_engines():
     listed = engines(6)
     key = placement_key(parts("a", "b", "own"), "")
     assert choose_engine_by_key(listed, key) is choose_engine_by_key(listed[::-1], key)
 
 
-def test_losing_an_engine_moves_only_its_own_prefixes():
+def test_removing_an_engine_moves_only_its_own_prefixes():
     listed = engines(6)
     keys = [placement_key(parts(f"p{index}", "own"), "") for index in range(200)]
     before = [choose_engine_by_key(listed, key) for key in keys]
@@ -42,7 +42,7 @@
     assert all(new is old for old, new in zip(before, after, strict=True) if old is not listed[0])
 
 
-def test_a_loaded_home_is_passed_over_for_the_next_in_order():
+def test_a_loaded_home_is_skipped_for_the_next_engine_in_the_order():
     listed = engines(4)
     key = placement_key(parts("hot", "own"), "")
     home = choose_engine_by_key(listed, key)
@@ -54,12 +54,12 @@
     assert choose_engine_by_key(listed, key) is home
 
 
-def test_no_engine_gives_no_choice():
+def test_the_choice_is_none_without_engines():
     assert choose_engine_by_key([], 1) is None
 
 
 def test_requests_overflow_to_the_next_tier_when_the_first_is_full():
-    """Before, 109 short prompts of 2 s went to the one engine of their pool while others stood idle."""
+    """Guards against 109 short prompts of 2 s going to the only engine of their pool while others are idle."""
     first, second = engines(4)[:1], engines(4)[1:]
     assert choose_from_tiers((first, second), 1, node_count=7) is first[0]
     first[0].load = first[0].record.slots // 7 + 1
@@ -67,8 +67,11 @@
 
 
 @pytest.mark.parametrize("idle", [0, 1, 3, 10])
-def test_prompts_that_fit_nowhere_spread_over_the_engines(idle):
-    """Before, in a deployment of 59 engines, 23 prompts in 0.4 s went to the one engine that looked idle."""
+def test_prompts_spread_over_all_engines_if_too_few_have_headroom(idle):
+    """Guards against all nodes choosing the same engine by outdated loads.
+
+    In a deployment of 59 engines, 23 prompts within 0.4 s went to the only engine that looked idle.
+    """
     listed = engines(59)
     for number, engine in enumerate(listed):
         engine.peers_load = 70 + number % 7 if number >= idle else 1
@@ -78,7 +81,7 @@
     assert max(chosen.values()) <= 20
 
 
-def test_an_engine_with_far_more_than_the_others_gets_nothing_even_if_all_are_full():
+def test_an_engine_with_far_more_load_than_the_others_gets_nothing_even_if_all_are_full():
     listed = engines(9)
     for engine in listed:
         engine.peers_load = 70
@@ -87,11 +90,11 @@
     assert chosen == {each.incarnation for each in listed} - {"i-4"}
 
 
-def test_without_engines_there_is_no_choice():
+def test_the_choice_from_empty_tiers_is_none():
     assert choose_from_tiers(((), ()), 1, node_count=1) is None
 
 
-def test_the_load_of_other_nodes_counts():
+def test_the_load_of_other_nodes_is_counted():
     listed = engines(4)
     for engine in listed:
         engine.peers_load = 2
@@ -105,7 +108,10 @@
 
 
 def test_a_prefix_stays_at_its_home_in_a_large_fleet_while_the_home_has_headroom():
-    """Before, in a deployment of 79 nodes, one own request counted as 79 and moved the next one away."""
+    """Guards against the own load being multiplied by the number of nodes although their loads are known.
+
+    In a deployment of 79 nodes, one own request counted as 79, so the next one went to another engine.
+    """
     listed = engines(45)
     for engine in listed:
         engine.peers_load = 1
@@ -115,7 +121,7 @@
     assert choose_from_tiers((listed,), key, node_count=79) is home
 
 
-def test_a_long_prompt_goes_to_another_pool_rather_than_wait_beyond_its_objective():
+def test_a_long_prompt_goes_to_another_pool_if_it_would_miss_its_objective():
     listed = engines(6)
     pool = engine_pool(listed, PREFILL_CHUNK_TOKENS + 1)
     others = [each for each in listed if each not in pool]
@@ -127,7 +133,7 @@
     assert choose_from_tiers((pool, listed), 7, 1, load_limit=11.0) in pool
 
 
-def test_without_headroom_anywhere_an_engine_within_the_load_bound_is_taken():
+def test_an_engine_below_the_load_bound_is_chosen_if_none_has_headroom():
     listed = engines(6)
     for engine in listed:
         engine.load = 20
@@ -143,7 +149,7 @@
     st.integers(0, 2**64 - 1),
     st.sampled_from([100, 2000, PREFILL_CHUNK_TOKENS + 1, 20_000]),
 )
-def test_one_of_the_candidates_is_chosen_whatever_their_order(listed, data, topology, key, tokens):
+def test_the_choice_is_a_candidate_and_does_not_depend_on_their_order(listed, data, topology, key, tokens):
     candidates = data.draw(st.lists(st.sampled_from(listed), min_size=1, unique=True))
     fleet = FleetView(3, topology, PrefillRate())
     prompt = Prompt(key, tokens, tokens // 2, 0.4)
--- a/tests/unit/routing/selection/test_kv_store.py
+++ b/tests/unit/routing/selection/test_kv_store.py
@@ -1,4 +1,4 @@
-"""What a KV store holds: from events with gaps, through peers, over restarts."""
+"""The replica of a KV store's index follows events with gaps, pages from peers, and restarts of the store."""
 
 import random
 
@@ -42,34 +42,34 @@
         ([("s", "guide", 2520), ("s", "case", 1024)], False),
         ([("s", "guide", 2520), ("other", "case", 3780)], False),
     ],
-    ids=["nothing", "first part", "both", "without the last block", "evicted in part", "another scope"],
+    ids=["nothing", "first part", "both", "without the last block", "partly evicted", "another scope"],
 )
-def test_a_prefix_is_held_if_every_shared_part_is(held, expected):
+def test_a_prefix_is_held_if_every_shared_part_is_held(held, expected):
     contents = cache(*held)
     assert contents.holds("s", PROMPT[:-1]) is expected
     assert contents.begin_save_if_needed("s", PROMPT, 0.0) is not expected
 
 
-def test_one_save_at_a_time_and_another_if_it_was_not_told_of():
+def test_a_save_is_repeated_only_if_it_was_not_reported_in_time():
     contents = cache()
     answers = [contents.begin_save_if_needed("s", PROMPT, now_s) for now_s in (0.0, 0.1, EXPECTED_SAVE_S + 0.1)]
     assert answers == [True, False, True]
 
 
-def test_an_own_part_alone_is_saved_only_if_it_is_the_whole_prompt():
+def test_the_last_part_is_saved_only_if_it_is_the_whole_prompt():
     contents = cache(("s", "guide", 2520), ("s", "case", 3780))
     assert not contents.begin_save_if_needed("s", PROMPT, 0.0)
     assert contents.begin_save_if_needed("s", (OWN,), 0.0)
 
 
-def test_saves_under_way_do_not_grow_without_bound():
+def test_the_number_of_pending_saves_is_bounded():
     contents = cache()
     for index in range(3 * MAX_PENDING_SAVES):
         contents.begin_save_if_needed("s", (PromptPart(str(index), 100), OWN), index * 0.01)
     assert len(contents._saving_until_s) <= MAX_PENDING_SAVES
 
 
-def test_events_change_what_is_held():
+def test_events_add_and_evict_parts():
     contents = cache()
     contents.apply_page(page((11, "s", "guide", 2520), (12, "s", "case", 3780)))
     assert contents.holds("s", PROMPT[:-1])
@@ -84,7 +84,7 @@
     [page((12, "s", "case", 1)), page(last=12), page((11, "s", "case", 1), (13, "s", "case", 2))],
     ids=["first", "all", "between"],
 )
-def test_a_missing_event_is_noticed_until_everything_is_read(missing):
+def test_a_missing_event_is_a_gap_until_the_whole_index_is_read(missing):
     contents = cache()
     contents.apply_page(missing)
     assert contents.has_gaps
@@ -95,9 +95,9 @@
 @pytest.mark.parametrize(
     "old",
     [page((9, "s", "case", 0)), page((9, "s", "x", 5), whole=True), page((40, "s", "case", 0), epoch=6)],
-    ids=["events", "listing", "another life"],
+    ids=["events", "listing", "earlier epoch"],
 )
-def test_an_older_word_changes_nothing(old):
+def test_an_older_page_is_ignored(old):
     contents = cache(("s", "guide", 2520), ("s", "case", 3780))
     contents.apply_page(old)
     assert contents.holds("s", PROMPT[:-1])
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_peer_that_asks_now_and_then_has_the_same(seed):
+def test_a_peer_that_polls_at_random_times_has_the_same_index(seed):
     rng = random.Random(seed)
     first, peer, number = cache(), KvStoreContents(), 10
     for _ in range(rng.choice((50, MAX_JOURNAL_ENTRIES + 50))):
@@ -127,7 +127,7 @@
     assert peer._tokens_by_part == first._tokens_by_part
 
 
-def test_a_peer_that_knows_more_is_not_set_back():
+def test_a_peer_with_a_newer_position_is_not_reverted():
     ahead, behind = cache(("s", "guide", 2520), ("s", "case", 3780), last=30), cache(last=10)
     ahead.apply_page(behind.changes_since(ahead.position))
     assert ahead.holds("s", PROMPT[:-1])
@@ -139,14 +139,14 @@
         ((), 0),
         ((("a", 100),), 100),
         ((("a", 100), ("b", 200)), 300),
-        # The last block may be missing, more may not; what follows a gap cannot be used.
+        # The incomplete last block of a part may be missing. Tokens after a larger gap cannot be used.
         ((("a", 96), ("b", 200)), 296),
         ((("a", 48), ("b", 200)), 48),
         ((("b", 200),), 0),
     ],
 )
-def test_what_is_kept_of_a_prompt_counts_from_its_beginning(entries, tokens):
+def test_held_tokens_are_counted_from_the_beginning_of_the_prompt_to_the_first_gap(entries, tokens):
     contents = KvStoreContents()
-    contents.apply_page(page(*((1, "s", part, kept_now) for part, kept_now in entries), last=1, whole=True))
+    contents.apply_page(page(*((1, "s", part, held) for part, held in entries), last=1, whole=True))
     parts = (PromptPart("a", 100), PromptPart("b", 200))
     assert (contents.held_prefix_tokens("s", parts), contents.held_prefix_tokens("other", parts)) == (tokens, 0)
--- a/tests/unit/routing/selection/test_kv_store_choice.py
+++ b/tests/unit/routing/selection/test_kv_store_choice.py
@@ -1,4 +1,4 @@
-"""Which KV store parts come from and go to."""
+"""From which KV store the parts of a prompt are fetched, and to which one they are saved."""
 
 import pytest
 
@@ -37,7 +37,7 @@
     return {home_store_address(stores(topology=topology), key, engine_zone) for key in range(50)}
 
 
-def test_homes_are_stores_of_the_engines_region():
+def test_home_stores_are_in_the_region_of_the_engine():
     assert homes(REGIONS, "z1") == homes(REGIONS, "z2") == {"s1", "s2"}
     assert homes(REGIONS, "z3") == {"s3"}
     assert homes(ONE_REGION, "z1") == set(ZONES)
@@ -57,30 +57,30 @@
         ({"s1": 900, "s3": 2000}, "s3"),
         ({"s2": 2000}, "s1"),
     ],
-    ids=["unknown", "nowhere", "both", "elsewhere", "nearly", "less", "over half", "under half", "home unknown"],
+    ids=["unknown", "nowhere", "both", "elsewhere", "nearly", "less", "over half", "under half", "home not read"],
 )
-def test_parts_come_from_the_store_that_holds_most_weighed_by_distance(held, source):
-    known = stores({address: holding(tokens) for address, tokens in held.items()})
-    assert best_source_address(known, "s1", "m:1", PARTS, "z1") == source
+def test_parts_are_fetched_from_the_store_with_most_tokens_weighted_by_distance(held, source):
+    kv_stores = stores({address: holding(tokens) for address, tokens in held.items()})
+    assert best_source_address(kv_stores, "s1", "m:1", PARTS, "z1") == source
 
 
 @pytest.mark.parametrize(
     ("has_pending_weights_load", "age_s", "saves"),
     [(False, MAX_CONFIRMATION_AGE_S, True), (True, 0.0, False), (False, MAX_CONFIRMATION_AGE_S + 0.01, False)],
 )
-def test_nothing_is_saved_that_may_be_made_by_two_versions_of_weights(has_pending_weights_load, age_s, saves):
+def test_nothing_is_saved_that_may_mix_two_weights_versions(has_pending_weights_load, age_s, saves):
     assert may_save(has_pending_weights_load, 100.0, 100.0 + age_s) is saves
 
 
-def test_a_store_that_lacks_parts_is_sent_them_once_and_one_that_is_unknown_each_time():
-    known = stores({"s1": holding(), "s2": holding(2000)})
-    assert [begin_store_save_if_needed(known, "s1", "m:1", PARTS, at_s) for at_s in (0.0, 0.1)] == [True, False]
-    assert not begin_store_save_if_needed(known, "s2", "m:1", PARTS, 0.0)
-    assert [begin_store_save_if_needed(known, "s3", "m:1", PARTS, at_s) for at_s in (0.0, 0.1)] == [True, True]
+def test_missing_parts_are_saved_once_or_each_time_if_the_index_was_not_read():
+    kv_stores = stores({"s1": holding(), "s2": holding(2000)})
+    assert [begin_store_save_if_needed(kv_stores, "s1", "m:1", PARTS, at_s) for at_s in (0.0, 0.1)] == [True, False]
+    assert not begin_store_save_if_needed(kv_stores, "s2", "m:1", PARTS, 0.0)
+    assert [begin_store_save_if_needed(kv_stores, "s3", "m:1", PARTS, at_s) for at_s in (0.0, 0.1)] == [True, True]
 
 
-def test_only_a_store_that_was_seen_to_fail_is_unreachable():
+def test_only_a_store_that_failed_to_answer_is_unreachable():
     silent = holding()
     silent.reachable = False
-    known = stores({"s1": silent, "s2": holding()})
-    assert [is_store_unreachable(known, address) for address in ZONES] == [True, False, False]
+    kv_stores = stores({"s1": silent, "s2": holding()})
+    assert [is_store_unreachable(kv_stores, address) for address in ZONES] == [True, False, False]
--- a/tests/unit/routing/selection/test_prefill_rate.py
+++ b/tests/unit/routing/selection/test_prefill_rate.py
@@ -1,4 +1,4 @@
-"""The load up to which a long prompt begins in time follows from what first tokens took."""
+"""The load limit of long prompts follows from the observed times to the first token."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize("seconds_per_unit", [0.02, 0.08, 0.3])
-def test_the_rate_is_learned_whatever_the_load(seconds_per_unit):
+def test_the_rate_converges_at_any_load(seconds_per_unit):
     rate = PrefillRate()
     for index in range(100):
         load = 3 + index % 12
@@ -15,7 +15,7 @@
     assert rate.load_limit(0.6) == pytest.approx(0.6 / seconds_per_unit, rel=0.02)
 
 
-def test_one_observation_changes_little_and_none_lifts_the_limit():
+def test_one_observation_has_a_small_effect_and_the_limit_stays_finite():
     rate = PrefillRate()
     rate.observe(3, 30.0)
     assert rate.seconds_per_unit < 20 * DEFAULT_SECONDS_PER_UNIT
--- a/tests/unit/routing/selection/test_prefix_home.py
+++ b/tests/unit/routing/selection/test_prefix_home.py
@@ -1,4 +1,4 @@
-"""Prompts with the same shared parts have the same home, short prompts other engines than long ones."""
+"""Prompts with the same shared parts have the same home, and short prompts use other engines than long ones."""
 
 import pytest
 
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(("count", "short"), [(1, 1), (2, 2), (3, 1), (6, 2), (9, 3)])
-def test_pools_are_apart_and_cover_every_engine(count, short):
+def test_pools_are_disjoint_and_cover_every_engine(count, short):
     listed = engines(count)
     for_short = {each.incarnation for each in engine_pool(listed, PREFILL_CHUNK_TOKENS)}
     for_long = {each.incarnation for each in engine_pool(listed, PREFILL_CHUNK_TOKENS + 1)}
@@ -40,5 +40,5 @@
 @pytest.mark.parametrize(
     ("tokens", "load"), [(0, 1), (PREFILL_CHUNK_TOKENS - 1, 1), (PREFILL_CHUNK_TOKENS, 2), (40_000, 10)]
 )
-def test_long_prompts_count_several_times(tokens, load):
+def test_a_long_prompt_counts_as_several_load_units(tokens, load):
     assert request_load(tokens) == load
--- a/tests/unit/routing/selection/test_split.py
+++ b/tests/unit/routing/selection/test_split.py
@@ -1,4 +1,4 @@
-"""Weighted shares hold over short runs and on any number of nodes together."""
+"""The shares of a weighted split hold over few requests and over any number of nodes together."""
 
 from collections import Counter
 
@@ -20,14 +20,14 @@
     offset=st.floats(0.0, 0.999),
     requests=st.integers(1, 300),
 )
-def test_every_share_stays_within_one_and_a_half_requests(weights, offset, requests):
+def test_every_share_deviates_by_at_most_one_and_a_half_requests(weights, offset, requests):
     split, route = WeightedSplit(), split_route(*weights)
     counts = Counter(split.choose(route, offset) for _ in range(requests))
     for index, weight in enumerate(weights):
         assert abs(counts[f"s{index}"] - requests * weight / sum(weights)) <= 1.5
 
 
-def test_many_nodes_with_few_requests_each_keep_the_shares_together():
+def test_many_nodes_with_few_requests_each_keep_the_shares_in_total():
     route = split_route(90, 10)
     counts: Counter[str] = Counter()
     for node in range(20):
@@ -45,8 +45,8 @@
 
 @pytest.mark.parametrize("weights", [(90, 10), (10, 90), (50, 30, 20), (20, 30, 50), (70, 20, 10), (1, 1)])
 @pytest.mark.parametrize("requests", [1, 2, 3])
-def test_first_requests_of_many_nodes_keep_the_shares(weights, requests):
-    """After a restart or a change of services all nodes begin, and each serves few requests at first."""
+def test_the_first_requests_of_many_nodes_keep_the_shares(weights, requests):
+    """After a restart or a change of services, all nodes start a round and each serves few requests at first."""
     counts: Counter[str] = Counter()
     for node in range(200):
         split = WeightedSplit()
