--- a/src/wallwell/routing/health/backend.py
+++ b/src/wallwell/routing/health/backend.py
@@ -56,8 +56,8 @@
     expected_load: ExpectedWeightsLoad | None = None
     gone: bool = False
     leaving_since_s: float | None = None
-    """When its entry or one of its answers first announced that it leaves. Never reset: a back end leaves until it
-    ends, and an entry without the announcement is older."""
+    """When its entry or one of its answers first announced that the back end is leaving, that is, about to end.
+    Never reset: leaving ends only with the back end, and an entry without the announcement is older."""
     backoff: RequestedBackoff = field(default_factory=RequestedBackoff)
     request_limit: RequestLimit | None = None
     """Limit of requests that the back end has stated; None if it never stated one."""
@@ -82,7 +82,7 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether it currently states a limit of requests from all nodes together."""
+        """Whether the back end currently states a limit of requests from all nodes together."""
         return self.request_limit is not None and self.request_limit.per_s != NO_LIMIT_PER_S
 
     def fleet_load(self, node_count: int = 1) -> int:
@@ -96,18 +96,18 @@
         return self.backoff.allows_request(now_s)
 
     def is_serving(self, now_s: float) -> bool:
-        """Whether requests to it can be expected to be served: it is open, and not on trial after a suspension for
+        """Whether the back end is expected to serve requests: it is open, and not on trial after a suspension for
         failures."""
         is_on_trial = self.consecutive_failures > 0 and now_s < self.suspended_until_s + suspension.RECOVERY_TRIAL_S
         return self.is_open(now_s) and not is_on_trial
 
     @property
     def has_announced_leave(self) -> bool:
-        """Whether it has announced, in its entry or its answers, that it leaves."""
+        """Whether the back end has announced, in its entry or its answers, that it is leaving."""
         return self.record.draining or self.leaving_since_s is not None
 
     def is_leaving(self, now_s: float) -> bool:
-        """Whether it has announced that it leaves, or is gone or superseded."""
+        """Whether the back end has announced that it is leaving, or is gone, superseded or lapsed."""
         return self.has_announced_leave or self._has_ended(now_s)
 
     def _has_ended(self, now_s: float) -> bool:
@@ -116,18 +116,18 @@
 
     @property
     def is_replaced(self) -> bool:
-        """Whether it is no longer listed and a later start has its address or identity, so that nothing answers on
-        its connections."""
+        """Whether the back end is no longer listed and a later start has its address or identity, so that nothing
+        answers on its connections."""
         return self.gone and self.superseded
 
     def is_within_leaving_grace(self, grace_s: float, now_s: float) -> bool:
-        """Whether it has not ended, and this node learned less than ``grace_s`` ago that it leaves."""
+        """Whether the back end has not ended, and has been known to be leaving for less than ``grace_s``."""
         if self.leaving_since_s is None or self._has_ended(now_s):
             return False
         return now_s < self.leaving_since_s + grace_s
 
     def is_loading_weights(self, now_s: float) -> bool:
-        """Whether it is believed to be loading weights that it was ordered to load."""
+        """Whether the engine is believed to be loading weights that it was ordered to load."""
         return (
             self.expected_load is not None
             and now_s >= self.expected_load.from_s
@@ -146,7 +146,7 @@
         self.expected_load = load
 
     def has_pending_weights_load(self, now_s: float) -> bool:
-        """Whether it is believed to be loading weights or to be about to get the order."""
+        """Whether the engine is believed to be loading weights or to be about to get the order."""
         load = self.expected_load
         return load is not None and now_s < load.until_s and self.believed_version(load.model) < load.version
 
@@ -156,7 +156,7 @@
         self.last_success_s = now_s
 
     def is_answering(self, now_s: float) -> bool:
-        """Whether it has answered this node recently, so that a silence only shows that it is busy."""
+        """Whether the back end has answered this node recently, so that a silence only shows that it is busy."""
         return suspension.has_answered_recently(self.last_success_s, now_s)
 
     def on_failure(self, now_s: float, unreachable: bool) -> bool:
--- a/src/wallwell/routing/health/backend_registry.py
+++ b/src/wallwell/routing/health/backend_registry.py
@@ -31,8 +31,8 @@
         self._superseded: dict[str, None] = {}
         """Superseded incarnations, oldest first; their entries may lapse and be listed again."""
         self._leaving_since_s: dict[tuple[str, int | None], float] = {}
-        """When this node learned that a start of a back end leaves, oldest first. Kept after the entry is removed:
-        an entry that lapsed while the store was unavailable may be listed again without the announcement."""
+        """When this node learned that a start of a back end is leaving, oldest first. Kept after the entry is
+        removed: one that lapsed while the store was unavailable may be listed again without the announcement."""
         self._gone: dict[tuple[str, int | None], None] = {}
         """Starts of back ends that were removed and not listed again, oldest first."""
         self._by_incarnation: dict[str, Backend] = {}
@@ -98,7 +98,7 @@
             self._remove_from_indices(earlier)
             earlier.gone = earlier.superseded = True
             if record.draining and leaving_since_s is None:
-                # Its answers may have announced that it leaves while the entry was still that of the earlier start.
+                # Its answers may have announced that it is leaving while the listed entry was the earlier start's.
                 leaving_since_s = earlier.leaving_since_s
         is_superseded = record.incarnation in self._superseded
         backend = Backend(record, superseded=is_superseded, leaving_since_s=leaving_since_s)
@@ -109,7 +109,7 @@
         return backend
 
     def on_leaving(self, backend: Backend, now_s: float) -> bool:
-        """Record that a back end announced, by entry or answer, that it leaves; returns False if known before.
+        """Record that a back end announced, by entry or answer, that it is leaving; False if known before.
 
         Its service gets a new list, as after any change of an entry, so that rollouts form their groups again.
         """
--- a/src/wallwell/routing/selection/candidates.py
+++ b/src/wallwell/routing/selection/candidates.py
@@ -34,10 +34,10 @@
 
 A request begins some time after it was sent, and nodes learn of a named version at different times."""
 LEAVING_GRACE_S = 1.0
-"""Seconds, from when this node learned that a back end leaves, for which it is used if all others leave too.
+"""Seconds for which a back end known to be leaving is still used if all others are leaving as well.
 
-Half of the shortest time in use (2 s) after which a leaving back end must get nothing more: it may have announced
-its leaving to the store before this node learned of it."""
+Half of 2 s, the shortest time in any deployment after which a leaving back end must get nothing more. The back end
+may have told the store that it is leaving before this node learned of it."""
 
 
 class Candidates(NamedTuple):
--- a/src/wallwell/routing/selection/kv_store_choice.py
+++ b/src/wallwell/routing/selection/kv_store_choice.py
@@ -28,13 +28,13 @@
 MIN_FETCH_TOKENS = 1024
 """Shared tokens from which a prompt's parts are fetched even while the fleet misses its objectives.
 
-Engines prefill fewer tokens than this in about 25 ms (38 to 57 tokens per ms, depending on the deployment), while a
-transfer may queue for 2 s: so long waited prompts of 800 tokens, in a deployment of 195 nodes, to transfer 200."""
+Engines prefill fewer tokens than this in about 25 ms (38 to 57 tokens per ms, depending on the deployment), but a
+transfer may queue for 2 s. In a deployment of 195 nodes, prompts of 800 tokens queued so long to transfer 200."""
 DISTANCE_WEIGHTS = {Distance.SAME_ZONE: 1.0, Distance.SAME_REGION: 0.95, Distance.OTHER_REGION: 0.5}
 """Weight of a held token by the distance between store and engine.
 
 A transfer takes twice as long from another zone and ten times as long from another region. The latter takes longer
-than a second prefill, but unlike that it costs no engine time."""
+than a second prefill but, unlike a prefill, costs no engine time."""
 
 
 class KvStores(NamedTuple):
