--- a/src/wallwell/cluster/fleet_load.py
+++ b/src/wallwell/cluster/fleet_load.py
@@ -52,14 +52,14 @@
         self.stated_limits.on_reported(others.stated_limits, now_s)
         if others.configuration is not msgspec.UNSET:
             self.peers_configuration = max(self.peers_configuration, others.configuration)
-        self.backends.set_peer_loads(others.requests)
+        self.backends.on_peer_loads(others.requests)
         self.demand.peers_generations = others.generations
         self.first_token_delays.peers = others.delays
         self.limits.learn_fleet(others.asked, others.nodes, nodes)
 
     def forget(self, nodes: int) -> None:
         """Drop what other nodes reported: it is too old."""
-        self.backends.clear_peer_loads()
+        self.backends.forget_peer_loads()
         self.demand.peers_generations = None
         self.first_token_delays.peers = Delays()
         self.limits.forget_fleet(nodes)
--- a/src/wallwell/routing/health/backend_registry.py
+++ b/src/wallwell/routing/health/backend_registry.py
@@ -58,12 +58,12 @@
         """Return this node's load on each back end by incarnation, in load units, without idle ones."""
         return {incarnation: each.load for incarnation, each in self._by_incarnation.items() if each.load}
 
-    def set_peer_loads(self, loads: Mapping[str, int]) -> None:
+    def on_peer_loads(self, loads: Mapping[str, int]) -> None:
         """Set the load of all other nodes by incarnation; a back end that is not named has none."""
         for incarnation, backend in self._by_incarnation.items():
             backend.peers_load = loads.get(incarnation, 0)
 
-    def clear_peer_loads(self) -> None:
+    def forget_peer_loads(self) -> None:
         """Discard the loads of other nodes because the last report is too old."""
         for backend in self._by_incarnation.values():
             backend.peers_load = None
--- a/src/wallwell/routing/health/zone_suspicion.py
+++ b/src/wallwell/routing/health/zone_suspicion.py
@@ -37,7 +37,7 @@
 ZONE_SUSPENSION_S = 1.5
 """Seconds for which the back ends of a suspected zone are suspended after a timeout; longer than until the next
 probe times out."""
-RETURN_SPREAD_S = 0.3
+RETURN_JITTER_S = 0.3
 """Seconds over which the return of a zone's back ends is spread, so that requests do not all go there while the
 zone looks idle. A node gets the loads from other nodes after 0.05 to 0.2 s."""
 
@@ -111,7 +111,7 @@
             return False
         for each in listed:
             if each.record.zone == zone_name:
-                delay_s = 0.0 if each is backend else self._rng.uniform(0.0, RETURN_SPREAD_S)
+                delay_s = 0.0 if each is backend else self._rng.uniform(0.0, RETURN_JITTER_S)
                 each.reset_failures(now_s + delay_s)
         self.on_zone_returned(zone_name)
         return True
--- a/src/wallwell/routing/selection/call_choice.py
+++ b/src/wallwell/routing/selection/call_choice.py
@@ -17,7 +17,7 @@
 from wallwell.deployment.topology import Topology
 from wallwell.routing.health.backend import Backend
 
-FREE_SLOTS_FLOOR = 0.25
+MIN_COUNTED_FREE_SLOTS = 0.25
 """Free slots assumed of a full back end, so that one is chosen even if all are full.
 
 Next to a back end with one free slot, a full one gets one call in 17."""
@@ -42,7 +42,9 @@
     if in_own_zone:
         return min(in_own_zone, key=lambda each: (each.fleet_load(node_count), rng.random()))
     candidates = _prefer_own_region(candidates, node_count, topology)
-    free_slots = [max(FREE_SLOTS_FLOOR, each.record.slots - each.fleet_load(node_count)) for each in candidates]
+    free_slots = [
+        max(MIN_COUNTED_FREE_SLOTS, each.record.slots - each.fleet_load(node_count)) for each in candidates
+    ]
     return rng.choices(candidates, [slots * slots for slots in free_slots])[0]
 
 
--- a/src/wallwell/routing/selection/engine_choice.py
+++ b/src/wallwell/routing/selection/engine_choice.py
@@ -76,30 +76,34 @@
     prompt: Prompt, candidates: Sequence[Backend], listed: Sequence[Backend], fleet: FleetView
 ) -> Backend:
     """Return the engine of a generation's next attempt. ``candidates`` must not be empty."""
-    topology, node_count, key = fleet.topology, fleet.node_count, prompt.placement_key
+    topology, node_count, placement_key = fleet.topology, fleet.node_count, prompt.placement_key
     pool = engine_pool_of_all_regions(listed, prompt.tokens, topology)
     preferred: Sequence[Backend] = candidates
     others: Sequence[Backend] = ()
     if topology.has_regions:
         preferred, others = _split_by_region(
-            candidates, prefill_region(key, prompt.shared_tokens, pool, topology), topology
+            candidates, prefill_region(placement_key, prompt.shared_tokens, pool, topology), topology
         )
     preferred_limit, other_limit = _load_limits(prompt, fleet.prefill_rate)
     if not (preferred and others):
         chosen = choose_from_tiers(
             _tiers_for_length(preferred or others, pool),
-            key,
+            placement_key,
             node_count,
             preferred_limit if preferred else other_limit,
         )
     else:
         chosen = (
-            find_engine_with_headroom(_tiers_for_length(preferred, pool), key, node_count, preferred_limit)
+            find_engine_with_headroom(
+                _tiers_for_length(preferred, pool), placement_key, node_count, preferred_limit
+            )
             or find_engine_with_headroom(
-                _tiers_for_length(others, pool), key, node_count, other_limit, OTHER_REGION_SLOTS_FRACTION
+                _tiers_for_length(others, pool), placement_key, node_count, other_limit, OTHER_REGION_SLOTS_FRACTION
             )
             or choose_engine_by_key(
-                others if should_switch_region(preferred, others, key, node_count) else preferred, key, node_count
+                others if should_switch_region(preferred, others, placement_key, node_count) else preferred,
+                placement_key,
+                node_count,
             )
         )
     assert chosen is not None
@@ -138,20 +142,20 @@
     return [each for each in engines if each in pool_members], engines
 
 
-def choose_engine_by_key(engines: Sequence[Backend], key: int, node_count: int = 1) -> Backend | None:
+def choose_engine_by_key(engines: Sequence[Backend], placement_key: int, node_count: int = 1) -> Backend | None:
     """Return the first engine in the key's order that is below its load bound; None if there are no engines."""
     if not engines:
         return None
     loads = {engine.incarnation: engine.fleet_load(node_count) for engine in engines}
     mean_load = sum(loads.values()) / len(engines)
     load_bound = max(MIN_LOAD_BOUND, LOAD_BOUND_FACTOR * (mean_load + 1))
-    ordered = sorted(engines, key=lambda engine: rendezvous_score(engine.incarnation, key), reverse=True)
+    ordered = sorted(engines, key=lambda engine: rendezvous_score(engine.incarnation, placement_key), reverse=True)
     return next((engine for engine in ordered if loads[engine.incarnation] < load_bound), ordered[0])
 
 
 def find_engine_with_headroom(
     tiers: Sequence[Sequence[Backend]],
-    key: int,
+    placement_key: int,
     node_count: int,
     load_limit: float = math.inf,
     slots_fraction: float = 1.0,
@@ -169,24 +173,24 @@
             if each.fleet_load(node_count) < min(load_limit, slots_fraction * each.record.slots)
         ]
         if with_headroom and len(with_headroom) * TIER_HEADROOM_DIVISOR >= len(tier):
-            return choose_engine_by_key(with_headroom, key, node_count)
+            return choose_engine_by_key(with_headroom, placement_key, node_count)
     return None
 
 
 def choose_from_tiers(
-    tiers: Sequence[Sequence[Backend]], key: int, node_count: int, load_limit: float = math.inf
+    tiers: Sequence[Sequence[Backend]], placement_key: int, node_count: int, load_limit: float = math.inf
 ) -> Backend | None:
     """Return an engine of the first tier in which enough engines have headroom.
 
     If there is no such tier, return one of the last tier by the key; None if the last tier is empty.
     """
-    return find_engine_with_headroom(tiers, key, node_count, load_limit) or choose_engine_by_key(
-        tiers[-1], key, node_count
+    return find_engine_with_headroom(tiers, placement_key, node_count, load_limit) or choose_engine_by_key(
+        tiers[-1], placement_key, node_count
     )
 
 
 def should_switch_region(
-    preferred: Sequence[Backend], others: Sequence[Backend], key: int, node_count: int = 1
+    preferred: Sequence[Backend], others: Sequence[Backend], placement_key: int, node_count: int = 1
 ) -> bool:
     """Whether a prompt leaves its preferred region while no region has headroom.
 
@@ -198,7 +202,10 @@
     excess = preferred_load - other_load * REGION_SWITCH_LOAD_RATIO
     if excess <= 0:
         return False
-    return rendezvous_score("another region", key) < excess / (preferred_load + other_load) * RENDEZVOUS_SCORE_COUNT
+    return (
+        rendezvous_score("another region", placement_key)
+        < excess / (preferred_load + other_load) * RENDEZVOUS_SCORE_COUNT
+    )
 
 
 def _mean_load(engines: Sequence[Backend], node_count: int) -> float:
--- a/src/wallwell/routing/selection/prefix_home.py
+++ b/src/wallwell/routing/selection/prefix_home.py
@@ -78,7 +78,7 @@
     return [engine for engine in alternating if engine is not None]
 
 
-def prefill_region(key: int, shared_tokens: int, pool: Sequence[Backend], topology: Topology) -> str:
+def prefill_region(placement_key: int, shared_tokens: int, pool: Sequence[Backend], topology: Topology) -> str:
     """Return the region preferred for a prompt: the node's own, or its home's if it shares many tokens.
 
     Prefilling many tokens again takes longer than the round trip to the other region, and the stores of each region
@@ -86,7 +86,7 @@
     """
     if shared_tokens < MIN_SHARED_TOKENS_FOR_COMMON_HOME or not pool:
         return topology.own_region
-    home_engine = max(pool, key=lambda engine: rendezvous_score(engine.incarnation, key))
+    home_engine = max(pool, key=lambda engine: rendezvous_score(engine.incarnation, placement_key))
     return topology.region_of(home_engine.record.zone)
 
 
--- a/tests/unit/rollout/fleet.py
+++ b/tests/unit/rollout/fleet.py
@@ -134,7 +134,7 @@
             name = f"{service}-{software}-{index}"
             self.book.on_listed(service, software, boot_time_s(), at_start)
             self.state.backends.upsert(BackendRecord(name, service, f"{name}:80", "z", 8, software=software))
-            self.state.backends.set_peer_loads({})
+            self.state.backends.on_peer_loads({})
 
     def take_rows(self, rows, era=0):
         if self.cut:
--- a/tests/unit/routing/health/test_zone_suspicion.py
+++ b/tests/unit/routing/health/test_zone_suspicion.py
@@ -9,7 +9,7 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.health.zone_suspicion import (
-    RETURN_SPREAD_S,
+    RETURN_JITTER_S,
     TIMEOUT_WINDOW_S,
     ZONE_PROBE_INTERVAL_S,
     ZONE_SUSPENSION_S,
@@ -118,7 +118,7 @@
     assert zones.backend("a0").suspended_until_s > 17.0
     assert zones.answer("a3", at_s=15.5)
     assert zones.open_names(15.5) == ["a3", *ZONE_B_NAMES]
-    assert zones.open_names(15.5 + RETURN_SPREAD_S) == ZONE_A_NAMES + ZONE_B_NAMES
+    assert zones.open_names(15.5 + RETURN_JITTER_S) == ZONE_A_NAMES + ZONE_B_NAMES
     assert len({each.suspended_until_s for each in zones.listed[:5]}) == 5
     assert zones.returned == ["a"]
     assert not zones.answer("a3", at_s=15.6)
@@ -158,7 +158,7 @@
         elif event == "answer":
             zones.answer(name, at_s=now_s)
             own = [each for each in zones.listed if each.record.zone == name[0]]
-            assert all(each.is_open(now_s + RETURN_SPREAD_S) for each in own)
+            assert all(each.is_open(now_s + RETURN_JITTER_S) for each in own)
             probed_s[name[0]] = float("-inf")
         else:
             for probed in zones.probe(now_s):
