--- a/src/wallwell/cluster/fleet_load.py
+++ b/src/wallwell/cluster/fleet_load.py
@@ -52,7 +52,7 @@
         self.stated_limits.on_reported(others.stated_limits, now_s)
         if others.configuration is not msgspec.UNSET:
             self.peers_configuration = max(self.peers_configuration, others.configuration)
-        self.backends.learn_peer_loads(others.requests)
+        self.backends.on_peer_loads(others.requests)
         self.demand.peers_generations = others.generations
         self.first_token_delays.peers = others.delays
         self.limits.learn_fleet(others.asked, others.nodes, nodes)
--- a/tests/unit/rollout/fleet.py
+++ b/tests/unit/rollout/fleet.py
@@ -134,7 +134,7 @@
             name = f"{service}-{software}-{index}"
             self.registry.on_backend_listed(service, software, boot_time_s(), at_start)
             self.state.backends.upsert(BackendRecord(name, service, f"{name}:80", "z", 8, software=software))
-            self.state.backends.learn_peer_loads({})
+            self.state.backends.on_peer_loads({})
 
     def apply_rows(self, rows, era=0):
         if self.is_feed_cut:
--- a/tests/unit/rollout/test_driver.py
+++ b/tests/unit/rollout/test_driver.py
@@ -124,7 +124,7 @@
             each.record.software
             for node in fleet.nodes
             for each in node.registry.active["svc"].eligible_backends(
-                node.state.backends.of_service("svc"), boot_time_s()
+                node.state.backends.backends_of_service("svc"), boot_time_s()
             )
         }
         await fleet.until(lambda: fleet.record().target_version == "v3")
@@ -173,7 +173,7 @@
 
 
 def backends(fleet):
-    return fleet.nodes[0].state.backends.of_service("svc")
+    return fleet.nodes[0].state.backends.backends_of_service("svc")
 
 
 def test_a_version_without_any_back_end_is_rolled_back_and_the_current_one_serves():
