--- a/src/wallwell/cluster/crash_count.py
+++ b/src/wallwell/cluster/crash_count.py
@@ -9,10 +9,10 @@
 from wallwell.routing.admission.quarantine import Quarantine
 
 
-def count_crash(quarantine: Quarantine, content: str, life: str, now_s: float) -> bool:
-    """Count a crash of one life of a back end; returns whether it was news. A quarantine that begins is logged."""
+def count_crash(quarantine: Quarantine, content: str, incarnation: str, now_s: float) -> bool:
+    """Count a crash of one incarnation of a back end; returns whether it was news. Logs a new quarantine."""
     was_free = not quarantine.left_s(content, now_s)
-    is_news = quarantine.on_crash(content, life, now_s)
+    is_news = quarantine.on_crash(content, incarnation, now_s)
     if was_free and quarantine.left_s(content, now_s):
-        emit(Event.REQUEST_QUARANTINED, content=content, last_crashed=life)
+        emit(Event.REQUEST_QUARANTINED, content=content, last_crashed=incarnation)
     return is_news
--- a/src/wallwell/cluster/crash_reports.py
+++ b/src/wallwell/cluster/crash_reports.py
@@ -14,21 +14,23 @@
 
 Crash = tuple[str, str]
 """A request's content and the incarnation that ended under it."""
-RELAYED_FOR_S = 2.0
+RELAYED_CRASH_LIFETIME_S = 2.0
 """Seconds for which a received crash is reported on: many exchanges, some of which fail. Who saw a crash reports it
 until it is written."""
-MAX_REPORTED = 32
+MAX_CRASHES_PER_MESSAGE = 32
 """Crashes in one message, some 2 KB; the newest first, since those of a request that goes on matter most."""
 
 
 class CrashReports:
     """One node's part. Times are on its clock."""
 
-    def __init__(self, own: Callable[[], Sequence[Crash]], listener: Callable[[Crash], None]) -> None:
-        """``own`` gives what this node has seen and not written, newest first; ``listener`` gets what is
-        received."""
-        self._own = own
-        self._listener = listener
+    def __init__(
+        self, unwritten_crashes: Callable[[], Sequence[Crash]], on_received: Callable[[Crash], None]
+    ) -> None:
+        """``unwritten_crashes`` gives what this node has seen and not written, newest first; ``on_received`` gets
+        what is received."""
+        self._unwritten_crashes = unwritten_crashes
+        self._on_received = on_received
         self._from_members: dict[Crash, float] = {}
         self._from_relays: dict[Crash, float] = {}
 
@@ -40,30 +42,30 @@
         """Take what a relay reported, this node's own or another one."""
         self._receive(self._from_relays, crashes, now_s)
 
-    def _receive(self, known: dict[Crash, float], crashes: Iterable[Crash], now_s: float) -> None:
+    def _receive(self, received_at_s: dict[Crash, float], crashes: Iterable[Crash], now_s: float) -> None:
         for crash in crashes:
-            known[crash] = now_s
-            self._listener(crash)
+            received_at_s[crash] = now_s
+            self._on_received(crash)
 
-    def for_relay(self) -> tuple[Crash, ...]:
+    def crashes_for_own_relay(self) -> tuple[Crash, ...]:
         """Return what a member reports to its relay."""
-        return tuple(self._own()[:MAX_REPORTED])
+        return tuple(self._unwritten_crashes()[:MAX_CRASHES_PER_MESSAGE])
 
-    def for_relays(self, now_s: float) -> tuple[Crash, ...]:
+    def crashes_for_other_relays(self, now_s: float) -> tuple[Crash, ...]:
         """Return what a relay reports to the others: nothing that it has from one of them, or it would circle
         forever."""
-        return self._bounded((self._from_members,), now_s)
+        return self._unwritten_and_recent((self._from_members,), now_s)
 
-    def for_members(self, now_s: float) -> tuple[Crash, ...]:
+    def crashes_for_members(self, now_s: float) -> tuple[Crash, ...]:
         """Return what a relay reports to its members."""
-        return self._bounded((self._from_members, self._from_relays), now_s)
+        return self._unwritten_and_recent((self._from_members, self._from_relays), now_s)
 
-    def _bounded(self, sources: Iterable[dict[Crash, float]], now_s: float) -> tuple[Crash, ...]:
-        reported = dict.fromkeys(self._own())
-        for known in sources:
-            for crash, received_s in list(known.items()):
-                if now_s - received_s > RELAYED_FOR_S:
-                    del known[crash]
+    def _unwritten_and_recent(self, sources: Iterable[dict[Crash, float]], now_s: float) -> tuple[Crash, ...]:
+        reported = dict.fromkeys(self._unwritten_crashes())
+        for received_at_s in sources:
+            for crash, at_s in list(received_at_s.items()):
+                if now_s - at_s > RELAYED_CRASH_LIFETIME_S:
+                    del received_at_s[crash]
                 else:
                     reported[crash] = None
-        return tuple(reported)[:MAX_REPORTED]
+        return tuple(reported)[:MAX_CRASHES_PER_MESSAGE]
--- a/src/wallwell/cluster/demand.py
+++ b/src/wallwell/cluster/demand.py
@@ -18,12 +18,12 @@
 class FleetDemand:
     """Generations that came to this node and to all others."""
 
-    own: SlidingWindow = field(default_factory=lambda: SlidingWindow(RATE_WINDOW_S))
+    own_generations: SlidingWindow = field(default_factory=lambda: SlidingWindow(RATE_WINDOW_S))
     peers_generations: int | None = None
     """Of all other nodes by their recent reports; None without such reports."""
 
-    def per_s(self, now_s: float, nodes: int) -> float:
+    def generations_per_s(self, now_s: float, nodes: int) -> float:
         """Return generations a second of all nodes; without reports each is taken to get as many as this one."""
-        own = self.own.count(now_s)
-        total = own * nodes if self.peers_generations is None else own + self.peers_generations
+        own_count = self.own_generations.count(now_s)
+        total = own_count * nodes if self.peers_generations is None else own_count + self.peers_generations
         return total / RATE_WINDOW_S
--- a/src/wallwell/cluster/fleet_load.py
+++ b/src/wallwell/cluster/fleet_load.py
@@ -27,37 +27,37 @@
     first_token_delays: FirstTokenDelays = field(default_factory=FirstTokenDelays)
     limits: FleetLimits = field(default_factory=FleetLimits)
     stated_limits: StatedLimits = field(init=False)
-    own_configuration: int = 0
+    own_configuration_version: int = 0
     """Version of the configuration in force that this node reports, 0 for none."""
-    peers_configuration: int = 0
+    peers_configuration_version: int = 0
     """Newest version that any other node has reported."""
 
     def __post_init__(self) -> None:
         self.stated_limits = StatedLimits(self.backends, self.limits)
 
-    def own(self, now_s: float) -> Load:
+    def own_load(self, now_s: float) -> Load:
         """Return what this node reports."""
         return Load(
             requests=self.backends.own_loads(),
-            generations=self.demand.own.count(now_s),
+            generations=self.demand.own_generations.count(now_s),
             delays=self.first_token_delays.own(now_s),
             asked=self.limits.asked(now_s),
             nodes=1,
-            stated_limits=self.stated_limits.own(now_s),
-            configuration=self.own_configuration or msgspec.UNSET,
+            stated_limits=self.stated_limits.own_reports(now_s),
+            configuration=self.own_configuration_version or msgspec.UNSET,
         )
 
-    def learn(self, others: Load, nodes: int, now_s: float) -> None:
+    def update_from_peers(self, others: Load, nodes: int, now_s: float) -> None:
         """Take what all other nodes have reported; ``nodes`` is the size of the fleet, 0 if it is not known."""
         self.stated_limits.on_reported(others.stated_limits, now_s)
         if others.configuration is not msgspec.UNSET:
-            self.peers_configuration = max(self.peers_configuration, others.configuration)
+            self.peers_configuration_version = max(self.peers_configuration_version, others.configuration)
         self.backends.learn_peer_loads(others.requests)
         self.demand.peers_generations = others.generations
         self.first_token_delays.peers = others.delays
         self.limits.learn_fleet(others.asked, others.nodes, nodes)
 
-    def forget(self, nodes: int) -> None:
+    def forget_peers(self, nodes: int) -> None:
         """Drop what other nodes reported: it is too old."""
         self.backends.forget_peer_loads()
         self.demand.peers_generations = None
--- a/src/wallwell/cluster/lease_turn.py
+++ b/src/wallwell/cluster/lease_candidate.py
@@ -16,33 +16,33 @@
 from wallwell.routing.rendezvous import key_of, rendezvous_score
 from wallwell.storage.feed import FeedRow
 
-RENEW_FRACTION = 0.4
+RENEWAL_FRACTION = 0.4
 """Fraction of the time for which a renewal is trusted, after which the next one is made: a call that fails can be
 made again before that time is over."""
-CANDIDATE_DELAY_S = 0.7
+LAST_HOLDER_PRIORITY_S = 0.7
 """Seconds for which others leave the lease to its last holder: some calls to the store."""
-CANDIDATE_STEP_S = 0.35
+CANDIDATE_SPACING_S = 0.35
 """Seconds between the tries of two candidates; the calls of a try take a small fraction of it."""
 
 
-class LeaseTurn:
+class LeaseCandidate:
     """One node's tries for one lease: the last holder first, others in an agreed order, nobody without work."""
 
     def __init__(
-        self, name: str, node: str, keeper: LeaseKeeper, valid_s: float, members: Callable[[], Iterable[str]]
+        self, name: str, node: str, keeper: LeaseKeeper, lease_valid_s: float, members: Callable[[], Iterable[str]]
     ) -> None:
-        """``valid_s`` is how long one renewal is trusted; ``members`` names the nodes that may try."""
+        """``lease_valid_s`` is how long one renewal is trusted; ``members`` names the nodes that may try."""
         self.holder = ""
         """The last holder by the feed of the store's rows; empty if none."""
         self._name = name
         self._node = node
         self._keeper = keeper
-        self._valid_s = valid_s
+        self._lease_valid_s = lease_valid_s
         self._members = members
-        self._due_since_s: float | None = None
+        self._work_pending_since_s: float | None = None
         self._renewed_at_s = float("-inf")
-        self._draining = False
-        self._unconfirmed = False
+        self._is_draining = False
+        self._is_unconfirmed = False
         """Whether the store did not answer to the last try, so that an outage is logged once."""
 
     def observe(self, row: FeedRow, now_s: float) -> None:
@@ -52,26 +52,26 @@
             if holder is not None:
                 self.holder = holder
 
-    def set_due(self, is_due: bool, now_s: float) -> None:
+    def set_work_pending(self, is_pending: bool, now_s: float) -> None:
         """Say whether there is work to do."""
-        if not is_due:
-            self._due_since_s = None
-        elif self._due_since_s is None:
-            self._due_since_s = now_s
+        if not is_pending:
+            self._work_pending_since_s = None
+        elif self._work_pending_since_s is None:
+            self._work_pending_since_s = now_s
 
-    async def hold(self, now_s: float) -> bool:
+    async def acquire_or_renew(self, now_s: float) -> bool:
         """Acquire or renew the lease if it is this node's turn, and return whether it is held."""
-        if self.is_held() and now_s - self._renewed_at_s < self._valid_s * RENEW_FRACTION:
+        if self.is_held() and now_s - self._renewed_at_s < self._lease_valid_s * RENEWAL_FRACTION:
             return True
-        if not self.is_held() and (self._draining or now_s < self._candidate_at_s()):
+        if not self.is_held() and (self._is_draining or now_s < self._earliest_attempt_s()):
             return False
         was_held = self.is_held()
         try:
             held = await self._keeper.try_acquire(now_s)
         except PlatformUnavailableError as error:
-            self._on_unconfirmed(error)
+            self._log_unconfirmed(error)
             return self.is_held()
-        self._unconfirmed = False
+        self._is_unconfirmed = False
         if held is None:
             if was_held:
                 emit(Event.LEASE_LOST, lease=self._name)
@@ -84,31 +84,32 @@
     def is_held(self) -> bool:
         """Whether the lease is certainly held now."""
         try:
-            self._keeper.check(boot_time_s())
+            self._keeper.require_held(boot_time_s())
         except LeaseLostError:
-            # This is the question. ``hold`` logs a loss that the store shows; an unconfirmed one has its own event.
+            # This is the question. ``acquire_or_renew``
+            # logs a loss that the store shows; an unconfirmed one has its own event.
             return False
         return True
 
-    def _on_unconfirmed(self, error: PlatformUnavailableError) -> None:
-        if not self._unconfirmed:
+    def _log_unconfirmed(self, error: PlatformUnavailableError) -> None:
+        if not self._is_unconfirmed:
             emit(Event.LEASE_UNCONFIRMED, lease=self._name, held=self.is_held(), reason=error.detail)
-        self._unconfirmed = True
+        self._is_unconfirmed = True
 
     def drain(self) -> None:
         """Keep what is held, and take no new lease."""
-        self._draining = True
+        self._is_draining = True
 
-    def _candidate_at_s(self) -> float:
+    def _earliest_attempt_s(self) -> float:
         """Return when this node may try for the lease."""
-        assert self._due_since_s is not None
+        assert self._work_pending_since_s is not None
         # After a restore the last holder is first as well: it knows best what the store has lost.
-        begins_s = max(self._due_since_s, self._keeper.may_begin_at_s())
+        earliest_s = max(self._work_pending_since_s, self._keeper.earliest_start_s())
         if self.holder == self._node:
-            return begins_s
+            return earliest_s
         key = key_of(self._name)
         names = sorted({*self._members(), self._node}, key=lambda name: rendezvous_score(name, key))
-        delay_s = names.index(self._node) * CANDIDATE_STEP_S
+        delay_s = names.index(self._node) * CANDIDATE_SPACING_S
         if self.holder:
-            delay_s += CANDIDATE_DELAY_S
-        return max(begins_s + delay_s, self._keeper.takeover_at_s())
+            delay_s += LAST_HOLDER_PRIORITY_S
+        return max(earliest_s + delay_s, self._keeper.earliest_takeover_s())
--- a/src/wallwell/cluster/leases.py
+++ b/src/wallwell/cluster/leases.py
@@ -23,7 +23,7 @@
 from wallwell.storage.table import Condition, Put, Row, TableService, Transaction
 
 LEASE_PREFIX = "lease/"
-LOST_VERSIONS = 1 << 20
+MAX_LOST_VERSIONS = 1 << 20
 """Versions that a store may have given out, at most, after the copy was made that it comes back from: some minutes
 of all the writes that it takes."""
 
@@ -42,11 +42,11 @@
     store may then have come back any number of times since."""
 
     @property
-    def written_in(self) -> int:
+    def written_era(self) -> int:
         """The era in which it was written, as far as it says."""
         return era_received(self.era)
 
-    def fence_at(self, row_version: int) -> int:
+    def fence_for_version(self, row_version: int) -> int:
         """Return the fence that the row of a version stands for."""
         return self.fence or row_version + (self.fence_offset or 0)
 
@@ -64,13 +64,13 @@
 def next_fence_offset(row: Row | None, body: LeaseBody | None, era: StoreEra) -> int:
     """Return what is to be added to the version of an acquiring write, so that its fence is above all earlier ones.
 
-    In one era the version alone is. Each time the store comes back from a copy, fences up to ``LOST_VERSIONS``
+    In one era the version alone is. Each time the store comes back from a copy, fences up to ``MAX_LOST_VERSIONS``
     above what the copy shows may have been given out.
     """
     if row is None or body is None:
-        return era.current * LOST_VERSIONS
-    lost = max(0, era.current - body.written_in) * LOST_VERSIONS
-    return max(0, body.fence_at(row.version) - row.version + lost)
+        return era.current * MAX_LOST_VERSIONS
+    lost = max(0, era.current - body.written_era) * MAX_LOST_VERSIONS
+    return max(0, body.fence_for_version(row.version) - row.version + lost)
 
 
 class LeaseKeeper:
@@ -97,13 +97,13 @@
         self._guard_s = guard_s
         self._table = table
         self._era = era or StoreEra()
-        self._seen = (UNKNOWN_ERA, -1)
+        self._seen_row = (UNKNOWN_ERA, -1)
         """Era and version of the row that was seen last."""
         self._seen_since_s = float("-inf")
         self._seen_ttl_s = 0.0
         self.held: HeldLease | None = None
 
-    def check(self, now_s: float) -> int:
+    def require_held(self, now_s: float) -> int:
         """Return the fence if the lease is certainly still held. Raises :class:`LeaseLostError`."""
         if self.held is None or now_s >= self.held.valid_until_s or self._era.is_after(self.held.era):
             raise LeaseLostError(self._name)
@@ -118,14 +118,16 @@
         body = msgspec.json.decode(row.value, type=LeaseBody) if row else None
         if self.held is not None and self._era.is_after(self.held.era):
             self.held = None
-        if not self._may_take(row, body, now_s):
+        if not self._may_acquire(row, body, now_s):
             self.held = None
             return None
         if self.held is not None and body is not None and body.holder == self._holder:
-            return await self._write(row, self._body(fence=self.held.fence), now_s)
-        return await self._write(row, self._body(fence_offset=next_fence_offset(row, body, self._era)), now_s)
+            return await self._write_row(row, self._new_body(fence=self.held.fence), now_s)
+        return await self._write_row(
+            row, self._new_body(fence_offset=next_fence_offset(row, body, self._era)), now_s
+        )
 
-    def _body(self, fence: int = 0, fence_offset: int = 0, released: bool = False) -> LeaseBody:
+    def _new_body(self, fence: int = 0, fence_offset: int = 0, released: bool = False) -> LeaseBody:
         return LeaseBody(
             self._holder,
             fence,
@@ -135,20 +137,20 @@
             era=era_to_send(self._era.current),
         )
 
-    def _may_take(self, row: Row | None, body: LeaseBody | None, now_s: float) -> bool:
-        if now_s < self.may_begin_at_s():
+    def _may_acquire(self, row: Row | None, body: LeaseBody | None, now_s: float) -> bool:
+        if now_s < self.earliest_start_s():
             return False
         if row is None or body is None:
             return True
         if body.released or body.holder == self._holder:
             return True
-        self._see(row.version, body.ttl_s, now_s)
-        return now_s >= self.takeover_at_s()
+        self._record_seen_row(row.version, body.ttl_s, now_s)
+        return now_s >= self.earliest_takeover_s()
 
-    def _see(self, version: int, ttl_s: float, now_s: float) -> None:
-        seen = (self._era.current, version)
-        if seen != self._seen:
-            self._seen = seen
+    def _record_seen_row(self, version: int, ttl_s: float, now_s: float) -> None:
+        seen_row = (self._era.current, version)
+        if seen_row != self._seen_row:
+            self._seen_row = seen_row
             self._seen_since_s = now_s
             self._seen_ttl_s = ttl_s
 
@@ -160,14 +162,14 @@
         if value is None:
             return ""
         body = msgspec.json.decode(value, type=LeaseBody)
-        self._see(version, body.ttl_s, now_s)
-        return None if self._era.is_after(body.written_in) else body.holder
+        self._record_seen_row(version, body.ttl_s, now_s)
+        return None if self._era.is_after(body.written_era) else body.holder
 
-    def takeover_at_s(self) -> float:
+    def earliest_takeover_s(self) -> float:
         """Return from when another node's lease may be taken over, unless its row changes before."""
-        return max(self._seen_since_s + self._seen_ttl_s + self._guard_s, self.may_begin_at_s())
+        return max(self._seen_since_s + self._seen_ttl_s + self._guard_s, self.earliest_start_s())
 
-    def may_begin_at_s(self) -> float:
+    def earliest_start_s(self) -> float:
         """Return from when a lease may begin whatever its row says: those of an earlier era are then over.
 
         A node that has started knows only that the store may have come back a moment before.
@@ -176,7 +178,7 @@
             return float("-inf")
         return self._era.since_s + self._ttl_s + self._guard_s
 
-    async def _write(self, row: Row | None, body: LeaseBody, now_s: float) -> HeldLease | None:
+    async def _write_row(self, row: Row | None, body: LeaseBody, now_s: float) -> HeldLease | None:
         condition = Condition(self._key, row.version if row else 0)
         put = Put(self._key, msgspec.json.encode(body).decode())
         era = self._era.current
@@ -185,7 +187,7 @@
         except TableConflictError:
             self.held = None  # Another node was first; callers log the loss of a lease that they held.
             return None
-        self.held = HeldLease(self._name, body.fence_at(version), version, now_s + self._ttl_s, era)
+        self.held = HeldLease(self._name, body.fence_for_version(version), version, now_s + self._ttl_s, era)
         return self.held
 
     async def release(self) -> None:
@@ -193,7 +195,7 @@
         held, self.held = self.held, None
         if held is None or self._era.is_after(held.era):
             return  # Its row may be another node's by now, under the same version.
-        put = Put(self._key, msgspec.json.encode(self._body(fence=held.fence, released=True)).decode())
+        put = Put(self._key, msgspec.json.encode(self._new_body(fence=held.fence, released=True)).decode())
         try:
             await self._table.transact(Transaction((Condition(self._key, held.version),), (put,)))
         except (TableConflictError, PlatformUnavailableError) as error:
--- a/src/wallwell/cluster/known_loads.py
+++ b/src/wallwell/cluster/load_aggregator.py
@@ -9,11 +9,11 @@
 
 from wallwell.cluster.crash_reports import CrashReports
 from wallwell.cluster.fleet_load import FleetLoad
-from wallwell.cluster.load_messages import MemberLoad, OthersLoad, RegionSum, RelayTotals, ZoneLoad
+from wallwell.cluster.load_messages import MemberLoad, OthersLoad, RegionSum, RelaySpentTotals, ZoneLoad
 from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load, LoadReports, sum_loads
 
 
-class KnownLoads:
+class LoadAggregator:
     """One node's knowledge, by the messages that it received."""
 
     def __init__(self, node: str, load: FleetLoad, crashes: CrashReports) -> None:
@@ -25,37 +25,42 @@
         self._members = LoadReports()
         self._relays = LoadReports()
         self._regions = LoadReports()
-        self._totals: dict[str, tuple[RelayTotals, float]] = {}
+        self._relay_totals: dict[str, tuple[RelaySpentTotals, float]] = {}
         """What other relays of the region reported last as spent through them, and when."""
 
     # --- received ----------------------------------------------------------------------------------------
 
-    def on_member(self, message: MemberLoad, now_s: float) -> OthersLoad:
+    def on_member_load(self, message: MemberLoad, now_s: float) -> OthersLoad:
         """Take a member's report and return what all others have in flight."""
-        self._members.take(message.node, message.load, now_s)
+        self._members.record(message.node, message.load, now_s)
         self._crashes.receive_from_member(message.crashes, now_s)
         # First, so that what was spent of a limit which is new here is counted.
         self._load.stated_limits.on_reported(message.load.stated_limits, now_s)
         limits = self._load.limits
         limits.take_member(message.spent, now_s)
-        others = self._members.recent(now_s, without=message.node)
-        load = sum_loads((*others, *self._beyond_members(now_s), self._load.own(now_s)))
-        return OthersLoad(load, limits.levels(now_s), self._crashes.for_members(now_s))
+        others = self._members.recent(now_s, excluding=message.node)
+        load = sum_loads((*others, *self._other_relays_and_regions(now_s), self._load.own_load(now_s)))
+        return OthersLoad(load, limits.levels(now_s), self._crashes.crashes_for_members(now_s))
 
-    def on_relay(self, message: ZoneLoad, now_s: float) -> None:
+    def on_zone_load(self, message: ZoneLoad, now_s: float) -> None:
         """Take the sum of another relay of this region."""
-        self._relays.take(message.node, message.load, now_s)
+        self._relays.record(message.node, message.load, now_s)
         self._crashes.receive_from_relay(message.crashes, now_s)
         self._load.stated_limits.on_reported(message.load.stated_limits, now_s)
         self._load.limits.take_relay(message.node, message.life, message.spent_totals, now_s)
-        if message.node not in self._totals:
+        if message.node not in self._relay_totals:
             # Nodes are replaced under new names, and each has reported all tenants that spend.
-            self._totals = {name: known for name, known in self._totals.items() if _is_recent(known[1], now_s)}
-        self._totals[message.node] = (RelayTotals(message.node, message.life, message.spent_totals), now_s)
-
-    def on_region(self, received: RegionSum, now_s: float) -> None:
+            self._relay_totals = {
+                name: reported for name, reported in self._relay_totals.items() if _is_recent(reported[1], now_s)
+            }
+        self._relay_totals[message.node] = (
+            RelaySpentTotals(message.node, message.life, message.spent_totals),
+            now_s,
+        )
+
+    def on_region_sum(self, received: RegionSum, now_s: float) -> None:
         """Take the sum of another region."""
-        self._regions.take(received.region, received.load, now_s)
+        self._regions.record(received.region, received.load, now_s)
         self._load.stated_limits.on_reported(received.load.stated_limits, now_s)
         limits = self._load.limits
         for totals in received.relays:
@@ -64,36 +69,36 @@
 
     def on_region_lost(self, last: RegionSum, now_s: float) -> None:
         """Another region has been silent for too long; ``last`` is what it reported last."""
-        own_nodes = self._of_region(now_s).nodes
+        own_nodes = self._region_load(now_s).nodes
         self._load.limits.on_region_lost(last.region, last.load.nodes / own_nodes, now_s)
 
     # --- reported ----------------------------------------------------------------------------------------
 
-    def others(self, now_s: float) -> Load:
+    def others_load(self, now_s: float) -> Load:
         """Return what all other nodes have in flight, as far as this relay knows."""
-        return sum_loads((*self._members.recent(now_s), *self._beyond_members(now_s)))
+        return sum_loads((*self._members.recent(now_s), *self._other_relays_and_regions(now_s)))
 
     def zone_message(self, now_s: float, regions: tuple[RegionSum, ...] = ()) -> ZoneLoad:
         """Return what this relay reports to the others; ``regions`` are sums of other regions to be passed on."""
         limits = self._load.limits
-        crashes = self._crashes.for_relays(now_s)
-        return ZoneLoad(self._node, self._of_zone(now_s), limits.life, limits.spent_totals(), regions, crashes)
+        crashes = self._crashes.crashes_for_other_relays(now_s)
+        return ZoneLoad(self._node, self._zone_load(now_s), limits.life, limits.spent_totals(), regions, crashes)
 
     def region_sum(self, region: str, now_s: float) -> RegionSum:
         """Return what this relay knows of its region, which is called ``region``."""
         limits = self._load.limits
-        recent = [totals for totals, at_s in self._totals.values() if _is_recent(at_s, now_s)]
-        relays = (RelayTotals(self._node, limits.life, limits.spent_totals()), *recent)
-        return RegionSum(region, self._of_region(now_s), relays)
+        recent = [totals for totals, at_s in self._relay_totals.values() if _is_recent(at_s, now_s)]
+        relays = (RelaySpentTotals(self._node, limits.life, limits.spent_totals()), *recent)
+        return RegionSum(region, self._region_load(now_s), relays)
 
-    def _of_zone(self, now_s: float) -> Load:
+    def _zone_load(self, now_s: float) -> Load:
         """Return the load of this node and its members."""
-        return sum_loads((*self._members.recent(now_s), self._load.own(now_s)))
+        return sum_loads((*self._members.recent(now_s), self._load.own_load(now_s)))
 
-    def _of_region(self, now_s: float) -> Load:
-        return sum_loads((self._of_zone(now_s), *self._relays.recent(now_s)))
+    def _region_load(self, now_s: float) -> Load:
+        return sum_loads((self._zone_load(now_s), *self._relays.recent(now_s)))
 
-    def _beyond_members(self, now_s: float) -> list[Load]:
+    def _other_relays_and_regions(self, now_s: float) -> list[Load]:
         """Return the sums of other relays and regions."""
         return [*self._relays.recent(now_s), *self._regions.recent(now_s)]
 
--- a/src/wallwell/cluster/load_messages.py
+++ b/src/wallwell/cluster/load_messages.py
@@ -15,11 +15,11 @@
 from wallwell.cluster.peer_link import PeerMessage
 from wallwell.errors import PeerUnavailableError
 
-PACK_LEVEL = 6
+COMPRESSION_LEVEL = 6
 """Level of zlib, its default: between speed and size."""
 
 
-class RelayTotals(msgspec.Struct, frozen=True, array_like=True):
+class RelaySpentTotals(msgspec.Struct, frozen=True, array_like=True):
     """All that was spent of limits through one relay in one of its lives, by tenant."""
 
     relay: str
@@ -32,7 +32,7 @@
 
     region: str
     load: Load
-    relays: tuple[RelayTotals, ...] = ()
+    relays: tuple[RelaySpentTotals, ...] = ()
 
 
 class RegionLoad(PeerMessage, frozen=True):
@@ -81,7 +81,7 @@
 
 def pack_region_sum(region_sum: RegionSum) -> bytes:
     """Return a sum as it is sent between regions."""
-    return zlib.compress(msgspec.json.encode(region_sum), PACK_LEVEL)
+    return zlib.compress(msgspec.json.encode(region_sum), COMPRESSION_LEVEL)
 
 
 def unpack_region_sum(packed: bytes, sender: str) -> RegionSum:
--- a/src/wallwell/cluster/load_reports.py
+++ b/src/wallwell/cluster/load_reports.py
@@ -40,11 +40,11 @@
     stated_limits: dict[str, ReportedLimit] | msgspec.UnsetType = msgspec.UNSET
     configuration: int | msgspec.UnsetType = msgspec.UNSET
 
-    def older_by(self, seconds: float) -> Load:
+    def aged_by(self, seconds: float) -> Load:
         """Return it as it is to be passed on ``seconds`` after it was received."""
         if self.stated_limits is msgspec.UNSET:
             return self
-        aged = {incarnation: limit.older_by(seconds) for incarnation, limit in self.stated_limits.items()}
+        aged = {incarnation: limit.aged_by(seconds) for incarnation, limit in self.stated_limits.items()}
         return msgspec.structs.replace(self, stated_limits=aged)
 
 
@@ -77,15 +77,15 @@
 
     _reports: dict[str, tuple[Load, float]] = field(default_factory=dict)
 
-    def take(self, sender: str, load: Load, now_s: float) -> None:
+    def record(self, sender: str, load: Load, now_s: float) -> None:
         """Replace a sender's report."""
         self._reports[sender] = (load, now_s)
 
-    def recent(self, now_s: float, without: str = "") -> list[Load]:
+    def recent(self, now_s: float, excluding: str = "") -> list[Load]:
         """Return the recent reports, but for one sender's; old ones are dropped."""
         self._reports = {
             sender: (load, at_s)
             for sender, (load, at_s) in self._reports.items()
             if now_s - at_s < REPORT_LIFETIME_S
         }
-        return [load.older_by(now_s - at_s) for sender, (load, at_s) in self._reports.items() if sender != without]
+        return [load.aged_by(now_s - at_s) for sender, (load, at_s) in self._reports.items() if sender != excluding]
--- a/src/wallwell/cluster/peer_health.py
+++ b/src/wallwell/cluster/peer_health.py
@@ -21,8 +21,8 @@
 class PeerHealth:
     """Failures of one peer in a row, and until when it is passed over."""
 
-    failures: int = 0
-    until_s: float = float("-inf")
+    consecutive_failures: int = 0
+    paused_until_s: float = float("-inf")
 
 
 @dataclass
@@ -34,15 +34,15 @@
     def is_working(self, name: str, now_s: float) -> bool:
         """Whether a peer may be asked."""
         health = self._by_name.get(name)
-        return health is None or now_s >= health.until_s
+        return health is None or now_s >= health.paused_until_s
 
     def on_failure(self, name: str, now_s: float) -> None:
         """Pass a peer over for a while; a failure of another call made at the same time does not count again."""
         health = self._by_name.setdefault(name, PeerHealth())
-        if now_s < health.until_s:
+        if now_s < health.paused_until_s:
             return
-        health.until_s = now_s + doubling_pause_s(FIRST_PAUSE_S, MAX_PAUSE_S, health.failures)
-        health.failures += 1
+        health.paused_until_s = now_s + doubling_pause_s(FIRST_PAUSE_S, MAX_PAUSE_S, health.consecutive_failures)
+        health.consecutive_failures += 1
 
     def on_success(self, name: str) -> None:
         """A peer answered, or may be reachable again: its failures are forgotten."""
--- a/src/wallwell/cluster/peer_link.py
+++ b/src/wallwell/cluster/peer_link.py
@@ -23,11 +23,11 @@
 rows is one message."""
 CONNECT_TIMEOUT_S = 0.3
 """Seconds for a connection: several times the 40 ms there and back between two regions."""
-UNACKNOWLEDGED_S = 1.0
+UNACKNOWLEDGED_TIMEOUT_S = 1.0
 """Seconds after which a link ends whose peer acknowledges nothing; requests have shorter or similar time-outs."""
-REFUSALS_LOGGED_EVERY_S = 10.0
+REFUSAL_LOG_INTERVAL_S = 10.0
 """Seconds between two log lines of refused requests, since a peer of another version connects again at once."""
-MAX_SILENT_KNOWN = 1000
+MAX_FAILING_PEERS = 1000
 """Addresses remembered as silent. Nodes are replaced under new addresses, and the old ones never answer again."""
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
@@ -38,35 +38,35 @@
     """Base of requests between nodes; the class's name travels as ``type``."""
 
 
-class PeerAnswers:
+class PeerFailureLog:
     """Which peers do not answer, by address, so that only changes are logged: requests go out 20 times a second."""
 
     def __init__(self) -> None:
-        self._failing: dict[str, Event] = {}
+        self._last_failures: dict[str, Event] = {}
 
     def on_answer(self, address: str) -> None:
         """A peer answered."""
-        if self._failing.pop(address, None) is not None:
+        if self._last_failures.pop(address, None) is not None:
             emit(Event.PEER_ANSWERS, peer=address)
 
     def on_failure(self, address: str, request: str, error: Exception) -> None:
         """A peer did not answer, or its reply could not be decoded."""
         is_unreadable = isinstance(error, msgspec.MsgspecError | UnicodeError)
         event = Event.PEER_REPLY_UNREADABLE if is_unreadable else Event.PEER_SILENT
-        if self._failing.get(address) is event:
+        if self._last_failures.get(address) is event:
             return
-        self._failing[address] = event
-        if len(self._failing) > MAX_SILENT_KNOWN:
-            del self._failing[next(iter(self._failing))]
+        self._last_failures[address] = event
+        if len(self._last_failures) > MAX_FAILING_PEERS:
+            del self._last_failures[next(iter(self._last_failures))]
         emit(event, peer=address, request=request, reason=f"{type(error).__name__}: {error}")
 
 
 class PeerLink:
     """One connection to a peer, made when it is needed."""
 
-    def __init__(self, address: str, answers: PeerAnswers | None = None) -> None:
+    def __init__(self, address: str, failure_log: PeerFailureLog | None = None) -> None:
         self.address = address
-        self._answers = answers or PeerAnswers()
+        self._failure_log = failure_log or PeerFailureLog()
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def ask(self, request: PeerMessage, reply_type: type[Reply], timeout_s: float) -> Reply:
@@ -76,12 +76,12 @@
             reply = msgspec.json.decode(line, type=reply_type)
         except (OSError, TimeoutError, EOFError, ValueError, msgspec.MsgspecError) as error:
             self.close()
-            self._answers.on_failure(self.address, type(request).__name__, error)
+            self._failure_log.on_failure(self.address, type(request).__name__, error)
             raise PeerUnavailableError(f"{self.address}: {type(error).__name__}") from error
         except BaseException:
             self.close()
             raise
-        self._answers.on_answer(self.address)
+        self._failure_log.on_answer(self.address)
         return reply
 
     async def _round_trip(self, line: bytes, timeout_s: float) -> bytes:
@@ -89,7 +89,7 @@
             host, _, port = self.address.rpartition(":")
             async with bounded(CONNECT_TIMEOUT_S):
                 self._streams = await asyncio.open_connection(host, int(port), limit=MAX_LINE_BYTES)
-            end_when_silent(self._streams[1].transport, UNACKNOWLEDGED_S)
+            end_when_silent(self._streams[1].transport, UNACKNOWLEDGED_TIMEOUT_S)
         reader, writer = self._streams
         writer.write(line)
         async with bounded(timeout_s):
@@ -107,7 +107,7 @@
 
     def __init__(self) -> None:
         self._links: dict[str, PeerLink] = {}
-        self._answers = PeerAnswers()
+        self._failure_log = PeerFailureLog()
         """Outlives the links: one that failed is often closed and made again."""
 
     def __len__(self) -> int:
@@ -119,7 +119,7 @@
         if link is None or link.address != address:
             if link is not None:
                 link.close()
-            link = self._links[name] = PeerLink(address, self._answers)
+            link = self._links[name] = PeerLink(address, self._failure_log)
         return link
 
     def keep(self, names: set[str]) -> None:
@@ -133,10 +133,10 @@
 
     def __init__(self, handlers: Mapping[type[PeerMessage], Handler]) -> None:
         self._handlers = handlers
-        self._decoder = msgspec.json.Decoder(_union(tuple(handlers)))
+        self._decoder = msgspec.json.Decoder(_union_of(tuple(handlers)))
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
-        self._refusals = 0
+        self._unlogged_refusals = 0
         """Requests refused since this was logged last."""
         self._refusal_logged_s = float("-inf")
         self.address = ""
@@ -151,7 +151,7 @@
         assert task is not None
         self._connections.add(task)
         try:
-            await self._answer_all(reader, writer)
+            await self._serve_requests(reader, writer)
         except OSError:
             pass  # The peer is gone or out of reach; what it wanted is its own matter, and it logs that.
         except (ValueError, KeyError, msgspec.MsgspecError) as error:
@@ -164,16 +164,16 @@
 
     def _on_refusal(self, peer: Any, error: Exception) -> None:
         """Log a request that was refused; the peer sees a closed connection and connects again."""
-        self._refusals += 1
+        self._unlogged_refusals += 1
         now_s = boot_time_s()
-        if now_s - self._refusal_logged_s < REFUSALS_LOGGED_EVERY_S:
+        if now_s - self._refusal_logged_s < REFUSAL_LOG_INTERVAL_S:
             return
         reason = f"{type(error).__name__}: {error}"
-        emit(Event.PEER_REQUEST_REFUSED, peer=str(peer), reason=reason, refused=self._refusals)
+        emit(Event.PEER_REQUEST_REFUSED, peer=str(peer), reason=reason, refused=self._unlogged_refusals)
         self._refusal_logged_s = now_s
-        self._refusals = 0
+        self._unlogged_refusals = 0
 
-    async def _answer_all(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             request = self._decoder.decode(line)
             reply = await self._handlers[type(request)](request)
@@ -188,8 +188,8 @@
             task.cancel()
 
 
-def _union(types: tuple[type[PeerMessage], ...]) -> Any:
+def _union_of(types: tuple[type[PeerMessage], ...]) -> Any:
     union: Any = types[0]
-    for each in types[1:]:
-        union = union | each
+    for message_type in types[1:]:
+        union = union | message_type
     return union
--- a/src/wallwell/cluster/region_load_reporter.py
+++ b/src/wallwell/cluster/region_load_reporter.py
@@ -31,10 +31,10 @@
 
 REGION_INTERVAL_S = 0.25
 """Seconds between two exchanges of a pair of regions, see ``docs/design/regions.md`` for their bytes."""
-REGION_ANSWER_TIMEOUT_S = 0.6
+REGION_REPLY_TIMEOUT_S = 0.6
 """Seconds for an answer: twice 20 ms of way, and half a second of what else may stand in the queue of a link of
 30 Mbit/s (2 MB)."""
-TAKE_OVER_S = 0.6
+DELEGATE_TAKEOVER_S = 0.6
 """Seconds without a sum of the other region after which the next delegate exchanges: two exchanges and a little.
 
 The third in the order is heard 1.45 s after the first was, before loads of the other region are forgotten."""
@@ -47,42 +47,42 @@
         self,
         order: UpstreamOrder,
         own_sum: Callable[[], RegionSum | None],
-        take: Callable[[RegionSum], None],
-        forget: Callable[[RegionSum], None],
+        on_sum: Callable[[RegionSum], None],
+        on_region_lost: Callable[[RegionSum], None],
         traffic: RegionTraffic,
     ) -> None:
         """``own_sum`` is None while this node relays for nobody.
 
-        ``take`` is called with each sum that is received, ``forget`` with a region's last one when it has gone
-        silent.
+        ``on_sum`` is called with each sum that is received, ``on_region_lost`` with a region's last one when it
+        has gone silent.
         """
         self._order = order
         self._own_sum = own_sum
-        self._take = take
-        self._forget = forget
+        self._on_sum = on_sum
+        self._on_region_lost = on_region_lost
         self._traffic = traffic
         self._links = PeerLinks()
-        self._asked: dict[str, int] = {}
+        self._delegate_index: dict[str, int] = {}
         """By region, the rank in its order of the delegate that is asked."""
         now_s = boot_time_s()
         self._started_s = now_s
-        self._passed_on_at_s: dict[str, float] = {}
+        self._forwarded_at_s: dict[str, float] = {}
         """When another node of this region last passed on the sum of a region."""
-        self._received: dict[str, tuple[RegionSum, float]] = {}
+        self._last_sums: dict[str, tuple[RegionSum, float]] = {}
         """The last sum of each region that is not silent, and when it came."""
-        self._lost: set[str] = set()
-        self._fresh: dict[str, RegionSum] = {}
+        self._lost_regions: set[str] = set()
+        self._unforwarded_sums: dict[str, RegionSum] = {}
         """Sums received and not passed on yet."""
-        self._unreadable: set[str] = set()
+        self._unreadable_delegates: set[str] = set()
         """Delegates whose sums could not be decoded since one could, so that each is logged once."""
 
     async def run(self) -> None:
         """Exchange until cancelled."""
         while True:
             await asyncio.sleep(REGION_INTERVAL_S)
-            await self.step(boot_time_s())
+            await self.exchange_once(boot_time_s())
 
-    async def step(self, now_s: float) -> None:
+    async def exchange_once(self, now_s: float) -> None:
         """Exchange once with each region for which this node is the delegate."""
         regions = [region for region in self._order.other_regions() if self.is_delegate_to(region, now_s)]
         own = self._own_sum() if regions else None
@@ -92,8 +92,8 @@
         message = RegionLoad(pack_region_sum(own))
         await asyncio.gather(*(self._ask_region(region, message) for region in regions))
         # The last nodes of a region may have gone while they were asked.
-        left = [region for region in regions if self._order.delegates_of(region)]
-        self._links.keep({self._next_asked(region).name for region in left})
+        remaining = [region for region in regions if self._order.delegates_of(region)]
+        self._links.keep({self._delegate_to_ask(region).name for region in remaining})
 
     def is_delegate_to(self, region: str, now_s: float) -> bool:
         """Whether it is this node that exchanges with a region now."""
@@ -101,12 +101,12 @@
         if own_region > region:
             return False
         rank = self._order.delegate_rank(now_s)
-        silent_s = now_s - self._passed_on_at_s.get(region, self._started_s)
-        return rank is not None and silent_s >= rank * TAKE_OVER_S
+        silent_s = now_s - self._forwarded_at_s.get(region, self._started_s)
+        return rank is not None and silent_s >= rank * DELEGATE_TAKEOVER_S
 
-    def _next_asked(self, region: str) -> Peer:
+    def _delegate_to_ask(self, region: str) -> Peer:
         delegates = self._order.delegates_of(region)
-        return delegates[self._asked.get(region, 0) % len(delegates)]
+        return delegates[self._delegate_index.get(region, 0) % len(delegates)]
 
     async def _ask_region(self, region: str, message: RegionLoad) -> None:
         """Ask delegates of a region one after the other until one knows it, or one does not answer."""
@@ -114,20 +114,20 @@
             if not self._order.delegates_of(region):
                 return
             try:
-                received = await self._ask(*self._next_asked(region), message)
+                received = await self._ask(*self._delegate_to_ask(region), message)
             except PeerUnavailableError:
                 # The next one is asked at the next step. The link logs a delegate that is silent, once.
-                self._asked[region] = self._asked.get(region, 0) + 1
+                self._delegate_index[region] = self._delegate_index.get(region, 0) + 1
                 return
             if received is not None:
                 self._receive(received)
                 return
-            self._asked[region] = self._asked.get(region, 0) + 1
+            self._delegate_index[region] = self._delegate_index.get(region, 0) + 1
 
     async def _ask(self, name: str, address: str, message: RegionLoad) -> RegionSum | None:
         """Return what a node knows of its region, None if nothing. Raises :class:`PeerUnavailableError`."""
-        reply = await self._links.to(name, address).ask(message, RegionReply, REGION_ANSWER_TIMEOUT_S)
-        self._traffic.add("loads", len(message.packed) + len(reply.packed))
+        reply = await self._links.to(name, address).ask(message, RegionReply, REGION_REPLY_TIMEOUT_S)
+        self._traffic.count_exchange("loads", len(message.packed) + len(reply.packed))
         return self._unpack_reply(reply, name, address) if reply.packed else None
 
     def _unpack_reply(self, reply: RegionReply, name: str, address: str) -> RegionSum:
@@ -136,42 +136,42 @@
         try:
             received = unpack_region_sum(reply.packed, address)
         except PeerUnavailableError as error:
-            if name not in self._unreadable:
+            if name not in self._unreadable_delegates:
                 emit(Event.PEER_REPLY_UNREADABLE, peer=address, request="RegionLoad", reason=error.detail)
-            self._unreadable.add(name)
+            self._unreadable_delegates.add(name)
             raise
-        self._unreadable.clear()
+        self._unreadable_delegates.clear()
         return received
 
     def _receive(self, received: RegionSum) -> None:
         """Take a sum from the other region, to be passed on."""
-        self._fresh[received.region] = received
-        self._note(received)
+        self._unforwarded_sums[received.region] = received
+        self._record_sum(received)
 
-    def _note(self, received: RegionSum) -> None:
-        self._received[received.region] = (received, boot_time_s())
-        if received.region in self._lost:
-            self._lost.discard(received.region)
+    def _record_sum(self, received: RegionSum) -> None:
+        self._last_sums[received.region] = (received, boot_time_s())
+        if received.region in self._lost_regions:
+            self._lost_regions.discard(received.region)
             emit(Event.REGION_REGAINED, region=received.region)
-        self._take(received)
+        self._on_sum(received)
 
     def forget_silent_regions(self, now_s: float) -> None:
         """Forget the regions that have been silent for too long."""
-        for region, (last, at_s) in list(self._received.items()):
+        for region, (last, at_s) in list(self._last_sums.items()):
             if now_s - at_s >= REPORT_LIFETIME_S:
-                del self._received[region]
-                self._lost.add(region)
+                del self._last_sums[region]
+                self._lost_regions.add(region)
                 emit(Event.REGION_LOST, region=region)
-                self._forget(last)
+                self._on_region_lost(last)
 
-    def stand_down(self) -> None:
+    def stop_relaying(self) -> None:
         """This node relays for nobody any more, and so receives sums of no region."""
-        self._received.clear()
-        self._lost.clear()
+        self._last_sums.clear()
+        self._lost_regions.clear()
 
     # --- requests of peers --------------------------------------------------------------------------------
 
-    async def on_region(self, message: RegionLoad) -> RegionReply:
+    async def on_region_load(self, message: RegionLoad) -> RegionReply:
         """Take another region's sum and return this one's. Raises ValueError if it cannot be read."""
         own = self._own_sum()
         if own is None:
@@ -181,18 +181,18 @@
         except PeerUnavailableError as error:
             raise ValueError(str(error)) from error
         reply = RegionReply(pack_region_sum(own))
-        self._traffic.add("loads", len(message.packed) + len(reply.packed))
+        self._traffic.count_exchange("loads", len(message.packed) + len(reply.packed))
         return reply
 
-    def on_passed_on(self, passed_on: RegionSum) -> None:
+    def on_forwarded_sum(self, forwarded: RegionSum) -> None:
         """Take a sum that another relay of this region has received."""
-        self._passed_on_at_s[passed_on.region] = boot_time_s()
-        self._note(passed_on)
+        self._forwarded_at_s[forwarded.region] = boot_time_s()
+        self._record_sum(forwarded)
 
-    def to_pass_on(self) -> tuple[RegionSum, ...]:
+    def pop_sums_to_forward(self) -> tuple[RegionSum, ...]:
         """Return the sums received since the last call."""
-        fresh, self._fresh = tuple(self._fresh.values()), {}
-        return fresh
+        sums, self._unforwarded_sums = tuple(self._unforwarded_sums.values()), {}
+        return sums
 
     def close(self) -> None:
         """Close the connections to peers."""
--- a/src/wallwell/cluster/region_traffic.py
+++ b/src/wallwell/cluster/region_traffic.py
@@ -18,11 +18,11 @@
     exchanges: dict[str, int] = field(default_factory=dict)
     bytes: dict[str, int] = field(default_factory=dict)
 
-    def add(self, cause: str, size: int) -> None:
+    def count_exchange(self, cause: str, size: int) -> None:
         """Count one exchange."""
         self.exchanges[cause] = self.exchanges.get(cause, 0) + 1
-        self.add_bytes(cause, size)
+        self.count_bytes(cause, size)
 
-    def add_bytes(self, cause: str, size: int) -> None:
+    def count_bytes(self, cause: str, size: int) -> None:
         """Count more bytes of an exchange."""
         self.bytes[cause] = self.bytes.get(cause, 0) + size
--- a/src/wallwell/cluster/relay.py
+++ b/src/wallwell/cluster/relay.py
@@ -69,9 +69,9 @@
         self._era = era or StoreEra()
         self._stale_s = wait_s + STALE_MARGIN_S
         self._pause_s = pause_s
-        self._last_brought_rows = False
+        self._last_call_returned_rows = False
         self.links = PeerLinks()
-        self._advanced = asyncio.Event()
+        self._replica_advanced = asyncio.Event()
 
     # --- reading ---------------------------------------------------------------------------------------
 
@@ -80,31 +80,31 @@
 
         The first reading of an era is the store's own, since only that says something of its clock then.
         """
-        page = await self._from_peer(None, 0.0)
+        page = await self._read_from_peer(None, 0.0)
         if page is None or page.position < self.replica.position or self._clock.is_of_another_era(page.era):
             page = await self._store.read_all()
-        return self._take(page, whole=True)
+        return self._apply_page(page, whole=True)
 
     async def changes(self, after: StorePosition, wait_s: float) -> FeedPage:
         """See :class:`RowSource`."""
         if self._era.is_after(after.era):
             raise HistoryLostError("the store has come back from a copy")
-        page = await self._from_peer(after, wait_s)
+        page = await self._read_from_peer(after, wait_s)
         if page is None:
-            if self._last_brought_rows and self._pause_s:
+            if self._last_call_returned_rows and self._pause_s:
                 await asyncio.sleep(self._pause_s)
             page = await self._store.changes(after, wait_s)
-            self._last_brought_rows = bool(page.rows)
-        return self._take(page, whole=False)
+            self._last_call_returned_rows = bool(page.rows)
+        return self._apply_page(page, whole=False)
 
-    async def _from_peer(self, after: StorePosition | None, wait_s: float) -> FeedPage | None:
+    async def _read_from_peer(self, after: StorePosition | None, wait_s: float) -> FeedPage | None:
         """Return a peer's page, None if the store is to be asked. Raises :class:`HistoryLostError`."""
         candidates = self._order.candidates(boot_time_s())
         self.links.keep({peer.name for peer in candidates})
         for name, address in candidates[:MAX_PEERS_ASKED]:
             try:
-                held_s = min(wait_s, OTHER_ZONE_WAIT_S) if self._order.is_in_other_zone(name) else wait_s
-                page = await self._ask(name, address, held_s, after)
+                hold_s = min(wait_s, OTHER_ZONE_WAIT_S) if self._order.is_in_other_zone(name) else wait_s
+                page = await self._ask(name, address, hold_s, after)
             except PeerUnavailableError as error:
                 self._order.on_failure(name, boot_time_s())
                 emit(Event.RELAY_LOST, peer=name, rows=self.table, reason=str(error))
@@ -113,12 +113,12 @@
             return page
         return None
 
-    async def _ask(self, name: str, address: str, held_s: float, after: StorePosition | None) -> FeedPage:
+    async def _ask(self, name: str, address: str, hold_s: float, after: StorePosition | None) -> FeedPage:
         """Return a peer's page. Raises :class:`PeerUnavailableError` or :class:`HistoryLostError`."""
-        request = RowsRequest(self.table, held_s)
+        request = RowsRequest(self.table, hold_s)
         if after is not None:
-            request = RowsRequest(self.table, held_s, after.version, era_to_send(after.era))
-        reply = await self.links.to(name, address).ask(request, RowsReply, held_s + ANSWER_MARGIN_S)
+            request = RowsRequest(self.table, hold_s, after.version, era_to_send(after.era))
+        reply = await self.links.to(name, address).ask(request, RowsReply, hold_s + ANSWER_MARGIN_S)
         if reply.stale:
             raise PeerUnavailableError(f"{address}: its copy of the store is old")
         if reply.history_lost:
@@ -132,14 +132,14 @@
             raise HistoryLostError("the peer knows that the store has come back from a copy")
         return FeedPage(unpack_rows(reply, address), reply.version, reply.store_s, relayed=True, era=era)
 
-    def _take(self, page: FeedPage, whole: bool) -> FeedPage:
+    def _apply_page(self, page: FeedPage, whole: bool) -> FeedPage:
         self._era.observe(page.era, boot_time_s())
         held = self.replica.version
         refused = self.replica.take(page, whole)
         if refused:
             emit(Event.ROWS_WENT_BACK, rows=self.table, version=page.version, held=held, refused=refused)
-        self._advanced.set()
-        self._advanced = asyncio.Event()
+        self._replica_advanced.set()
+        self._replica_advanced = asyncio.Event()
         return page
 
     # --- answering peers -------------------------------------------------------------------------------
@@ -174,10 +174,12 @@
         return reply_with_rows(self.replica.after(after))
 
     async def _wait_for_change(self, after: int, wait_s: float) -> None:
-        give_up_s = boot_time_s() + wait_s
+        deadline_s = boot_time_s() + wait_s
         era = self.replica.era
-        while self._has_nothing_after(era, after) and (left_s := give_up_s - boot_time_s()) > 0:
-            if not await ends_within(self._advanced.wait(), min(left_s, max(0.0, self._stale_s - self._age_s()))):
+        while self._has_nothing_after(era, after) and (left_s := deadline_s - boot_time_s()) > 0:
+            if not await ends_within(
+                self._replica_advanced.wait(), min(left_s, max(0.0, self._stale_s - self._age_s()))
+            ):
                 return
 
     def _has_nothing_after(self, era: int, version: int) -> bool:
@@ -196,7 +198,7 @@
         self.links.keep(set())
 
 
-def answer_from(tables: Mapping[str, RelayedRows]) -> Callable[[RowsRequest], Awaitable[RowsReply]]:
+def rows_handler(tables: Mapping[str, RelayedRows]) -> Callable[[RowsRequest], Awaitable[RowsReply]]:
     """Return the handler of peers' requests for rows. An unknown table raises KeyError."""
 
     async def answer(request: RowsRequest) -> RowsReply:
--- a/src/wallwell/cluster/row_messages.py
+++ b/src/wallwell/cluster/row_messages.py
@@ -16,7 +16,7 @@
 from wallwell.errors import PeerUnavailableError
 from wallwell.storage.feed import FeedPage, FeedRow
 
-PACK_BYTES = 2048
+COMPRESS_FROM_BYTES = 2048
 """Bytes from which rows are compressed: a relay sends a change once for each member, and its link may be thin."""
 
 
@@ -58,13 +58,13 @@
 
 
 @functools.lru_cache(maxsize=8)
-def _pack(rows: tuple[FeedRow, ...]) -> tuple[tuple[RelayedRow, ...], bytes]:
+def _encode_rows(rows: tuple[FeedRow, ...]) -> tuple[tuple[RelayedRow, ...], bytes]:
     """Return rows as they are sent, plain or compressed; most members ask for the same ones."""
     plain = tuple(
         RelayedRow(row.key, None if row.value is None else row.value.decode(), row.version) for row in rows
     )
     encoded = msgspec.json.encode(plain)
-    return (plain, b"") if len(encoded) < PACK_BYTES else ((), zlib.compress(encoded))
+    return (plain, b"") if len(encoded) < COMPRESS_FROM_BYTES else ((), zlib.compress(encoded))
 
 
 def unpack_rows(reply: RowsReply, address: str) -> tuple[FeedRow, ...]:
@@ -80,5 +80,5 @@
 
 def reply_with_rows(page: FeedPage) -> RowsReply:
     """Return a page of the own copy as a reply."""
-    rows, packed = _pack(page.rows)
+    rows, packed = _encode_rows(page.rows)
     return RowsReply(page.version, page.store_s, rows, packed, era=era_to_send(page.era))
--- a/src/wallwell/cluster/stated_limits.py
+++ b/src/wallwell/cluster/stated_limits.py
@@ -27,12 +27,12 @@
 from wallwell.routing.health.backend_registry import BackendRegistry
 from wallwell.routing.health.request_limit import NO_LIMIT_PER_S, LimitStatement, RequestLimit
 
-REPORTED_FOR_S = 60.0
+REPORT_RETENTION_S = 60.0
 """Seconds for which what a node has read is reported, and for which an ended limit is remembered: longer than any
 node takes to hear of something newer from the same back end."""
-COUNTED_BEFORE_S = 1.0
+RECENT_REQUESTS_WINDOW_S = 1.0
 """Seconds before a limit is known whose requests count towards it: it is a rate by the second."""
-LOG_INTERVAL_S = 1.0
+CHANGE_LOG_INTERVAL_S = 1.0
 """Least seconds from a line about one back end to one that says that its limit has changed, which may happen with
 each answer. Its beginning and its end are always logged."""
 
@@ -47,7 +47,7 @@
     started_unix_ms: int | None = None
     """Start of the back end that stated it; see :class:`wallwell.deployment.backends.BackendRecord`."""
 
-    def older_by(self, seconds: float) -> ReportedLimit:
+    def aged_by(self, seconds: float) -> ReportedLimit:
         """Return it as it is to be reported ``seconds`` later."""
         return msgspec.structs.replace(self, age_ms=self.age_ms + round(seconds * 1000))
 
@@ -58,13 +58,13 @@
     def __init__(self, backends: BackendRegistry, limits: FleetLimits) -> None:
         self._backends = backends
         self._limits = limits
-        self._known: dict[str, Backend] = {}
+        self._limited_backends: dict[str, Backend] = {}
         """Back ends that stated a limit lately."""
-        self._sent: deque[tuple[float, str]] = deque()
+        self._recent_requests: deque[tuple[float, str]] = deque()
         """This node's requests of the last second: when, and to which back end."""
         self._logged_s: dict[str, float] = {}
         """When a line was last logged, by back end."""
-        self.passed_over = 0
+        self.requests_passed_over = 0
         """Requests of this node that went elsewhere or were refused on account of a limit."""
 
     # --- what is learned -------------------------------------------------------------------------------
@@ -73,10 +73,10 @@
         """A back end answered this node."""
         if backend.request_limit is None and statement.per_s == NO_LIMIT_PER_S:
             return
-        limit = self._limit_of(backend)
-        before_per_s = limit.per_s
+        limit = self._ensure_limit(backend)
+        previous_per_s = limit.per_s
         limit.on_answer(statement, now_s)
-        self._on_changed(backend, limit, before_per_s, now_s)
+        self._on_limit_change(backend, limit, previous_per_s, now_s)
 
     def on_reported(self, reported: Mapping[str, ReportedLimit] | msgspec.UnsetType, now_s: float) -> None:
         """Another node reports what it and others have read."""
@@ -84,33 +84,33 @@
             return
         for incarnation, stated in reported.items():
             backend = self._backends.get(incarnation)
-            if backend is None or _is_of_another_start(stated, backend):
+            if backend is None or _is_different_start(stated, backend):
                 continue
             if backend.request_limit is None and stated.per_s is None:
                 continue
-            limit = self._limit_of(backend)
-            before_per_s = limit.per_s
+            limit = self._ensure_limit(backend)
+            previous_per_s = limit.per_s
             per_s = NO_LIMIT_PER_S if stated.per_s is None else stated.per_s
             limit.on_reported(per_s, now_s - stated.age_ms / 1000)
-            self._on_changed(backend, limit, before_per_s, now_s)
+            self._on_limit_change(backend, limit, previous_per_s, now_s)
 
-    def _limit_of(self, backend: Backend) -> RequestLimit:
+    def _ensure_limit(self, backend: Backend) -> RequestLimit:
         if backend.request_limit is None:
             backend.request_limit = RequestLimit()
-            if backend.incarnation in self._known:  # An earlier start of it stated one.
+            if backend.incarnation in self._limited_backends:  # An earlier start of it stated one.
                 self._limits.forget_backend(backend.incarnation)
-            self._known[backend.incarnation] = backend
+            self._limited_backends[backend.incarnation] = backend
         return backend.request_limit
 
-    def _on_changed(self, backend: Backend, limit: RequestLimit, before_per_s: float, now_s: float) -> None:
-        if limit.per_s == before_per_s:
+    def _on_limit_change(self, backend: Backend, limit: RequestLimit, previous_per_s: float, now_s: float) -> None:
+        if limit.per_s == previous_per_s:
             return
-        is_begun, is_ended = before_per_s == NO_LIMIT_PER_S, limit.per_s == NO_LIMIT_PER_S
-        if not is_ended:
-            sent = self._sent_lately(backend.incarnation, now_s) if is_begun else 0
+        has_begun, has_ended = previous_per_s == NO_LIMIT_PER_S, limit.per_s == NO_LIMIT_PER_S
+        if not has_ended:
+            sent = self._recent_request_count(backend.incarnation, now_s) if has_begun else 0
             self._limits.limit_backend(backend.incarnation, limit.per_s, sent)
         logged_s = self._logged_s.get(backend.incarnation, float("-inf"))
-        if is_begun or is_ended or now_s - logged_s >= LOG_INTERVAL_S:
+        if has_begun or has_ended or now_s - logged_s >= CHANGE_LOG_INTERVAL_S:
             self._log(backend, limit, now_s)
 
     def _log(self, backend: Backend, limit: RequestLimit, now_s: float) -> None:
@@ -130,24 +130,27 @@
 
     def on_sent(self, incarnation: str, now_s: float) -> None:
         """A request is sent to a back end, limited or not."""
-        self._sent.append((now_s, incarnation))
-        while self._sent[0][0] <= now_s - COUNTED_BEFORE_S:
-            self._sent.popleft()
-
-    def _sent_lately(self, incarnation: str, now_s: float) -> int:
-        return sum(to == incarnation and at_s > now_s - COUNTED_BEFORE_S for at_s, to in self._sent)
+        self._recent_requests.append((now_s, incarnation))
+        while self._recent_requests[0][0] <= now_s - RECENT_REQUESTS_WINDOW_S:
+            self._recent_requests.popleft()
+
+    def _recent_request_count(self, incarnation: str, now_s: float) -> int:
+        return sum(
+            receiver == incarnation and at_s > now_s - RECENT_REQUESTS_WINDOW_S
+            for at_s, receiver in self._recent_requests
+        )
 
-    def take(self, backend: Backend, now_s: float) -> float | None:
+    def admit(self, backend: Backend, now_s: float) -> float | None:
         """Count a request that is to go to a back end, None; or return in how many seconds its limit allows one."""
         if not backend.is_limited:
             return None
-        taken = self._limits.admit(backend_subject(backend.incarnation), REQUEST_UNITS, now_s)
-        if not isinstance(taken, OverLimit):
+        admission = self._limits.admit(backend_subject(backend.incarnation), REQUEST_UNITS, now_s)
+        if not isinstance(admission, OverLimit):
             return None
-        self.passed_over += 1
-        return taken.wait_s
+        self.requests_passed_over += 1
+        return admission.wait_s
 
-    def give_back(self, backend: Backend) -> None:
+    def refund(self, backend: Backend) -> None:
         """A request that was counted did not reach its back end."""
         if backend.is_limited:
             self._limits.refund(Admitted(backend_subject(backend.incarnation), REQUEST_UNITS))
@@ -158,15 +161,15 @@
 
     # --- what is reported ------------------------------------------------------------------------------
 
-    def own(self, now_s: float) -> dict[str, ReportedLimit] | msgspec.UnsetType:
+    def own_reports(self, now_s: float) -> dict[str, ReportedLimit] | msgspec.UnsetType:
         """Return what this node has read itself lately; unset if that is nothing."""
         self._forget_old(now_s)
         reported = {}
-        for incarnation, backend in self._known.items():
+        for incarnation, backend in self._limited_backends.items():
             limit = backend.request_limit
             assert limit is not None
             age_s = now_s - limit.own_read_s
-            if age_s < REPORTED_FOR_S:
+            if age_s < REPORT_RETENTION_S:
                 per_s = None if limit.own_per_s == NO_LIMIT_PER_S else limit.own_per_s
                 started_unix_ms = backend.record.started_unix_ms
                 reported[incarnation] = ReportedLimit(per_s, round(age_s * 1000), started_unix_ms)
@@ -174,12 +177,12 @@
 
     def _forget_old(self, now_s: float) -> None:
         """Drop back ends that have ended, and limits that ended long ago."""
-        for incarnation, backend in list(self._known.items()):
+        for incarnation, backend in list(self._limited_backends.items()):
             limit = backend.request_limit
             assert limit is not None
-            has_ended = limit.per_s == NO_LIMIT_PER_S and now_s - limit.read_s >= REPORTED_FOR_S
+            has_ended = limit.per_s == NO_LIMIT_PER_S and now_s - limit.read_s >= REPORT_RETENTION_S
             if has_ended or self._backends.get(incarnation) is not backend:
-                del self._known[incarnation]
+                del self._limited_backends[incarnation]
                 self._logged_s.pop(incarnation, None)
                 self._limits.forget_backend(incarnation)
                 backend.request_limit = None
@@ -192,8 +195,8 @@
     newest: dict[str, ReportedLimit] = {}
     for report in reports:
         for incarnation, stated in report.items():
-            known = newest.get(incarnation)
-            if known is None or _supersedes(stated, known):
+            newest_so_far = newest.get(incarnation)
+            if newest_so_far is None or _supersedes(stated, newest_so_far):
                 newest[incarnation] = stated
     return newest or msgspec.UNSET
 
@@ -206,6 +209,6 @@
     return not is_of_earlier_start and stated.age_ms < known.age_ms
 
 
-def _is_of_another_start(stated: ReportedLimit, backend: Backend) -> bool:
+def _is_different_start(stated: ReportedLimit, backend: Backend) -> bool:
     starts = stated.started_unix_ms, backend.record.started_unix_ms
     return is_later_start(*starts) or is_later_start(*reversed(starts))
--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -28,15 +28,15 @@
 MEMBERS_PER_RELAY = 40
 """Members of a zone that one relay serves: at 2 KB for each answer of a load report, 40 take 13 Mbit/s of its link
 at 20 reports a second."""
-FOLLOWING_ZONES = 2
+STORE_FOLLOWING_ZONES = 2
 """Zones whose relays follow the store; those of other zones follow these. Two, so that either may be lost."""
-FOLLOWING_ZONES_OF_REGION = 1
+STORE_FOLLOWING_ZONES_PER_REGION = 1
 """The same for each of several regions. Rows cross the link between regions once for each region, and a call to the
 store costs 40 ms at least; the relays of the second zone stand by."""
 DELEGATES_PER_RELAY = 3
 """Members of each zone, by the number of its relays, that may be delegates of their region: with three zones nine
 nodes have to be gone at once before no sums are exchanged with another region."""
-_ZONES_KEY = key_of("zones")
+_ZONE_ORDER_KEY = key_of("zones")
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
@@ -66,21 +66,25 @@
 
     def candidates(self, now_s: float) -> list[Peer]:
         """Return the peers to follow, best first; empty if the store is to be followed."""
-        in_zone = self.followed_in_zone(now_s)
+        in_zone = self.followed_peers_in_zone(now_s)
         own = self.members.get(self.node)
         if in_zone or own is None or not own.relay:
             return in_zone
-        return self._of_earlier_zones(now_s)
+        return self._relays_of_earlier_zones(now_s)
 
     def fleet_size(self) -> int:
         """Return how many nodes are registered; 0 while this one is not: it may not know the others then."""
         return len(self.members) if self.node in self.members else 0
 
-    def _of_earlier_zones(self, now_s: float) -> list[Peer]:
+    def _relays_of_earlier_zones(self, now_s: float) -> list[Peer]:
         """Return the relays that this node follows for its zone."""
-        earlier = [zone for zone in self._zones()[:FOLLOWING_ZONES] if _zone_rank(zone) < _zone_rank(self.zone)]
+        earlier = [
+            zone
+            for zone in self._own_region_zones()[:STORE_FOLLOWING_ZONES]
+            if _zone_rank(zone) < _zone_rank(self.zone)
+        ]
         has_regions = self.topology.has_regions
-        if len(earlier) < (FOLLOWING_ZONES_OF_REGION if has_regions else FOLLOWING_ZONES):
+        if len(earlier) < (STORE_FOLLOWING_ZONES_PER_REGION if has_regions else STORE_FOLLOWING_ZONES):
             return []
         relays = [peer for zone in earlier for peer in self._relays_of(zone, now_s)]
         relays.sort(key=lambda peer: rendezvous_score(peer.name, key_of(self.zone)))
@@ -88,7 +92,7 @@
             relays.sort(key=lambda peer: _zone_rank(self.members[peer.name].zone))
         return relays
 
-    def _zones(self) -> list[str]:
+    def _own_region_zones(self) -> list[str]:
         """Return the zones of the own region in their order."""
         return self._zones_of(self.topology.own_region)
 
@@ -101,28 +105,30 @@
         member = self.members.get(name)
         return member is not None and member.zone != self.zone
 
-    def followed_in_zone(self, now_s: float) -> list[Peer]:
+    def followed_peers_in_zone(self, now_s: float) -> list[Peer]:
         """Return the peers of the own zone that this node follows; empty if it relays for others."""
-        same_zone = self._reachable_in(self.zone)
+        same_zone = self._reachable_members(self.zone)
         if self.node not in same_zone:
             return []
-        ordered, relays = self._order_of(self.zone, same_zone)
+        ordered, relay_count = self._ordered_members(self.zone, same_zone)
         before = ordered[: ordered.index(self.node)]
-        working = [name for name in before if self.health.is_working(name, now_s)][:relays]
-        if len(working) < relays:
+        working = [name for name in before if self.health.is_working(name, now_s)][:relay_count]
+        if len(working) < relay_count:
             return []
         working.sort(key=lambda name: rendezvous_score(name, key_of(self.node)))
         return [self._peer(name) for name in working]
 
-    def relays(self, now_s: float) -> list[Peer]:
+    def other_relays(self, now_s: float) -> list[Peer]:
         """Return the other nodes of this region that relay for their members."""
-        found = [each for zone in self._zones() for each in self._relays_of(zone, now_s)]
-        return [peer for peer in found if peer.name != self.node]
+        relays = [peer for zone in self._own_region_zones() for peer in self._relays_of(zone, now_s)]
+        return [peer for peer in relays if peer.name != self.node]
 
     def _relays_of(self, zone: str, now_s: float) -> list[Peer]:
         """Return the working nodes that stand first in a zone, this node among them."""
-        ordered, relays = self._order_of(zone, self._reachable_in(zone))
-        working = [name for name in ordered if name == self.node or self.health.is_working(name, now_s)][:relays]
+        ordered, relay_count = self._ordered_members(zone, self._reachable_members(zone))
+        working = [name for name in ordered if name == self.node or self.health.is_working(name, now_s)][
+            :relay_count
+        ]
         return [self._peer(name) for name in working]
 
     def other_regions(self) -> list[str]:
@@ -137,9 +143,10 @@
         """
         ranked: list[tuple[int, str]] = []
         for zone in self._zones_of(region):
-            ordered, relays = self._order_of(zone, self._reachable_in(zone))
+            ordered, relay_count = self._ordered_members(zone, self._reachable_members(zone))
             ranked += [
-                (index // relays, name) for index, name in enumerate(ordered[: relays * DELEGATES_PER_RELAY])
+                (index // relay_count, name)
+                for index, name in enumerate(ordered[: relay_count * DELEGATES_PER_RELAY])
             ]
         ranked.sort(key=lambda entry: entry[0])
         return [self._peer(name) for _, name in ranked]
@@ -153,11 +160,11 @@
     def _peer(self, name: str) -> Peer:
         return Peer(name, self.members[name].relay)
 
-    def _reachable_in(self, zone: str) -> list[str]:
+    def _reachable_members(self, zone: str) -> list[str]:
         """Return the members of a zone that peers can reach."""
         return [name for name, member in self.members.items() if member.zone == zone and member.relay]
 
-    def _order_of(self, zone: str, names: list[str]) -> tuple[list[str], int]:
+    def _ordered_members(self, zone: str, names: list[str]) -> tuple[list[str], int]:
         """Return a zone's members in their order, and how many of them relay for the others: the first ones."""
         key = key_of(zone)
         ordered = sorted(
@@ -181,4 +188,4 @@
 
 
 def _zone_rank(zone: str) -> tuple[int, str]:
-    return rendezvous_score(zone, _ZONES_KEY), zone
+    return rendezvous_score(zone, _ZONE_ORDER_KEY), zone
--- a/src/wallwell/node/metrics.py
+++ b/src/wallwell/node/metrics.py
@@ -92,7 +92,7 @@
         yield CounterMetricFamily(
             "wallwell_limited_passed_over",
             "Choices of a back end that went elsewhere for the limit that it states.",
-            value=self._state.load.stated_limits.passed_over,
+            value=self._state.load.stated_limits.requests_passed_over,
         )
         in_flight = sum(each.in_flight for each in listed)
         yield GaugeMetricFamily("wallwell_in_flight", "Attempts in flight.", value=in_flight)
--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -20,7 +20,7 @@
 from wallwell.cluster.load_messages import MemberLoad, RegionLoad, ZoneLoad
 from wallwell.cluster.load_reporter import LoadReporter
 from wallwell.cluster.peer_link import PeerServer
-from wallwell.cluster.relay import answer_from
+from wallwell.cluster.relay import rows_handler
 from wallwell.cluster.row_messages import RowsRequest
 from wallwell.cluster.upstream import NodeRecord, UpstreamOrder
 from wallwell.deployment.freshness import StoreClock
@@ -148,10 +148,10 @@
         self._kv_store_watch = KvStoreWatch(self.state, sources.cache_events, self._order)
         self._peers = PeerServer(
             {
-                RowsRequest: answer_from(self._tables.relayed),
-                MemberLoad: self._load_reporter.on_member,
-                ZoneLoad: self._load_reporter.on_zone,
-                RegionLoad: self._load_reporter.between_regions.on_region,
+                RowsRequest: rows_handler(self._tables.relayed),
+                MemberLoad: self._load_reporter.on_member_load,
+                ZoneLoad: self._load_reporter.on_zone_load,
+                RegionLoad: self._load_reporter.region_reporter.on_region_load,
                 CacheRequest: self._kv_store_watch.answer,
                 CountsReport: self._reporter.on_report,
             }
@@ -182,7 +182,7 @@
         loops += [self._weights_roll.run, self._load_reporter.run, self._kv_store_watch.run, self._liveness.run]
         loops += [self._housekeeping.run, self.readiness.watch_event_loop, self._crashes.run]
         if self._profile.topology.has_regions:
-            loops.append(self._load_reporter.between_regions.run)
+            loops.append(self._load_reporter.region_reporter.run)
         loops += [self._rollouts.run, self._reporter.run]
         self._tasks = [asyncio.create_task(run_for_life(loop)) for loop in loops]
 
--- a/src/wallwell/node/operator_rows.py
+++ b/src/wallwell/node/operator_rows.py
@@ -58,7 +58,7 @@
             self._state.freshness.confirm(followed.confirmed_at_s)
             return
         # The store may have come back from a copy that lacks the newest configuration.
-        self._state.load.own_configuration = config.version
+        self._state.load.own_configuration_version = config.version
         now_s = boot_time_s()
         if not self._is_behind(config.version, now_s) and now_s >= era.since_s + UNCONFIRMED_S:
             self._state.freshness.confirm(followed.confirmed_at_s)
@@ -68,7 +68,7 @@
 
         One that this node cannot read would not be known here either way, so it holds nothing up.
         """
-        peers_version = self._state.load.peers_configuration
+        peers_version = self._state.load.peers_configuration_version
         if version >= peers_version or self._is_config_unreadable:
             self._behind_since_s = None
             return False
--- a/src/wallwell/placement/weights_roll_driver.py
+++ b/src/wallwell/placement/weights_roll_driver.py
@@ -15,7 +15,7 @@
 
 from wallwell.background import BackgroundTasks
 from wallwell.clock import boot_time_s, bounded
-from wallwell.cluster.lease_turn import LeaseTurn
+from wallwell.cluster.lease_candidate import LeaseCandidate
 from wallwell.cluster.leases import LeaseKeeper
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.freshness import StoreClock
@@ -97,13 +97,13 @@
         self._planner = WeightsRollPlanner(
             state.weights,
             state.bounds.version_s,
-            lambda now_s: state.demand.per_s(now_s, state.node_count),
+            lambda now_s: state.demand.generations_per_s(now_s, state.node_count),
             state.topology,
         )
         self._valid_s = state.bounds.lease_s * VALID_FRACTION
         guard_s = state.bounds.lease_s
         self._lease = LeaseKeeper(LEASE_NAME, state.node, self._valid_s, table, guard_s, state.store_era)
-        self._turn = LeaseTurn(LEASE_NAME, state.node, self._lease, self._valid_s, lambda: state.members)
+        self._turn = LeaseCandidate(LEASE_NAME, state.node, self._lease, self._valid_s, lambda: state.members)
         self._loading: dict[str, LoadTask] = {}
         self._finished: dict[str, tuple[str, int]] = {}
         """Model and version last brought to each engine."""
@@ -149,8 +149,8 @@
         now_s = boot_time_s()
         engines = self._engines()
         is_due = bool(self._tasks or self._unpublished) or self._planner.is_due(engines, now_s)
-        self._turn.set_due(is_due, now_s)
-        if not is_due or not await self._turn.hold(now_s):
+        self._turn.set_work_pending(is_due, now_s)
+        if not is_due or not await self._turn.acquire_or_renew(now_s):
             return
         started = [
             task
@@ -254,7 +254,7 @@
 
     async def _order(self, task: LoadTask, report: EngineReport) -> OrderReply:
         try:
-            fence = self._lease.check(boot_time_s())
+            fence = self._lease.require_held(boot_time_s())
         except LeaseLostError:
             # No order without a lease, as if the engine had refused it. The lease turn logs what became of it.
             return OrderReply.FENCED
--- a/src/wallwell/rollout/driver.py
+++ b/src/wallwell/rollout/driver.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from wallwell.clock import boot_time_s, bounded
-from wallwell.cluster.lease_turn import LeaseTurn
+from wallwell.cluster.lease_candidate import LeaseCandidate
 from wallwell.cluster.leases import LeaseKeeper
 from wallwell.deployment.freshness import StoreClock
 from wallwell.deployment.store_era import UNKNOWN_ERA, StorePosition
@@ -84,7 +84,7 @@
         self._clock = clock
         self._valid_s = state.bounds.lease_s * VALID_FRACTION
         self._lease = LeaseKeeper(LEASE_NAME, state.node, self._valid_s, table, era=state.store_era)
-        self._turn = LeaseTurn(LEASE_NAME, state.node, self._lease, self._valid_s, lambda: state.members)
+        self._turn = LeaseCandidate(LEASE_NAME, state.node, self._lease, self._valid_s, lambda: state.members)
         self._rows: dict[str, _StoredRows] = {}
         self._lease_since_s: float | None = None
         self._rows_era = UNKNOWN_ERA
@@ -146,8 +146,8 @@
         self._book.release_held_back(now_s)
         due = [service for service in self._book.due() if self._state.knows_service(service)]
         self._counts.keep(due)
-        self._turn.set_due(bool(due), now_s)
-        if not due or not await self._turn.hold(now_s):
+        self._turn.set_work_pending(bool(due), now_s)
+        if not due or not await self._turn.acquire_or_renew(now_s):
             self._rows.clear()
             self._lease_since_s = None
             return
--- a/src/wallwell/serving/admission.py
+++ b/src/wallwell/serving/admission.py
@@ -51,7 +51,7 @@
         service = state.split.choose(route, state.split_offset)
         state.budget_of(service).on_request(boot_time_s())
         if request.generation is not None:
-            state.demand.own.add(boot_time_s())
+            state.demand.own_generations.add(boot_time_s())
         return ActiveRequest(
             request=request,
             reply=reply,
--- a/src/wallwell/serving/attempt.py
+++ b/src/wallwell/serving/attempt.py
@@ -109,7 +109,7 @@
         answer = await self._wait.await_response(active, backend, dispatch)
         if self._state.topology.distance(backend.record.zone) is Distance.OTHER_REGION:
             cause = active.route.kind.value
-            self._state.region_traffic.add(cause, len(active.request.body))
+            self._state.region_traffic.count_exchange(cause, len(active.request.body))
             answer = CountedAnswer(answer, self._state.region_traffic, cause)
         self._learning.on_head(active, backend, answer.head)
         return answer
--- a/src/wallwell/serving/counted_answer.py
+++ b/src/wallwell/serving/counted_answer.py
@@ -25,7 +25,7 @@
         """Yield the body. Raises :class:`AttemptError` if it ends early."""
         async with aclosing(self._answer.chunks()) as chunks:  # type: ignore[type-var]
             async for chunk in chunks:
-                self._traffic.add_bytes(self._cause, len(chunk))
+                self._traffic.count_bytes(self._cause, len(chunk))
                 yield chunk
 
     def close(self) -> None:
--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -171,7 +171,7 @@
             if not limit_waits_s:
                 self._choice.refuse_if_overloaded(active, now_s)
             backend = self._choice.choose(active, candidates, listed)
-            wait_s = self._state.load.stated_limits.take(backend, now_s)
+            wait_s = self._state.load.stated_limits.admit(backend, now_s)
             if wait_s is None:
                 return backend
             limit_waits_s[backend] = wait_s
@@ -229,7 +229,7 @@
         self._learning.on_failure(active, backend, failure, now_s)
         self._reports.on_attempt_failed(active, backend, failure)
         if event in NOT_ARRIVED:
-            self._state.load.stated_limits.give_back(backend)
+            self._state.load.stated_limits.refund(backend)
         budget = self._state.budget_of(active.service)
         decision = self._policy.after_failure(
             active.route, active.history, active.log.attempts, event, budget, now_s
--- a/src/wallwell/standalone/placement/controller.py
+++ b/src/wallwell/standalone/placement/controller.py
@@ -95,7 +95,7 @@
             held = await lease.try_acquire(boot_time_s())
             if held is not None and not held_before:
                 emit(Event.LEASE_ACQUIRED, lease=name, fence=held.fence)
-            return lease.check(boot_time_s())
+            return lease.require_held(boot_time_s())
         except LeaseLostError:
             if held_before:
                 emit(Event.LEASE_LOST, lease=name)
--- a/tests/unit/cluster/limit_network.py
+++ b/tests/unit/cluster/limit_network.py
@@ -1,6 +1,6 @@
 """A fleet of nodes before a back end that states a limit, in virtual time, with the callers that want it.
 
-What the nodes know and report is the product's (:class:`FleetLoad`, :class:`KnownLoads`), and each message is
+What the nodes know and report is the product's (:class:`FleetLoad`, :class:`LoadAggregator`), and each message is
 encoded and decoded. Members report to the first node of their zone, these report to each other, and the first of
 each region to the other region, as :mod:`wallwell.cluster.load_reporter` has them do.
 """
@@ -15,7 +15,7 @@
 
 from wallwell.cluster.crash_reports import CrashReports
 from wallwell.cluster.fleet_load import FleetLoad
-from wallwell.cluster.known_loads import KnownLoads
+from wallwell.cluster.load_aggregator import LoadAggregator
 from wallwell.cluster.load_messages import MemberLoad, OthersLoad, RegionSum, ZoneLoad
 from wallwell.cluster.load_reports import REPORT_LIFETIME_S
 from wallwell.cluster.region_load_reporter import REGION_INTERVAL_S
@@ -48,7 +48,7 @@
     name: str
     zone: int
     load: FleetLoad = None
-    known: KnownLoads = None
+    known: LoadAggregator = None
     cut: bool = False
     down: bool = False
     heard_s: float = float("-inf")
@@ -86,8 +86,8 @@
         """Start a node, or start it again without anything it knew."""
         node.load = FleetLoad(limits=FleetLimits(random.Random(self.rng.random())))
         node.load.backends.upsert(BackendRecord(BACKEND, "svc", "10.0.0.1:1", "z0", 64, started_unix_ms=5))
-        node.load.forget(len(self.nodes))
-        node.known = KnownLoads(node.name, node.load, CrashReports(tuple, lambda crash: None))
+        node.load.forget_peers(len(self.nodes))
+        node.known = LoadAggregator(node.name, node.load, CrashReports(tuple, lambda crash: None))
         node.down = False
         node.passed_on_s = float("inf")
 
@@ -119,7 +119,7 @@
             return
         (node,) = self.rng.choices([node for node, _ in up], [weight for _, weight in up])
         backend = node.load.backends.get(BACKEND)
-        if node.load.stated_limits.take(backend, now_s) is not None:
+        if node.load.stated_limits.admit(backend, now_s) is not None:
             self.passed_over_s.append(now_s)
             return
         node.load.stated_limits.on_sent(BACKEND, now_s)
@@ -157,22 +157,22 @@
                 self._report(node, relay, now_s)
             node.heard_s = now_s
         if now_s - node.heard_s >= REPORT_LIFETIME_S:
-            node.load.forget(len(self.nodes))
+            node.load.forget_peers(len(self.nodes))
 
     def _report(self, node, relay, now_s):
         limits = node.load.limits
-        message = sent(MemberLoad(node.name, node.load.own(now_s), limits.begin_report()), MemberLoad)
-        reply = sent(relay.known.on_member(message, now_s), OthersLoad)
+        message = sent(MemberLoad(node.name, node.load.own_load(now_s), limits.begin_report()), MemberLoad)
+        reply = sent(relay.known.on_member_load(message, now_s), OthersLoad)
         limits.end_report(taken=True)
-        node.load.learn(reply.load, len(self.nodes), now_s)
+        node.load.update_from_peers(reply.load, len(self.nodes), now_s)
         limits.learn_levels(reply.levels, now_s)
 
     def _exchange_with_relays(self, node, now_s):
         for other in self._relays_of_region(self._region_of(node)):
             if other is not node:
-                other.known.on_relay(sent(node.known.zone_message(now_s), ZoneLoad), now_s)
-                node.known.on_relay(sent(other.known.zone_message(now_s), ZoneLoad), now_s)
-        node.load.learn(node.known.others(now_s), len(self.nodes), now_s)
+                other.known.on_zone_load(sent(node.known.zone_message(now_s), ZoneLoad), now_s)
+                node.known.on_zone_load(sent(other.known.zone_message(now_s), ZoneLoad), now_s)
+        node.load.update_from_peers(node.known.others_load(now_s), len(self.nodes), now_s)
 
     def _exchange_between_regions(self, now_s):
         self.at(now_s + REGION_INTERVAL_S, self._exchange_between_regions)
@@ -188,7 +188,7 @@
         for region in range(self.regions):
             if str(region) != message.region:
                 for relay in self._relays_of_region(region):
-                    relay.known.on_region(message, now_s)
+                    relay.known.on_region_sum(message, now_s)
 
     # --- faults ----------------------------------------------------------------------------------------------
 
--- a/tests/unit/cluster/test_lease_turn.py
+++ b/tests/unit/cluster/test_lease_candidate.py
@@ -7,8 +7,8 @@
 from tests.faulty_table import FaultyTable
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
-from wallwell.cluster import lease_turn
-from wallwell.cluster.lease_turn import CANDIDATE_DELAY_S, CANDIDATE_STEP_S, LeaseTurn
+from wallwell.cluster import lease_candidate
+from wallwell.cluster.lease_candidate import CANDIDATE_SPACING_S, LAST_HOLDER_PRIORITY_S, LeaseCandidate
 from wallwell.cluster.leases import LEASE_PREFIX, LeaseKeeper
 from wallwell.errors import PlatformUnavailableError
 from wallwell.events import Event
@@ -28,7 +28,7 @@
         self.away: set[str] = set()
 
     def _turn(self, name):
-        return LeaseTurn("work", name, LeaseKeeper("work", name, VALID_S, self.table), VALID_S, lambda: NAMES)
+        return LeaseCandidate("work", name, LeaseKeeper("work", name, VALID_S, self.table), VALID_S, lambda: NAMES)
 
     async def step(self, is_due=True):
         """Let time pass; every node that is there follows the row and tries when it is its turn."""
@@ -39,9 +39,9 @@
                 continue
             if row is not None:
                 turn.observe(FeedRow(row.key, row.value.encode(), row.version), boot_time_s())
-            turn.set_due(is_due, boot_time_s())
+            turn.set_work_pending(is_due, boot_time_s())
             if is_due:
-                await turn.hold(boot_time_s())
+                await turn.acquire_or_renew(boot_time_s())
 
     def holders(self):
         return [name for name, turn in self.turns.items() if turn.is_held()]
@@ -106,7 +106,7 @@
 
     is_other, took_s = play(scenario)
     assert is_other
-    assert took_s <= CANDIDATE_DELAY_S + len(NAMES) * CANDIDATE_STEP_S
+    assert took_s <= LAST_HOLDER_PRIORITY_S + len(NAMES) * CANDIDATE_SPACING_S
 
 
 def test_a_draining_node_keeps_what_it_holds_and_takes_no_new_lease():
@@ -139,7 +139,7 @@
 
 def test_a_store_that_does_not_answer_is_logged_once_until_it_does(monkeypatch):
     events = []
-    monkeypatch.setattr(lease_turn, "emit", lambda event, **fields: events.append(event))
+    monkeypatch.setattr(lease_candidate, "emit", lambda event, **fields: events.append(event))
 
     async def scenario(turns):
         holder, _ = await turns.until_held()
--- a/tests/unit/cluster/test_leases.py
+++ b/tests/unit/cluster/test_leases.py
@@ -105,7 +105,7 @@
 
     def is_valid(self, keeper):
         try:
-            keeper.check(self.now_s)
+            keeper.require_held(self.now_s)
         except LeaseLostError:
             return False
         return True
@@ -127,7 +127,7 @@
     assert drive(first.try_acquire(12.9)) is None
     assert drive(first.try_acquire(13.0)).fence > taken.fence
     with pytest.raises(LeaseLostError):
-        second.check(13.0)
+        second.require_held(13.0)
 
 
 class RestoredTable:
@@ -199,10 +199,10 @@
     world = RestoredTable()
     keeper = world.keeper("a")
     world.acquire(keeper)
-    keeper.check(0.1)
+    keeper.require_held(0.1)
     world.eras["a"].observe(1, 0.1)
     with pytest.raises(LeaseLostError):
-        keeper.check(0.1)
+        keeper.require_held(0.1)
 
 
 def test_a_release_from_before_a_restore_does_not_end_the_lease_that_has_its_version_again():
--- a/tests/unit/cluster/test_load_reporter.py
+++ b/tests/unit/cluster/test_load_reporter.py
@@ -6,11 +6,11 @@
 
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
-from wallwell.cluster.crash_reports import MAX_REPORTED, RELAYED_FOR_S, CrashReports
+from wallwell.cluster.crash_reports import MAX_CRASHES_PER_MESSAGE, RELAYED_CRASH_LIFETIME_S, CrashReports
 from wallwell.cluster.demand import RATE_WINDOW_S
 from wallwell.cluster.fleet_load import FleetLoad
 from wallwell.cluster.load_messages import MemberLoad, ZoneLoad
-from wallwell.cluster.load_reporter import INTERVAL_S, THIN_LINK_INTERVAL_S, LoadReporter
+from wallwell.cluster.load_reporter import LOAD_REPORT_INTERVAL_S, LOW_BANDWIDTH_INTERVAL_S, LoadReporter
 from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load
 from wallwell.cluster.peer_link import PeerServer
 from wallwell.cluster.upstream import NodeRecord, UpstreamOrder
@@ -33,7 +33,7 @@
         self.heard = set()
         reports = CrashReports(lambda: self.unwritten, self.heard.add)
         self.exchange = LoadReporter(name, self.load, self.order, crashes=reports)
-        self.server = PeerServer({MemberLoad: self.exchange.on_member, ZoneLoad: self.exchange.on_zone})
+        self.server = PeerServer({MemberLoad: self.exchange.on_member_load, ZoneLoad: self.exchange.on_zone_load})
 
     def put_load(self, engine, load):
         self.backends.get(engine).load = load
@@ -71,7 +71,7 @@
 async def exchange(nodes, rounds=3):
     for _ in range(rounds):
         for node in nodes:
-            await node.exchange.step()
+            await node.exchange.exchange_once()
 
 
 @pytest.mark.parametrize("zones", ["a", "aaaa", "abc", "aaabbc", "a" * 45 + "bb"])
@@ -90,9 +90,9 @@
     async def scenario(nodes):
         for index, node in enumerate(nodes):
             for _ in range(index + 1):
-                node.demand.own.add(boot_time_s())
+                node.demand.own_generations.add(boot_time_s())
         await exchange(nodes)
-        return [node.demand.per_s(boot_time_s(), len(nodes)) for node in nodes]
+        return [node.demand.generations_per_s(boot_time_s(), len(nodes)) for node in nodes]
 
     count = len(zones)
     assert with_nodes(zones, scenario) == [count * (count + 1) / 2 / RATE_WINDOW_S] * count
@@ -131,7 +131,7 @@
             if node is not follower:
                 node.server.close()
         monkeypatch.setattr("wallwell.cluster.load_reporter.REPORT_LIFETIME_S", 0.0)
-        await follower.exchange.step()
+        await follower.exchange.exchange_once()
         return follower.peers_loads(), follower.backends.get("e1").fleet_load(nodes=3)
 
     assert with_nodes("aaa", scenario) == ([None, None, None], 3)
@@ -170,11 +170,11 @@
 @pytest.mark.parametrize(
     ("own_mbps", "relay_mbps", "interval_s"),
     [
-        (10.0, 100.0, INTERVAL_S),
-        (0.0, 0.0, INTERVAL_S),
-        (5.0, 10.0, THIN_LINK_INTERVAL_S),
-        (10.0, None, THIN_LINK_INTERVAL_S),
-        (100.0, None, INTERVAL_S),
+        (10.0, 100.0, LOAD_REPORT_INTERVAL_S),
+        (0.0, 0.0, LOAD_REPORT_INTERVAL_S),
+        (5.0, 10.0, LOW_BANDWIDTH_INTERVAL_S),
+        (10.0, None, LOW_BANDWIDTH_INTERVAL_S),
+        (100.0, None, LOAD_REPORT_INTERVAL_S),
     ],
     ids=["fast relay", "unknown link", "thin relay", "thin and alone", "fast and alone"],
 )
@@ -185,11 +185,14 @@
         # The node that stands first in its zone has the fastest link.
         order.members["n0"] = NodeRecord("a", "10.0.0.2:1", relay_mbps)
     exchange = LoadReporter("n1", FleetLoad(), order)
-    assert relay_mbps == 0.0 or (not order.followed_in_zone(0.0)) == (relay_mbps is None)
+    assert relay_mbps == 0.0 or (not order.followed_peers_in_zone(0.0)) == (relay_mbps is None)
     assert exchange._interval_s(0.0) == interval_s
 
 
-@pytest.mark.parametrize(("zones", "interval_s"), [("a", INTERVAL_S), ("ab", INTERVAL_S), ("abcd", 3 * INTERVAL_S)])
+@pytest.mark.parametrize(
+    ("zones", "interval_s"),
+    [("a", LOAD_REPORT_INTERVAL_S), ("ab", LOAD_REPORT_INTERVAL_S), ("abcd", 3 * LOAD_REPORT_INTERVAL_S)],
+)
 def test_relays_of_many_zones_tell_each_other_less_often(zones, interval_s):
     order = UpstreamOrder("n0", "a")
     order.members = {f"n{index}": NodeRecord(zone, f"10.0.0.{index}:1", 100.0) for index, zone in enumerate(zones)}
@@ -203,9 +206,9 @@
         first, second = nodes
         for now_s in (0.0, 3.0, 8.0):
             first.order.on_failure(second.name, now_s)
-        passed_over = first.order.relays(9.0)
-        await second.exchange.step()
-        return passed_over, [name for name, _ in first.order.relays(9.0)]
+        passed_over = first.order.other_relays(9.0)
+        await second.exchange.exchange_once()
+        return passed_over, [name for name, _ in first.order.other_relays(9.0)]
 
     assert with_nodes("ab", scenario) == ([], ["n1"])
 
@@ -214,9 +217,9 @@
     async def work():
         exchange = LoadReporter("n1", FleetLoad(), UpstreamOrder("n1", "z1"))
         for number in range(100):
-            await exchange.on_zone(ZoneLoad(f"relay-{number}", Load(nodes=1), 1, {"t": number}))
+            await exchange.on_zone_load(ZoneLoad(f"relay-{number}", Load(nodes=1), 1, {"t": number}))
             await asyncio.sleep(2 * REPORT_LIFETIME_S)
-        return len(exchange._known._totals)
+        return len(exchange._aggregator._relay_totals)
 
     assert run_virtual(work()) == 1
 
@@ -239,9 +242,13 @@
     reports = CrashReports(tuple, heard.append)
     reports.receive_from_member([("c", "e0")], 10.0)
     reports.receive_from_relay([("d", "e1")], 10.0)
-    assert reports.for_relays(10.0) == (("c", "e0"),)
-    assert set(reports.for_members(10.0 + RELAYED_FOR_S)) == {("c", "e0"), ("d", "e1")}
-    assert reports.for_members(10.1 + RELAYED_FOR_S) == reports.for_relays(10.1 + RELAYED_FOR_S) == ()
+    assert reports.crashes_for_other_relays(10.0) == (("c", "e0"),)
+    assert set(reports.crashes_for_members(10.0 + RELAYED_CRASH_LIFETIME_S)) == {("c", "e0"), ("d", "e1")}
+    assert (
+        reports.crashes_for_members(10.1 + RELAYED_CRASH_LIFETIME_S)
+        == reports.crashes_for_other_relays(10.1 + RELAYED_CRASH_LIFETIME_S)
+        == ()
+    )
     assert heard == [("c", "e0"), ("d", "e1")]
 
 
@@ -250,14 +257,14 @@
     relays[0].receive_from_member([("c", "e0")], 0.0)
     for step in range(100):
         now_s = 0.1 * step
-        relays[1].receive_from_relay(relays[0].for_relays(now_s), now_s)
-        relays[0].receive_from_relay(relays[1].for_relays(now_s), now_s)
-    assert relays[0].for_members(10.0) == relays[1].for_members(10.0) == ()
+        relays[1].receive_from_relay(relays[0].crashes_for_other_relays(now_s), now_s)
+        relays[0].receive_from_relay(relays[1].crashes_for_other_relays(now_s), now_s)
+    assert relays[0].crashes_for_members(10.0) == relays[1].crashes_for_members(10.0) == ()
 
 
 def test_crashes_in_a_message_are_bounded_and_own_ones_go_first():
-    own = [(f"c{number}", "e0") for number in range(MAX_REPORTED - 1)]
+    own = [(f"c{number}", "e0") for number in range(MAX_CRASHES_PER_MESSAGE - 1)]
     reports = CrashReports(lambda: own, lambda crash: None)
     reports.receive_from_member([("m1", "e0"), ("m2", "e0")], 0.0)
-    assert reports.for_members(0.0) == (*own, ("m1", "e0"))
-    assert reports.for_relay() == tuple(own)
+    assert reports.crashes_for_members(0.0) == (*own, ("m1", "e0"))
+    assert reports.crashes_for_own_relay() == tuple(own)
--- a/tests/unit/cluster/test_load_reports.py
+++ b/tests/unit/cluster/test_load_reports.py
@@ -4,29 +4,29 @@
 from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load, LoadReports, sum_loads
 
 
-def total(reports, now_s, without=""):
-    return sum_loads(reports.recent(now_s, without))
+def total(reports, now_s, excluding=""):
+    return sum_loads(reports.recent(now_s, excluding))
 
 
 def test_the_newest_report_of_each_sender_counts():
     reports = LoadReports()
-    reports.take("n1", Load({"a": 3, "b": 1}, 5), 0.0)
-    reports.take("n2", Load({"a": 2}, 4), 0.1)
-    reports.take("n1", Load({"a": 1}, 6), 0.2)
+    reports.record("n1", Load({"a": 3, "b": 1}, 5), 0.0)
+    reports.record("n2", Load({"a": 2}, 4), 0.1)
+    reports.record("n1", Load({"a": 1}, 6), 0.2)
     assert total(reports, 0.3) == Load({"a": 3}, 10)
-    assert total(reports, 0.3, without="n1") == Load({"a": 2}, 4)
+    assert total(reports, 0.3, excluding="n1") == Load({"a": 2}, 4)
 
 
 def test_a_silent_sender_is_forgotten():
     reports = LoadReports()
-    reports.take("n1", Load({"a": 3}), 0.0)
-    reports.take("n2", Load({"a": 2}), 1.0)
+    reports.record("n1", Load({"a": 3}), 0.0)
+    reports.record("n2", Load({"a": 2}), 1.0)
     assert total(reports, REPORT_LIFETIME_S + 0.1) == Load({"a": 2})
     assert total(reports, REPORT_LIFETIME_S + 2.0) == Load()
 
 
 def test_arrivals_are_counted_for_a_while():
-    arrivals = FleetDemand().own
+    arrivals = FleetDemand().own_generations
     for at_s in (0.0, 1.0, 2.0):
         arrivals.add(at_s)
     assert [arrivals.count(now_s) for now_s in (2.0, RATE_WINDOW_S, RATE_WINDOW_S + 5.0)] == [3, 2, 0]
@@ -34,7 +34,7 @@
 
 def test_unheard_nodes_are_taken_to_get_as_much_as_this_one():
     demand = FleetDemand()
-    demand.own.add(0.0)
-    assert demand.per_s(0.1, nodes=8) == 8 / RATE_WINDOW_S
+    demand.own_generations.add(0.0)
+    assert demand.generations_per_s(0.1, nodes=8) == 8 / RATE_WINDOW_S
     demand.peers_generations = 3
-    assert demand.per_s(0.1, nodes=8) == 4 / RATE_WINDOW_S
+    assert demand.generations_per_s(0.1, nodes=8) == 4 / RATE_WINDOW_S
--- a/tests/unit/cluster/test_peer_link.py
+++ b/tests/unit/cluster/test_peer_link.py
@@ -6,7 +6,7 @@
 import pytest
 
 from wallwell.cluster import peer_link
-from wallwell.cluster.peer_link import REFUSALS_LOGGED_EVERY_S, PeerLinks, PeerMessage, PeerServer
+from wallwell.cluster.peer_link import REFUSAL_LOG_INTERVAL_S, PeerLinks, PeerMessage, PeerServer
 from wallwell.errors import PeerUnavailableError
 from wallwell.events import Event
 
@@ -89,7 +89,7 @@
     async def work():
         server = PeerServer({Question: None})
         await server.start("127.0.0.1", 0)
-        for step_s in (0.0, 1.0, 1.0, REFUSALS_LOGGED_EVERY_S):
+        for step_s in (0.0, 1.0, 1.0, REFUSAL_LOG_INTERVAL_S):
             now_s[0] += step_s
             await send(server.address)
         server.close()
--- a/tests/unit/cluster/test_region_load_reporter.py
+++ b/tests/unit/cluster/test_region_load_reporter.py
@@ -15,7 +15,7 @@
     RegionLoad,
     RegionReply,
     RegionSum,
-    RelayTotals,
+    RelaySpentTotals,
     ZoneLoad,
     pack_region_sum,
 )
@@ -83,13 +83,13 @@
         self.traffic = RegionTraffic()
         self.exchange = exchange = LoadReporter(name, self.load, self.order, self.traffic)
         exchange._links = VirtualLinks(network, self)
-        exchange.between_regions._links = VirtualLinks(network, self)
+        exchange.region_reporter._links = VirtualLinks(network, self)
         self.handlers = {
-            MemberLoad: exchange.on_member,
-            ZoneLoad: exchange.on_zone,
-            RegionLoad: exchange.between_regions.on_region,
+            MemberLoad: exchange.on_member_load,
+            ZoneLoad: exchange.on_zone_load,
+            RegionLoad: exchange.region_reporter.on_region_load,
         }
-        self.tasks = [asyncio.create_task(each()) for each in (exchange.run, exchange.between_regions.run)]
+        self.tasks = [asyncio.create_task(each()) for each in (exchange.run, exchange.region_reporter.run)]
 
     @property
     def known_load(self):
@@ -121,7 +121,7 @@
         return [
             node
             for node in self.of("a")
-            if node.exchange._region_sum() and node.exchange.between_regions.is_delegate_to("b", now())
+            if node.exchange._own_region_sum() and node.exchange.region_reporter.is_delegate_to("b", now())
         ]
 
     def relays_of(self, region):
@@ -273,7 +273,7 @@
         await asyncio.sleep(3.0)
         relay = network.relays_of("b")[0]
         with pytest.raises(ValueError, match="asking node"):
-            await relay.exchange.between_regions.on_region(RegionLoad(b"not compressed"))
+            await relay.exchange.region_reporter.on_region_load(RegionLoad(b"not compressed"))
         await asyncio.sleep(0.5)
         return network.all_know(12)
 
@@ -290,7 +290,7 @@
         nodes=205,
     )
     relays = tuple(
-        RelayTotals(
+        RelaySpentTotals(
             f"front-zone-{zone}",
             zone * 99_991,
             {f"tenant-{each}": 7_777_777 * zone + each * 31 for each in range(tenants)},
@@ -341,7 +341,7 @@
     async def work():
         network = Network()
         asker = network.delegates()[0]
-        between = asker.exchange.between_regions
+        between = asker.exchange.region_reporter
         gone = [name for name, node in network.nodes.items() if node.region == "b"]
 
         async def ask(name, address, message):
@@ -351,7 +351,7 @@
                 raise PeerUnavailableError("gone")
 
         between._ask = ask
-        await between.step(now())
+        await between.exchange_once(now())
         for node in network.nodes.values():
             node.kill()
         return asker.order.other_regions()
@@ -365,7 +365,7 @@
 
     async def scenario(network):
         await asyncio.sleep(3.0)
-        between = network.delegates()[0].exchange.between_regions
+        between = network.delegates()[0].exchange.region_reporter
         for _ in range(3):
             with pytest.raises(PeerUnavailableError):
                 between._unpack_reply(RegionReply(b"not compressed"), "b1-n0", "10.0.0.1:1")
--- a/tests/unit/cluster/test_relay.py
+++ b/tests/unit/cluster/test_relay.py
@@ -11,7 +11,7 @@
 from tests.unit.storage.memory_rows import MemoryRows, Mirror
 from wallwell.clock import boot_time_s
 from wallwell.cluster.peer_link import PeerServer
-from wallwell.cluster.relay import RelayedRows, answer_from
+from wallwell.cluster.relay import RelayedRows, rows_handler
 from wallwell.cluster.row_messages import RowsReply, RowsRequest, reply_with_rows, unpack_rows
 from wallwell.cluster.upstream import NodeRecord, UpstreamOrder
 from wallwell.deployment.freshness import StoreClock
@@ -57,7 +57,7 @@
         self.rows = RelayedRows("rows", store, self.order, clock, WAIT_S)
         self.mirror = Mirror()
         self.follower = RowFollower("rows", self.rows, self.mirror.apply, WAIT_S, clock, random.Random(5))
-        self.server = PeerServer({RowsRequest: answer_from({"rows": self.rows})})
+        self.server = PeerServer({RowsRequest: rows_handler({"rows": self.rows})})
 
     async def start(self):
         await self.server.start("127.0.0.1", 0)
--- a/tests/unit/cluster/test_stated_limits.py
+++ b/tests/unit/cluster/test_stated_limits.py
@@ -9,7 +9,7 @@
 from wallwell.cluster.fleet_load import FleetLoad
 from wallwell.cluster.load_messages import OthersLoad
 from wallwell.cluster.load_reports import Load, LoadReports, sum_loads
-from wallwell.cluster.stated_limits import LOG_INTERVAL_S, REPORTED_FOR_S, ReportedLimit
+from wallwell.cluster.stated_limits import CHANGE_LOG_INTERVAL_S, REPORT_RETENTION_S, ReportedLimit
 from wallwell.deployment.backends import BackendRecord
 from wallwell.routing.admission.fleet_limits import FleetLimits
 from wallwell.routing.health.request_limit import NO_LIMIT_PER_S, LimitStatement, read_limit
@@ -25,7 +25,7 @@
 def node(started=BORN):
     load = FleetLoad(limits=FleetLimits(random.Random(1)))
     load.backends.upsert(record(started))
-    load.forget(1)
+    load.forget_peers(1)
     return load
 
 
@@ -108,31 +108,31 @@
     answer(load, 2.0, 10.0)
     load.backends.upsert(record(BORN_AGAIN))
     assert limit_of(load) == NO_LIMIT_PER_S
-    assert load.own(10.1).stated_limits is msgspec.UNSET
-    assert load.stated_limits.take(load.backends.get(BACKEND), 10.1) is None
+    assert load.own_load(10.1).stated_limits is msgspec.UNSET
+    assert load.stated_limits.admit(load.backends.get(BACKEND), 10.1) is None
 
 
 def test_only_what_a_node_read_itself_is_reported_and_not_for_ever():
     load = node()
     load.stated_limits.on_reported({BACKEND: ReportedLimit(2.0, 0, BORN)}, 10.0)
-    assert load.own(10.0).stated_limits is msgspec.UNSET
+    assert load.own_load(10.0).stated_limits is msgspec.UNSET
     answer(load, 2.0, 10.5)
-    assert load.own(11.0).stated_limits == {BACKEND: ReportedLimit(2.0, 500, BORN)}
+    assert load.own_load(11.0).stated_limits == {BACKEND: ReportedLimit(2.0, 500, BORN)}
     answer(load, NO_LIMIT_PER_S, 12.0)
-    assert load.own(12.5).stated_limits == {BACKEND: ReportedLimit(None, 500, BORN)}
-    assert load.own(12.0 + REPORTED_FOR_S).stated_limits is msgspec.UNSET
+    assert load.own_load(12.5).stated_limits == {BACKEND: ReportedLimit(None, 500, BORN)}
+    assert load.own_load(12.0 + REPORT_RETENTION_S).stated_limits is msgspec.UNSET
 
 
 def test_reports_grow_older_while_they_are_kept_and_the_newest_is_passed_on():
     reports = LoadReports()
-    reports.take("a", Load(stated_limits={BACKEND: ReportedLimit(3.0, 100, BORN)}), 10.0)
-    reports.take("b", Load(stated_limits={BACKEND: ReportedLimit(2.0, 300, BORN)}), 10.4)
+    reports.record("a", Load(stated_limits={BACKEND: ReportedLimit(3.0, 100, BORN)}), 10.0)
+    reports.record("b", Load(stated_limits={BACKEND: ReportedLimit(2.0, 300, BORN)}), 10.4)
     passed_on = sum_loads(reports.recent(10.5))
     assert passed_on.stated_limits == {BACKEND: ReportedLimit(2.0, 400, BORN)}
 
 
 def test_nothing_is_added_to_messages_while_nobody_states_a_limit():
-    quiet = OthersLoad(sum_loads([node().own(1.0), node().own(1.0)]))
+    quiet = OthersLoad(sum_loads([node().own_load(1.0), node().own_load(1.0)]))
     assert b"stated" not in msgspec.json.encode(quiet)
 
 
@@ -143,7 +143,7 @@
 
     load = node()
     answer(load, 2.0, 10.0)
-    message = msgspec.json.encode(load.own(10.0))
+    message = msgspec.json.encode(load.own_load(10.0))
     assert msgspec.json.decode(message, type=OlderLoad).nodes == 1
     assert msgspec.json.decode(b'{"nodes":1}', type=Load).stated_limits is msgspec.UNSET
 
@@ -153,8 +153,8 @@
     answer(load, 2.0, 10.0)
     backend = load.backends.get(BACKEND)
     level_before = load.limits.levels(10.0)
-    assert load.stated_limits.take(backend, 10.0) is None
-    load.stated_limits.give_back(backend)
+    assert load.stated_limits.admit(backend, 10.0) is None
+    load.stated_limits.refund(backend)
     assert load.limits.levels(10.0) == level_before
 
 
@@ -172,7 +172,7 @@
     sink = logger.add(lambda line: lines.append(line.record["extra"]["limit_per_s"]), level="INFO")
     load = node()
     for number in range(20):
-        answer(load, 3.0 - number / 10, 10.0 + number * LOG_INTERVAL_S / 10)
+        answer(load, 3.0 - number / 10, 10.0 + number * CHANGE_LOG_INTERVAL_S / 10)
     answer(load, NO_LIMIT_PER_S, 12.0)
     logger.remove(sink)
     assert lines == [3.0, 2.0, None]
--- a/tests/unit/cluster/test_stated_limits_fleet.py
+++ b/tests/unit/cluster/test_stated_limits_fleet.py
@@ -7,7 +7,7 @@
 
 STATED_S, ENDED_S, END_S = 5.0, 25.0, 40.0
 JUDGED_S = STATED_S + CONTACT_S
-THIN_LINK_INTERVAL_S = 0.25
+LOW_BANDWIDTH_INTERVAL_S = 0.25
 
 
 def stated(per_s):
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("event", [nothing_happens, one_node_restarts_after_the_other, the_regions_lose_each_other])
 def test_79_nodes_that_report_four_times_a_second_keep_a_limit(event):
     per_s = 2.0
-    network = play(event, 79, per_s, 4 * per_s, THIN_LINK_INTERVAL_S)
+    network = play(event, 79, per_s, 4 * per_s, LOW_BANDWIDTH_INTERVAL_S)
     assert network.largest_window(JUDGED_S, ENDED_S) <= allowed(per_s)
     assert network.rate(JUDGED_S, ENDED_S) >= 0.5 * per_s
 
--- a/tests/unit/cluster/test_upstream.py
+++ b/tests/unit/cluster/test_upstream.py
@@ -22,7 +22,7 @@
 @given(count=st.integers(1, 130), zones=st.integers(1, 4))
 def test_each_zone_has_one_relay_for_so_many_and_two_zones_follow_the_store(count, zones):
     members = fleet(count, zones)
-    relays = [name for name, order in orders(members).items() if not order.followed_in_zone(0.0)]
+    relays = [name for name, order in orders(members).items() if not order.followed_peers_in_zone(0.0)]
     roots = [name for name, order in orders(members).items() if not order.candidates(0.0)]
     sizes = [sum(member.zone == f"z{zone}" for member in members.values()) for zone in range(zones)]
     assert len(relays) == sum(-(-size // MEMBERS_PER_RELAY) for size in sizes)
@@ -92,7 +92,9 @@
 def test_a_zone_follows_the_store_itself_only_if_both_zones_before_it_are_silent():
     members = fleet(12, zones=4)
     later = next(
-        name for name, order in orders(members).items() if not order.followed_in_zone(0.0) and order.candidates(0.0)
+        name
+        for name, order in orders(members).items()
+        if not order.followed_peers_in_zone(0.0) and order.candidates(0.0)
     )
     order = UpstreamOrder(later, members[later].zone, members)
     followed = [name for name, _ in order.candidates(0.0)]
@@ -153,7 +155,7 @@
     for name, order in regional_orders(members).items():
         candidates = [peer for peer, _ in order.candidates(0.0)]
         zones = [members[peer].zone for peer in candidates]
-        if order.followed_in_zone(0.0) or len(candidates) < 2:
+        if order.followed_peers_in_zone(0.0) or len(candidates) < 2:
             continue
         first_zone, second_zone = zones
         assert REGIONS[first_zone] == REGIONS[second_zone] == REGIONS[members[name].zone]
@@ -181,14 +183,14 @@
     plain, mapped = orders(members), regional_orders(members, regions)
     for name in members:
         assert mapped[name].candidates(0.0) == plain[name].candidates(0.0)
-        assert mapped[name].relays(0.0) == plain[name].relays(0.0)
+        assert mapped[name].other_relays(0.0) == plain[name].other_relays(0.0)
         assert not mapped[name].other_regions()
 
 
 def test_relays_of_other_regions_get_no_reports_of_each_node():
     members = fleet(12, zones=6)
     for name, order in regional_orders(members).items():
-        reached = {REGIONS[members[peer].zone] for peer, _ in order.relays(0.0)}
+        reached = {REGIONS[members[peer].zone] for peer, _ in order.other_relays(0.0)}
         assert reached == {REGIONS[members[name].zone]}
 
 
@@ -200,7 +202,7 @@
     (names,) = delegates
     # A relay of each zone first, then those who take their places.
     assert len(names) == 9
-    assert all(not known[name].followed_in_zone(0.0) for name in names[:3])
+    assert all(not known[name].followed_peers_in_zone(0.0) for name in names[:3])
     assert [known[name].delegate_rank(0.0) for name in names] == list(range(9))
     known[names[1]].on_failure(names[0], 0.0)
     assert known[names[1]].delegate_rank(0.5) == 0
--- a/tests/unit/node/test_fleet_recovery.py
+++ b/tests/unit/node/test_fleet_recovery.py
@@ -214,7 +214,11 @@
 
     def _report(self, now_s):
         """Every node learns what the others had told a moment ago."""
-        before, previous, self.told = self.told_before, self.told, [state.load.own(now_s) for state in self.nodes]
+        before, previous, self.told = (
+            self.told_before,
+            self.told,
+            [state.load.own_load(now_s) for state in self.nodes],
+        )
         self.told_before = previous
         for index, state in enumerate(self.nodes):
             region = state.topology.own_region
@@ -224,7 +228,7 @@
                 if other != index and told:
                     others.append(told[other])
             if others:
-                state.load.learn(sum_loads(others), NODES, now_s)
+                state.load.update_from_peers(sum_loads(others), NODES, now_s)
         self.at(now_s + REPORT_S, self._report)
 
 
--- a/tests/unit/node/test_operator_rows.py
+++ b/tests/unit/node/test_operator_rows.py
@@ -69,7 +69,7 @@
 
     async def work():
         followed = Followed(era)
-        followed.state.load.learn(Load(configuration=peers_version or msgspec.UNSET), 2, boot_time_s())
+        followed.state.load.update_from_peers(Load(configuration=peers_version or msgspec.UNSET), 2, boot_time_s())
         return followed.read(value)
 
     assert run_virtual(work()) is is_confirmed
@@ -82,7 +82,7 @@
     async def work():
         followed = Followed()
         followed.read(b"5")
-        followed.state.load.learn(Load(configuration=7), 2, boot_time_s())
+        followed.state.load.update_from_peers(Load(configuration=7), 2, boot_time_s())
         confirmed = []
         for _ in range(3):
             await asyncio.sleep(UNCONFIRMED_S)
@@ -97,7 +97,7 @@
 
 def test_the_newest_version_travels_with_the_loads_and_nothing_does_while_the_store_counts_no_eras():
     behind, ahead = FleetLoad(), FleetLoad()
-    behind.own_configuration, ahead.own_configuration = 5, 7
-    total = sum_loads([behind.own(1.0), ahead.own(1.0), FleetLoad().own(1.0)])
+    behind.own_configuration_version, ahead.own_configuration_version = 5, 7
+    total = sum_loads([behind.own_load(1.0), ahead.own_load(1.0), FleetLoad().own_load(1.0)])
     assert total.configuration == 7
-    assert b"configuration" not in msgspec.json.encode(OthersLoad(sum_loads([FleetLoad().own(1.0)])))
+    assert b"configuration" not in msgspec.json.encode(OthersLoad(sum_loads([FleetLoad().own_load(1.0)])))
--- a/tests/unit/serving/test_zone_cut.py
+++ b/tests/unit/serving/test_zone_cut.py
@@ -114,8 +114,8 @@
     order = UpstreamOrder("n1", "z1", {"n1": NodeRecord("z1", "n1:1"), "n2": NodeRecord("z2", "n2:1")})
     for now_s in (0.0, 3.0, 8.0):
         order.on_failure("n2", now_s)
-    assert order.relays(9.0) == []
+    assert order.other_relays(9.0) == []
     order.on_zone_returned("z1")
-    assert order.relays(9.0) == []
+    assert order.other_relays(9.0) == []
     order.on_zone_returned("z2")
-    assert order.relays(9.0) == [("n2", "n2:1")]
+    assert order.other_relays(9.0) == [("n2", "n2:1")]
--- a/tests/unit/test_suspended_machine.py
+++ b/tests/unit/test_suspended_machine.py
@@ -28,7 +28,7 @@
 from tests.virtual_time import run_virtual, suspend_machine
 from wallwell.backend_connection import DEFAULT_IDLE_S
 from wallwell.clock import TICK_S, SuspensionWatch, boot_time_s, bounded
-from wallwell.cluster.lease_turn import LeaseTurn
+from wallwell.cluster.lease_candidate import LeaseCandidate
 from wallwell.cluster.leases import LeaseKeeper
 from wallwell.deployment.freshness import Freshness, StoreClock
 from wallwell.deployment.routes import RouteKind
@@ -174,9 +174,9 @@
 def test_a_lease_is_not_held_after_it():
     async def work():
         keeper = LeaseKeeper("work", "n1", 3.0, FaultyTable())
-        turn = LeaseTurn("work", "n1", keeper, 3.0, lambda: ("n1",))
-        turn.set_due(True, boot_time_s())
-        held = [await turn.hold(boot_time_s())]
+        turn = LeaseCandidate("work", "n1", keeper, 3.0, lambda: ("n1",))
+        turn.set_work_pending(True, boot_time_s())
+        held = [await turn.acquire_or_renew(boot_time_s())]
         suspend_machine(AWAY_S)
         held.append(turn.is_held())
         return held
