--- a/tests/unit/cluster/limit_network.py
+++ b/tests/unit/cluster/limit_network.py
@@ -25,18 +25,18 @@
 
 BACKEND = "i-0"
 ZONES = 3
-ON_THE_WAY_S = 0.002
-REGION_WAY_S = 0.02
-ANSWER_S = 0.05
+REQUEST_DELAY_S = 0.002
+REGION_DELAY_S = 0.02
+ANSWER_DELAY_S = 0.05
 """Seconds until the head of an answer, of which it states the limit that is in force then."""
-CONTACT_S = 3.0
+ENFORCEMENT_DELAY_S = 3.0
 """Seconds from the first statement after which the limit must hold."""
 WINDOW_S = 4.0
-PASSED_ON_BEFORE_S = 0.5
+STATEMENT_FORWARDED_BEFORE_S = 0.5
 """A node counts from so long after it passed on an answer that states a limit."""
 
 
-def allowed(per_s):
+def max_requests_in_window(per_s):
     """Return how many requests may reach a back end in a window."""
     return 1.5 * per_s * WINDOW_S + 5
 
@@ -48,12 +48,12 @@
     name: str
     zone: int
     load: FleetLoad = None
-    known: LoadAggregator = None
-    cut: bool = False
-    down: bool = False
-    heard_s: float = float("-inf")
-    passed_on_s: float = float("inf")
-    excused_s: list[tuple[float, float]] = field(default_factory=list)
+    aggregator: LoadAggregator = None
+    is_cut_off: bool = False
+    is_down: bool = False
+    last_exchange_s: float = float("-inf")
+    statement_forwarded_s: float = float("inf")
+    excluded_spans_s: list[tuple[float, float]] = field(default_factory=list)
     """Times in which it was cut, down or had been started a moment ago."""
 
 
@@ -61,12 +61,12 @@
     """Runs requests against one back end and records what reaches it."""
 
     def __init__(
-        self, seed, nodes=7, per_s=lambda now_s: NO_LIMIT_PER_S, wanted_per_s=10.0, interval_s=0.05, regions=1
+        self, seed, nodes=7, per_s=lambda now_s: NO_LIMIT_PER_S, requested_per_s=10.0, interval_s=0.05, regions=1
     ):
         self.rng = random.Random(seed)
         self.per_s = per_s
         """What the back end states at a time."""
-        self.wanted_per_s = wanted_per_s
+        self.requested_per_s = requested_per_s
         self.interval_s = interval_s
         self.regions = regions
         self.lost_fraction = 0.0
@@ -87,21 +87,21 @@
         node.load = FleetLoad(limits=FleetLimits(random.Random(self.rng.random())))
         node.load.backends.upsert(BackendRecord(BACKEND, "svc", "10.0.0.1:1", "z0", 64, started_unix_ms=5))
         node.load.forget_peers(len(self.nodes))
-        node.known = LoadAggregator(node.name, node.load, CrashReports(tuple, lambda crash: None))
-        node.down = False
-        node.passed_on_s = float("inf")
+        node.aggregator = LoadAggregator(node.name, node.load, CrashReports(tuple, lambda crash: None))
+        node.is_down = False
+        node.statement_forwarded_s = float("inf")
 
-    def at(self, at_s, action):
+    def schedule(self, at_s, action):
         heapq.heappush(self._events, (at_s, self._order, action))
         self._order += 1
 
     def run(self, seconds):
         for node in self.nodes:
             phase_s = self.rng.random() * self.interval_s
-            self.at(phase_s, lambda now_s, node=node: self._exchange(node, now_s))
-        self.at(0.0, self._arrive)
+            self.schedule(phase_s, lambda now_s, node=node: self._exchange(node, now_s))
+        self.schedule(0.0, self._arrive)
         if self.regions > 1:
-            self.at(0.1, self._exchange_between_regions)
+            self.schedule(0.1, self._exchange_between_regions)
         while self._events and self._events[0][0] < seconds:
             now_s, _, action = heapq.heappop(self._events)
             action(now_s)
@@ -109,12 +109,12 @@
     # --- requests ------------------------------------------------------------------------------------------
 
     def _arrive(self, now_s):
-        self.at(now_s + self.rng.expovariate(self.wanted_per_s), self._arrive)
+        self.schedule(now_s + self.rng.expovariate(self.requested_per_s), self._arrive)
         self.request(now_s)
 
     def request(self, now_s):
         """A caller wants one request served, by a node that is up."""
-        up = [(node, weight) for node, weight in zip(self.nodes, self.weights, strict=True) if not node.down]
+        up = [(node, weight) for node, weight in zip(self.nodes, self.weights, strict=True) if not node.is_down]
         if not up:
             return
         (node,) = self.rng.choices([node for node, _ in up], [weight for _, weight in up])
@@ -123,20 +123,22 @@
             self.passed_over_s.append(now_s)
             return
         node.load.stated_limits.on_sent(BACKEND, now_s)
-        self.at(now_s + ON_THE_WAY_S, lambda at_s: self.arrivals.append((at_s, node)))
+        self.schedule(now_s + REQUEST_DELAY_S, lambda at_s: self.arrivals.append((at_s, node)))
         load = node.load
-        self.at(now_s + ANSWER_S, lambda at_s: self._answer(node, load, now_s, at_s))
+        self.schedule(now_s + ANSWER_DELAY_S, lambda at_s: self._answer(node, load, now_s, at_s))
 
     def _answer(self, node, load, sent_s, now_s):
         per_s = self.per_s(now_s)
         load.stated_limits.on_answer(load.backends.get(BACKEND), LimitStatement(per_s, sent_s), now_s)
         if per_s != NO_LIMIT_PER_S and load is node.load:
-            node.passed_on_s = min(node.passed_on_s, now_s)
+            node.statement_forwarded_s = min(node.statement_forwarded_s, now_s)
 
     # --- what nodes report to each other --------------------------------------------------------------------
 
     def _relay_of(self, zone):
-        return next((node for node in self.nodes if node.zone == zone and not (node.down or node.cut)), None)
+        return next(
+            (node for node in self.nodes if node.zone == zone and not (node.is_down or node.is_cut_off)), None
+        )
 
     def _region_of(self, node):
         return node.zone % self.regions
@@ -148,21 +150,23 @@
     def _exchange(self, node, now_s):
         relay = self._relay_of(node.zone)
         pause_s = self.interval_s * (ZONES if relay is node else 1)
-        self.at(now_s + pause_s, lambda at_s: self._exchange(node, at_s))
+        self.schedule(now_s + pause_s, lambda at_s: self._exchange(node, at_s))
         is_lost = self.lost_fraction and self.rng.random() < self.lost_fraction
-        if not (node.down or node.cut or is_lost):
+        if not (node.is_down or node.is_cut_off or is_lost):
             if relay is node:
                 self._exchange_with_relays(node, now_s)
             else:
                 self._report(node, relay, now_s)
-            node.heard_s = now_s
-        if now_s - node.heard_s >= REPORT_LIFETIME_S:
+            node.last_exchange_s = now_s
+        if now_s - node.last_exchange_s >= REPORT_LIFETIME_S:
             node.load.forget_peers(len(self.nodes))
 
     def _report(self, node, relay, now_s):
         limits = node.load.limits
-        message = sent(MemberLoad(node.name, node.load.own_load(now_s), limits.begin_report()), MemberLoad)
-        reply = sent(relay.known.on_member_load(message, now_s), OthersLoad)
+        message = encode_and_decode(
+            MemberLoad(node.name, node.load.own_load(now_s), limits.begin_report()), MemberLoad
+        )
+        reply = encode_and_decode(relay.aggregator.on_member_load(message, now_s), OthersLoad)
         limits.end_report(taken=True)
         node.load.update_from_peers(reply.load, len(self.nodes), now_s)
         limits.learn_levels(reply.levels, now_s)
@@ -170,25 +174,31 @@
     def _exchange_with_relays(self, node, now_s):
         for other in self._relays_of_region(self._region_of(node)):
             if other is not node:
-                other.known.on_zone_load(sent(node.known.zone_message(now_s), ZoneLoad), now_s)
-                node.known.on_zone_load(sent(other.known.zone_message(now_s), ZoneLoad), now_s)
-        node.load.update_from_peers(node.known.others_load(now_s), len(self.nodes), now_s)
+                other.aggregator.on_zone_load(
+                    encode_and_decode(node.aggregator.zone_message(now_s), ZoneLoad), now_s
+                )
+                node.aggregator.on_zone_load(
+                    encode_and_decode(other.aggregator.zone_message(now_s), ZoneLoad), now_s
+                )
+        node.load.update_from_peers(node.aggregator.others_load(now_s), len(self.nodes), now_s)
 
     def _exchange_between_regions(self, now_s):
-        self.at(now_s + REGION_INTERVAL_S, self._exchange_between_regions)
+        self.schedule(now_s + REGION_INTERVAL_S, self._exchange_between_regions)
         if self.region_cut:
             return
         for region in range(self.regions):
             relays = self._relays_of_region(region)
             if relays:
-                message = sent(relays[0].known.region_sum(str(region), now_s), RegionSum)
-                self.at(now_s + REGION_WAY_S, lambda at_s, message=message: self._hear_region(message, at_s))
+                message = encode_and_decode(relays[0].aggregator.region_sum(str(region), now_s), RegionSum)
+                self.schedule(
+                    now_s + REGION_DELAY_S, lambda at_s, message=message: self._deliver_region_sum(message, at_s)
+                )
 
-    def _hear_region(self, message, now_s):
+    def _deliver_region_sum(self, message, now_s):
         for region in range(self.regions):
             if str(region) != message.region:
                 for relay in self._relays_of_region(region):
-                    relay.known.on_region_sum(message, now_s)
+                    relay.aggregator.on_region_sum(message, now_s)
 
     # --- faults ----------------------------------------------------------------------------------------------
 
@@ -197,24 +207,24 @@
 
         def change(value):
             for node in nodes:
-                node.cut = value
+                node.is_cut_off = value
 
-        self.at(from_s, lambda now_s: change(True))
-        self.at(to_s, lambda now_s: change(False))
+        self.schedule(from_s, lambda now_s: change(True))
+        self.schedule(to_s, lambda now_s: change(False))
         for node in nodes:
-            node.excused_s.append((from_s, to_s))
+            node.excluded_spans_s.append((from_s, to_s))
 
     def restart(self, node, at_s, down_s=0.5):
         def stop(now_s):
-            node.down = True
+            node.is_down = True
 
-        self.at(at_s, stop)
-        self.at(at_s + down_s, lambda now_s: self.start(node, now_s))
-        node.excused_s.append((at_s, at_s + down_s))
+        self.schedule(at_s, stop)
+        self.schedule(at_s + down_s, lambda now_s: self.start(node, now_s))
+        node.excluded_spans_s.append((at_s, at_s + down_s))
 
     # --- measures --------------------------------------------------------------------------------------------
 
-    def largest_window(self, from_s, to_s):
+    def largest_window_of_informed_nodes(self, from_s, to_s):
         """Return the most requests of nodes that had passed the statement on, in a window ending between two times.
 
         A node that was cut off or restarted since its window began does not count.
@@ -226,13 +236,16 @@
                 node
                 for at_s, node in self.arrivals
                 if begin_s < at_s <= end_s
-                and node.passed_on_s <= end_s - PASSED_ON_BEFORE_S
-                and not any(excused < end_s and ends_s > begin_s for excused, ends_s in node.excused_s)
+                and node.statement_forwarded_s <= end_s - STATEMENT_FORWARDED_BEFORE_S
+                and not any(
+                    excluded_from_s < end_s and ends_s > begin_s
+                    for excluded_from_s, ends_s in node.excluded_spans_s
+                )
             ]
             largest = max(largest, len(counted))
         return largest
 
-    def largest_sum(self, from_s, to_s):
+    def largest_window_of_all_nodes(self, from_s, to_s):
         """Return the most requests of all nodes in a window ending between two times."""
         times = [at_s for at_s, _ in self.arrivals if at_s <= to_s]
         ends = [end_s for end_s in times if end_s >= from_s]
@@ -243,6 +256,6 @@
         return sum(from_s <= at_s < to_s for at_s, _ in self.arrivals) / (to_s - from_s)
 
 
-def sent(message, message_type):
+def encode_and_decode(message, message_type):
     """Return a message as its receiver reads it."""
     return msgspec.json.decode(msgspec.json.encode(message), type=message_type)
--- a/tests/unit/cluster/relay_network.py
+++ b/tests/unit/cluster/relay_network.py
@@ -17,7 +17,7 @@
 WAIT_S = 0.8
 ROUND_TRIP_S = 0.004
 STORE_OFFSET_S = -900.0
-NOWHERE = (0, 0)
+BEFORE_ALL_POSITIONS = (0, 0)
 """Before every position of a store."""
 SETTLE_S = 25.0
 
@@ -68,14 +68,14 @@
         self.store = store
         self.mode = "well"
         self.round_trip_s = ROUND_TRIP_S
-        self.loses = lambda: False
+        self.loses_call = lambda: False
         self.calls = 0
 
     async def _call(self, read):
         self.store.calls += 1
         self.calls += 1
         mode = self.mode
-        if self.loses():
+        if self.loses_call():
             mode = "silent"
         await asyncio.sleep(self.round_trip_s / 2)
         if mode == "refusing":
@@ -146,7 +146,7 @@
 
     def _start(self):
         self.clock = StoreClock()
-        self.known = {}
+        self.known_rows = {}
         """Position and value by key."""
         self.era = 0
         self.rows = RelayedRows("rows", self.store, self.order, self.clock, WAIT_S)
@@ -161,13 +161,13 @@
 
     def _apply(self, followed):
         if followed.whole:
-            self.known = {}
+            self.known_rows = {}
         assert followed.page.era >= self.era, "an earlier era came after a later one"
         self.era = followed.page.era
         for row in followed.page.rows:
             position = (self.era, row.version)
-            assert position >= self.known.get(row.key, (NOWHERE, b""))[0], "a row went back"
-            self.known[row.key] = (position, row.value)
+            assert position >= self.known_rows.get(row.key, (BEFORE_ALL_POSITIONS, b""))[0], "a row went back"
+            self.known_rows[row.key] = (position, row.value)
         self.check(followed.confirmed_at_s)
 
     def check(self, confirmed_at_s):
@@ -179,7 +179,9 @@
         for key in self._network.store.rows:
             written_s, position = self._network.store.written[key]
             if written_s < confirmed_at_s:
-                assert self.known.get(key, (NOWHERE, b""))[0] >= position, "knowledge looks newer than it is"
+                assert self.known_rows.get(key, (BEFORE_ALL_POSITIONS, b""))[0] >= position, (
+                    "knowledge looks newer than it is"
+                )
 
     def kill(self):
         self.alive = False
@@ -210,7 +212,7 @@
             node.store.mode = "well"
             node.restart()
 
-    def root(self, region=None):
+    def node_following_store(self, region=None):
         return next(
             node
             for node in self.nodes.values()
@@ -218,5 +220,5 @@
             and (region is None or self.regions[node.order.zone] == region)
         )
 
-    def of_region(self, region):
+    def nodes_of_region(self, region):
         return [node for node in self.nodes.values() if self.regions[node.order.zone] == region]
--- a/tests/unit/cluster/test_leases.py
+++ b/tests/unit/cluster/test_leases.py
@@ -115,7 +115,7 @@
 TestLeaseMachine.settings = settings(max_examples=150, stateful_step_count=40, derandomize=True, deadline=None)
 
 
-def test_a_released_lease_is_taken_at_once_and_an_expired_one_after_its_time():
+def test_a_released_lease_is_acquired_at_once_and_an_abandoned_one_after_its_time():
     table = FaultyTable()
     first, second = (LeaseKeeper("l", name, TTL_S, table) for name in ("a", "b"))
     held = drive(first.try_acquire(0.0))
@@ -163,56 +163,56 @@
 @pytest.mark.parametrize("has_row", [False, True], ids=["no row in the copy", "an older row in the copy"])
 @pytest.mark.parametrize("is_new", [False, True], ids=["a node that was there", "a node that has just started"])
 def test_fences_rise_over_a_restore_that_lost_the_highest(has_row, is_new):
-    world = RestoredTable()
-    first, second = world.keeper("a"), world.keeper("b")
-    copy = world.copy()
-    world.acquire(first)
+    restored = RestoredTable()
+    first, second = restored.keeper("a"), restored.keeper("b")
+    copy = restored.copy()
+    restored.acquire(first)
     drive(first.release())
     if has_row:
-        copy = world.copy()
-    world.acquire(second)
+        copy = restored.copy()
+    restored.acquire(second)
     drive(second.release())
     fences = []
     for _ in range(5):
-        world.now_s += 3 * TTL_S
-        fences.append(world.acquire(first).fence)
+        restored.now_s += 3 * TTL_S
+        fences.append(restored.acquire(first).fence)
         drive(first.release())
-    world.restore(copy)
-    keeper = world.keeper("c") if is_new else second
-    assert world.acquire_once_allowed(keeper).fence > max(fences)
-
-
-def test_a_lease_whose_row_the_copy_lacks_is_taken_over_only_after_its_time():
-    world = RestoredTable()
-    first, second = world.keeper("a"), world.keeper("b")
-    world.acquire(first)
-    world.restore((0, {}))
-    world.now_s = 0.5
-    assert world.acquire(second) is None
-    world.now_s = TTL_S
-    assert world.acquire(second) is None
-    world.now_s = TTL_S + 0.5
-    assert world.acquire(second) is not None
-
-
-def test_a_holder_that_hears_of_a_restore_holds_no_more():
-    world = RestoredTable()
-    keeper = world.keeper("a")
-    world.acquire(keeper)
+    restored.restore(copy)
+    keeper = restored.keeper("c") if is_new else second
+    assert restored.acquire_once_allowed(keeper).fence > max(fences)
+
+
+def test_a_lease_missing_from_the_copy_is_taken_over_only_after_its_time():
+    restored = RestoredTable()
+    first, second = restored.keeper("a"), restored.keeper("b")
+    restored.acquire(first)
+    restored.restore((0, {}))
+    restored.now_s = 0.5
+    assert restored.acquire(second) is None
+    restored.now_s = TTL_S
+    assert restored.acquire(second) is None
+    restored.now_s = TTL_S + 0.5
+    assert restored.acquire(second) is not None
+
+
+def test_a_holder_that_learns_of_a_restore_no_longer_holds_the_lease():
+    restored = RestoredTable()
+    keeper = restored.keeper("a")
+    restored.acquire(keeper)
     keeper.require_held(0.1)
-    world.eras["a"].observe(1, 0.1)
+    restored.eras["a"].observe(1, 0.1)
     with pytest.raises(LeaseLostError):
         keeper.require_held(0.1)
 
 
 def test_a_release_from_before_a_restore_does_not_end_the_lease_that_has_its_version_again():
-    world = RestoredTable()
-    first, second = world.keeper("a"), world.keeper("b")
-    copy = world.copy()
-    held = world.acquire(first)
-    world.restore(copy)
-    world.eras["a"].observe(world.era, world.now_s)
-    taken = world.acquire_once_allowed(second)
+    restored = RestoredTable()
+    first, second = restored.keeper("a"), restored.keeper("b")
+    copy = restored.copy()
+    held = restored.acquire(first)
+    restored.restore(copy)
+    restored.eras["a"].observe(restored.era, restored.now_s)
+    taken = restored.acquire_once_allowed(second)
     assert taken.version == held.version
     drive(first.release())
-    assert world.acquire(second).fence == taken.fence
+    assert restored.acquire(second).fence == taken.fence
--- a/tests/unit/cluster/test_load_reporter.py
+++ b/tests/unit/cluster/test_load_reporter.py
@@ -29,11 +29,11 @@
         self.backends, self.demand = self.load.backends, self.load.demand
         for engine in ENGINES:
             self.backends.upsert(BackendRecord(engine, "s", f"{engine}:1", zone, 16))
-        self.unwritten = []
-        self.heard = set()
-        reports = CrashReports(lambda: self.unwritten, self.heard.add)
-        self.exchange = LoadReporter(name, self.load, self.order, crashes=reports)
-        self.server = PeerServer({MemberLoad: self.exchange.on_member_load, ZoneLoad: self.exchange.on_zone_load})
+        self.unwritten_crashes = []
+        self.received = set()
+        reports = CrashReports(lambda: self.unwritten_crashes, self.received.add)
+        self.reporter = LoadReporter(name, self.load, self.order, crashes=reports)
+        self.server = PeerServer({MemberLoad: self.reporter.on_member_load, ZoneLoad: self.reporter.on_zone_load})
 
     def put_load(self, engine, load):
         self.backends.get(engine).load = load
@@ -60,7 +60,7 @@
                 return await scenario(nodes)
             finally:
                 for node in nodes:
-                    node.exchange.close()
+                    node.reporter.close()
                     node.server.close()
 
         return run_async(work())
@@ -71,11 +71,11 @@
 async def exchange(nodes, rounds=3):
     for _ in range(rounds):
         for node in nodes:
-            await node.exchange.exchange_once()
+            await node.reporter.exchange_once()
 
 
 @pytest.mark.parametrize("zones", ["a", "aaaa", "abc", "aaabbc", "a" * 45 + "bb"])
-def test_everyone_knows_the_load_of_all_others(with_nodes, zones):
+def test_every_node_knows_the_load_of_all_others(with_nodes, zones):
     async def scenario(nodes):
         await exchange(nodes)
         return [node.peers_loads() for node in nodes]
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("zones", ["a", "aaaa", "abc", "aaabbc"])
-def test_everyone_knows_the_demand_of_all(with_nodes, zones):
+def test_every_node_knows_the_demand_of_all(with_nodes, zones):
     async def scenario(nodes):
         for index, node in enumerate(nodes):
             for _ in range(index + 1):
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("zones", ["a", "aaaa", "abc", "aaabbc"])
-def test_everyone_knows_whether_answers_begin_late(with_nodes, zones):
+def test_every_node_knows_whether_first_tokens_are_late(with_nodes, zones):
     async def scenario(nodes):
         before = [node.load.first_token_delays.is_fleet_behind(boot_time_s()) for node in nodes]
         for _ in range(MIN_ANSWERS):
@@ -110,7 +110,7 @@
     assert with_nodes(zones, scenario) == ([False] * len(zones), [True] * len(zones))
 
 
-def test_a_node_that_is_gone_stops_counting(with_nodes, monkeypatch):
+def test_the_load_of_a_node_that_is_gone_is_dropped(with_nodes, monkeypatch):
     async def scenario(nodes):
         await exchange(nodes)
         gone = next(node for node in nodes if node.order.candidates(boot_time_s()))
@@ -123,7 +123,7 @@
     assert with_nodes("aaa", scenario) == [0]
 
 
-def test_without_word_of_others_each_node_judges_by_itself(with_nodes, monkeypatch):
+def test_without_recent_reports_a_node_scales_its_own_load(with_nodes, monkeypatch):
     async def scenario(nodes):
         await exchange(nodes)
         follower = next(node for node in nodes if node.order.candidates(boot_time_s()))
@@ -131,13 +131,13 @@
             if node is not follower:
                 node.server.close()
         monkeypatch.setattr("wallwell.cluster.load_reporter.REPORT_LIFETIME_S", 0.0)
-        await follower.exchange.exchange_once()
+        await follower.reporter.exchange_once()
         return follower.peers_loads(), follower.backends.get("e1").fleet_load(nodes=3)
 
     assert with_nodes("aaa", scenario) == ([None, None, None], 3)
 
 
-def test_everyone_knows_what_is_left_of_a_limit(with_nodes):
+def test_every_node_knows_what_is_left_of_a_limit(with_nodes):
     """Two nodes spend; members learn what is left, relays work it out."""
 
     async def scenario(nodes):
@@ -156,7 +156,7 @@
     assert with_nodes("aaabbc", scenario) == [8_000] * 6
 
 
-def test_everyone_knows_what_a_tenant_asks_all_others_for(with_nodes):
+def test_every_node_knows_what_a_tenant_asks_of_all_others(with_nodes):
     async def scenario(nodes):
         for index, node in enumerate(nodes):
             node.load.limits.set_limits({"t": TenantLimit(1e9, 1e9, counts_tokens=True)})
@@ -178,28 +178,28 @@
     ],
     ids=["fast relay", "unknown link", "thin relay", "thin and alone", "fast and alone"],
 )
-def test_nodes_with_a_thin_link_get_reports_less_often(own_mbps, relay_mbps, interval_s):
+def test_reports_are_less_frequent_over_a_low_bandwidth_link(own_mbps, relay_mbps, interval_s):
     order = UpstreamOrder("n1", "a")
     order.members = {"n1": NodeRecord("a", "10.0.0.1:1", own_mbps)}
     if relay_mbps is not None:
         # The node that stands first in its zone has the fastest link.
         order.members["n0"] = NodeRecord("a", "10.0.0.2:1", relay_mbps)
-    exchange = LoadReporter("n1", FleetLoad(), order)
+    reporter = LoadReporter("n1", FleetLoad(), order)
     assert relay_mbps == 0.0 or (not order.followed_peers_in_zone(0.0)) == (relay_mbps is None)
-    assert exchange._interval_s(0.0) == interval_s
+    assert reporter._interval_s(0.0) == interval_s
 
 
 @pytest.mark.parametrize(
     ("zones", "interval_s"),
     [("a", LOAD_REPORT_INTERVAL_S), ("ab", LOAD_REPORT_INTERVAL_S), ("abcd", 3 * LOAD_REPORT_INTERVAL_S)],
 )
-def test_relays_of_many_zones_tell_each_other_less_often(zones, interval_s):
+def test_relays_of_many_zones_report_to_each_other_less_often(zones, interval_s):
     order = UpstreamOrder("n0", "a")
     order.members = {f"n{index}": NodeRecord(zone, f"10.0.0.{index}:1", 100.0) for index, zone in enumerate(zones)}
     assert LoadReporter("n0", FleetLoad(), order)._interval_s(0.0) == pytest.approx(interval_s)
 
 
-def test_a_relay_that_asks_is_asked_again_at_once(with_nodes):
+def test_a_relay_that_sends_a_report_is_reported_to_again_at_once(with_nodes):
     """After a cut, the side that tries first ends the pause of both; pauses double up to 16 s."""
 
     async def scenario(nodes):
@@ -207,19 +207,19 @@
         for now_s in (0.0, 3.0, 8.0):
             first.order.on_failure(second.name, now_s)
         passed_over = first.order.other_relays(9.0)
-        await second.exchange.exchange_once()
+        await second.reporter.exchange_once()
         return passed_over, [name for name, _ in first.order.other_relays(9.0)]
 
     assert with_nodes("ab", scenario) == ([], ["n1"])
 
 
-def test_totals_of_relays_that_are_gone_are_not_remembered():
+def test_totals_of_relays_that_are_gone_are_dropped():
     async def work():
-        exchange = LoadReporter("n1", FleetLoad(), UpstreamOrder("n1", "z1"))
+        reporter = LoadReporter("n1", FleetLoad(), UpstreamOrder("n1", "z1"))
         for number in range(100):
-            await exchange.on_zone_load(ZoneLoad(f"relay-{number}", Load(nodes=1), 1, {"t": number}))
+            await reporter.on_zone_load(ZoneLoad(f"relay-{number}", Load(nodes=1), 1, {"t": number}))
             await asyncio.sleep(2 * REPORT_LIFETIME_S)
-        return len(exchange._aggregator._relay_totals)
+        return len(reporter._aggregator._relay_totals)
 
     assert run_virtual(work()) == 1
 
@@ -228,18 +228,18 @@
 
 
 @pytest.mark.parametrize("zones", ["aaaa", "abc", "aaabbc", "a" * 45 + "bb"])
-def test_everyone_hears_of_a_crash_that_is_not_written(with_nodes, zones):
+def test_every_node_receives_a_crash_that_is_not_in_the_store(with_nodes, zones):
     async def scenario(nodes):
-        nodes[-1].unwritten = [("c", "e0")]
+        nodes[-1].unwritten_crashes = [("c", "e0")]
         await exchange(nodes)
-        return [node.heard for node in nodes[:-1]]
+        return [node.received for node in nodes[:-1]]
 
-    assert all(heard == {("c", "e0")} for heard in with_nodes(zones, scenario))
+    assert all(received == {("c", "e0")} for received in with_nodes(zones, scenario))
 
 
-def test_a_crash_is_reported_on_for_a_while_only_once_it_is_written():
-    heard = []
-    reports = CrashReports(tuple, heard.append)
+def test_a_received_crash_is_relayed_for_a_limited_time():
+    received = []
+    reports = CrashReports(tuple, received.append)
     reports.receive_from_member([("c", "e0")], 10.0)
     reports.receive_from_relay([("d", "e1")], 10.0)
     assert reports.crashes_for_other_relays(10.0) == (("c", "e0"),)
@@ -249,10 +249,10 @@
         == reports.crashes_for_other_relays(10.1 + RELAYED_CRASH_LIFETIME_S)
         == ()
     )
-    assert heard == [("c", "e0"), ("d", "e1")]
+    assert received == [("c", "e0"), ("d", "e1")]
 
 
-def test_relays_do_not_keep_a_crash_alive_between_them():
+def test_a_crash_does_not_circulate_between_relays_forever():
     relays = [CrashReports(tuple, lambda crash: None) for _ in range(2)]
     relays[0].receive_from_member([("c", "e0")], 0.0)
     for step in range(100):
@@ -262,7 +262,7 @@
     assert relays[0].crashes_for_members(10.0) == relays[1].crashes_for_members(10.0) == ()
 
 
-def test_crashes_in_a_message_are_bounded_and_own_ones_go_first():
+def test_crashes_in_a_message_are_bounded_and_unwritten_ones_come_first():
     own = [(f"c{number}", "e0") for number in range(MAX_CRASHES_PER_MESSAGE - 1)]
     reports = CrashReports(lambda: own, lambda crash: None)
     reports.receive_from_member([("m1", "e0"), ("m2", "e0")], 0.0)
--- a/tests/unit/cluster/test_load_reports.py
+++ b/tests/unit/cluster/test_load_reports.py
@@ -17,7 +17,7 @@
     assert total(reports, 0.3, excluding="n1") == Load({"a": 2}, 4)
 
 
-def test_a_silent_sender_is_forgotten():
+def test_reports_of_a_silent_sender_expire():
     reports = LoadReports()
     reports.record("n1", Load({"a": 3}), 0.0)
     reports.record("n2", Load({"a": 2}), 1.0)
@@ -25,14 +25,14 @@
     assert total(reports, REPORT_LIFETIME_S + 2.0) == Load()
 
 
-def test_arrivals_are_counted_for_a_while():
-    arrivals = FleetDemand().own_generations
+def test_generations_are_counted_within_the_rate_window():
+    generations = FleetDemand().own_generations
     for at_s in (0.0, 1.0, 2.0):
-        arrivals.add(at_s)
-    assert [arrivals.count(now_s) for now_s in (2.0, RATE_WINDOW_S, RATE_WINDOW_S + 5.0)] == [3, 2, 0]
+        generations.add(at_s)
+    assert [generations.count(now_s) for now_s in (2.0, RATE_WINDOW_S, RATE_WINDOW_S + 5.0)] == [3, 2, 0]
 
 
-def test_unheard_nodes_are_taken_to_get_as_much_as_this_one():
+def test_without_reports_other_nodes_are_assumed_to_get_as_much_as_this_one():
     demand = FleetDemand()
     demand.own_generations.add(0.0)
     assert demand.generations_per_s(0.1, nodes=8) == 8 / RATE_WINDOW_S
--- a/tests/unit/cluster/test_peer_link.py
+++ b/tests/unit/cluster/test_peer_link.py
@@ -44,7 +44,7 @@
             links.keep(set())
 
 
-def test_each_change_of_a_peer_is_logged_once_also_by_new_links(run_async, logged):
+def test_each_change_of_a_peer_is_logged_once_across_new_links(run_async, logged):
     replies = [Answer(1)]
 
     async def answer(question):
@@ -70,9 +70,7 @@
     assert {(fields["peer"], fields.get("request", "Question")) for _, fields in logged} == {(address, "Question")}
 
 
-def test_requests_that_cannot_be_decoded_are_logged_once_in_a_while_with_their_number(
-    run_async, logged, monkeypatch
-):
+def test_undecodable_requests_are_logged_at_an_interval_with_their_count(run_async, logged, monkeypatch):
     now_s = [100.0]
     monkeypatch.setattr(peer_link, "boot_time_s", lambda: now_s[0])
 
--- a/tests/unit/cluster/test_region_load_reporter.py
+++ b/tests/unit/cluster/test_region_load_reporter.py
@@ -8,7 +8,7 @@
 
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
-from wallwell.cluster import region_load_reporter as region_exchange
+from wallwell.cluster import region_load_reporter as reporter_module
 from wallwell.cluster.fleet_load import FleetLoad
 from wallwell.cluster.load_messages import (
     MemberLoad,
@@ -32,8 +32,8 @@
 from wallwell.errors import PeerUnavailableError
 from wallwell.events import Event
 
-MAP = {"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b", "b3": "b"}
-WAY_S = {"own": 0.0005, "other": 0.020}
+REGION_OF_ZONE = {"a1": "a", "a2": "a", "a3": "a", "b1": "b", "b2": "b", "b3": "b"}
+ONE_WAY_DELAY_S = {"own": 0.0005, "other": 0.020}
 LIMIT = TenantLimit(1e-6, 10_000, counts_tokens=True)
 
 
@@ -45,20 +45,20 @@
 
     async def ask(self, request, reply_type, timeout_s):
         network, peer = self._network, self._peer
-        is_far = self._asker.region != peer.region
-        await asyncio.sleep(WAY_S["other" if is_far else "own"])
-        if is_far and (network.is_cut or self._asker in network.without_link):
+        crosses_regions = self._asker.region != peer.region
+        await asyncio.sleep(ONE_WAY_DELAY_S["other" if crosses_regions else "own"])
+        if crosses_regions and (network.is_cut or self._asker in network.cut_off_nodes):
             await asyncio.sleep(min(timeout_s, CONNECT_TIMEOUT_S))
             raise PeerUnavailableError("silent")
         if not peer.alive:
             raise PeerUnavailableError("refused")
-        network.messages[type(request).__name__, is_far] += 1
+        network.messages[type(request).__name__, crosses_regions] += 1
         reply = await peer.handlers[type(request)](request)
-        if is_far:
+        if crosses_regions:
             size = len(msgspec.json.encode(request)) + len(msgspec.json.encode(reply))
-            network.far_bytes += size
-        await asyncio.sleep(WAY_S["other" if is_far else "own"])
-        if not peer.alive or (is_far and network.is_cut):
+            network.cross_region_bytes += size
+        await asyncio.sleep(ONE_WAY_DELAY_S["other" if crosses_regions else "own"])
+        if not peer.alive or (crosses_regions and network.is_cut):
             raise PeerUnavailableError("lost on the way")
         assert isinstance(reply, reply_type)
         return reply
@@ -75,24 +75,24 @@
 
 class Node:
     def __init__(self, network, name, zone):
-        self.name, self.zone, self.region, self.alive = name, zone, MAP[zone], True
-        self.order = UpstreamOrder(name, zone, network.members, Topology(zone, MAP))
+        self.name, self.zone, self.region, self.alive = name, zone, REGION_OF_ZONE[zone], True
+        self.order = UpstreamOrder(name, zone, network.members, Topology(zone, REGION_OF_ZONE))
         self.load = FleetLoad()
         self.load.backends.upsert(BackendRecord("e", "s", "e:1", zone, 48)).load = 1
         self.load.limits.set_limits({"t": LIMIT})
         self.traffic = RegionTraffic()
-        self.exchange = exchange = LoadReporter(name, self.load, self.order, self.traffic)
-        exchange._links = VirtualLinks(network, self)
-        exchange.region_reporter._links = VirtualLinks(network, self)
+        self.reporter = reporter = LoadReporter(name, self.load, self.order, self.traffic)
+        reporter._links = VirtualLinks(network, self)
+        reporter.region_reporter._links = VirtualLinks(network, self)
         self.handlers = {
-            MemberLoad: exchange.on_member_load,
-            ZoneLoad: exchange.on_zone_load,
-            RegionLoad: exchange.region_reporter.on_region_load,
+            MemberLoad: reporter.on_member_load,
+            ZoneLoad: reporter.on_zone_load,
+            RegionLoad: reporter.region_reporter.on_region_load,
         }
-        self.tasks = [asyncio.create_task(each()) for each in (exchange.run, exchange.region_reporter.run)]
+        self.tasks = [asyncio.create_task(each()) for each in (reporter.run, reporter.region_reporter.run)]
 
     @property
-    def known_load(self):
+    def peers_load(self):
         return self.load.backends.get("e").peers_load
 
     def kill(self):
@@ -103,46 +103,46 @@
 
 class Network:
     def __init__(self, per_zone=2):
-        names = [(f"{zone}-n{index}", zone) for zone in MAP for index in range(per_zone)]
+        names = [(f"{zone}-n{index}", zone) for zone in REGION_OF_ZONE for index in range(per_zone)]
         self.members = {name: NodeRecord(zone, f"{name}:1") for name, zone in names}
         self.is_cut = False
-        self.without_link = set()
+        self.cut_off_nodes = set()
         """Nodes that reach nobody of the other region, and all of their own."""
-        self.far_bytes = 0
+        self.cross_region_bytes = 0
         self.messages = Counter()
         self.nodes = {}
         for name, zone in names:
             self.nodes[name] = Node(self, name, zone)
 
-    def of(self, region):
+    def live_nodes(self, region):
         return [node for node in self.nodes.values() if node.region == region and node.alive]
 
     def delegates(self):
         return [
             node
-            for node in self.of("a")
-            if node.exchange._own_region_sum() and node.exchange.region_reporter.is_delegate_to("b", now())
+            for node in self.live_nodes("a")
+            if node.reporter._own_region_sum() and node.reporter.region_reporter.is_delegate_to("b", now())
         ]
 
     def relays_of(self, region):
-        names = [name for name, _ in self.of(region)[0].order.delegates_of(region)]
+        names = [name for name, _ in self.live_nodes(region)[0].order.delegates_of(region)]
         return [self.nodes[name] for name in names[:3]]
 
     def fail(self, node):
         """End a node; its region notices by the rows that come from it no more."""
         node.kill()
-        for each in self.of(node.region):
+        for each in self.live_nodes(node.region):
             each.order.health._by_name[node.name] = PeerHealth(1, float("inf"))
 
-    async def until(self, holds, limit_s=5.0):
+    async def time_until(self, holds, limit_s=5.0):
         started_s = now()
         while not holds():
             assert now() - started_s < limit_s
             await asyncio.sleep(0.01)
         return now() - started_s
 
-    def all_know(self, total):
-        return all(node.known_load == total - 1 for node in self.nodes.values() if node.alive)
+    def all_nodes_know(self, total):
+        return all(node.peers_load == total - 1 for node in self.nodes.values() if node.alive)
 
 
 def now():
@@ -161,9 +161,9 @@
     return run_virtual(work())
 
 
-def test_everyone_knows_the_load_of_both_regions():
+def test_every_node_knows_the_load_of_both_regions():
     async def scenario(network):
-        return await network.until(lambda: network.all_know(12))
+        return await network.time_until(lambda: network.all_nodes_know(12))
 
     assert run(scenario) < 1.2
 
@@ -176,13 +176,13 @@
         return dict(network.messages), len(network.delegates())
 
     messages, delegates = run(scenario)
-    far = {key: count for key, count in messages.items() if key[1]}
-    assert set(far) == {("RegionLoad", True)}
-    assert far["RegionLoad", True] <= 10.0 / REGION_INTERVAL_S + 1
+    cross_region = {key: count for key, count in messages.items() if key[1]}
+    assert set(cross_region) == {("RegionLoad", True)}
+    assert cross_region["RegionLoad", True] <= 10.0 / REGION_INTERVAL_S + 1
     assert delegates == 1
 
 
-def test_a_change_is_known_everywhere_within_half_a_second():
+def test_a_change_of_load_reaches_every_node_within_half_a_second():
     async def scenario(network):
         await asyncio.sleep(3.0)
         worst_s = 0.0
@@ -192,9 +192,9 @@
             total = sum(node.load.backends.get("e").load for node in network.nodes.values())
 
             def is_known(others=others, total=total):
-                return all(node.known_load == total - node.load.backends.get("e").load for node in others)
+                return all(node.peers_load == total - node.load.backends.get("e").load for node in others)
 
-            worst_s = max(worst_s, await network.until(is_known))
+            worst_s = max(worst_s, await network.time_until(is_known))
         return worst_s
 
     assert run(scenario) < 0.5
@@ -202,42 +202,42 @@
 
 @pytest.mark.parametrize("region", ["a", "b"])
 @pytest.mark.parametrize("lost", [1, 2, 3])
-def test_the_next_nodes_speak_when_relays_are_lost(region, lost):
+def test_the_next_delegates_take_over_when_relays_are_lost(region, lost):
     async def scenario(network):
         await asyncio.sleep(3.0)
         for node in network.relays_of(region)[:lost]:
             network.fail(node)
-        return await network.until(lambda: network.all_know(12 - lost))
+        return await network.time_until(lambda: network.all_nodes_know(12 - lost))
 
     assert run(scenario) < REPORT_LIFETIME_S + 1.5
 
 
 @pytest.mark.parametrize("count", [1, 2])
-def test_the_next_nodes_speak_for_relays_that_do_not_reach_the_other_region(count):
+def test_the_next_delegates_take_over_from_relays_that_cannot_reach_the_other_region(count):
     """Their own region finds nothing wrong with them."""
 
     async def scenario(network):
         await asyncio.sleep(3.0)
-        network.without_link = set(network.relays_of("a")[:count])
+        network.cut_off_nodes = set(network.relays_of("a")[:count])
         node = network.nodes["b1-n0"]
         node.load.backends.get("e").load = 100
-        return await network.until(lambda: all(each.known_load == 110 for each in network.of("a")))
+        return await network.time_until(lambda: all(each.peers_load == 110 for each in network.live_nodes("a")))
 
     assert run(scenario) < 2.0
 
 
 @pytest.mark.parametrize("cut_s", [1.0, 5.0, 20.0])
-def test_a_region_that_is_cut_off_stops_counting_and_counts_again_soon(cut_s, monkeypatch):
+def test_the_load_of_a_cut_off_region_is_dropped_and_counted_again_soon(cut_s, monkeypatch):
     events = []
-    monkeypatch.setattr(region_exchange, "emit", lambda event, **fields: events.append((event, fields["region"])))
+    monkeypatch.setattr(reporter_module, "emit", lambda event, **fields: events.append((event, fields["region"])))
 
     async def scenario(network):
         await asyncio.sleep(3.0)
         network.is_cut = True
         await asyncio.sleep(cut_s)
-        during = {node.known_load for node in network.nodes.values()}
+        during = {node.peers_load for node in network.nodes.values()}
         network.is_cut = False
-        return during, await network.until(lambda: network.all_know(12))
+        return during, await network.time_until(lambda: network.all_nodes_know(12))
 
     during, regained_s = run(scenario)
     is_noticed = cut_s > REPORT_LIFETIME_S + 0.7
@@ -249,7 +249,7 @@
     assert len([each for each in events if each[0] is Event.REGION_LOST]) <= 6
 
 
-def test_limits_are_counted_for_both_regions_through_a_change_of_delegates():
+def test_limits_are_counted_for_both_regions_across_a_change_of_delegates():
     """Sums of a region that began anew with each delegate lost what was spent between them."""
 
     async def scenario(network):
@@ -268,20 +268,20 @@
     assert run(scenario) == {6_000}
 
 
-def test_a_sum_that_cannot_be_read_changes_nothing():
+def test_an_unreadable_sum_is_refused_and_changes_nothing():
     async def scenario(network):
         await asyncio.sleep(3.0)
         relay = network.relays_of("b")[0]
         with pytest.raises(ValueError, match="asking node"):
-            await relay.exchange.region_reporter.on_region_load(RegionLoad(b"not compressed"))
+            await relay.reporter.region_reporter.on_region_load(RegionLoad(b"not compressed"))
         await asyncio.sleep(0.5)
-        return network.all_know(12)
+        return network.all_nodes_know(12)
 
     assert run(scenario)
 
 
 @pytest.mark.parametrize(("zones", "backends", "tenants", "limit_bytes"), [(3, 36, 87, 6_000), (7, 60, 16, 6_000)])
-def test_a_sum_is_small_against_the_link(zones, backends, tenants, limit_bytes):
+def test_a_region_sum_stays_below_its_size_limit(zones, backends, tenants, limit_bytes):
     """A message at most, as it goes over the wire: a quarter of a second of 30 Mbit/s carries 940 KB."""
     load = Load(
         requests={f"i-{number * 7919:08x}": number % 48 for number in range(backends)},
@@ -301,7 +301,7 @@
     assert len(msgspec.json.encode(message)) < limit_bytes
 
 
-def test_a_region_that_is_cut_off_is_taken_to_have_spent_as_much():
+def test_a_cut_off_region_is_assumed_to_have_spent_as_much_as_this_one():
     async def scenario(network):
         await asyncio.sleep(3.0)
         for node in network.nodes.values():
@@ -317,31 +317,31 @@
     assert run(scenario) == {-1_000}
 
 
-def test_a_node_that_relays_no_more_says_nothing_of_regions(monkeypatch):
+def test_a_node_that_stops_relaying_logs_no_lost_region(monkeypatch):
     """It hears of them no more, and took that for their silence when it relayed again."""
     events = []
-    monkeypatch.setattr(region_exchange, "emit", lambda event, **fields: events.append(event))
+    monkeypatch.setattr(reporter_module, "emit", lambda event, **fields: events.append(event))
 
     async def scenario(network):
         await asyncio.sleep(3.0)
         relay = network.relays_of("b")[0]
-        other = next(node for node in network.of("b") if node.zone == relay.zone and node is not relay)
+        other = next(node for node in network.live_nodes("b") if node.zone == relay.zone and node is not relay)
         network.members[other.name] = NodeRecord(other.zone, f"{other.name}:1", link_mbps=500.0)
         await asyncio.sleep(5.0)
         network.members[other.name] = NodeRecord(other.zone, f"{other.name}:1")
         await asyncio.sleep(2.0)
-        return network.all_know(12)
+        return network.all_nodes_know(12)
 
     assert run(scenario)
     assert not events
 
 
 @pytest.mark.parametrize("reply_is_lost", [True, False])
-def test_a_region_whose_nodes_all_go_while_one_is_asked_is_asked_no_more(reply_is_lost):
+def test_a_region_whose_nodes_all_leave_during_an_exchange_is_no_longer_asked(reply_is_lost):
     async def work():
         network = Network()
         asker = network.delegates()[0]
-        between = asker.exchange.region_reporter
+        between = asker.reporter.region_reporter
         gone = [name for name, node in network.nodes.items() if node.region == "b"]
 
         async def ask(name, address, message):
@@ -359,13 +359,13 @@
     assert run_virtual(work()) == []
 
 
-def test_a_sum_that_cannot_be_decoded_counts_as_no_answer_and_is_logged_once(monkeypatch):
+def test_a_reply_that_cannot_be_decoded_counts_as_no_answer_and_is_logged_once(monkeypatch):
     events = []
-    monkeypatch.setattr(region_exchange, "emit", lambda event, **fields: events.append(event))
+    monkeypatch.setattr(reporter_module, "emit", lambda event, **fields: events.append(event))
 
     async def scenario(network):
         await asyncio.sleep(3.0)
-        between = network.delegates()[0].exchange.region_reporter
+        between = network.delegates()[0].reporter.region_reporter
         for _ in range(3):
             with pytest.raises(PeerUnavailableError):
                 between._unpack_reply(RegionReply(b"not compressed"), "b1-n0", "10.0.0.1:1")
--- a/tests/unit/cluster/test_relay.py
+++ b/tests/unit/cluster/test_relay.py
@@ -103,7 +103,7 @@
     return run
 
 
-def test_one_node_asks_the_store_and_all_know(with_nodes):
+def test_one_node_calls_the_store_and_all_nodes_get_the_changes(with_nodes):
     async def scenario(store, nodes):
         # Every node may have one call of its own in flight from before it knew its peers.
         await until(lambda: all(node.rows.links for node in nodes[1:]))
@@ -116,7 +116,7 @@
     assert with_nodes(scenario) <= 20 + 5
 
 
-def test_a_peer_that_goes_away_is_replaced(with_nodes):
+def test_a_peer_that_stops_is_replaced(with_nodes):
     async def scenario(store, nodes):
         await until(lambda: all(node.rows.links for node in nodes[1:]))
         await nodes[0].stop()
@@ -126,7 +126,7 @@
     with_nodes(scenario)
 
 
-def test_a_peer_that_the_store_refuses_is_left_and_says_so(with_nodes):
+def test_a_peer_that_the_store_refuses_reports_stale_rows_and_is_replaced(with_nodes):
     async def scenario(store, nodes):
         await until(lambda: all(node.rows.links for node in nodes[1:]))
         refusing = CountingRows()
@@ -140,7 +140,7 @@
     with_nodes(scenario)
 
 
-def test_what_a_peer_forgot_is_read_whole_again(with_nodes):
+def test_all_rows_are_read_again_when_a_peer_has_lost_the_history(with_nodes):
     async def scenario(store, nodes):
         await until(lambda: all(node.rows.links for node in nodes[1:]))
         store.write("a", None)
@@ -151,7 +151,7 @@
     with_nodes(scenario)
 
 
-def test_a_peer_that_knows_less_does_not_take_a_node_back(with_nodes):
+def test_a_peer_with_an_older_copy_does_not_set_a_node_back(with_nodes):
     async def scenario(store, nodes):
         store.write("b", b"2")
         await until(lambda: all(node.mirror.rows.get("b") == b"2" for node in nodes))
@@ -165,7 +165,7 @@
     assert with_nodes(scenario) == {"a", "b"}
 
 
-def test_large_rows_travel_compressed(with_nodes):
+def test_large_rows_are_sent_compressed(with_nodes):
     """A configuration goes to each member of a zone over one node's link."""
     value = b'{"tenants":[' + b",".join(b'{"name":"t%d","keys":["k%d"]}' % (n, n) for n in range(500)) + b"]}"
 
@@ -184,7 +184,7 @@
         unpack_rows(RowsReply(version=1, packed=packed), "10.0.0.1:1")
 
 
-def test_nonsense_from_a_peer_ends_its_connection(with_nodes):
+def test_malformed_requests_from_a_peer_end_its_connection(with_nodes):
     async def scenario(store, nodes):
         host, _, port = nodes[0].server.address.rpartition(":")
         answers = []
--- a/tests/unit/cluster/test_relay_network.py
+++ b/tests/unit/cluster/test_relay_network.py
@@ -38,12 +38,12 @@
 )
 
 
-def take(network, step, number):
-    action, what, more = step
+def apply_step(network, step, number):
+    action, subject, argument = step
     if action == "write":
-        network.store.write(what, b"%d" % number)
+        network.store.write(subject, b"%d" % number)
     elif action == "delete":
-        network.store.write(what, None)
+        network.store.write(subject, None)
     elif action == "forget":
         network.store.forget()
     elif action == "copy":
@@ -51,13 +51,13 @@
     elif action == "restore":
         network.store.restore(network.copy)
     elif action == "store":
-        network.nodes[what].store.mode = more
-    elif action == "cut" and what != more:
-        network.cut.add(frozenset((what, more)))
+        network.nodes[subject].store.mode = argument
+    elif action == "cut" and subject != argument:
+        network.cut.add(frozenset((subject, argument)))
     elif action == "kill":
-        network.nodes[what].kill()
+        network.nodes[subject].kill()
     elif action == "restart":
-        network.nodes[what].restart()
+        network.nodes[subject].restart()
 
 
 REGIONS = {"a": "east", "b": "west", "c": "east", "d": "west", "e": "east", "f": "west"}
@@ -73,7 +73,7 @@
         network.copy = network.store.copy()
         await asyncio.sleep(2.0)
         for number, step in enumerate(steps):
-            take(network, step, number)
+            apply_step(network, step, number)
             await asyncio.sleep(float(step[1]) if step[0] == "wait" else 0.01)
             for node in network.nodes.values():
                 if node.task.done() and node.alive:
@@ -83,7 +83,7 @@
         await asyncio.sleep(SETTLE_S)
         for node in network.nodes.values():
             assert not node.task.done() or node.task.result()
-            known = {key: value for key, (_, value) in node.known.items() if value is not None}
+            known = {key: value for key, (_, value) in node.known_rows.items() if value is not None}
             assert known == {key: row.value for key, row in network.store.rows.items()}
 
     run_virtual(work())
@@ -106,41 +106,41 @@
         await asyncio.sleep(SETTLE_S)
         for node in network.nodes.values():
             assert not node.task.done() or node.task.result()
-        return [node.known["a"][1] for node in network.nodes.values()]
+        return [node.known_rows["a"][1] for node in network.nodes.values()]
 
     assert set(run_virtual(work())) == {b"first"}
 
 
-IN_FORCE_S = 1.6
+MAX_PROPAGATION_S = 1.6
 """Within which a change is known everywhere: operators allow two seconds."""
-CONTACT_S = 3.0
+RECOVERY_S = 3.0
 """Seconds that nodes are given after the store's return before bounds in time hold."""
 
 
 @pytest.mark.parametrize("zones", ["zzzz", "abcd", "aabbccddeeffgg"])
-@pytest.mark.parametrize("away_s", [0.0, 0.3, 2.5])
+@pytest.mark.parametrize("outage_s", [0.0, 0.3, 2.5])
 @pytest.mark.parametrize("lost", [1, 6, 40])
-def test_what_a_restored_store_is_told_is_known_everywhere_soon(zones, away_s, lost):
+def test_writes_to_a_restored_store_reach_every_node_in_time(zones, outage_s, lost):
     """Also if its count has passed the one from before when a node asks: nothing but the era tells that apart."""
 
     async def work():
         network = Network(zones)
         network.store.write("a", b"1")
-        await ask_once(network)
+        await call_store_once(network)
         await asyncio.sleep(3.0)
         copy = network.store.copy()
         for number in range(lost):
             network.store.write("b", b"lost %d" % number)
         await asyncio.sleep(3.0)
         for node in network.nodes.values():
-            node.store.mode = "refusing" if away_s else "well"
-        await asyncio.sleep(away_s)
+            node.store.mode = "refusing" if outage_s else "well"
+        await asyncio.sleep(outage_s)
         network.store.restore(copy)
         for number in range(8):
             network.store.write("c", b"%d" % number)
         for node in network.nodes.values():
             node.store.mode = "well"
-        await asyncio.sleep(CONTACT_S)
+        await asyncio.sleep(RECOVERY_S)
         longest_s = 0.0
         for number in range(10):
             network.store.write("a", b"new %d" % number)
@@ -150,33 +150,33 @@
             await asyncio.sleep(0.1)
         await asyncio.sleep(SETTLE_S)
         for node in network.nodes.values():
-            known = {key: value for key, (_, value) in node.known.items() if value is not None}
+            known = {key: value for key, (_, value) in node.known_rows.items() if value is not None}
             assert known == {key: row.value for key, row in network.store.rows.items()}
         return longest_s
 
-    assert run_virtual(work()) < IN_FORCE_S
+    assert run_virtual(work()) < MAX_PROPAGATION_S
 
 
 @pytest.mark.parametrize("zones", ["zzzz", "abcd", "aabbccdd"])
-@pytest.mark.parametrize("trouble", ["killed", "silent", "refusing", "cut"])
-def test_a_change_is_known_soon_although_the_relay_is_in_trouble(trouble, zones):
+@pytest.mark.parametrize("fault", ["killed", "silent", "refusing", "cut"])
+def test_a_change_reaches_every_node_in_time_when_the_relay_fails(fault, zones):
     """The bound that operators set for their changes is two seconds."""
 
     async def work():
         network = Network(zones)
         network.store.write("a", b"1")
         await asyncio.sleep(5.0)
-        relay = network.root()
+        relay = network.node_following_store()
         others = [node for node in network.nodes.values() if node is not relay]
-        if trouble == "killed":
+        if fault == "killed":
             relay.kill()
-        elif trouble == "cut":
+        elif fault == "cut":
             network.cut = {frozenset((relay.name, node.name)) for node in others}
         else:
-            relay.store.mode = trouble
+            relay.store.mode = fault
         network.store.write("a", b"2")
         started_s = boot_time_s()
-        while any(node.known["a"][1] != b"2" for node in others):
+        while any(node.known_rows["a"][1] != b"2" for node in others):
             await asyncio.sleep(0.01)
         return boot_time_s() - started_s
 
@@ -185,14 +185,14 @@
 
 @pytest.mark.parametrize("zones", ["zzzz", "aabbcc"])
 @pytest.mark.parametrize("phase", range(20))
-def test_a_relayed_word_counts_from_when_the_store_said_it(phase, zones):
+def test_a_relayed_page_is_as_old_as_the_answer_of_the_store(phase, zones):
     """A relay cut off from the store goes on answering for a moment; what it says is not newer for that."""
 
     async def work():
         network = Network(zones)
         network.store.write("a", b"1")
         await asyncio.sleep(5.0 + phase * WAIT_S / 20)
-        relay = network.root()
+        relay = network.node_following_store()
         relay.store.mode = "silent"
         await asyncio.sleep(0.02)
         network.store.write("a", b"2")
@@ -220,7 +220,7 @@
     assert run_virtual(work()) <= calls
 
 
-def test_what_is_known_in_the_last_zone_is_as_fresh_as_bounds_need():
+def test_rows_in_the_last_zone_are_fresh_enough_to_save_prompts():
     """The oldest page of the store from which prompts are saved is two seconds old (``SAVE_FRESHNESS_S``)."""
 
     async def work():
@@ -245,27 +245,27 @@
 LINK_ROUND_TRIP_S = 0.044
 
 
-def far_from_the_store(network, region="west", loses=lambda: False, round_trip_s=LINK_ROUND_TRIP_S):
+def put_link_before_store(network, region="west", loses_call=lambda: False, round_trip_s=LINK_ROUND_TRIP_S):
     """Put the link between the regions between a region and the store."""
-    for node in network.of_region(region):
+    for node in network.nodes_of_region(region):
         node.store.round_trip_s = round_trip_s
-        node.store.loses = loses
+        node.store.loses_call = loses_call
 
 
-async def ask_once(network):
+async def call_store_once(network):
     """Let each node call the store, as every node does when it starts, before it knows any peer."""
     for node in network.nodes.values():
         sent_s = boot_time_s()
         node.clock.confirmed_s(sent_s, (await node.store.read_all()).store_s)
 
 
-def test_rows_cross_the_link_once():
+def test_rows_cross_the_link_between_regions_once():
     """One node of each region asks the store, whichever region the store stands in."""
 
     async def work():
         network = Network(BOTH_REGIONS, REGIONS)
-        await ask_once(network)
-        far_from_the_store(network)
+        await call_store_once(network)
+        put_link_before_store(network)
         await asyncio.sleep(5.0)
         for node in network.nodes.values():
             node.store.calls = 0
@@ -273,7 +273,7 @@
             network.store.write("a", b"%d" % number)
             await asyncio.sleep(0.5)
         return {
-            region: [node.store.calls for node in network.of_region(region) if node.store.calls]
+            region: [node.store.calls for node in network.nodes_of_region(region) if node.store.calls]
             for region in ("east", "west")
         }
 
@@ -284,42 +284,42 @@
 
 async def time_until_known(network, nodes, key, value):
     started_s = boot_time_s()
-    while any(node.known.get(key, (0, None))[1] != value for node in nodes):
+    while any(node.known_rows.get(key, (0, None))[1] != value for node in nodes):
         assert boot_time_s() - started_s < 30.0
         await asyncio.sleep(0.01)
     return boot_time_s() - started_s
 
 
 @pytest.mark.parametrize("region", ["east", "west"])
-@pytest.mark.parametrize("trouble", ["killed", "silent", "refusing", "cut"])
-def test_a_region_knows_a_change_soon_although_its_relay_is_in_trouble(trouble, region):
+@pytest.mark.parametrize("fault", ["killed", "silent", "refusing", "cut"])
+def test_a_change_reaches_a_region_in_time_when_its_relay_fails(fault, region):
     async def work():
         network = Network(BOTH_REGIONS, REGIONS)
-        far_from_the_store(network)
+        put_link_before_store(network)
         network.store.write("a", b"1")
         await asyncio.sleep(5.0)
-        relay = network.root(region)
+        relay = network.node_following_store(region)
         others = [node for node in network.nodes.values() if node is not relay]
-        if trouble == "killed":
+        if fault == "killed":
             relay.kill()
-        elif trouble == "cut":
+        elif fault == "cut":
             network.cut = {frozenset((relay.name, node.name)) for node in others}
         else:
-            relay.store.mode = trouble
+            relay.store.mode = fault
         network.store.write("a", b"2")
         return await time_until_known(network, others, "a", b"2")
 
     assert run_virtual(work()) < 1.75
 
 
-def test_a_region_that_loses_its_relay_and_the_one_standing_by_follows_the_store():
+def test_a_region_that_loses_its_relay_and_its_standby_follows_the_store():
     async def work():
         network = Network(BOTH_REGIONS, REGIONS)
-        far_from_the_store(network)
+        put_link_before_store(network)
         network.store.write("a", b"1")
         await asyncio.sleep(5.0)
-        relay = network.root("west")
-        others = network.of_region("west")
+        relay = network.node_following_store("west")
+        others = network.nodes_of_region("west")
         standing_by = next(
             node
             for node in others
@@ -341,13 +341,13 @@
 
 
 @pytest.mark.parametrize("cut_s", [1.0, 5.0, 20.0])
-def test_a_region_cut_off_from_the_store_says_so_and_knows_all_soon_after(cut_s):
+def test_a_region_cut_off_from_the_store_shows_its_age_and_catches_up_soon(cut_s):
     async def work():
         network = Network(BOTH_REGIONS, REGIONS)
-        far_from_the_store(network)
+        put_link_before_store(network)
         network.store.write("a", b"1")
         await asyncio.sleep(5.0)
-        west, east = network.of_region("west"), network.of_region("east")
+        west, east = network.nodes_of_region("west"), network.nodes_of_region("east")
         cut_at_s = boot_time_s()
         for node in west:
             node.store.mode = "silent"
@@ -371,25 +371,25 @@
     assert asking == 1
 
 
-@pytest.mark.parametrize(("round_trip_s", "lost_part"), [(0.044, 0.05), (0.3, 0.0), (0.3, 0.05)])
-def test_what_a_region_knows_over_a_slow_and_lossy_link_stays_fresh(round_trip_s, lost_part):
+@pytest.mark.parametrize(("round_trip_s", "lost_fraction"), [(0.044, 0.05), (0.3, 0.0), (0.3, 0.05)])
+def test_rows_of_a_region_stay_fresh_over_a_slow_and_lossy_link(round_trip_s, lost_fraction):
     """Prompts are saved by a page of the store that is two seconds old; a lost call is found after 1.5 s."""
 
     async def work():
         network = Network(BOTH_REGIONS, REGIONS)
         rng = random.Random(5)
         network.store.write("a", b"1")
-        await ask_once(network)
-        far_from_the_store(network, loses=lambda: rng.random() < lost_part, round_trip_s=round_trip_s)
+        await call_store_once(network)
+        put_link_before_store(network, loses_call=lambda: rng.random() < lost_fraction, round_trip_s=round_trip_s)
         await asyncio.sleep(5.0)
         ages = []
         for number in range(300):
             await asyncio.sleep(0.07)
             if number % 10 == 0:
                 network.store.write("a", b"%d" % number)
-            ages += [boot_time_s() - node.follower.confirmed_at_s for node in network.of_region("west")]
+            ages += [boot_time_s() - node.follower.confirmed_at_s for node in network.nodes_of_region("west")]
         return max(ages), sum(age < 2.0 for age in ages) / len(ages)
 
-    oldest_s, fresh_part = run_virtual(work())
-    assert oldest_s < (2.0 if not lost_part else 3.6)
-    assert fresh_part > 0.95
+    oldest_s, fresh_fraction = run_virtual(work())
+    assert oldest_s < (2.0 if not lost_fraction else 3.6)
+    assert fresh_fraction > 0.95
--- a/tests/unit/cluster/test_stated_limits.py
+++ b/tests/unit/cluster/test_stated_limits.py
@@ -15,14 +15,14 @@
 from wallwell.routing.health.request_limit import NO_LIMIT_PER_S, LimitStatement, read_limit
 
 BACKEND = "i-0"
-BORN, BORN_AGAIN = 1_000, 2_000
+STARTED_MS, RESTARTED_MS = 1_000, 2_000
 
 
-def record(started=BORN):
+def record(started=STARTED_MS):
     return BackendRecord(BACKEND, "svc", "10.0.0.1:1", "z0", 8, started_unix_ms=started)
 
 
-def node(started=BORN):
+def node(started=STARTED_MS):
     load = FleetLoad(limits=FleetLimits(random.Random(1)))
     load.backends.upsert(record(started))
     load.forget_peers(1)
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answers", "in_force"),
+    ("answers", "limit_in_force"),
     [
         ([(3.0, 9.0, 10.0)], 3.0),
         ([(3.0, 9.0, 10.0), (NO_LIMIT_PER_S, 9.5, 10.1)], 3.0),  # Sent before the limit was read.
@@ -75,60 +75,60 @@
         ([(3.0, float("-inf"), 10.0)], 3.0),  # The answer to a report or an order.
     ],
 )
-def test_answers_that_overtake_each_other(answers, in_force):
+def test_answers_that_arrive_out_of_order(answers, limit_in_force):
     load = node()
     for per_s, sent_s, read_s in answers:
         answer(load, per_s, read_s, sent_s)
-    assert limit_of(load) == in_force
+    assert limit_of(load) == limit_in_force
 
 
 @pytest.mark.parametrize(
-    ("own", "reported", "in_force"),
+    ("own", "reported", "limit_in_force"),
     [
-        (None, ReportedLimit(2.0, 300, BORN), 2.0),
+        (None, ReportedLimit(2.0, 300, STARTED_MS), 2.0),
         (None, ReportedLimit(2.0, 300), 2.0),
-        (None, ReportedLimit(None, 300, BORN), NO_LIMIT_PER_S),
-        (None, ReportedLimit(2.0, 300, BORN - 1), NO_LIMIT_PER_S),
-        (None, ReportedLimit(2.0, 300, BORN_AGAIN), NO_LIMIT_PER_S),
-        (3.0, ReportedLimit(2.0, 300, BORN), 3.0),  # Older than the node's own word.
-        (3.0, ReportedLimit(2.0, 50, BORN), 2.0),
-        (3.0, ReportedLimit(None, 50, BORN), NO_LIMIT_PER_S),
+        (None, ReportedLimit(None, 300, STARTED_MS), NO_LIMIT_PER_S),
+        (None, ReportedLimit(2.0, 300, STARTED_MS - 1), NO_LIMIT_PER_S),
+        (None, ReportedLimit(2.0, 300, RESTARTED_MS), NO_LIMIT_PER_S),
+        (3.0, ReportedLimit(2.0, 300, STARTED_MS), 3.0),  # Older than the node's own word.
+        (3.0, ReportedLimit(2.0, 50, STARTED_MS), 2.0),
+        (3.0, ReportedLimit(None, 50, STARTED_MS), NO_LIMIT_PER_S),
     ],
 )
-def test_the_newest_word_on_the_same_start_holds(own, reported, in_force):
+def test_the_newest_statement_on_the_same_start_is_in_force(own, reported, limit_in_force):
     load = node()
     if own is not None:
         answer(load, own, 9.9)
     load.stated_limits.on_reported({BACKEND: reported}, 10.0)
-    assert limit_of(load) == in_force
+    assert limit_of(load) == limit_in_force
 
 
 def test_a_later_start_under_the_same_identity_has_no_limit():
     load = node()
     answer(load, 2.0, 10.0)
-    load.backends.upsert(record(BORN_AGAIN))
+    load.backends.upsert(record(RESTARTED_MS))
     assert limit_of(load) == NO_LIMIT_PER_S
     assert load.own_load(10.1).stated_limits is msgspec.UNSET
     assert load.stated_limits.admit(load.backends.get(BACKEND), 10.1) is None
 
 
-def test_only_what_a_node_read_itself_is_reported_and_not_for_ever():
+def test_a_node_reports_only_what_it_read_itself_and_for_a_limited_time():
     load = node()
-    load.stated_limits.on_reported({BACKEND: ReportedLimit(2.0, 0, BORN)}, 10.0)
+    load.stated_limits.on_reported({BACKEND: ReportedLimit(2.0, 0, STARTED_MS)}, 10.0)
     assert load.own_load(10.0).stated_limits is msgspec.UNSET
     answer(load, 2.0, 10.5)
-    assert load.own_load(11.0).stated_limits == {BACKEND: ReportedLimit(2.0, 500, BORN)}
+    assert load.own_load(11.0).stated_limits == {BACKEND: ReportedLimit(2.0, 500, STARTED_MS)}
     answer(load, NO_LIMIT_PER_S, 12.0)
-    assert load.own_load(12.5).stated_limits == {BACKEND: ReportedLimit(None, 500, BORN)}
+    assert load.own_load(12.5).stated_limits == {BACKEND: ReportedLimit(None, 500, STARTED_MS)}
     assert load.own_load(12.0 + REPORT_RETENTION_S).stated_limits is msgspec.UNSET
 
 
-def test_reports_grow_older_while_they_are_kept_and_the_newest_is_passed_on():
+def test_stored_reports_age_and_the_newest_is_forwarded():
     reports = LoadReports()
-    reports.record("a", Load(stated_limits={BACKEND: ReportedLimit(3.0, 100, BORN)}), 10.0)
-    reports.record("b", Load(stated_limits={BACKEND: ReportedLimit(2.0, 300, BORN)}), 10.4)
-    passed_on = sum_loads(reports.recent(10.5))
-    assert passed_on.stated_limits == {BACKEND: ReportedLimit(2.0, 400, BORN)}
+    reports.record("a", Load(stated_limits={BACKEND: ReportedLimit(3.0, 100, STARTED_MS)}), 10.0)
+    reports.record("b", Load(stated_limits={BACKEND: ReportedLimit(2.0, 300, STARTED_MS)}), 10.4)
+    forwarded = sum_loads(reports.recent(10.5))
+    assert forwarded.stated_limits == {BACKEND: ReportedLimit(2.0, 400, STARTED_MS)}
 
 
 def test_nothing_is_added_to_messages_while_nobody_states_a_limit():
@@ -136,7 +136,7 @@
     assert b"stated" not in msgspec.json.encode(quiet)
 
 
-def test_a_node_of_an_older_version_passes_over_what_it_does_not_know():
+def test_a_node_of_an_older_version_ignores_unknown_fields():
     class OlderLoad(msgspec.Struct, frozen=True):
         requests: dict[str, int] = {}
         nodes: int = 0
@@ -148,7 +148,7 @@
     assert msgspec.json.decode(b'{"nodes":1}', type=Load).stated_limits is msgspec.UNSET
 
 
-def test_a_request_that_never_left_is_given_back():
+def test_a_request_that_was_not_sent_is_refunded():
     load = node()
     answer(load, 2.0, 10.0)
     backend = load.backends.get(BACKEND)
@@ -158,7 +158,7 @@
     assert load.limits.levels(10.0) == level_before
 
 
-def test_what_was_sent_in_the_second_before_counts():
+def test_requests_sent_in_the_second_before_the_statement_count():
     load = node()
     for at_s in (8.0, 9.2, 9.6, 9.8):
         load.stated_limits.on_sent(BACKEND, at_s)
@@ -178,7 +178,7 @@
     assert lines == [3.0, 2.0, None]
 
 
-def test_behind_a_relay_of_an_older_version_nothing_is_saved_up():
+def test_behind_a_relay_of_an_older_version_no_unused_rate_is_saved():
     """It reports no level of a back end's limit, which must not be taken for a full one."""
     load = node()
     answer(load, 2.0, 10.0)
--- a/tests/unit/cluster/test_stated_limits_fleet.py
+++ b/tests/unit/cluster/test_stated_limits_fleet.py
@@ -2,11 +2,16 @@
 
 import pytest
 
-from tests.unit.cluster.limit_network import ANSWER_S, CONTACT_S, LimitNetwork, allowed
+from tests.unit.cluster.limit_network import (
+    ANSWER_DELAY_S,
+    ENFORCEMENT_DELAY_S,
+    LimitNetwork,
+    max_requests_in_window,
+)
 from wallwell.routing.health.request_limit import NO_LIMIT_PER_S
 
 STATED_S, ENDED_S, END_S = 5.0, 25.0, 40.0
-JUDGED_S = STATED_S + CONTACT_S
+ENFORCED_S = STATED_S + ENFORCEMENT_DELAY_S
 LOW_BANDWIDTH_INTERVAL_S = 0.25
 
 
@@ -46,8 +51,8 @@
     def cut(value):
         network.region_cut = value
 
-    network.at(11.0, lambda now_s: cut(True))
-    network.at(17.0, lambda now_s: cut(False))
+    network.schedule(11.0, lambda now_s: cut(True))
+    network.schedule(17.0, lambda now_s: cut(False))
 
 
 def two_regions(network):
@@ -71,8 +76,8 @@
 ]
 
 
-def play(event, nodes, per_s, wanted_per_s, interval_s=0.05, seed=1):
-    network = LimitNetwork(seed, nodes, stated(per_s), wanted_per_s, interval_s)
+def run_network(event, nodes, per_s, requested_per_s, interval_s=0.05, seed=1):
+    network = LimitNetwork(seed, nodes, stated(per_s), requested_per_s, interval_s)
     event(network)
     network.run(END_S)
     return network
@@ -81,9 +86,9 @@
 @pytest.mark.parametrize("per_s", [0.3, 1.8, 10.0])
 @pytest.mark.parametrize("event", EVENTS, ids=lambda event: event.__name__)
 def test_seven_nodes_keep_a_limit_and_use_it(event, per_s):
-    network = play(event, 7, per_s, 4 * per_s)
-    assert network.largest_window(JUDGED_S, ENDED_S) <= allowed(per_s)
-    assert network.rate(JUDGED_S, ENDED_S) >= 0.5 * per_s
+    network = run_network(event, 7, per_s, 4 * per_s)
+    assert network.largest_window_of_informed_nodes(ENFORCED_S, ENDED_S) <= max_requests_in_window(per_s)
+    assert network.rate(ENFORCED_S, ENDED_S) >= 0.5 * per_s
     # Of a slow rate the next request alone can show that the limit has ended.
     known_s = ENDED_S + max(2.0, 3 / per_s)
     assert not [at_s for at_s in network.passed_over_s if at_s >= known_s]
@@ -92,31 +97,31 @@
 @pytest.mark.parametrize("event", [nothing_happens, one_node_restarts_after_the_other, the_regions_lose_each_other])
 def test_79_nodes_that_report_four_times_a_second_keep_a_limit(event):
     per_s = 2.0
-    network = play(event, 79, per_s, 4 * per_s, LOW_BANDWIDTH_INTERVAL_S)
-    assert network.largest_window(JUDGED_S, ENDED_S) <= allowed(per_s)
-    assert network.rate(JUDGED_S, ENDED_S) >= 0.5 * per_s
+    network = run_network(event, 79, per_s, 4 * per_s, LOW_BANDWIDTH_INTERVAL_S)
+    assert network.largest_window_of_informed_nodes(ENFORCED_S, ENDED_S) <= max_requests_in_window(per_s)
+    assert network.rate(ENFORCED_S, ENDED_S) >= 0.5 * per_s
 
 
 @pytest.mark.parametrize("per_s", [0.3, 1.8, 3.0, 10.0])
 @pytest.mark.parametrize("seed", range(5))
-def test_what_came_before_anybody_knew_is_made_up_for_until_it_is_out_of_the_window(per_s, seed):
+def test_requests_before_the_first_statement_are_compensated_within_the_window(per_s, seed):
     """Guards against a debt that is forgiven too early: callers ask for all that a window allows at one moment."""
     network = LimitNetwork(seed, 3, stated(per_s), 4 * per_s)
-    network.wanted_per_s = 1e-6
-    for number in range(int(allowed(per_s))):
-        network.at(STATED_S - ANSWER_S + 0.001 * number / per_s, network.request)
+    network.requested_per_s = 1e-6
+    for number in range(int(max_requests_in_window(per_s))):
+        network.schedule(STATED_S - ANSWER_DELAY_S + 0.001 * number / per_s, network.request)
 
-    def want(now_s):
-        network.wanted_per_s = 4 * per_s
-        network.at(now_s, network._arrive)
+    def start_callers(now_s):
+        network.requested_per_s = 4 * per_s
+        network.schedule(now_s, network._arrive)
 
-    network.at(STATED_S + 0.5, want)
+    network.schedule(STATED_S + 0.5, start_callers)
     network.run(STATED_S + 20.0)
-    assert network.largest_sum(JUDGED_S, STATED_S + 20.0) <= allowed(per_s)
+    assert network.largest_window_of_all_nodes(ENFORCED_S, STATED_S + 20.0) <= max_requests_in_window(per_s)
     assert network.rate(STATED_S + 10.0, STATED_S + 20.0) >= 0.5 * per_s
 
 
-def test_a_limit_that_falls_and_rises_is_kept_at_each_value():
+def test_a_limit_that_falls_and_rises_is_enforced_at_each_value():
     values = [(5.0, 8.0), (12.0, 2.0), (20.0, 5.0)]
 
     def per_s(now_s):
@@ -126,22 +131,24 @@
     network.run(28.0)
     ends_s = [at_s for at_s, _ in values[1:]] + [28.0]
     for (at_s, value), end_s in zip(values, ends_s, strict=True):
-        assert network.largest_window(at_s + CONTACT_S, end_s) <= allowed(value)
-        assert network.rate(at_s + CONTACT_S, end_s) >= 0.5 * value
+        assert network.largest_window_of_informed_nodes(
+            at_s + ENFORCEMENT_DELAY_S, end_s
+        ) <= max_requests_in_window(value)
+        assert network.rate(at_s + ENFORCEMENT_DELAY_S, end_s) >= 0.5 * value
 
 
-def test_a_back_end_that_takes_nothing_is_asked_now_and_then_and_used_again_when_it_takes_requests():
+def test_a_back_end_with_a_limit_of_zero_is_probed_and_used_again_when_the_limit_ends():
     network = LimitNetwork(3, 7, lambda now_s: 0.0 if STATED_S <= now_s < 45.0 else NO_LIMIT_PER_S, 3.0)
     network.run(70.0)
-    assert network.largest_window(JUDGED_S, 45.0) <= allowed(0.0)
-    assert 0 < network.rate(JUDGED_S, 45.0) <= 0.2
+    assert network.largest_window_of_informed_nodes(ENFORCED_S, 45.0) <= max_requests_in_window(0.0)
+    assert 0 < network.rate(ENFORCED_S, 45.0) <= 0.2
     assert network.rate(60.0, 70.0) > 2.0
 
 
-def test_a_node_that_was_told_by_others_alone_keeps_the_limit_as_well():
+def test_a_node_that_learned_a_limit_only_from_peers_has_it_in_force():
     network = LimitNetwork(4, 7, stated(1.0), 4.0)
     silent = network.nodes[-1]
     network.weights[-1] = 0.0
-    network.run(JUDGED_S)
+    network.run(ENFORCED_S)
     limit = silent.load.backends.get("i-0").request_limit
     assert (limit.per_s, limit.own_per_s) == (1.0, NO_LIMIT_PER_S)
--- a/tests/unit/cluster/test_upstream.py
+++ b/tests/unit/cluster/test_upstream.py
@@ -20,7 +20,7 @@
 
 
 @given(count=st.integers(1, 130), zones=st.integers(1, 4))
-def test_each_zone_has_one_relay_for_so_many_and_two_zones_follow_the_store(count, zones):
+def test_each_zone_has_a_relay_per_group_of_members_and_two_zones_follow_the_store(count, zones):
     members = fleet(count, zones)
     relays = [name for name, order in orders(members).items() if not order.followed_peers_in_zone(0.0)]
     roots = [name for name, order in orders(members).items() if not order.candidates(0.0)]
@@ -150,7 +150,7 @@
     assert not any(reaches(name, name, set()) for name in members)
 
 
-def test_the_second_zone_of_a_region_stands_by_for_the_first():
+def test_the_second_zone_of_a_region_is_the_standby_of_the_first():
     members = fleet(12, zones=6)
     for name, order in regional_orders(members).items():
         candidates = [peer for peer, _ in order.candidates(0.0)]
@@ -169,7 +169,7 @@
     raise AssertionError("no zone follows two others")
 
 
-def test_a_region_that_is_left_alone_follows_the_store_itself():
+def test_a_region_whose_peers_are_gone_follows_the_store_itself():
     members = fleet(12, zones=6)
     alone = {name: member for name, member in members.items() if REGIONS[member.zone] == "west"}
     for known in (members, alone):
@@ -178,7 +178,7 @@
 
 
 @pytest.mark.parametrize("regions", [{}, {f"z{zone}": "east" for zone in range(6)}])
-def test_one_region_has_the_order_that_it_has_without_a_map(regions):
+def test_a_single_region_has_the_same_order_as_no_regions(regions):
     members = fleet(40, zones=6)
     plain, mapped = orders(members), regional_orders(members, regions)
     for name in members:
@@ -187,14 +187,14 @@
         assert not mapped[name].other_regions()
 
 
-def test_relays_of_other_regions_get_no_reports_of_each_node():
+def test_relays_report_only_to_relays_of_their_own_region():
     members = fleet(12, zones=6)
     for name, order in regional_orders(members).items():
         reached = {REGIONS[members[peer].zone] for peer, _ in order.other_relays(0.0)}
         assert reached == {REGIONS[members[name].zone]}
 
 
-def test_nodes_of_a_region_speak_in_an_order_that_both_regions_know():
+def test_both_regions_compute_the_same_order_of_delegates():
     members = fleet(24, zones=6)
     known = regional_orders(members)
     delegates = {tuple(name for name, _ in order.delegates_of("east")) for order in known.values()}
--- a/tests/unit/test_suspended_machine.py
+++ b/tests/unit/test_suspended_machine.py
@@ -174,11 +174,11 @@
 def test_a_lease_is_not_held_after_it():
     async def work():
         keeper = LeaseKeeper("work", "n1", 3.0, FaultyTable())
-        turn = LeaseCandidate("work", "n1", keeper, 3.0, lambda: ("n1",))
-        turn.set_work_pending(True, boot_time_s())
-        held = [await turn.acquire_or_renew(boot_time_s())]
+        candidate = LeaseCandidate("work", "n1", keeper, 3.0, lambda: ("n1",))
+        candidate.set_work_pending(True, boot_time_s())
+        held = [await candidate.acquire_or_renew(boot_time_s())]
         suspend_machine(AWAY_S)
-        held.append(turn.is_held())
+        held.append(candidate.is_held())
         return held
 
     assert run_virtual(work()) == [True, False]
