--- a/src/wallwell/cluster/__init__.py
+++ b/src/wallwell/cluster/__init__.py
@@ -1,7 +1,7 @@
-"""What nodes report to each other, and how they agree without a vote.
+"""Communication between nodes, and coordination without a vote.
 
-:mod:`.upstream` is the agreed order: who follows the store through whom, and who stands for a region. Along it,
-:mod:`.relay` passes rows of the store on, :mod:`.load_reporter` and :mod:`.region_load_reporter` report loads,
-spent limits and crashes. :mod:`.peer_link` carries it all. :mod:`.leases` and :mod:`.lease_candidate` let one node
-act for all.
+:mod:`.upstream` computes, equally on every node, which peer each node follows the store through and which nodes
+represent a region. In this order :mod:`.relay` forwards rows of the store, and :mod:`.load_reporter` and
+:mod:`.region_load_reporter` report loads, spent limits and crashes, all of them over :mod:`.peer_link`.
+:mod:`.leases` and :mod:`.lease_candidate` elect one node to act for all.
 """
--- a/src/wallwell/cluster/crash_count.py
+++ b/src/wallwell/cluster/crash_count.py
@@ -1,6 +1,6 @@
-"""Counting a crash against a request, the same for both routers.
+"""Counts a crash of a back end against the request that it was running; shared by both routers.
 
-Relies on :mod:`wallwell.routing.admission.quarantine` for the decision; logs a quarantine that begins.
+:mod:`wallwell.routing.admission.quarantine` decides on quarantines; this module logs each new one.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 def count_crash(quarantine: Quarantine, content: str, incarnation: str, now_s: float) -> bool:
-    """Count a crash of one incarnation of a back end; returns whether it was news. Logs a new quarantine."""
+    """Count a crash of one incarnation of a back end; return False if it did not count. Logs a new quarantine."""
     was_free = not quarantine.left_s(content, now_s)
     is_news = quarantine.on_crash(content, incarnation, now_s)
     if was_free and quarantine.left_s(content, now_s):
--- a/src/wallwell/cluster/crash_reports.py
+++ b/src/wallwell/cluster/crash_reports.py
@@ -1,11 +1,11 @@
-"""Crashes that the store does not have yet, reported between nodes with their loads. Pure.
+"""Reports crashes that are not in the store yet between nodes, along with their loads. Pure.
 
-Nodes learn of crashes by the store's rows. While the store takes no writes, what each node has seen goes up to its
-relay and down again, as loads do: relays report to each other what their members reported, and to their members
-everything. So a request that crashes back ends is known to a region within some exchanges (0.05 s each) all the
-same. Nothing is reported while the store takes writes.
+Nodes normally learn of crashes from rows of the store. While the store accepts no writes, each node reports the
+crashes that it detected to its relay. Relays report their members' crashes to each other, and all crashes to their
+members. A request that crashes back ends is thus known to a whole region within a few exchanges (0.05 s each) even
+then. Nothing is reported while the store accepts writes.
 
-Owns what was received recently. Relies on ``node/crash_watch.py`` for this node's own unwritten crashes.
+Owns the crashes received recently. Relies on ``node/crash_watch.py`` for this node's own unwritten crashes.
 """
 
 from __future__ import annotations
@@ -13,33 +13,33 @@
 from collections.abc import Callable, Iterable, Sequence
 
 Crash = tuple[str, str]
-"""A request's content and the incarnation that ended under it."""
+"""Digest of a request's content, and the incarnation of the back end that crashed while running the request."""
 RELAYED_CRASH_LIFETIME_S = 2.0
-"""Seconds for which a received crash is reported on: many exchanges, some of which fail. Who saw a crash reports it
-until it is written."""
+"""Seconds for which a received crash is forwarded: many exchanges, since some of them fail. The node that detected
+a crash reports it until it is written to the store."""
 MAX_CRASHES_PER_MESSAGE = 32
-"""Crashes in one message, some 2 KB; the newest first, since those of a request that goes on matter most."""
+"""Crashes in one message, about 2 KB; newest first, since a request that is still causing crashes matters most."""
 
 
 class CrashReports:
-    """One node's part. Times are on its clock."""
+    """Crashes that one node has received from its peers and reports to them. Times are seconds on its clock."""
 
     def __init__(
         self, unwritten_crashes: Callable[[], Sequence[Crash]], on_received: Callable[[Crash], None]
     ) -> None:
-        """``unwritten_crashes`` gives what this node has seen and not written, newest first; ``on_received`` gets
-        what is received."""
+        """``unwritten_crashes`` returns the crashes that this node has detected and not written to the store yet,
+        newest first; ``on_received`` is called with each received crash."""
         self._unwritten_crashes = unwritten_crashes
         self._on_received = on_received
         self._from_members: dict[Crash, float] = {}
         self._from_relays: dict[Crash, float] = {}
 
     def receive_from_member(self, crashes: Iterable[Crash], now_s: float) -> None:
-        """Take what a member reported to this relay."""
+        """Handle crashes that a member reported to this relay."""
         self._receive(self._from_members, crashes, now_s)
 
     def receive_from_relay(self, crashes: Iterable[Crash], now_s: float) -> None:
-        """Take what a relay reported, this node's own or another one."""
+        """Handle crashes reported by a relay: the one that this node reports to, or another relay."""
         self._receive(self._from_relays, crashes, now_s)
 
     def _receive(self, received_at_s: dict[Crash, float], crashes: Iterable[Crash], now_s: float) -> None:
@@ -48,16 +48,16 @@
             self._on_received(crash)
 
     def crashes_for_own_relay(self) -> tuple[Crash, ...]:
-        """Return what a member reports to its relay."""
+        """Return the crashes that this node reports to its relay as a member."""
         return tuple(self._unwritten_crashes()[:MAX_CRASHES_PER_MESSAGE])
 
     def crashes_for_other_relays(self, now_s: float) -> tuple[Crash, ...]:
-        """Return what a relay reports to the others: nothing that it has from one of them, or it would circle
-        forever."""
+        """Return the crashes that this relay reports to other relays. Crashes received from another relay are left
+        out, since relays would otherwise send them back and forth forever."""
         return self._unwritten_and_recent((self._from_members,), now_s)
 
     def crashes_for_members(self, now_s: float) -> tuple[Crash, ...]:
-        """Return what a relay reports to its members."""
+        """Return the crashes that this relay reports to its members."""
         return self._unwritten_and_recent((self._from_members, self._from_relays), now_s)
 
     def _unwritten_and_recent(self, sources: Iterable[dict[Crash, float]], now_s: float) -> tuple[Crash, ...]:
--- a/src/wallwell/cluster/fleet_load.py
+++ b/src/wallwell/cluster/fleet_load.py
@@ -1,7 +1,7 @@
-"""All that a node reports of its own load, and what it learns of the others'. Pure.
+"""The load that a node reports, and the load of the other nodes that it receives. Pure.
 
-Owns nothing of its own: it puts together what is counted in ``routing/`` and :mod:`.demand`, and passes on what is
-received. Relies on :mod:`.load_reporter` to exchange it.
+Combines the counts kept in ``routing/`` and :mod:`.demand` into a report, and distributes received reports to these
+counters. Relies on :mod:`.load_reporter` to exchange the reports.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass
 class FleetLoad:
-    """The parts of a node's state that count what all nodes do together."""
+    """The parts of a node's state that depend on the load of all nodes."""
 
     backends: BackendRegistry = field(default_factory=BackendRegistry)
     demand: FleetDemand = field(default_factory=FleetDemand)
@@ -28,15 +28,15 @@
     limits: FleetLimits = field(default_factory=FleetLimits)
     stated_limits: StatedLimits = field(init=False)
     own_configuration_version: int = 0
-    """Version of the configuration in force that this node reports, 0 for none."""
+    """Version of the configuration in force on this node, as reported to others; 0 for none."""
     peers_configuration_version: int = 0
-    """Newest version that any other node has reported."""
+    """Newest configuration version that any other node has reported."""
 
     def __post_init__(self) -> None:
         self.stated_limits = StatedLimits(self.backends, self.limits)
 
     def own_load(self, now_s: float) -> Load:
-        """Return what this node reports."""
+        """Return the load that this node reports of itself."""
         return Load(
             requests=self.backends.own_loads(),
             generations=self.demand.own_generations.count(now_s),
@@ -48,7 +48,7 @@
         )
 
     def update_from_peers(self, others: Load, nodes: int, now_s: float) -> None:
-        """Take what all other nodes have reported; ``nodes`` is the size of the fleet, 0 if it is not known."""
+        """Apply the summed load of all other nodes; ``nodes`` is the size of the fleet, 0 if unknown."""
         self.stated_limits.on_reported(others.stated_limits, now_s)
         if others.configuration is not msgspec.UNSET:
             self.peers_configuration_version = max(self.peers_configuration_version, others.configuration)
@@ -58,7 +58,7 @@
         self.limits.learn_fleet(others.asked, others.nodes, nodes)
 
     def forget_peers(self, nodes: int) -> None:
-        """Drop what other nodes reported: it is too old."""
+        """Drop the loads of other nodes, which are too old; ``nodes`` is the size of the fleet, 0 if unknown."""
         self.backends.forget_peer_loads()
         self.demand.peers_generations = None
         self.first_token_delays.peers = Delays()
--- a/src/wallwell/cluster/lease_candidate.py
+++ b/src/wallwell/cluster/lease_candidate.py
@@ -1,8 +1,8 @@
-"""When a node tries for a lease and renews it, so that of many nodes with work to do one does it.
+"""Decides when a node tries to acquire or renew a lease, so that one of many nodes with the same work does it.
 
-Owns the time of each try: the last holder first, then the others in an order that every node works out alike, so
-that few calls to the store are spent on tries that cannot succeed. Relies on :mod:`.leases` for who holds the
-lease, and on a feed of the store's rows for who held it last.
+The last holder tries first, then the other nodes in an order that every node computes equally, so that few calls to
+the store are spent on attempts that cannot succeed. Relies on :mod:`.leases` to acquire the lease, and on a feed of
+the store's rows to see the last holder.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 from wallwell.storage.feed import FeedRow
 
 RENEWAL_FRACTION = 0.4
-"""Fraction of the time for which a renewal is trusted, after which the next one is made: a call that fails can be
-made again before that time is over."""
+"""Fraction of a renewal's validity after which the next renewal is made: early enough to repeat a failed call
+before the lease expires."""
 LAST_HOLDER_PRIORITY_S = 0.7
-"""Seconds for which others leave the lease to its last holder: some calls to the store."""
+"""Seconds for which other nodes let the last holder go first: long enough for several calls to the store."""
 CANDIDATE_SPACING_S = 0.35
-"""Seconds between the tries of two candidates; the calls of a try take a small fraction of it."""
+"""Seconds between the attempts of two candidates; the calls of an attempt take a small fraction of this time."""
 
 
 class LeaseCandidate:
-    """One node's tries for one lease: the last holder first, others in an agreed order, nobody without work."""
+    """One node's candidacy for one lease; it tries only while it has work, at its position in the agreed order."""
 
     def __init__(
         self, name: str, node: str, keeper: LeaseKeeper, lease_valid_s: float, members: Callable[[], Iterable[str]]
     ) -> None:
-        """``lease_valid_s`` is how long one renewal is trusted; ``members`` names the nodes that may try."""
+        """``lease_valid_s`` is how long one renewal is valid; ``members`` returns the names of all candidates."""
         self.holder = ""
-        """The last holder by the feed of the store's rows; empty if none."""
+        """Name of the last holder, as seen in the feed of the store's rows; empty if there is none."""
         self._name = name
         self._node = node
         self._keeper = keeper
@@ -43,24 +43,24 @@
         self._renewed_at_s = float("-inf")
         self._is_draining = False
         self._is_unconfirmed = False
-        """Whether the store did not answer to the last try, so that an outage is logged once."""
+        """Whether the store did not answer the last attempt; kept so that an outage is logged once."""
 
     def observe(self, row: FeedRow, now_s: float) -> None:
-        """Take a row of this product's own table; others than the lease's are left alone."""
+        """Handle a row of this product's own table; rows other than the one of this lease are ignored."""
         if row.key == LEASE_PREFIX + self._name:
             holder = self._keeper.observe(row.value, row.version, now_s)
             if holder is not None:
                 self.holder = holder
 
     def set_work_pending(self, is_pending: bool, now_s: float) -> None:
-        """Say whether there is work to do."""
+        """Record whether this node has work that needs the lease."""
         if not is_pending:
             self._work_pending_since_s = None
         elif self._work_pending_since_s is None:
             self._work_pending_since_s = now_s
 
     async def acquire_or_renew(self, now_s: float) -> bool:
-        """Acquire or renew the lease if it is this node's turn, and return whether it is held."""
+        """Acquire or renew the lease if this node may try now; return whether the lease is held."""
         if self.is_held() and now_s - self._renewed_at_s < self._lease_valid_s * RENEWAL_FRACTION:
             return True
         if not self.is_held() and (self._is_draining or now_s < self._earliest_attempt_s()):
@@ -82,12 +82,11 @@
         return self.is_held()
 
     def is_held(self) -> bool:
-        """Whether the lease is certainly held now."""
+        """Return whether this node certainly holds the lease now."""
         try:
             self._keeper.require_held(boot_time_s())
         except LeaseLostError:
-            # This is the question. ``acquire_or_renew``
-            # logs a loss that the store shows; an unconfirmed one has its own event.
+            # Not logged here: ``acquire_or_renew`` logs losses, and LEASE_UNCONFIRMED covers an unanswered store.
             return False
         return True
 
@@ -97,13 +96,13 @@
         self._is_unconfirmed = True
 
     def drain(self) -> None:
-        """Keep what is held, and take no new lease."""
+        """Keep and renew a lease that is held, but acquire no new one."""
         self._is_draining = True
 
     def _earliest_attempt_s(self) -> float:
-        """Return when this node may try for the lease."""
+        """Return the time from which this node may try to acquire the lease."""
         assert self._work_pending_since_s is not None
-        # After a restore the last holder is first as well: it knows best what the store has lost.
+        # The last holder also goes first after a restore: it knows best which writes the store has lost.
         earliest_s = max(self._work_pending_since_s, self._keeper.earliest_start_s())
         if self.holder == self._node:
             return earliest_s
--- a/src/wallwell/cluster/leases.py
+++ b/src/wallwell/cluster/leases.py
@@ -1,15 +1,16 @@
-"""Leases in the table service with fencing tokens, so that at most one node acts on a matter at a time.
+"""Leases with fencing tokens, stored in the table service, so that at most one node acts for a purpose at a time.
 
-Owns one row for each lease. Relies on conditional writes of the table, and on clocks that measure spans alike.
+Owns one row per lease. Relies on conditional writes of the table, and on clocks that measure durations alike.
 
-No clocks are compared between machines. The holder counts its lease from the moment *before* it sent the
-write; a challenger must see the same row version for a full time-to-live on its own clock before it may take
-over. The fencing token is the commit number of the acquiring write, so it rises with every holder, and
-whoever obeys orders refuses a lower one: a holder that was paused past its lease can do no harm.
+Clocks are never compared between machines. The holder counts its lease from *before* it sent the write; a
+challenger must see the same row version for a full time-to-live on its own clock before it may take over. The
+fencing token is the commit number of the acquiring write, so it rises with every holder. A receiver of orders
+refuses tokens lower than the highest it has seen, so a holder paused past its lease can do no harm.
 
-A store that comes back from an older copy may have lost the row of a lease that is still held, and counts versions
-that were fences before. So a lease is of one era: who hears of another holds it no more, who heard of one begins a
-lease only once every earlier holder's time is over, and fences go on above all that can have been given out.
+A store that is restored from an older copy may have lost the row of a lease that is still held, and gives out
+versions again that were used as fences. So a lease is valid in one era only: a holder that learns of a newer
+era loses its lease, a lease in a new era starts only once all earlier leases have expired, and the new fences are
+above all that can have been given out.
 """
 
 from __future__ import annotations
@@ -24,35 +25,35 @@
 
 LEASE_PREFIX = "lease/"
 MAX_LOST_VERSIONS = 1 << 20
-"""Versions that a store may have given out, at most, after the copy was made that it comes back from: some minutes
-of all the writes that it takes."""
+"""Upper bound of the versions that a store can have given out since the copy that it is restored from was made:
+several minutes of all the writes that it can take."""
 
 
 class LeaseBody(msgspec.Struct, frozen=True):
-    """Contents of a lease row. ``fence`` 0 means that the fence is the row's version plus ``fence_offset``."""
+    """Contents of a lease row. If ``fence`` is 0, the fence is the row's version plus ``fence_offset``."""
 
     holder: str
     fence: int
     ttl_s: float
     released: bool = False
     fence_offset: int | UnsetType = UNSET
-    """Left out where it is 0."""
+    """Omitted if it is 0."""
     era: int | UnsetType = UNSET
-    """The store's era in which it was written. Left out before the first, and by builds that know no eras: the
-    store may then have come back any number of times since."""
+    """The store's era in which the row was written. Omitted before the first era, and by builds without eras: the
+    store may then have been restored any number of times since."""
 
     @property
     def written_era(self) -> int:
-        """The era in which it was written, as far as it says."""
+        """The era in which the row was written; ``UNKNOWN_ERA`` if it names none."""
         return era_received(self.era)
 
     def fence_for_version(self, row_version: int) -> int:
-        """Return the fence that the row of a version stands for."""
+        """Return the fencing token of the lease if its row has the version ``row_version``."""
         return self.fence or row_version + (self.fence_offset or 0)
 
 
 class HeldLease(msgspec.Struct, frozen=True):
-    """A lease this node holds. ``valid_until_s`` is on this node's clock."""
+    """A lease that this node holds. ``valid_until_s`` is on this node's clock."""
 
     name: str
     fence: int
@@ -62,10 +63,10 @@
 
 
 def next_fence_offset(row: Row | None, body: LeaseBody | None, era: StoreEra) -> int:
-    """Return what is to be added to the version of an acquiring write, so that its fence is above all earlier ones.
+    """Return the number to add to the version of an acquiring write so that its fence is above all earlier ones.
 
-    In one era the version alone is. Each time the store comes back from a copy, fences up to ``MAX_LOST_VERSIONS``
-    above what the copy shows may have been given out.
+    Within one era no offset is needed. At each restore of the store, fences up to ``MAX_LOST_VERSIONS`` above those
+    in the copy may have been given out.
     """
     if row is None or body is None:
         return era.current * MAX_LOST_VERSIONS
@@ -87,8 +88,8 @@
     ) -> None:
         """``guard_s`` is how much longer than the time-to-live a challenger waits.
 
-        With a guard, the last act of one holder and the first of the next are at least ``guard_s`` apart.
-        ``era`` is kept up to date by the answers of ``table``; without one the table never comes back from a copy.
+        With a guard, the last action of one holder and the first of the next are at least ``guard_s`` apart.
+        ``era`` is updated from the answers of ``table``; None is for tables that are never restored from a copy.
         """
         self._key = LEASE_PREFIX + name
         self._name = name
@@ -98,21 +99,21 @@
         self._table = table
         self._era = era or StoreEra()
         self._seen_row = (UNKNOWN_ERA, -1)
-        """Era and version of the row that was seen last."""
+        """Era of the store and version of the lease row when the row was last seen."""
         self._seen_since_s = float("-inf")
         self._seen_ttl_s = 0.0
         self.held: HeldLease | None = None
 
     def require_held(self, now_s: float) -> int:
-        """Return the fence if the lease is certainly still held. Raises :class:`LeaseLostError`."""
+        """Return the fence if the lease is certainly still held. Raises :class:`LeaseLostError` if it is not."""
         if self.held is None or now_s >= self.held.valid_until_s or self._era.is_after(self.held.era):
             raise LeaseLostError(self._name)
         return self.held.fence
 
     async def try_acquire(self, now_s: float) -> HeldLease | None:
-        """Acquire or renew; ``now_s`` is read before the call. Returns None while another node holds it.
+        """Acquire or renew the lease; return None while another node holds it. ``now_s`` is read before the call.
 
-        Raises :class:`PlatformUnavailableError`; the lease then runs on until its time is over.
+        Raises :class:`PlatformUnavailableError`; a lease that is held then stays valid until it expires.
         """
         row = await self._table.get(self._key)
         body = msgspec.json.decode(row.value, type=LeaseBody) if row else None
@@ -155,9 +156,9 @@
             self._seen_ttl_s = ttl_s
 
     def observe(self, value: bytes | None, version: int, now_s: float) -> str | None:
-        """Take the lease's row from a feed of changes and return its holder, so that no call is spent on it.
+        """Record the lease's row from a feed of changes, which saves a call, and return its holder ("" if deleted).
 
-        Returns None for a row of an earlier era, which does not tell who was the last holder before the restore.
+        Returns None for a row of an earlier era, which may not name the last holder before the restore.
         """
         if value is None:
             return ""
@@ -166,13 +167,13 @@
         return None if self._era.is_after(body.written_era) else body.holder
 
     def earliest_takeover_s(self) -> float:
-        """Return from when another node's lease may be taken over, unless its row changes before."""
+        """Return the time from which another node's lease may be taken over, unless its row changes before then."""
         return max(self._seen_since_s + self._seen_ttl_s + self._guard_s, self.earliest_start_s())
 
     def earliest_start_s(self) -> float:
-        """Return from when a lease may begin whatever its row says: those of an earlier era are then over.
+        """Return the time from which any lease may start: by then all leases of earlier eras have expired.
 
-        A node that has started knows only that the store may have come back a moment before.
+        A node that has just started must assume that the store was restored a moment ago.
         """
         if self._era.current == UNKNOWN_ERA:
             return float("-inf")
@@ -185,16 +186,16 @@
         try:
             version = await self._table.transact(Transaction((condition,), (put,)))
         except TableConflictError:
-            self.held = None  # Another node was first; callers log the loss of a lease that they held.
+            self.held = None  # Another node wrote first; callers log the loss of a lease that they held.
             return None
         self.held = HeldLease(self._name, body.fence_for_version(version), version, now_s + self._ttl_s, era)
         return self.held
 
     async def release(self) -> None:
-        """Give the lease up so that another node may take it at once. Errors leave it to expire."""
+        """Release the lease so that another node may acquire it at once. After an error it expires instead."""
         held, self.held = self.held, None
         if held is None or self._era.is_after(held.era):
-            return  # Its row may be another node's by now, under the same version.
+            return  # The row may by now be another node's, with the same version.
         put = Put(self._key, msgspec.json.encode(self._new_body(fence=held.fence, released=True)).decode())
         try:
             await self._table.transact(Transaction((Condition(self._key, held.version),), (put,)))
--- a/src/wallwell/cluster/load_aggregator.py
+++ b/src/wallwell/cluster/load_aggregator.py
@@ -1,8 +1,8 @@
-"""What a node knows of the loads, spent limits and crashes of others, and what it reports of them. Pure.
+"""Combines the loads, spent limits and crashes that other nodes report into the reports of this node. Pure.
 
-For :mod:`.load_reporter`, which sends and receives the messages. Owns the recent reports of members, of other
-relays of the region, and of other regions. Tenants' limits and crashes travel in the same messages; their owners
-are called here. Times are seconds on this node's clock.
+Used by :mod:`.load_reporter`, which sends and receives the messages. Owns the recent reports of members, of other
+relays of the region, and of other regions. The same messages carry tenants' limits and crashes, which are handed to
+:class:`FleetLimits` and :class:`CrashReports`. Times are seconds on this node's clock.
 """
 
 from __future__ import annotations
@@ -14,11 +14,10 @@
 
 
 class LoadAggregator:
-    """One node's knowledge, by the messages that it received."""
+    """The recent load reports that one node has received, and the sums that it reports."""
 
     def __init__(self, node: str, load: FleetLoad, crashes: CrashReports) -> None:
-        """``load`` is this node's own load and its knowledge of the fleet, ``crashes`` what is reported of
-        crashes."""
+        """``load`` is this node's own load and its view of the fleet, ``crashes`` has the crashes to report."""
         self._node = node
         self._load = load
         self._crashes = crashes
@@ -26,15 +25,15 @@
         self._relays = LoadReports()
         self._regions = LoadReports()
         self._relay_totals: dict[str, tuple[RelaySpentTotals, float]] = {}
-        """What other relays of the region reported last as spent through them, and when."""
+        """The last spent totals of each other relay of the region, and when they were received."""
 
     # --- received ----------------------------------------------------------------------------------------
 
     def on_member_load(self, message: MemberLoad, now_s: float) -> OthersLoad:
-        """Take a member's report and return what all others have in flight."""
+        """Handle a member's report and return the load of all other nodes."""
         self._members.record(message.node, message.load, now_s)
         self._crashes.receive_from_member(message.crashes, now_s)
-        # First, so that what was spent of a limit which is new here is counted.
+        # Done first: a limit new to this node must exist before the member's spending of it can be counted.
         self._load.stated_limits.on_reported(message.load.stated_limits, now_s)
         limits = self._load.limits
         limits.take_member(message.spent, now_s)
@@ -43,13 +42,13 @@
         return OthersLoad(load, limits.levels(now_s), self._crashes.crashes_for_members(now_s))
 
     def on_zone_load(self, message: ZoneLoad, now_s: float) -> None:
-        """Take the sum of another relay of this region."""
+        """Handle the sum of another relay of this region."""
         self._relays.record(message.node, message.load, now_s)
         self._crashes.receive_from_relay(message.crashes, now_s)
         self._load.stated_limits.on_reported(message.load.stated_limits, now_s)
         self._load.limits.take_relay(message.node, message.life, message.spent_totals, now_s)
         if message.node not in self._relay_totals:
-            # Nodes are replaced under new names, and each has reported all tenants that spend.
+            # Nodes are replaced under new names, and an entry lists every tenant that spends: drop old entries.
             self._relay_totals = {
                 name: reported for name, reported in self._relay_totals.items() if _is_recent(reported[1], now_s)
             }
@@ -59,7 +58,7 @@
         )
 
     def on_region_sum(self, received: RegionSum, now_s: float) -> None:
-        """Take the sum of another region."""
+        """Handle the sum of another region."""
         self._regions.record(received.region, received.load, now_s)
         self._load.stated_limits.on_reported(received.load.stated_limits, now_s)
         limits = self._load.limits
@@ -68,24 +67,24 @@
         limits.on_region_heard(received.region)
 
     def on_region_lost(self, last: RegionSum, now_s: float) -> None:
-        """Another region has been silent for too long; ``last`` is what it reported last."""
+        """Handle the loss of a region that was silent for too long; ``last`` is the last sum that it reported."""
         own_nodes = self._region_load(now_s).nodes
         self._load.limits.on_region_lost(last.region, last.load.nodes / own_nodes, now_s)
 
     # --- reported ----------------------------------------------------------------------------------------
 
     def others_load(self, now_s: float) -> Load:
-        """Return what all other nodes have in flight, as far as this relay knows."""
+        """Return the load of all other nodes, by the recent reports that this relay has received."""
         return sum_loads((*self._members.recent(now_s), *self._other_relays_and_regions(now_s)))
 
     def zone_message(self, now_s: float, regions: tuple[RegionSum, ...] = ()) -> ZoneLoad:
-        """Return what this relay reports to the others; ``regions`` are sums of other regions to be passed on."""
+        """Return this relay's report to other relays; ``regions`` are sums of other regions to be forwarded."""
         limits = self._load.limits
         crashes = self._crashes.crashes_for_other_relays(now_s)
         return ZoneLoad(self._node, self._zone_load(now_s), limits.life, limits.spent_totals(), regions, crashes)
 
     def region_sum(self, region: str, now_s: float) -> RegionSum:
-        """Return what this relay knows of its region, which is called ``region``."""
+        """Return the sum of this relay's own region, whose name is ``region``."""
         limits = self._load.limits
         recent = [totals for totals, at_s in self._relay_totals.values() if _is_recent(at_s, now_s)]
         relays = (RelaySpentTotals(self._node, limits.life, limits.spent_totals()), *recent)
--- a/src/wallwell/cluster/load_messages.py
+++ b/src/wallwell/cluster/load_messages.py
@@ -1,4 +1,4 @@
-"""What nodes report to each other of loads, spent limits and crashes: messages, and the compression of sums.
+"""Messages in which nodes report loads, spent limits and crashes to each other, and the compression of region sums.
 
 Class names and field names go over the wire. Sent and received by :mod:`.load_reporter` within a region, and by
 :mod:`.region_load_reporter` between regions.
@@ -16,11 +16,11 @@
 from wallwell.errors import PeerUnavailableError
 
 COMPRESSION_LEVEL = 6
-"""Level of zlib, its default: between speed and size."""
+"""Compression level of zlib: its default, a balance of speed and size."""
 
 
 class RelaySpentTotals(msgspec.Struct, frozen=True, array_like=True):
-    """All that was spent of limits through one relay in one of its lives, by tenant."""
+    """All that was spent of limits through one relay since its start ``life``, by tenant or back end."""
 
     relay: str
     life: int
@@ -28,7 +28,7 @@
 
 
 class RegionSum(msgspec.Struct, frozen=True):
-    """What the nodes of a region have in flight, and what was spent through each of its relays."""
+    """The summed load of the nodes of a region, and what was spent of limits through each of its relays."""
 
     region: str
     load: Load
@@ -36,19 +36,19 @@
 
 
 class RegionLoad(PeerMessage, frozen=True):
-    """A :class:`RegionSum` as compressed JSON; answered with that of the other region."""
+    """A :class:`RegionSum` as compressed JSON; answered with the sum of the other region."""
 
     packed: bytes
 
 
 class RegionReply(msgspec.Struct, frozen=True):
-    """Answer to :class:`RegionLoad`; empty if the node relays for nobody and so does not know its region."""
+    """Answer to :class:`RegionLoad`; empty if the node is no relay and so has no sum of its region."""
 
     packed: bytes = b""
 
 
 class MemberLoad(PeerMessage, frozen=True, omit_defaults=True):
-    """A member's own load, and what it spent of tenants' limits since its last report."""
+    """A member's own load, and what it spent of limits since its last report."""
 
     node: str
     load: Load
@@ -57,7 +57,7 @@
 
 
 class OthersLoad(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Answer to :class:`MemberLoad`: the load of all other nodes, and what is left of limits that are not full."""
+    """Answer to :class:`MemberLoad`: the load of all other nodes, and the levels of limits that are not full."""
 
     load: Load
     levels: dict[str, int] = {}
@@ -65,10 +65,10 @@
 
 
 class ZoneLoad(PeerMessage, frozen=True, omit_defaults=True):
-    """The load of a node and the members that report to it, and all that was spent through it in its life.
+    """The load of a relay and its members, and all that was spent of limits through it since its start ``life``.
 
-    Answered with the same of the other node. ``regions`` has the sums of other regions that the asker has received
-    since its last message.
+    Answered with the other relay's :class:`ZoneLoad`. ``regions`` has the sums of other regions that the sender has
+    received since its last message.
     """
 
     node: str
@@ -80,12 +80,12 @@
 
 
 def pack_region_sum(region_sum: RegionSum) -> bytes:
-    """Return a sum as it is sent between regions."""
+    """Return the compressed JSON of a sum, as sent between regions."""
     return zlib.compress(msgspec.json.encode(region_sum), COMPRESSION_LEVEL)
 
 
 def unpack_region_sum(packed: bytes, sender: str) -> RegionSum:
-    """Return a sum. Raises :class:`PeerUnavailableError` if it cannot be read."""
+    """Return the sum that ``sender`` packed. Raises :class:`PeerUnavailableError` if it cannot be decoded."""
     try:
         return msgspec.json.decode(zlib.decompress(packed), type=RegionSum)
     except (zlib.error, msgspec.MsgspecError) as error:
--- a/src/wallwell/cluster/load_reporter.py
+++ b/src/wallwell/cluster/load_reporter.py
@@ -1,12 +1,12 @@
-"""Reports what this node has in flight to other nodes, and receives the same of all of them from one or a few.
+"""Reports this node's load to other nodes, and receives the load of all other nodes from one or a few of them.
 
-For the bound beyond which a back end is passed over, the choice among back ends and tenants' limits, which count
-what the whole fleet does. A member of a zone reports to the node that it follows the store through; relays
-exchange the sums of their members. Within a region every node is known after 0.05 to 0.2 s; between regions
+The choice among back ends, the load beyond which a back end is passed over, and tenants' limits all depend on the
+load of the whole fleet. A member of a zone reports to the relay through which it follows the store; relays exchange
+the sums of their members. A change of load reaches every node of the region after 0.05 to 0.2 s. Between regions,
 :mod:`.region_load_reporter` exchanges sums at the interval that the link between them allows.
 
-Owns the exchange within the region. Relies on :mod:`.upstream` for who reports to whom, and on
-:mod:`.load_aggregator` for what is known and reported.
+Owns the exchange within the region. Relies on :mod:`.upstream` for which node reports to which, and on
+:mod:`.load_aggregator` for the contents of the reports.
 """
 
 from __future__ import annotations
@@ -26,22 +26,24 @@
 from wallwell.errors import PeerUnavailableError
 
 LOAD_REPORT_INTERVAL_S = 0.05
-"""Seconds between two reports of a member; between those of a relay for each other relay, so that bytes between
-zones grow with the zones and not with their square.
+"""Seconds between two reports of a member. A relay waits this long per other relay, so that traffic
+between zones grows linearly with the number of zones, not with its square.
 
-What nodes know of each other's load is one to three times as old, and long prompts that meet at an engine unseen
-delay each other."""
+The loads that nodes know of each other are one to three intervals old; until then, several nodes may send long
+prompts to the same engine, which delay each other."""
 LOW_BANDWIDTH_INTERVAL_S = 0.25
-"""The same where the node that is reported to has a thin link: it answers 40 members with 2 KB each, which is 2.6
-Mbit/s at this interval and 13 at the other."""
+"""The same interval where the relay has a low-bandwidth link: it answers 40 members with 2 KB each, which takes
+2.6 Mbit/s at this interval and 13 Mbit/s at the shorter one."""
 LOW_BANDWIDTH_MBPS = 50.0
-"""Links below this are thin, in Mbit/s: the answers at the short interval take a quarter."""
+"""Links below this many Mbit/s count as low-bandwidth: the answers at the short interval would take a quarter of
+that."""
 LOAD_REPORT_TIMEOUT_S = 0.3
-"""Seconds within which a peer of the region answers, 1 ms away: what its processor or a thin link may take."""
+"""Seconds to wait for the reply of a peer in the region, 1 ms away: a busy processor or a low-bandwidth link may
+take this long."""
 
 
 class LoadReporter:
-    """One node's part: reports to its relay as a member, or exchanges sums with other relays if it is one."""
+    """Reports one node's load: as a member to its relay, or as a relay in an exchange of sums with other relays."""
 
     def __init__(
         self,
@@ -61,7 +63,7 @@
         )
         self._links = PeerLinks()
         self._peers_load_received_at_s = float("-inf")
-        """When this node last learned the load of others."""
+        """When this node last received the load of other nodes."""
 
     async def run(self) -> None:
         """Exchange within the region until cancelled."""
@@ -70,7 +72,7 @@
             await self.exchange_once()
 
     def _interval_s(self, now_s: float) -> float:
-        """Return how long to wait for the next exchange, by the link of the node whose answers fill it."""
+        """Return the seconds until the next exchange, by the bandwidth of the answering relay's link."""
         candidates = self._order.followed_peers_in_zone(now_s)
         relay = self._order.members.get(candidates[0].name if candidates else self._node)
         is_low_bandwidth = relay is not None and 0 < relay.link_mbps < LOW_BANDWIDTH_MBPS
@@ -78,7 +80,7 @@
         return interval_s if candidates else interval_s * max(1, len(self._order.other_relays(now_s)))
 
     async def exchange_once(self) -> None:
-        """Exchange once, and take what other nodes have in flight."""
+        """Exchange loads once, and apply the load of the other nodes that was received."""
         now_s = boot_time_s()
         candidates = self._order.followed_peers_in_zone(now_s)
         if candidates:
@@ -102,8 +104,7 @@
         self._crashes.receive_from_relay(reply.crashes, now_s)
 
     async def _send_report(self, relay: Peer) -> OthersLoad | None:
-        """Report to the relay and return its reply, None if there is none: what was spent is then reported
-        again."""
+        """Report to the relay; return its reply, or None without one: the spending is then reported again."""
         limits = self._load.limits
         message = MemberLoad(
             self._node,
@@ -117,7 +118,7 @@
             was_received = True
             return reply
         except PeerUnavailableError:
-            # The link has logged it. Whether the relay is passed over is decided by the rows that come from it.
+            # The link has logged the failure. Only failures to relay rows decide whether the relay is passed over.
             return None
         finally:
             limits.end_report(was_received)
@@ -136,7 +137,7 @@
         try:
             reply = await self._links.to(relay.name, relay.address).ask(message, ZoneLoad, LOAD_REPORT_TIMEOUT_S)
         except PeerUnavailableError:
-            self._order.on_failure(relay.name, boot_time_s())  # The link has logged it.
+            self._order.on_failure(relay.name, boot_time_s())  # The link has logged the failure.
             return
         self._order.on_success(relay.name)
         self._on_zone_load(reply)
@@ -147,7 +148,7 @@
             self.region_reporter.on_forwarded_sum(region_sum)
 
     def _own_region_sum(self) -> RegionSum | None:
-        """Return what this node knows of its region; None if it relays for nobody."""
+        """Return the sum of this node's region; None if the node is no relay."""
         now_s = boot_time_s()
         if self._order.followed_peers_in_zone(now_s) or not self._order.fleet_size():
             return None
@@ -166,11 +167,11 @@
     # --- requests of peers -------------------------------------------------------------------------------
 
     async def on_member_load(self, message: MemberLoad) -> OthersLoad:
-        """Take a member's report and return what all others have in flight."""
+        """Handle a member's report and return the load of all other nodes."""
         return self._aggregator.on_member_load(message, boot_time_s())
 
     async def on_zone_load(self, message: ZoneLoad) -> ZoneLoad:
-        """Take another relay's sum and return this one's; a relay that asks works, so its pause ends."""
+        """Handle another relay's sum and return this one's. The other relay works, so its pause ends."""
         self._order.on_success(message.node)
         self._on_zone_load(message)
         return self._aggregator.zone_message(boot_time_s())
--- a/src/wallwell/cluster/load_reports.py
+++ b/src/wallwell/cluster/load_reports.py
@@ -1,7 +1,7 @@
-"""What all nodes together have in flight, from their reports. Pure.
+"""The load of all nodes together, summed from their reports. Pure.
 
-Members of a zone report to the node that follows the store for them; these nodes report the sums of their members
-to each other. Owns the newest report of each sender and for how long it counts.
+Members of a zone report to the relay that follows the store for them; relays report the sums of their members to
+each other. Owns the newest report of each sender, and how long a report counts.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from wallwell.routing.retry.first_token import Delays, sum_delays
 
 REPORT_LIFETIME_S = 1.5
-"""Seconds for which a report counts; a node that is silent for longer may be gone with its requests: long enough
-for the third delegate of a region to be heard, after 1.45 s."""
+"""Seconds for which a report counts. A node that is silent for longer may be gone, and its requests with it. Long
+enough for a report by the third delegate of a region, which arrives after 1.45 s."""
 
 
 class Load(msgspec.Struct, frozen=True):
-    """What a node, or several together, have in flight. ``nodes`` says how many they are.
-
-    ``requests`` counts by back end, long prompts several times. ``generations`` counts those that came in the last
-    ``RATE_WINDOW_S`` of :mod:`wallwell.cluster.demand`. ``delays`` says how soon answers began. ``asked`` counts
-    what tenants with a limit asked for in the last ``ASKED_WINDOW_S`` of
-    :mod:`wallwell.routing.admission.fleet_limits`. ``stated_limits`` has what these nodes have read of limits that
-    back ends state; it is left out where none does, and nodes of older versions neither send nor read it.
-    ``configuration`` is the newest version of the operators' configuration that these nodes have in force, left out
-    while the store counts no eras, and read like that.
+    """The load of one node, or of several together; ``nodes`` is their number.
+
+    ``requests`` counts requests in flight by back end, long prompts several times. ``generations`` counts those
+    requested in the last ``RATE_WINDOW_S`` of :mod:`wallwell.cluster.demand`. ``delays`` counts late first tokens.
+    ``asked`` counts the tokens that tenants with a limit asked for in the last ``ASKED_WINDOW_S`` of
+    :mod:`wallwell.routing.admission.fleet_limits`. ``stated_limits`` has the limits stated by back ends that these
+    nodes have read; it is omitted if there is none, and nodes of older versions neither send nor read it.
+    ``configuration`` is the newest version of the operators' configuration in force on these nodes; it is omitted
+    while the store counts no eras, and older versions neither send nor read it.
     """
 
     requests: dict[str, int] = {}
@@ -41,7 +41,7 @@
     configuration: int | msgspec.UnsetType = msgspec.UNSET
 
     def aged_by(self, seconds: float) -> Load:
-        """Return it as it is to be passed on ``seconds`` after it was received."""
+        """Return the load as it is forwarded ``seconds`` after it was received, with older ``stated_limits``."""
         if self.stated_limits is msgspec.UNSET:
             return self
         aged = {incarnation: limit.aged_by(seconds) for incarnation, limit in self.stated_limits.items()}
@@ -49,7 +49,7 @@
 
 
 def sum_loads(loads: Collection[Load]) -> Load:
-    """Return several loads together."""
+    """Return the sum of several loads, with the newest of their stated limits and configuration versions."""
     requests: Counter[str] = Counter()
     asked: Counter[str] = Counter()
     for load in loads:
@@ -78,11 +78,11 @@
     _reports: dict[str, tuple[Load, float]] = field(default_factory=dict)
 
     def record(self, sender: str, load: Load, now_s: float) -> None:
-        """Replace a sender's report."""
+        """Store a report in place of the sender's previous one."""
         self._reports[sender] = (load, now_s)
 
     def recent(self, now_s: float, excluding: str = "") -> list[Load]:
-        """Return the recent reports, but for one sender's; old ones are dropped."""
+        """Drop expired reports, and return the others except the one of the sender ``excluding``."""
         self._reports = {
             sender: (load, at_s)
             for sender, (load, at_s) in self._reports.items()
--- a/src/wallwell/cluster/peer_health.py
+++ b/src/wallwell/cluster/peer_health.py
@@ -1,7 +1,7 @@
-"""Which peers are passed over for a while since they did not answer. Pure.
+"""Tracks which peers are not asked for a while because they did not answer. Pure.
 
 Owns the failures of each peer and the pauses that follow. Times are seconds on this node's clock. Used by
-:mod:`.upstream`, where a peer that is passed over counts as absent from the order.
+:mod:`.upstream`, which treats a paused peer as absent from its order.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from wallwell.routing.doubling_pause import doubling_pause_s
 
 FIRST_PAUSE_S = 2.0
-"""Seconds of the first pause: longer than the 1.3 s in which a peer that does not answer is found, so that less
-than half of the time goes into asking it."""
+"""Seconds of the first pause: longer than the 1.3 s that it takes to detect a silent peer, so that less than half
+of the time is spent waiting for it."""
 MAX_PAUSE_S = 16.0
-"""Bound of the pauses in seconds: how late a peer that works again is asked."""
+"""Longest pause in seconds: a peer that works again is asked at most this late."""
 
 
 @dataclass
 class PeerHealth:
-    """Failures of one peer in a row, and until when it is passed over."""
+    """Consecutive failures of one peer, and the end of its pause."""
 
     consecutive_failures: int = 0
     paused_until_s: float = float("-inf")
@@ -27,17 +27,17 @@
 
 @dataclass
 class PeersHealth:
-    """Failures of all peers that did not answer when they were asked last."""
+    """Health of all peers that did not answer the last request."""
 
     _by_name: dict[str, PeerHealth] = field(default_factory=dict)
 
     def is_working(self, name: str, now_s: float) -> bool:
-        """Whether a peer may be asked."""
+        """Return whether a peer may be asked: it has not failed, or its pause is over."""
         health = self._by_name.get(name)
         return health is None or now_s >= health.paused_until_s
 
     def on_failure(self, name: str, now_s: float) -> None:
-        """Pass a peer over for a while; a failure of another call made at the same time does not count again."""
+        """Pause a peer. Failures during its pause do not count: they belong to calls made at the same time."""
         health = self._by_name.setdefault(name, PeerHealth())
         if now_s < health.paused_until_s:
             return
@@ -45,5 +45,5 @@
         health.consecutive_failures += 1
 
     def on_success(self, name: str) -> None:
-        """A peer answered, or may be reachable again: its failures are forgotten."""
+        """Reset a peer's failures because it answered or may be reachable again."""
         self._by_name.pop(name, None)
--- a/src/wallwell/cluster/peer_link.py
+++ b/src/wallwell/cluster/peer_link.py
@@ -1,8 +1,8 @@
-"""Requests between nodes: JSON lines over TCP, one request and one reply at a time on a connection.
+"""Requests between nodes: JSON lines over TCP, with one request and one reply at a time per connection.
 
-For everything that nodes report to and ask of each other. Owns the connections, and which peers do not answer, so
-that each change of that is logged once. Relies on callers for whom to ask and how long to wait, and on
-:mod:`wallwell.socket_options` to end connections whose peer is silent.
+All messages between nodes use these links. Owns the connections, and the set of peers that do not answer, so that
+each change is logged once. Callers choose the peer and the time-out. Relies on :mod:`wallwell.socket_options` to
+end connections whose peer is silent.
 """
 
 from __future__ import annotations
@@ -19,38 +19,38 @@
 from wallwell.socket_options import end_when_silent
 
 MAX_LINE_BYTES = 16 * 1024 * 1024
-"""Bytes of the longest message, so that a peer that sends no end of line cannot fill the memory: a whole table of
-rows is one message."""
+"""Bytes of the longest message, so that a peer that sends no end of line cannot exhaust memory. Large, since all
+rows of a table are sent in one message."""
 CONNECT_TIMEOUT_S = 0.3
-"""Seconds for a connection: several times the 40 ms there and back between two regions."""
+"""Seconds in which a connection must be made: several times the round trip of 40 ms between two regions."""
 UNACKNOWLEDGED_TIMEOUT_S = 1.0
-"""Seconds after which a link ends whose peer acknowledges nothing; requests have shorter or similar time-outs."""
+"""Seconds without acknowledgements after which a connection ends; requests have shorter or similar time-outs."""
 REFUSAL_LOG_INTERVAL_S = 10.0
-"""Seconds between two log lines of refused requests, since a peer of another version connects again at once."""
+"""Seconds between two log lines about refused requests: a peer of another version reconnects at once each time."""
 MAX_FAILING_PEERS = 1000
-"""Addresses remembered as silent. Nodes are replaced under new addresses, and the old ones never answer again."""
+"""Failing addresses remembered at most. Nodes are replaced under new addresses; the old ones never answer again."""
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
 Handler = Callable[[Any], Awaitable[msgspec.Struct]]
 
 
 class PeerMessage(msgspec.Struct, frozen=True, tag=True):
-    """Base of requests between nodes; the class's name travels as ``type``."""
+    """Base of requests between nodes; the class name is sent as ``type``."""
 
 
 class PeerFailureLog:
-    """Which peers do not answer, by address, so that only changes are logged: requests go out 20 times a second."""
+    """Logs when a peer stops or resumes answering, once per change, since requests are sent 20 times a second."""
 
     def __init__(self) -> None:
         self._last_failures: dict[str, Event] = {}
 
     def on_answer(self, address: str) -> None:
-        """A peer answered."""
+        """Record that a peer answered, and log it if its last request failed."""
         if self._last_failures.pop(address, None) is not None:
             emit(Event.PEER_ANSWERS, peer=address)
 
     def on_failure(self, address: str, request: str, error: Exception) -> None:
-        """A peer did not answer, or its reply could not be decoded."""
+        """Record that a peer did not answer or that its reply could not be decoded, and log it if that is new."""
         is_unreadable = isinstance(error, msgspec.MsgspecError | UnicodeError)
         event = Event.PEER_REPLY_UNREADABLE if is_unreadable else Event.PEER_SILENT
         if self._last_failures.get(address) is event:
@@ -62,7 +62,7 @@
 
 
 class PeerLink:
-    """One connection to a peer, made when it is needed."""
+    """One connection to a peer, opened on the first request."""
 
     def __init__(self, address: str, failure_log: PeerFailureLog | None = None) -> None:
         self.address = address
@@ -70,7 +70,7 @@
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def ask(self, request: PeerMessage, reply_type: type[Reply], timeout_s: float) -> Reply:
-        """Return the peer's reply. Raises :class:`PeerUnavailableError`; the connection is then made anew."""
+        """Return the peer's reply. Raises :class:`PeerUnavailableError` and closes the connection on failure."""
         try:
             line = await self._round_trip(msgspec.json.encode(request) + b"\n", timeout_s)
             reply = msgspec.json.decode(line, type=reply_type)
@@ -96,25 +96,25 @@
             return await reader.readuntil(b"\n")
 
     def close(self) -> None:
-        """Close the connection; the next request makes another."""
+        """Close the connection; the next request opens a new one."""
         if self._streams is not None:
             self._streams[1].transport.abort()
             self._streams = None
 
 
 class PeerLinks:
-    """Links by the peer's name; those that are not needed any more are closed."""
+    """Links to peers by name; :meth:`keep` closes the links that are no longer needed."""
 
     def __init__(self) -> None:
         self._links: dict[str, PeerLink] = {}
         self._failure_log = PeerFailureLog()
-        """Outlives the links: one that failed is often closed and made again."""
+        """Shared by all links and kept longer than they are: a link that failed is often closed and replaced."""
 
     def __len__(self) -> int:
         return len(self._links)
 
     def to(self, name: str, address: str) -> PeerLink:
-        """Return the link to a peer, a new one if its address has changed."""
+        """Return the link to a peer; replace it if the peer's address has changed."""
         link = self._links.get(name)
         if link is None or link.address != address:
             if link is not None:
@@ -123,13 +123,13 @@
         return link
 
     def keep(self, names: set[str]) -> None:
-        """Close the links to all other peers."""
+        """Close the links to all peers other than ``names``."""
         for name in [name for name in self._links if name not in names]:
             self._links.pop(name).close()
 
 
 class PeerServer:
-    """Answers peers; ``handlers`` has one entry for each type of request."""
+    """Serves requests of peers; ``handlers`` has one entry per type of request."""
 
     def __init__(self, handlers: Mapping[type[PeerMessage], Handler]) -> None:
         self._handlers = handlers
@@ -137,12 +137,12 @@
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
         self._unlogged_refusals = 0
-        """Requests refused since this was logged last."""
+        """Requests refused since the last log line about refusals."""
         self._refusal_logged_s = float("-inf")
         self.address = ""
 
     async def start(self, host: str, port: int) -> None:
-        """Listen. Raises OSError if the address cannot be used."""
+        """Listen on an address. Raises OSError if the address cannot be used."""
         self._server = await asyncio.start_server(self._serve, host, port, limit=MAX_LINE_BYTES)
         self.address = f"{host}:{self._server.sockets[0].getsockname()[1]}"
 
@@ -153,17 +153,17 @@
         try:
             await self._serve_requests(reader, writer)
         except OSError:
-            pass  # The peer is gone or out of reach; what it wanted is its own matter, and it logs that.
+            pass  # The peer is gone or unreachable; it logs the failure of its request itself.
         except (ValueError, KeyError, msgspec.MsgspecError) as error:
             self._on_refusal(writer.get_extra_info("peername"), error)
         except asyncio.CancelledError:
-            pass  # Closed below; the task ends here, and asyncio would log a cancelled one as an error.
+            pass  # Closed below. Not raised again, since asyncio would log a cancelled connection task as an error.
         finally:
             self._connections.discard(task)
             writer.transport.abort()
 
     def _on_refusal(self, peer: Any, error: Exception) -> None:
-        """Log a request that was refused; the peer sees a closed connection and connects again."""
+        """Count a refused request, and log refusals at an interval. The peer's connection is closed."""
         self._unlogged_refusals += 1
         now_s = boot_time_s()
         if now_s - self._refusal_logged_s < REFUSAL_LOG_INTERVAL_S:
@@ -181,7 +181,7 @@
             await writer.drain()
 
     def close(self) -> None:
-        """Stop listening and end the connections of peers, which then go elsewhere at once."""
+        """Stop listening and close the connections of peers, which then turn to other nodes at once."""
         if self._server is not None:
             self._server.close()
         for task in list(self._connections):
--- a/src/wallwell/cluster/region_load_reporter.py
+++ b/src/wallwell/cluster/region_load_reporter.py
@@ -1,12 +1,12 @@
-"""Sums of loads and of what limits were spent, reported between regions by one node of each.
+"""Exchanges sums of loads and spent limits between regions, through one delegate of each region.
 
-The link between two regions is thin and long, so one pair of nodes exchanges for all. The region whose name is
-first asks. Its delegates stand in an order; each of them exchanges if none before it has passed on a sum of the
-other region for a while. It asks one delegate of the other region after the other until one answers that relays
-for others. Whoever receives a sum passes it on to the other relays of its region with its next report to them.
+The link between two regions has low bandwidth and high latency, so one pair of nodes exchanges for all. The region
+whose name sorts first sends the requests. Its delegates are ordered; each exchanges if none before it has
+forwarded a sum of the other region for a while. It tries the delegates of the other region in turn until one that
+is a relay answers. A node that receives a sum forwards it to the other relays of its region with its next report.
 
-Owns which delegate exchanges and is asked, and which regions are silent. Relies on :mod:`.upstream` for the order
-of delegates, and on :mod:`.load_reporter` for the sums.
+Owns the choice of the delegates that exchange, and the set of silent regions. Relies on :mod:`.upstream` for the
+order of delegates, and on :mod:`.load_reporter` for the sums.
 """
 
 from __future__ import annotations
@@ -30,18 +30,18 @@
 from wallwell.events import Event, emit
 
 REGION_INTERVAL_S = 0.25
-"""Seconds between two exchanges of a pair of regions, see ``docs/design/regions.md`` for their bytes."""
+"""Seconds between two exchanges of a pair of regions; see ``docs/design/regions.md`` for the traffic."""
 REGION_REPLY_TIMEOUT_S = 0.6
-"""Seconds for an answer: twice 20 ms of way, and half a second of what else may stand in the queue of a link of
-30 Mbit/s (2 MB)."""
+"""Seconds to wait for a reply: a round trip of twice 20 ms, and half a second for other data (2 MB) queued on a
+link of 30 Mbit/s."""
 DELEGATE_TAKEOVER_S = 0.6
-"""Seconds without a sum of the other region after which the next delegate exchanges: two exchanges and a little.
+"""Seconds without a sum of the other region after which the next delegate takes over: slightly over two intervals.
 
-The third in the order is heard 1.45 s after the first was, before loads of the other region are forgotten."""
+A sum from the third delegate arrives 1.45 s after the last one from the first, before the loads expire."""
 
 
 class RegionLoadReporter:
-    """One node's part in the exchange between regions."""
+    """Exchanges load sums with other regions while this node is a delegate, and answers their delegates."""
 
     def __init__(
         self,
@@ -51,10 +51,10 @@
         on_region_lost: Callable[[RegionSum], None],
         traffic: RegionTraffic,
     ) -> None:
-        """``own_sum`` is None while this node relays for nobody.
+        """``own_sum`` returns the sum of this node's region, or None while this node is no relay.
 
-        ``on_sum`` is called with each sum that is received, ``on_region_lost`` with a region's last one when it
-        has gone silent.
+        ``on_sum`` is called with each received sum, ``on_region_lost`` with the last sum of a region that has gone
+        silent.
         """
         self._order = order
         self._own_sum = own_sum
@@ -63,18 +63,18 @@
         self._traffic = traffic
         self._links = PeerLinks()
         self._delegate_index: dict[str, int] = {}
-        """By region, the rank in its order of the delegate that is asked."""
+        """For each region, the index of the delegate to ask in that region's order."""
         now_s = boot_time_s()
         self._started_s = now_s
         self._forwarded_at_s: dict[str, float] = {}
-        """When another node of this region last passed on the sum of a region."""
+        """When another relay of this region last forwarded the sum of a region."""
         self._last_sums: dict[str, tuple[RegionSum, float]] = {}
-        """The last sum of each region that is not silent, and when it came."""
+        """The last sum of each region that is not silent, and when it was received."""
         self._lost_regions: set[str] = set()
         self._unforwarded_sums: dict[str, RegionSum] = {}
-        """Sums received and not passed on yet."""
+        """Sums received from other regions and not forwarded yet."""
         self._unreadable_delegates: set[str] = set()
-        """Delegates whose sums could not be decoded since one could, so that each is logged once."""
+        """Delegates whose sums could not be decoded since the last readable one, so that each is logged once."""
 
     async def run(self) -> None:
         """Exchange until cancelled."""
@@ -83,7 +83,7 @@
             await self.exchange_once(boot_time_s())
 
     async def exchange_once(self, now_s: float) -> None:
-        """Exchange once with each region for which this node is the delegate."""
+        """Exchange once with each region for which this node is the active delegate."""
         regions = [region for region in self._order.other_regions() if self.is_delegate_to(region, now_s)]
         own = self._own_sum() if regions else None
         if own is None:
@@ -91,12 +91,12 @@
             return
         message = RegionLoad(pack_region_sum(own))
         await asyncio.gather(*(self._ask_region(region, message) for region in regions))
-        # The last nodes of a region may have gone while they were asked.
+        # The last nodes of a region may have left during the exchange.
         remaining = [region for region in regions if self._order.delegates_of(region)]
         self._links.keep({self._delegate_to_ask(region).name for region in remaining})
 
     def is_delegate_to(self, region: str, now_s: float) -> bool:
-        """Whether it is this node that exchanges with a region now."""
+        """Return whether this node is the one to send requests to a region now."""
         own_region = self._order.topology.own_region
         if own_region > region:
             return False
@@ -109,14 +109,14 @@
         return delegates[self._delegate_index.get(region, 0) % len(delegates)]
 
     async def _ask_region(self, region: str, message: RegionLoad) -> None:
-        """Ask delegates of a region one after the other until one knows it, or one does not answer."""
+        """Ask the delegates of a region in turn until one returns a sum or one does not answer."""
         for _ in self._order.delegates_of(region):
             if not self._order.delegates_of(region):
                 return
             try:
                 received = await self._ask(*self._delegate_to_ask(region), message)
             except PeerUnavailableError:
-                # The next one is asked at the next step. The link logs a delegate that is silent, once.
+                # The next delegate is asked in the next exchange. The link logs a silent delegate once.
                 self._delegate_index[region] = self._delegate_index.get(region, 0) + 1
                 return
             if received is not None:
@@ -125,14 +125,14 @@
             self._delegate_index[region] = self._delegate_index.get(region, 0) + 1
 
     async def _ask(self, name: str, address: str, message: RegionLoad) -> RegionSum | None:
-        """Return what a node knows of its region, None if nothing. Raises :class:`PeerUnavailableError`."""
+        """Return a delegate's sum of its region, None if it is no relay. Raises :class:`PeerUnavailableError`."""
         reply = await self._links.to(name, address).ask(message, RegionReply, REGION_REPLY_TIMEOUT_S)
         self._traffic.count_exchange("loads", len(message.packed) + len(reply.packed))
         return self._unpack_reply(reply, name, address) if reply.packed else None
 
     def _unpack_reply(self, reply: RegionReply, name: str, address: str) -> RegionSum:
-        """Return the sum of a reply. Raises :class:`PeerUnavailableError` if it cannot be decoded, and logs that
-        once."""
+        """Return the sum of a reply. Logs once if it cannot be decoded, and raises
+        :class:`PeerUnavailableError`."""
         try:
             received = unpack_region_sum(reply.packed, address)
         except PeerUnavailableError as error:
@@ -144,7 +144,7 @@
         return received
 
     def _receive(self, received: RegionSum) -> None:
-        """Take a sum from the other region, to be passed on."""
+        """Record a sum received from another region, and queue it for the other relays of this region."""
         self._unforwarded_sums[received.region] = received
         self._record_sum(received)
 
@@ -156,7 +156,7 @@
         self._on_sum(received)
 
     def forget_silent_regions(self, now_s: float) -> None:
-        """Forget the regions that have been silent for too long."""
+        """Drop and report as lost the regions that have been silent for ``REPORT_LIFETIME_S``."""
         for region, (last, at_s) in list(self._last_sums.items()):
             if now_s - at_s >= REPORT_LIFETIME_S:
                 del self._last_sums[region]
@@ -165,14 +165,14 @@
                 self._on_region_lost(last)
 
     def stop_relaying(self) -> None:
-        """This node relays for nobody any more, and so receives sums of no region."""
+        """Drop all received sums because this node is no longer a relay, and so receives none."""
         self._last_sums.clear()
         self._lost_regions.clear()
 
     # --- requests of peers --------------------------------------------------------------------------------
 
     async def on_region_load(self, message: RegionLoad) -> RegionReply:
-        """Take another region's sum and return this one's. Raises ValueError if it cannot be read."""
+        """Handle another region's sum and return this region's. Raises ValueError if the sum cannot be decoded."""
         own = self._own_sum()
         if own is None:
             return RegionReply()
@@ -185,12 +185,12 @@
         return reply
 
     def on_forwarded_sum(self, forwarded: RegionSum) -> None:
-        """Take a sum that another relay of this region has received."""
+        """Handle a sum of another region that another relay of this region has received and forwarded."""
         self._forwarded_at_s[forwarded.region] = boot_time_s()
         self._record_sum(forwarded)
 
     def pop_sums_to_forward(self) -> tuple[RegionSum, ...]:
-        """Return the sums received since the last call."""
+        """Return and clear the sums received since the last call."""
         sums, self._unforwarded_sums = tuple(self._unforwarded_sums.values()), {}
         return sums
 
--- a/src/wallwell/cluster/relay.py
+++ b/src/wallwell/cluster/relay.py
@@ -1,11 +1,11 @@
-"""Rows of the store passed on between nodes, so that a store asked by few is known to all.
+"""Relays rows of the store between nodes, so that only a few nodes call the store and all nodes get its changes.
 
-Each node keeps a copy of the rows that it follows and answers peers from it. A node whose copy is old says so at
-once, and its peers follow others. In a simulated deployment of 59 engines and 40 nodes in seven zones, the store
-got 2,638 calls with one node of each zone following it, and 1,197 with two zones' relays.
+Each node keeps a copy of the rows that it follows and answers peers from this copy. A node whose copy is stale says
+so at once, and its peers then follow other nodes. In a simulated deployment of 59 engines and 40 nodes in seven
+zones, the store got 2,638 calls with one node of each zone following it, and 1,197 with two zones' relays.
 
-Owns the copy and the answers. Relies on :mod:`.upstream` for whom to ask, and on :class:`StoreClock` for how old a
-relayed page is.
+Owns the copy and the answers to peers. Relies on :mod:`.upstream` for the peers to ask, and on :class:`StoreClock`
+for the age of a relayed page.
 """
 
 from __future__ import annotations
@@ -32,19 +32,19 @@
 from wallwell.storage.replica import RowReplica
 
 ANSWER_MARGIN_S = 0.5
-"""Seconds for which a peer's answer is waited for beyond the agreed wait."""
+"""Seconds to wait for a peer's answer beyond the time for which the peer may hold the request."""
 STALE_MARGIN_S = 0.7
-"""Seconds by which a copy may be older than one held call to the store and still be passed on: with a call held for
-0.8 s a node behind a relay that is cut off learns of a change at most 1.5 s late."""
+"""Seconds by which a copy may be older than one held call to the store and still be relayed. With calls held for
+0.8 s, a node that follows a relay which is cut off learns of a change at most 1.5 s late."""
 OTHER_ZONE_WAIT_S = 0.25
-"""Seconds for which a relay of another zone is asked to hold a request, since its answer passes one node more: so a
-confirmation of the store in the last zone is younger than 2 s."""
+"""Seconds for which a relay of another zone is asked to hold a request. Short, since its answer is relayed once
+more: confirmations of the store that reach the last zone are then younger than 2 s."""
 MAX_PEERS_ASKED = 2
-"""Peers asked in one call before the store is: each costs a time-out if it is gone."""
+"""Peers asked, at most, in one call before the store is asked: each one that is gone costs a time-out."""
 
 
 class RelayedRows:
-    """A table's rows from a peer that follows the store, or from the store itself; see :class:`RowSource`."""
+    """A :class:`RowSource` of one table that reads from a peer that follows the store, or from the store itself."""
 
     def __init__(
         self,
@@ -58,8 +58,8 @@
     ) -> None:
         """``wait_s`` is how long the store holds a call open for a change.
 
-        ``pause_s`` is waited before the store is asked again after a change, so that changes which come close
-        together cost one call. ``era`` is shared by all tables of a node.
+        ``pause_s`` is the pause before the next call to the store after a change, so that several changes in quick
+        succession cost one call. ``era`` is shared by all tables of a node.
         """
         self.table = table
         self.replica = RowReplica()
@@ -76,9 +76,9 @@
     # --- reading ---------------------------------------------------------------------------------------
 
     async def read_all(self) -> FeedPage:
-        """See :class:`RowSource`; a peer that knows less than this node is passed over.
+        """Return every row, from the store if the peer's copy is older than this node's; see :class:`RowSource`.
 
-        The first reading of an era is the store's own, since only that says something of its clock then.
+        The first reading of an era comes from the store itself, since only its own answer tells its clock.
         """
         page = await self._read_from_peer(None, 0.0)
         if page is None or page.position < self.replica.position or self._clock.is_of_another_era(page.era):
@@ -86,9 +86,9 @@
         return self._apply_page(page, whole=True)
 
     async def changes(self, after: StorePosition, wait_s: float) -> FeedPage:
-        """See :class:`RowSource`."""
+        """Return the rows changed after ``after``, from a peer or the store; see :class:`RowSource`."""
         if self._era.is_after(after.era):
-            raise HistoryLostError("the store has come back from a copy")
+            raise HistoryLostError("the store was restored from a copy")
         page = await self._read_from_peer(after, wait_s)
         if page is None:
             if self._last_call_returned_rows and self._pause_s:
@@ -98,7 +98,7 @@
         return self._apply_page(page, whole=False)
 
     async def _read_from_peer(self, after: StorePosition | None, wait_s: float) -> FeedPage | None:
-        """Return a peer's page, None if the store is to be asked. Raises :class:`HistoryLostError`."""
+        """Return a page from a peer; None if the store must be asked. Raises :class:`HistoryLostError`."""
         candidates = self._order.candidates(boot_time_s())
         self.links.keep({peer.name for peer in candidates})
         for name, address in candidates[:MAX_PEERS_ASKED]:
@@ -114,22 +114,22 @@
         return None
 
     async def _ask(self, name: str, address: str, hold_s: float, after: StorePosition | None) -> FeedPage:
-        """Return a peer's page. Raises :class:`PeerUnavailableError` or :class:`HistoryLostError`."""
+        """Return a page from one peer. Raises :class:`PeerUnavailableError` or :class:`HistoryLostError`."""
         request = RowsRequest(self.table, hold_s)
         if after is not None:
             request = RowsRequest(self.table, hold_s, after.version, era_to_send(after.era))
         reply = await self.links.to(name, address).ask(request, RowsReply, hold_s + ANSWER_MARGIN_S)
         if reply.stale:
-            raise PeerUnavailableError(f"{address}: its copy of the store is old")
+            raise PeerUnavailableError(f"{address}: its copy of the store is stale")
         if reply.history_lost:
-            raise HistoryLostError("the peer does not know these changes")
+            raise HistoryLostError("the peer no longer has the changes since this version")
         era = era_received(reply.era)
         self._era.observe(era, boot_time_s())
         if self._era.is_after(era):
-            # So answers a peer that is behind, and one of a build that knows no eras.
-            raise PeerUnavailableError(f"{address}: its rows are from before the store came back from a copy")
+            # The peer is behind, or its build knows no eras.
+            raise PeerUnavailableError(f"{address}: its rows are from before the last restore of the store")
         if after is not None and era != after.era:
-            raise HistoryLostError("the peer knows that the store has come back from a copy")
+            raise HistoryLostError("the peer reports that the store was restored from a copy")
         return FeedPage(unpack_rows(reply, address), reply.version, reply.store_s, relayed=True, era=era)
 
     def _apply_page(self, page: FeedPage, whole: bool) -> FeedPage:
@@ -145,7 +145,7 @@
     # --- answering peers -------------------------------------------------------------------------------
 
     async def answer(self, request: RowsRequest) -> RowsReply:
-        """Answer a peer from the copy, once there is something new or the agreed wait is over."""
+        """Answer a peer's request from the copy, once there is a change or the requested wait is over."""
         if self._is_stale():
             return RowsReply(stale=True)
         try:
@@ -153,13 +153,13 @@
                 return reply_with_rows(self.replica.everything())
             return await self._answer_with_changes(request, request.after)
         except HistoryLostError:
-            return RowsReply(history_lost=True)  # The peer reads every row again, and logs it (FEED_RESTARTED).
+            return RowsReply(history_lost=True)  # The peer then reads every row again and logs FEED_RESTARTED.
 
     async def _answer_with_changes(self, request: RowsRequest, after: int) -> RowsReply:
-        """Raises :class:`HistoryLostError` where the peer has to read every row again."""
+        """Answer with changed rows. Raises :class:`HistoryLostError` if the peer must read every row again."""
         era = self.replica.era
         if request.era is UNSET:
-            # Of a build without eras, or of an era before the first: the reply says which era its rows are of.
+            # The peer's build has no eras, or it has seen none yet; the reply names the era of its rows.
             if era != UNKNOWN_ERA and after > self.replica.version:
                 raise HistoryLostError("the version is of an earlier era")
         elif request.era > era:
@@ -170,7 +170,7 @@
         if self._is_stale():
             return RowsReply(stale=True)
         if self.replica.era != era:
-            raise HistoryLostError("the store has come back from a copy meanwhile")
+            raise HistoryLostError("the store was restored from a copy during the wait")
         return reply_with_rows(self.replica.after(after))
 
     async def _wait_for_change(self, after: int, wait_s: float) -> None:
@@ -186,7 +186,7 @@
         return self.replica.era == era and self.replica.changed_version <= version
 
     def _age_s(self) -> float:
-        """Return how long ago the copy was certainly current, by the store's own clock."""
+        """Return how many seconds ago the copy was certainly current, by the store's own clock."""
         now_s = boot_time_s()
         return now_s - self._clock.confirmed_by_relay_s(now_s, self.replica.store_s, self.replica.era)
 
@@ -199,7 +199,7 @@
 
 
 def rows_handler(tables: Mapping[str, RelayedRows]) -> Callable[[RowsRequest], Awaitable[RowsReply]]:
-    """Return the handler of peers' requests for rows. An unknown table raises KeyError."""
+    """Return the handler of peers' requests for rows; the handler raises KeyError for an unknown table."""
 
     async def answer(request: RowsRequest) -> RowsReply:
         return await tables[request.table].answer(request)
--- a/src/wallwell/cluster/row_messages.py
+++ b/src/wallwell/cluster/row_messages.py
@@ -1,4 +1,4 @@
-"""Rows of the store as nodes pass them on to each other: request, reply, and their compression.
+"""Messages in which nodes relay rows of the store to each other: request, reply, and the compression of rows.
 
 Class names and field names go over the wire. Used by :mod:`.relay`.
 """
@@ -17,14 +17,14 @@
 from wallwell.storage.feed import FeedPage, FeedRow
 
 COMPRESS_FROM_BYTES = 2048
-"""Bytes from which rows are compressed: a relay sends a change once for each member, and its link may be thin."""
+"""Bytes from which rows are compressed: a relay sends each change once per member, perhaps over a slow link."""
 
 
 class RowsRequest(PeerMessage, frozen=True):
-    """Ask for rows of a table: every row if ``after`` is None, else what changed after that version.
+    """Request for rows of a table: every row if ``after`` is None, else the rows changed after that version.
 
-    ``era`` is the store's in which the version was given out. It is left out where that is ``UNKNOWN_ERA``, and by
-    nodes of builds that know no eras.
+    ``era`` is the era of the store in which that version was given out. It is omitted if it is ``UNKNOWN_ERA``, and
+    by nodes of builds without eras.
     """
 
     table: str
@@ -34,7 +34,7 @@
 
 
 class RelayedRow(msgspec.Struct, frozen=True, array_like=True):
-    """A row between peers; ``value`` is None if it was deleted."""
+    """A row as sent between peers; ``value`` is None if the row was deleted."""
 
     key: str
     value: str | None
@@ -42,9 +42,9 @@
 
 
 class RowsReply(msgspec.Struct, frozen=True):
-    """Answer to :class:`RowsRequest`. One of ``stale`` and ``history_lost`` may be set; there are no rows then.
+    """Answer to :class:`RowsRequest`. If ``stale`` or ``history_lost`` is set, there are no rows.
 
-    ``packed`` holds the rows instead of ``rows`` where they are large: compressed JSON.
+    Large rows are sent as compressed JSON in ``packed`` instead of ``rows``.
     """
 
     version: int = -1
@@ -54,12 +54,12 @@
     stale: bool = False
     history_lost: bool = False
     era: int | UnsetType = UNSET
-    """As in :class:`RowsRequest`."""
+    """Era of the store that the rows are of; omitted as in :class:`RowsRequest`."""
 
 
 @functools.lru_cache(maxsize=8)
 def _encode_rows(rows: tuple[FeedRow, ...]) -> tuple[tuple[RelayedRow, ...], bytes]:
-    """Return rows as they are sent, plain or compressed; most members ask for the same ones."""
+    """Return rows as sent, either plain or compressed. Cached, since most members ask for the same rows."""
     plain = tuple(
         RelayedRow(row.key, None if row.value is None else row.value.decode(), row.version) for row in rows
     )
@@ -68,7 +68,7 @@
 
 
 def unpack_rows(reply: RowsReply, address: str) -> tuple[FeedRow, ...]:
-    """Return the rows of a reply. Raises :class:`PeerUnavailableError` if they cannot be read."""
+    """Return the rows of a reply. Raises :class:`PeerUnavailableError` if they cannot be decoded."""
     try:
         rows = reply.rows
         if reply.packed:
@@ -79,6 +79,6 @@
 
 
 def reply_with_rows(page: FeedPage) -> RowsReply:
-    """Return a page of the own copy as a reply."""
+    """Return the reply that carries a page of this node's copy."""
     rows, packed = _encode_rows(page.rows)
     return RowsReply(page.version, page.store_s, rows, packed, era=era_to_send(page.era))
--- a/src/wallwell/cluster/stated_limits.py
+++ b/src/wallwell/cluster/stated_limits.py
@@ -1,15 +1,14 @@
-"""Limits that back ends state: read in their answers, reported between nodes, and kept by all nodes together.
-
-A back end names in its answers how many requests a second it takes from all nodes. What one node sends says
-nothing of the sum, so the limit is kept by the mechanism that counts for the whole fleet, as tenants' limits are.
-A node that has not read it yet would go on sending, and one that sends nothing would not hear of the end, so
-nodes report what they have read to each other, with its age. Only what a node read itself is reported by it;
-relays put the reports of others together (:mod:`.load_reports`). So no report becomes newer by going
-round.
-
-Owns which back ends have stated a limit lately, and what this node sent in the last second. Relies on
-:mod:`wallwell.routing.health.request_limit` for which statement holds, and on
-:mod:`wallwell.routing.admission.fleet_limits` for keeping the rate.
+"""Request limits that back ends state: read from their answers, shared between nodes, and enforced fleet-wide.
+
+A back end states in its answers how many requests per second it accepts from all nodes together. A single node does
+not see the sum, so the limit is enforced by the mechanism that counts for the whole fleet, like tenants' limits. A
+node that has not read the limit would keep sending, and a node that sends nothing would not learn of its end, so
+nodes report the statements they have read to each other, with their age. A node reports only what it read itself;
+relays combine the reports of others (:mod:`.load_reports`). So no statement gets newer by being forwarded.
+
+Owns the set of back ends that stated a limit recently, and this node's requests of the last second. Relies on
+:mod:`wallwell.routing.health.request_limit` for which statement is in force, and on
+:mod:`wallwell.routing.admission.fleet_limits` to enforce the rate.
 """
 
 from __future__ import annotations
@@ -28,49 +27,49 @@
 from wallwell.routing.health.request_limit import NO_LIMIT_PER_S, LimitStatement, RequestLimit
 
 REPORT_RETENTION_S = 60.0
-"""Seconds for which what a node has read is reported, and for which an ended limit is remembered: longer than any
-node takes to hear of something newer from the same back end."""
+"""Seconds for which a node reports a statement that it has read, and remembers a limit that has ended: longer than
+any node takes to receive a newer statement of the same back end."""
 RECENT_REQUESTS_WINDOW_S = 1.0
-"""Seconds before a limit is known whose requests count towards it: it is a rate by the second."""
+"""Requests of this many seconds before a new limit is learned count towards it: limits are rates per second."""
 CHANGE_LOG_INTERVAL_S = 1.0
-"""Least seconds from a line about one back end to one that says that its limit has changed, which may happen with
-each answer. Its beginning and its end are always logged."""
+"""Least seconds between the log line of a back end's changed limit and the line before about this back end, since a
+limit may change with each answer. The start and the end of a limit are always logged."""
 
 
 class ReportedLimit(msgspec.Struct, frozen=True, array_like=True):
-    """What a node has read of a back end's limit."""
+    """A back end's statement of its limit as a node has read it."""
 
     per_s: float | None
-    """Requests a second from all nodes together; None if the back end states no limit any more."""
+    """Requests per second from all nodes together; None if the back end no longer states a limit."""
     age_ms: int
-    """How long ago it was read."""
+    """Milliseconds since the statement was read."""
     started_unix_ms: int | None = None
-    """Start of the back end that stated it; see :class:`wallwell.deployment.backends.BackendRecord`."""
+    """Start time of the back end that stated the limit; see :class:`wallwell.deployment.backends.BackendRecord`."""
 
     def aged_by(self, seconds: float) -> ReportedLimit:
-        """Return it as it is to be reported ``seconds`` later."""
+        """Return the statement as it is reported ``seconds`` later, with a higher age."""
         return msgspec.structs.replace(self, age_ms=self.age_ms + round(seconds * 1000))
 
 
 class StatedLimits:
-    """One node's part: what it knows of the limits of back ends, and the requests that it counts towards them."""
+    """The limits of back ends that one node knows, and the requests that it counts towards them."""
 
     def __init__(self, backends: BackendRegistry, limits: FleetLimits) -> None:
         self._backends = backends
         self._limits = limits
         self._limited_backends: dict[str, Backend] = {}
-        """Back ends that stated a limit lately."""
+        """Back ends that stated a limit recently, by incarnation."""
         self._recent_requests: deque[tuple[float, str]] = deque()
-        """This node's requests of the last second: when, and to which back end."""
+        """This node's requests of the last second: the time, and the incarnation of the back end."""
         self._logged_s: dict[str, float] = {}
-        """When a line was last logged, by back end."""
+        """Time of the last log line about each back end."""
         self.requests_passed_over = 0
-        """Requests of this node that went elsewhere or were refused on account of a limit."""
+        """Requests of this node that were sent elsewhere or refused because of a limit."""
 
-    # --- what is learned -------------------------------------------------------------------------------
+    # --- received statements ---------------------------------------------------------------------------
 
     def on_answer(self, backend: Backend, statement: LimitStatement, now_s: float) -> None:
-        """A back end answered this node."""
+        """Handle the statement in an answer of a back end to this node."""
         if backend.request_limit is None and statement.per_s == NO_LIMIT_PER_S:
             return
         limit = self._ensure_limit(backend)
@@ -79,7 +78,7 @@
         self._on_limit_change(backend, limit, previous_per_s, now_s)
 
     def on_reported(self, reported: Mapping[str, ReportedLimit] | msgspec.UnsetType, now_s: float) -> None:
-        """Another node reports what it and others have read."""
+        """Handle the statements, by incarnation, that another node reports for itself and others."""
         if reported is msgspec.UNSET:
             return
         for incarnation, stated in reported.items():
@@ -97,7 +96,7 @@
     def _ensure_limit(self, backend: Backend) -> RequestLimit:
         if backend.request_limit is None:
             backend.request_limit = RequestLimit()
-            if backend.incarnation in self._limited_backends:  # An earlier start of it stated one.
+            if backend.incarnation in self._limited_backends:  # An earlier start of the back end stated a limit.
                 self._limits.forget_backend(backend.incarnation)
             self._limited_backends[backend.incarnation] = backend
         return backend.request_limit
@@ -126,10 +125,10 @@
             age_ms=round((now_s - limit.read_s) * 1000),
         )
 
-    # --- what is counted -------------------------------------------------------------------------------
+    # --- counted requests ------------------------------------------------------------------------------
 
     def on_sent(self, incarnation: str, now_s: float) -> None:
-        """A request is sent to a back end, limited or not."""
+        """Record that this node sends a request to a back end, whether or not the back end has a limit."""
         self._recent_requests.append((now_s, incarnation))
         while self._recent_requests[0][0] <= now_s - RECENT_REQUESTS_WINDOW_S:
             self._recent_requests.popleft()
@@ -141,7 +140,7 @@
         )
 
     def admit(self, backend: Backend, now_s: float) -> float | None:
-        """Count a request that is to go to a back end, None; or return in how many seconds its limit allows one."""
+        """Count a request about to be sent and return None, or return the seconds until the limit allows one."""
         if not backend.is_limited:
             return None
         admission = self._limits.admit(backend_subject(backend.incarnation), REQUEST_UNITS, now_s)
@@ -151,18 +150,18 @@
         return admission.wait_s
 
     def refund(self, backend: Backend) -> None:
-        """A request that was counted did not reach its back end."""
+        """Uncount a request that was counted but did not reach its back end."""
         if backend.is_limited:
             self._limits.refund(Admitted(backend_subject(backend.incarnation), REQUEST_UNITS))
 
     def has_headroom(self, backend: Backend, now_s: float) -> bool:
-        """Whether a back end may be taken to accept a further request."""
+        """Return whether a back end's limit leaves room for a further request."""
         return not backend.is_limited or self._limits.has_headroom(backend_subject(backend.incarnation), now_s)
 
-    # --- what is reported ------------------------------------------------------------------------------
+    # --- reported statements ---------------------------------------------------------------------------
 
     def own_reports(self, now_s: float) -> dict[str, ReportedLimit] | msgspec.UnsetType:
-        """Return what this node has read itself lately; unset if that is nothing."""
+        """Return the statements that this node itself has read recently, by incarnation; UNSET if none."""
         self._forget_old(now_s)
         reported = {}
         for incarnation, backend in self._limited_backends.items():
@@ -176,7 +175,7 @@
         return reported or msgspec.UNSET
 
     def _forget_old(self, now_s: float) -> None:
-        """Drop back ends that have ended, and limits that ended long ago."""
+        """Drop back ends that are gone, and limits that ended ``REPORT_RETENTION_S`` ago."""
         for incarnation, backend in list(self._limited_backends.items()):
             limit = backend.request_limit
             assert limit is not None
@@ -191,7 +190,7 @@
 def newest_limits(
     reports: list[Mapping[str, ReportedLimit]],
 ) -> dict[str, ReportedLimit] | msgspec.UnsetType:
-    """Return the newest report on each back end; unset if there is none."""
+    """Return the newest of the reported statements of each back end, by incarnation; UNSET if there are none."""
     newest: dict[str, ReportedLimit] = {}
     for report in reports:
         for incarnation, stated in report.items():
@@ -202,7 +201,7 @@
 
 
 def _supersedes(stated: ReportedLimit, known: ReportedLimit) -> bool:
-    """Whether a report is of a later start of its back end, or of the same and newer."""
+    """Return whether ``stated`` is of a later start of the back end than ``known``, or of the same and newer."""
     if is_later_start(stated.started_unix_ms, known.started_unix_ms):
         return True
     is_of_earlier_start = is_later_start(known.started_unix_ms, stated.started_unix_ms)
--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -1,13 +1,14 @@
-"""Which peer a node follows the store's rows through, and who stands for a region: agreed without messages. Pure.
+"""Computes which peers a node follows the store through, and the delegates of a region, without messages. Pure.
 
-The members of a zone stand in an order that every node works out alike: those with the fastest links first, since a
-relay sends each change once for each member. The first ones, one for so many members, relay for the others. Zones
-stand in an order as well: relays of the first zones follow the store, those of later zones follow these. A node
-only follows a peer that stands before it, so that no two nodes can follow each other, and it follows the store when
-no peer before it is believed to work.
+Every node computes the same order of the members of a zone: those with the fastest links first, since a relay sends
+each change once per member. The first members, one per ``MEMBERS_PER_RELAY``, are the relays of the others. Zones
+are ordered as well: relays of the first zones follow the store, relays of later zones follow these. A node only
+follows peers that precede it, so that no two nodes can follow each other, and it follows the store when no
+preceding peer is believed to work.
 
-Where there are regions, each one has an order of zones of its own, and nobody follows a peer of another region: the
-first zone's relay follows the store, those of later zones follow it, or the second zone's while it does not answer.
+With several regions, each region has its own order of zones, and no node follows a peer of another region. The
+first zone's relay follows the store; relays of later zones follow it, or the second zone's relay while the first
+does not answer.
 
 Owns the order. Relies on the rows in which nodes register themselves, and on :mod:`.peer_health` for which peers
 work.
@@ -26,21 +27,21 @@
 from wallwell.routing.rendezvous import key_of, rendezvous_score
 
 MEMBERS_PER_RELAY = 40
-"""Members of a zone that one relay serves: at 2 KB for each answer of a load report, 40 take 13 Mbit/s of its link
-at 20 reports a second."""
+"""Members of a zone that one relay serves: with 2 KB for each answer to a load report, 40 members take 13 Mbit/s of
+its link at 20 reports per second."""
 STORE_FOLLOWING_ZONES = 2
-"""Zones whose relays follow the store; those of other zones follow these. Two, so that either may be lost."""
+"""Zones whose relays follow the store; relays of other zones follow these. Two, so that either zone may fail."""
 STORE_FOLLOWING_ZONES_PER_REGION = 1
-"""The same for each of several regions. Rows cross the link between regions once for each region, and a call to the
-store costs 40 ms at least; the relays of the second zone stand by."""
+"""The same number for each of several regions. With one, rows cross the link between regions once per region, and a
+call to the store costs at least 40 ms; the second zone's relays are the standby."""
 DELEGATES_PER_RELAY = 3
-"""Members of each zone, by the number of its relays, that may be delegates of their region: with three zones nine
-nodes have to be gone at once before no sums are exchanged with another region."""
+"""Members of each zone, per relay of the zone, that may be delegates of their region: with three zones, nine nodes
+must be gone at the same time before the exchange of sums with another region stops."""
 _ZONE_ORDER_KEY = key_of("zones")
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
-    """A node as it registers itself. ``relay`` is ``IP:port`` for peers, empty if it serves none."""
+    """A node's registration row. ``relay`` is its ``IP:port`` for peers, empty if it serves no peers."""
 
     zone: str
     relay: str = ""
@@ -48,7 +49,7 @@
 
 
 class Peer(NamedTuple):
-    """Another node, and where it serves its peers: ``IP:port``."""
+    """Name of another node, and the ``IP:port`` where it serves peers."""
 
     name: str
     address: str
@@ -56,7 +57,7 @@
 
 @dataclass
 class UpstreamOrder:
-    """One node's choice among its peers, by the rows of all nodes and by which peers work."""
+    """One node's choice among its peers, from the registration rows of all nodes and the health of its peers."""
 
     node: str
     zone: str
@@ -65,7 +66,7 @@
     health: PeersHealth = field(default_factory=PeersHealth)
 
     def candidates(self, now_s: float) -> list[Peer]:
-        """Return the peers to follow, best first; empty if the store is to be followed."""
+        """Return the peers to follow, best first; empty if this node follows the store itself."""
         in_zone = self.followed_peers_in_zone(now_s)
         own = self.members.get(self.node)
         if in_zone or own is None or not own.relay:
@@ -73,11 +74,11 @@
         return self._relays_of_earlier_zones(now_s)
 
     def fleet_size(self) -> int:
-        """Return how many nodes are registered; 0 while this one is not: it may not know the others then."""
+        """Return how many nodes are registered; 0 while this node is not, as it may not know the others then."""
         return len(self.members) if self.node in self.members else 0
 
     def _relays_of_earlier_zones(self, now_s: float) -> list[Peer]:
-        """Return the relays that this node follows for its zone."""
+        """Return the relays of earlier zones that this node follows as a relay of its own zone."""
         earlier = [
             zone
             for zone in self._own_region_zones()[:STORE_FOLLOWING_ZONES]
@@ -93,7 +94,7 @@
         return relays
 
     def _own_region_zones(self) -> list[str]:
-        """Return the zones of the own region in their order."""
+        """Return the zones of this node's region in order."""
         return self._zones_of(self.topology.own_region)
 
     def _zones_of(self, region: str) -> list[str]:
@@ -101,58 +102,55 @@
         return sorted((zone for zone in zones if self.topology.region_of(zone) == region), key=_zone_rank)
 
     def is_in_other_zone(self, name: str) -> bool:
-        """Whether a peer is in another zone."""
+        """Return whether a peer is in another zone than this node."""
         member = self.members.get(name)
         return member is not None and member.zone != self.zone
 
     def followed_peers_in_zone(self, now_s: float) -> list[Peer]:
-        """Return the peers of the own zone that this node follows; empty if it relays for others."""
+        """Return the relays of this node's zone that it follows; empty if it is a relay or not reachable itself."""
         same_zone = self._reachable_members(self.zone)
         if self.node not in same_zone:
             return []
-        ordered, relay_count = self._ordered_members(self.zone, same_zone)
+        ordered, n_relays = self._ordered_members(self.zone, same_zone)
         before = ordered[: ordered.index(self.node)]
-        working = [name for name in before if self.health.is_working(name, now_s)][:relay_count]
-        if len(working) < relay_count:
+        working = [name for name in before if self.health.is_working(name, now_s)][:n_relays]
+        if len(working) < n_relays:
             return []
         working.sort(key=lambda name: rendezvous_score(name, key_of(self.node)))
         return [self._peer(name) for name in working]
 
     def other_relays(self, now_s: float) -> list[Peer]:
-        """Return the other nodes of this region that relay for their members."""
+        """Return the other relays of this node's region."""
         relays = [peer for zone in self._own_region_zones() for peer in self._relays_of(zone, now_s)]
         return [peer for peer in relays if peer.name != self.node]
 
     def _relays_of(self, zone: str, now_s: float) -> list[Peer]:
-        """Return the working nodes that stand first in a zone, this node among them."""
-        ordered, relay_count = self._ordered_members(zone, self._reachable_members(zone))
-        working = [name for name in ordered if name == self.node or self.health.is_working(name, now_s)][
-            :relay_count
-        ]
+        """Return the relays of a zone: its first working members; this node always counts as working."""
+        ordered, n_relays = self._ordered_members(zone, self._reachable_members(zone))
+        working = [name for name in ordered if name == self.node or self.health.is_working(name, now_s)][:n_relays]
         return [self._peer(name) for name in working]
 
     def other_regions(self) -> list[str]:
-        """Return the regions beside the own one that have members."""
+        """Return the other regions that have reachable members, sorted by name."""
         zones = {member.zone for member in self.members.values() if member.relay}
         return sorted({self.topology.region_of(zone) for zone in zones} - {self.topology.own_region})
 
     def delegates_of(self, region: str) -> list[Peer]:
-        """Return the nodes that may be a region's delegate, in their order.
+        """Return the nodes that may be a region's delegate, in order.
 
-        These are the relays of its zones, then those who replace them; which of them work is not known here.
+        The relays of its zones come first, then their replacements, whether they work or not.
         """
         ranked: list[tuple[int, str]] = []
         for zone in self._zones_of(region):
-            ordered, relay_count = self._ordered_members(zone, self._reachable_members(zone))
+            ordered, n_relays = self._ordered_members(zone, self._reachable_members(zone))
             ranked += [
-                (index // relay_count, name)
-                for index, name in enumerate(ordered[: relay_count * DELEGATES_PER_RELAY])
+                (index // n_relays, name) for index, name in enumerate(ordered[: n_relays * DELEGATES_PER_RELAY])
             ]
         ranked.sort(key=lambda entry: entry[0])
         return [self._peer(name) for _, name in ranked]
 
     def delegate_rank(self, now_s: float) -> int | None:
-        """Return this node's rank among the working delegates of its region, from 0; None if it is none of them."""
+        """Return this node's rank, from 0, among the working delegates of its region; None if it is no delegate."""
         names = [peer.name for peer in self.delegates_of(self.topology.own_region)]
         working = [name for name in names if name == self.node or self.health.is_working(name, now_s)]
         return working.index(self.node) if self.node in working else None
@@ -161,11 +159,11 @@
         return Peer(name, self.members[name].relay)
 
     def _reachable_members(self, zone: str) -> list[str]:
-        """Return the members of a zone that peers can reach."""
+        """Return the members of a zone that serve peers."""
         return [name for name, member in self.members.items() if member.zone == zone and member.relay]
 
     def _ordered_members(self, zone: str, names: list[str]) -> tuple[list[str], int]:
-        """Return a zone's members in their order, and how many of them relay for the others: the first ones."""
+        """Return the members of a zone in order, and how many of them, from the first, are relays."""
         key = key_of(zone)
         ordered = sorted(
             names, key=lambda name: (self.members[name].link_mbps, rendezvous_score(name, key), name), reverse=True
@@ -173,17 +171,17 @@
         return ordered, -(-len(names) // MEMBERS_PER_RELAY)
 
     def on_failure(self, name: str, now_s: float) -> None:
-        """A peer did not answer or its copy of the store is old: pass it over for a while."""
+        """Pause a peer that did not answer or whose copy of the store is stale."""
         self.health.on_failure(name, now_s)
 
     def on_zone_returned(self, zone: str) -> None:
-        """Another zone answers again: its nodes are asked at once, and not after their pauses."""
+        """End the pauses of the nodes of a zone that answers again, so that they are asked at once."""
         for name, member in self.members.items():
             if member.zone == zone:
                 self.health.on_success(name)
 
     def on_success(self, name: str) -> None:
-        """A peer answered."""
+        """Reset the failures of a peer that answered."""
         self.health.on_success(name)
 
 
