--- a/src/wallwell/cluster/crash_reports.py
+++ b/src/wallwell/cluster/crash_reports.py
@@ -24,12 +24,10 @@
 class CrashReports:
     """Crashes that one node has received from its peers and reports to them. Times are seconds on its clock."""
 
-    def __init__(
-        self, unwritten_crashes: Callable[[], Sequence[Crash]], on_received: Callable[[Crash], None]
-    ) -> None:
-        """``unwritten_crashes`` returns the crashes that this node has detected and not written to the store yet,
+    def __init__(self, unwritten: Callable[[], Sequence[Crash]], on_received: Callable[[Crash], None]) -> None:
+        """``unwritten`` returns the crashes that this node has detected and not written to the store yet,
         newest first; ``on_received`` is called with each received crash."""
-        self._unwritten_crashes = unwritten_crashes
+        self._unwritten = unwritten
         self._on_received = on_received
         self._from_members: dict[Crash, float] = {}
         self._from_relays: dict[Crash, float] = {}
@@ -49,7 +47,7 @@
 
     def crashes_for_own_relay(self) -> tuple[Crash, ...]:
         """Return the crashes that this node reports to its relay as a member."""
-        return tuple(self._unwritten_crashes()[:MAX_CRASHES_PER_MESSAGE])
+        return tuple(self._unwritten()[:MAX_CRASHES_PER_MESSAGE])
 
     def crashes_for_other_relays(self, now_s: float) -> tuple[Crash, ...]:
         """Return the crashes that this relay reports to other relays. Crashes received from another relay are left
@@ -61,7 +59,7 @@
         return self._unwritten_and_recent((self._from_members, self._from_relays), now_s)
 
     def _unwritten_and_recent(self, sources: Iterable[dict[Crash, float]], now_s: float) -> tuple[Crash, ...]:
-        reported = dict.fromkeys(self._unwritten_crashes())
+        reported = dict.fromkeys(self._unwritten())
         for received_at_s in sources:
             for crash, at_s in list(received_at_s.items()):
                 if now_s - at_s > RELAYED_CRASH_LIFETIME_S:
--- a/src/wallwell/cluster/leases.py
+++ b/src/wallwell/cluster/leases.py
@@ -123,12 +123,10 @@
             self.held = None
             return None
         if self.held is not None and body is not None and body.holder == self._holder:
-            return await self._write_row(row, self._new_body(fence=self.held.fence), now_s)
-        return await self._write_row(
-            row, self._new_body(fence_offset=next_fence_offset(row, body, self._era)), now_s
-        )
+            return await self._write(row, self._body(fence=self.held.fence), now_s)
+        return await self._write(row, self._body(fence_offset=next_fence_offset(row, body, self._era)), now_s)
 
-    def _new_body(self, fence: int = 0, fence_offset: int = 0, released: bool = False) -> LeaseBody:
+    def _body(self, fence: int = 0, fence_offset: int = 0, released: bool = False) -> LeaseBody:
         return LeaseBody(
             self._holder,
             fence,
@@ -179,7 +177,7 @@
             return float("-inf")
         return self._era.since_s + self._ttl_s + self._guard_s
 
-    async def _write_row(self, row: Row | None, body: LeaseBody, now_s: float) -> HeldLease | None:
+    async def _write(self, row: Row | None, body: LeaseBody, now_s: float) -> HeldLease | None:
         condition = Condition(self._key, row.version if row else 0)
         put = Put(self._key, msgspec.json.encode(body).decode())
         era = self._era.current
@@ -196,7 +194,7 @@
         held, self.held = self.held, None
         if held is None or self._era.is_after(held.era):
             return  # The row may by now be another node's, with the same version.
-        put = Put(self._key, msgspec.json.encode(self._new_body(fence=held.fence, released=True)).decode())
+        put = Put(self._key, msgspec.json.encode(self._body(fence=held.fence, released=True)).decode())
         try:
             await self._table.transact(Transaction((Condition(self._key, held.version),), (put,)))
         except (TableConflictError, PlatformUnavailableError) as error:
--- a/src/wallwell/cluster/load_aggregator.py
+++ b/src/wallwell/cluster/load_aggregator.py
@@ -24,7 +24,7 @@
         self._members = LoadReports()
         self._relays = LoadReports()
         self._regions = LoadReports()
-        self._relay_totals: dict[str, tuple[RelaySpentTotals, float]] = {}
+        self._totals: dict[str, tuple[RelaySpentTotals, float]] = {}
         """The last spent totals of each other relay of the region, and when they were received."""
 
     # --- received ----------------------------------------------------------------------------------------
@@ -47,15 +47,10 @@
         self._crashes.receive_from_relay(message.crashes, now_s)
         self._load.stated_limits.on_reported(message.load.stated_limits, now_s)
         self._load.limits.take_relay(message.node, message.life, message.spent_totals, now_s)
-        if message.node not in self._relay_totals:
+        if message.node not in self._totals:
             # Nodes are replaced under new names, and an entry lists every tenant that spends: drop old entries.
-            self._relay_totals = {
-                name: reported for name, reported in self._relay_totals.items() if _is_recent(reported[1], now_s)
-            }
-        self._relay_totals[message.node] = (
-            RelaySpentTotals(message.node, message.life, message.spent_totals),
-            now_s,
-        )
+            self._totals = {name: entry for name, entry in self._totals.items() if _is_recent(entry[1], now_s)}
+        self._totals[message.node] = (RelaySpentTotals(message.node, message.life, message.spent_totals), now_s)
 
     def on_region_sum(self, received: RegionSum, now_s: float) -> None:
         """Handle the sum of another region."""
@@ -86,7 +81,7 @@
     def region_sum(self, region: str, now_s: float) -> RegionSum:
         """Return the sum of this relay's own region, whose name is ``region``."""
         limits = self._load.limits
-        recent = [totals for totals, at_s in self._relay_totals.values() if _is_recent(at_s, now_s)]
+        recent = [totals for totals, at_s in self._totals.values() if _is_recent(at_s, now_s)]
         relays = (RelaySpentTotals(self._node, limits.life, limits.spent_totals()), *recent)
         return RegionSum(region, self._region_load(now_s), relays)
 
--- a/src/wallwell/cluster/relay.py
+++ b/src/wallwell/cluster/relay.py
@@ -71,7 +71,7 @@
         self._pause_s = pause_s
         self._last_call_returned_rows = False
         self.links = PeerLinks()
-        self._replica_advanced = asyncio.Event()
+        self._advanced = asyncio.Event()
 
     # --- reading ---------------------------------------------------------------------------------------
 
@@ -138,8 +138,8 @@
         refused = self.replica.take(page, whole)
         if refused:
             emit(Event.ROWS_WENT_BACK, rows=self.table, version=page.version, held=held, refused=refused)
-        self._replica_advanced.set()
-        self._replica_advanced = asyncio.Event()
+        self._advanced.set()
+        self._advanced = asyncio.Event()
         return page
 
     # --- answering peers -------------------------------------------------------------------------------
@@ -177,9 +177,7 @@
         deadline_s = boot_time_s() + wait_s
         era = self.replica.era
         while self._has_nothing_after(era, after) and (left_s := deadline_s - boot_time_s()) > 0:
-            if not await ends_within(
-                self._replica_advanced.wait(), min(left_s, max(0.0, self._stale_s - self._age_s()))
-            ):
+            if not await ends_within(self._advanced.wait(), min(left_s, max(0.0, self._stale_s - self._age_s()))):
                 return
 
     def _has_nothing_after(self, era: int, version: int) -> bool:
--- a/src/wallwell/cluster/stated_limits.py
+++ b/src/wallwell/cluster/stated_limits.py
@@ -29,7 +29,7 @@
 REPORT_RETENTION_S = 60.0
 """Seconds for which a node reports a statement that it has read, and remembers a limit that has ended: longer than
 any node takes to receive a newer statement of the same back end."""
-RECENT_REQUESTS_WINDOW_S = 1.0
+RECENT_REQUESTS_S = 1.0
 """Requests of this many seconds before a new limit is learned count towards it: limits are rates per second."""
 CHANGE_LOG_INTERVAL_S = 1.0
 """Least seconds between the log line of a back end's changed limit and the line before about this back end, since a
@@ -59,7 +59,7 @@
         self._limits = limits
         self._limited_backends: dict[str, Backend] = {}
         """Back ends that stated a limit recently, by incarnation."""
-        self._recent_requests: deque[tuple[float, str]] = deque()
+        self._sent: deque[tuple[float, str]] = deque()
         """This node's requests of the last second: the time, and the incarnation of the back end."""
         self._logged_s: dict[str, float] = {}
         """Time of the last log line about each back end."""
@@ -129,15 +129,12 @@
 
     def on_sent(self, incarnation: str, now_s: float) -> None:
         """Record that this node sends a request to a back end, whether or not the back end has a limit."""
-        self._recent_requests.append((now_s, incarnation))
-        while self._recent_requests[0][0] <= now_s - RECENT_REQUESTS_WINDOW_S:
-            self._recent_requests.popleft()
+        self._sent.append((now_s, incarnation))
+        while self._sent[0][0] <= now_s - RECENT_REQUESTS_S:
+            self._sent.popleft()
 
     def _recent_request_count(self, incarnation: str, now_s: float) -> int:
-        return sum(
-            receiver == incarnation and at_s > now_s - RECENT_REQUESTS_WINDOW_S
-            for at_s, receiver in self._recent_requests
-        )
+        return sum(receiver == incarnation and at_s > now_s - RECENT_REQUESTS_S for at_s, receiver in self._sent)
 
     def admit(self, backend: Backend, now_s: float) -> float | None:
         """Count a request about to be sent and return None, or return the seconds until the limit allows one."""
--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -80,9 +80,7 @@
     def _relays_of_earlier_zones(self, now_s: float) -> list[Peer]:
         """Return the relays of earlier zones that this node follows as a relay of its own zone."""
         earlier = [
-            zone
-            for zone in self._own_region_zones()[:STORE_FOLLOWING_ZONES]
-            if _zone_rank(zone) < _zone_rank(self.zone)
+            zone for zone in self._own_zones()[:STORE_FOLLOWING_ZONES] if _zone_rank(zone) < _zone_rank(self.zone)
         ]
         has_regions = self.topology.has_regions
         if len(earlier) < (STORE_FOLLOWING_ZONES_PER_REGION if has_regions else STORE_FOLLOWING_ZONES):
@@ -93,7 +91,7 @@
             relays.sort(key=lambda peer: _zone_rank(self.members[peer.name].zone))
         return relays
 
-    def _own_region_zones(self) -> list[str]:
+    def _own_zones(self) -> list[str]:
         """Return the zones of this node's region in order."""
         return self._zones_of(self.topology.own_region)
 
@@ -121,7 +119,7 @@
 
     def other_relays(self, now_s: float) -> list[Peer]:
         """Return the other relays of this node's region."""
-        relays = [peer for zone in self._own_region_zones() for peer in self._relays_of(zone, now_s)]
+        relays = [peer for zone in self._own_zones() for peer in self._relays_of(zone, now_s)]
         return [peer for peer in relays if peer.name != self.node]
 
     def _relays_of(self, zone: str, now_s: float) -> list[Peer]:
--- a/tests/unit/cluster/test_load_reporter.py
+++ b/tests/unit/cluster/test_load_reporter.py
@@ -219,7 +219,7 @@
         for number in range(100):
             await reporter.on_zone_load(ZoneLoad(f"relay-{number}", Load(nodes=1), 1, {"t": number}))
             await asyncio.sleep(2 * REPORT_LIFETIME_S)
-        return len(reporter._aggregator._relay_totals)
+        return len(reporter._aggregator._totals)
 
     assert run_virtual(work()) == 1
 
