--- a/src/wallwell/cluster/demand.py
+++ b/src/wallwell/cluster/demand.py
@@ -22,8 +22,7 @@
     """Generations that all other nodes reported recently; None without recent reports."""
 
     def generations_per_s(self, now_s: float, nodes: int) -> float:
-        """Return the generations per second of ``nodes`` nodes; without reports, each is assumed to get as many as
-        this one."""
+        """Return the fleet's generations per second. Without reports, ``nodes`` nodes like this one are assumed."""
         own_count = self.own_generations.count(now_s)
         total = own_count * nodes if self.peers_generations is None else own_count + self.peers_generations
         return total / RATE_WINDOW_S
--- a/src/wallwell/cluster/leases.py
+++ b/src/wallwell/cluster/leases.py
@@ -7,10 +7,9 @@
 fencing token is the commit number of the acquiring write, so it rises with every holder. A receiver of orders
 refuses tokens lower than the highest it has seen, so a holder paused past its lease can do no harm.
 
-A store that is restored from an older copy may have lost the row of a lease that is still held, and gives out
-versions again that were used as fences. So a lease is valid in one era only: a holder that learns of a newer
-era loses its lease, a lease in a new era starts only once all earlier leases have expired, and the new fences are
-above all that can have been given out.
+A store restored from an older copy may have lost the row of a lease that is still held, and reuses versions that
+were fences. So a lease is valid in one era only: a holder that learns of a newer era loses its lease, a new era's
+first lease starts only once all earlier leases have expired, and its fence is above all earlier ones.
 """
 
 from __future__ import annotations
--- a/src/wallwell/cluster/load_reporter.py
+++ b/src/wallwell/cluster/load_reporter.py
@@ -26,8 +26,8 @@
 from wallwell.errors import PeerUnavailableError
 
 LOAD_REPORT_INTERVAL_S = 0.05
-"""Seconds between two reports of a member. A relay waits this long per other relay, so that traffic
-between zones grows linearly with the number of zones, not with its square.
+"""Seconds between two reports of a member. A relay waits this long per other relay, so that traffic between
+zones grows linearly with the number of zones, not with its square.
 
 The loads that nodes know of each other are one to three intervals old; until then, several nodes may send long
 prompts to the same engine, which delay each other."""
@@ -35,11 +35,9 @@
 """The same interval where the relay has a low-bandwidth link: it answers 40 members with 2 KB each, which takes
 2.6 Mbit/s at this interval and 13 Mbit/s at the shorter one."""
 LOW_BANDWIDTH_MBPS = 50.0
-"""Links below this many Mbit/s count as low-bandwidth: the answers at the short interval would take a quarter of
-that."""
+"""Links below this many Mbit/s are low-bandwidth: answers at the short interval take a quarter of 50 Mbit/s."""
 LOAD_REPORT_TIMEOUT_S = 0.3
-"""Seconds to wait for the reply of a peer in the region, 1 ms away: a busy processor or a low-bandwidth link may
-take this long."""
+"""Seconds to wait for a reply of a peer in the region, 1 ms away: time for a busy processor or a slow link."""
 
 
 class LoadReporter:
--- a/src/wallwell/cluster/region_load_reporter.py
+++ b/src/wallwell/cluster/region_load_reporter.py
@@ -131,8 +131,7 @@
         return self._unpack_reply(reply, name, address) if reply.packed else None
 
     def _unpack_reply(self, reply: RegionReply, name: str, address: str) -> RegionSum:
-        """Return the sum of a reply. Logs once if it cannot be decoded, and raises
-        :class:`PeerUnavailableError`."""
+        """Return the sum of a reply. If undecodable, logs that once and raises :class:`PeerUnavailableError`."""
         try:
             received = unpack_region_sum(reply.packed, address)
         except PeerUnavailableError as error:
--- a/src/wallwell/cluster/stated_limits.py
+++ b/src/wallwell/cluster/stated_limits.py
@@ -32,8 +32,8 @@
 RECENT_REQUESTS_S = 1.0
 """Requests of this many seconds before a new limit is learned count towards it: limits are rates per second."""
 CHANGE_LOG_INTERVAL_S = 1.0
-"""Least seconds between the log line of a back end's changed limit and the line before about this back end, since a
-limit may change with each answer. The start and the end of a limit are always logged."""
+"""Least seconds from any log line about a back end to a line that its limit has changed, since the limit may change
+with each answer. The start and the end of a limit are always logged."""
 
 
 class ReportedLimit(msgspec.Struct, frozen=True, array_like=True):
--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -6,9 +6,8 @@
 follows peers that precede it, so that no two nodes can follow each other, and it follows the store when no
 preceding peer is believed to work.
 
-With several regions, each region has its own order of zones, and no node follows a peer of another region. The
-first zone's relay follows the store; relays of later zones follow it, or the second zone's relay while the first
-does not answer.
+With several regions, each has its own order of zones, and no node follows a peer of another region. The first
+zone's relay follows the store; later zones' relays follow it, or the second zone's relay while it does not answer.
 
 Owns the order. Relies on the rows in which nodes register themselves, and on :mod:`.peer_health` for which peers
 work.
--- a/tests/unit/cluster/limit_network.py
+++ b/tests/unit/cluster/limit_network.py
@@ -1,8 +1,8 @@
-"""A fleet of nodes before a back end that states a limit, in virtual time, with the callers that want it.
+"""Simulates nodes and callers that send requests to one back end with a stated limit, in virtual time.
 
-What the nodes know and report is the product's (:class:`FleetLoad`, :class:`LoadAggregator`), and each message is
-encoded and decoded. Members report to the first node of their zone, these report to each other, and the first of
-each region to the other region, as :mod:`wallwell.cluster.load_reporter` has them do.
+The nodes use the real :class:`FleetLoad` and :class:`LoadAggregator`, and each message is encoded and decoded.
+As in :mod:`wallwell.cluster.load_reporter`, members report to the first node of their zone, these report to each
+other, and the first of each region reports to the other region.
 """
 
 from __future__ import annotations
@@ -28,22 +28,22 @@
 REQUEST_DELAY_S = 0.002
 REGION_DELAY_S = 0.02
 ANSWER_DELAY_S = 0.05
-"""Seconds until the head of an answer, of which it states the limit that is in force then."""
+"""Seconds from a request to the head of its answer, which states the limit in force at that time."""
 ENFORCEMENT_DELAY_S = 3.0
-"""Seconds from the first statement after which the limit must hold."""
+"""Seconds from the first statement until the limit must be enforced."""
 WINDOW_S = 4.0
 STATEMENT_FORWARDED_BEFORE_S = 0.5
-"""A node counts from so long after it passed on an answer that states a limit."""
+"""Seconds after which a node's requests are checked, once it has forwarded an answer that states a limit."""
 
 
 def max_requests_in_window(per_s):
-    """Return how many requests may reach a back end in a window."""
+    """Return the most requests that may reach a back end in a window of ``WINDOW_S``."""
     return 1.5 * per_s * WINDOW_S + 5
 
 
 @dataclass
 class Node:
-    """One node; ``cut`` from the other nodes, though not from the back end."""
+    """One node; ``is_cut_off`` means from the other nodes, not from the back end."""
 
     name: str
     zone: int
@@ -54,7 +54,7 @@
     last_exchange_s: float = float("-inf")
     statement_forwarded_s: float = float("inf")
     excluded_spans_s: list[tuple[float, float]] = field(default_factory=list)
-    """Times in which it was cut, down or had been started a moment ago."""
+    """Spans in which the node was cut off or down."""
 
 
 class LimitNetwork:
@@ -65,7 +65,7 @@
     ):
         self.rng = random.Random(seed)
         self.per_s = per_s
-        """What the back end states at a time."""
+        """Returns the limit that the back end states at a time."""
         self.requested_per_s = requested_per_s
         self.interval_s = interval_s
         self.regions = regions
@@ -75,15 +75,15 @@
         for node in self.nodes:
             self.start(node)
         self.weights = [1.0] * nodes
-        """How many callers each node has, relative to others."""
+        """Relative share of the callers of each node."""
         self.arrivals: list[tuple[float, Node]] = []
         self.passed_over_s: list[float] = []
-        """When requests went elsewhere for the limit."""
+        """Times at which requests were not sent to the back end because of its limit."""
         self._events = []
         self._order = 0
 
     def start(self, node, now_s=0.0):
-        """Start a node, or start it again without anything it knew."""
+        """Start a node, or restart it without its previous state."""
         node.load = FleetLoad(limits=FleetLimits(random.Random(self.rng.random())))
         node.load.backends.upsert(BackendRecord(BACKEND, "svc", "10.0.0.1:1", "z0", 64, started_unix_ms=5))
         node.load.forget_peers(len(self.nodes))
@@ -113,7 +113,7 @@
         self.request(now_s)
 
     def request(self, now_s):
-        """A caller wants one request served, by a node that is up."""
+        """Send one caller's request through a random node that is up."""
         up = [(node, weight) for node, weight in zip(self.nodes, self.weights, strict=True) if not node.is_down]
         if not up:
             return
@@ -133,7 +133,7 @@
         if per_s != NO_LIMIT_PER_S and load is node.load:
             node.statement_forwarded_s = min(node.statement_forwarded_s, now_s)
 
-    # --- what nodes report to each other --------------------------------------------------------------------
+    # --- reports between nodes ------------------------------------------------------------------------------
 
     def _relay_of(self, zone):
         return next(
@@ -203,7 +203,7 @@
     # --- faults ----------------------------------------------------------------------------------------------
 
     def cut_off(self, nodes, from_s, to_s):
-        """Cut nodes off from all others, not from the back end."""
+        """Cut nodes off from all other nodes, but not from the back end."""
 
         def change(value):
             for node in nodes:
@@ -222,12 +222,12 @@
         self.schedule(at_s + down_s, lambda now_s: self.start(node, now_s))
         node.excluded_spans_s.append((at_s, at_s + down_s))
 
-    # --- measures --------------------------------------------------------------------------------------------
+    # --- measurements-----------------------------------------------------------------------------------------
 
     def largest_window_of_informed_nodes(self, from_s, to_s):
-        """Return the most requests of nodes that had passed the statement on, in a window ending between two times.
+        """Return the most requests in a window ending between two times, from nodes that had forwarded a statement.
 
-        A node that was cut off or restarted since its window began does not count.
+        Nodes that were cut off or down at any time during the window do not count.
         """
         largest = 0
         for end_s in sorted({min(to_s, max(from_s, at_s)) for at_s, _ in self.arrivals if at_s <= to_s}):
@@ -246,16 +246,16 @@
         return largest
 
     def largest_window_of_all_nodes(self, from_s, to_s):
-        """Return the most requests of all nodes in a window ending between two times."""
+        """Return the most requests from all nodes in a window ending between two times."""
         times = [at_s for at_s, _ in self.arrivals if at_s <= to_s]
         ends = [end_s for end_s in times if end_s >= from_s]
         return max((sum(end_s - WINDOW_S < at_s <= end_s for at_s in times) for end_s in ends), default=0)
 
     def rate(self, from_s, to_s):
-        """Return the requests a second that reached the back end."""
+        """Return the requests per second that reached the back end."""
         return sum(from_s <= at_s < to_s for at_s, _ in self.arrivals) / (to_s - from_s)
 
 
 def encode_and_decode(message, message_type):
-    """Return a message as its receiver reads it."""
+    """Return a message as its receiver decodes it."""
     return msgspec.json.decode(msgspec.json.encode(message), type=message_type)
--- a/tests/unit/cluster/relay_network.py
+++ b/tests/unit/cluster/relay_network.py
@@ -1,4 +1,4 @@
-"""Nodes that follow a store through each other, with links that are cut and a store that fails, in virtual time."""
+"""Simulates nodes that follow a store through each other in virtual time, with cut links and store failures."""
 
 import asyncio
 import random
@@ -18,18 +18,18 @@
 ROUND_TRIP_S = 0.004
 STORE_OFFSET_S = -900.0
 BEFORE_ALL_POSITIONS = (0, 0)
-"""Before every position of a store."""
+"""A store position lower than any real one."""
 SETTLE_S = 25.0
 
 
 class Store(MemoryRows):
-    """Rows with the times of their writes; wakes who waits."""
+    """The store's rows with the times of their writes; a write wakes the calls held for a change."""
 
     def __init__(self):
         super().__init__()
         self.calls = 0
         self.written = {}
-        """When each row was written, and its position: of rows in a copy that of their writing."""
+        """Time and position of the last write of each row; a restore brings back those of the copy."""
         self.restored_s = float("-inf")
         self._changed = asyncio.Event()
 
@@ -62,7 +62,7 @@
 
 
 class StoreOfNode:
-    """The store as one node reaches it: well, refusing, or silent."""
+    """One node's connection to the store, whose mode is well (working), refusing or silent."""
 
     def __init__(self, store):
         self.store = store
@@ -99,7 +99,7 @@
 
 
 class VirtualLink:
-    """A link to a node in this process; cut links and frozen nodes say nothing, killed ones refuse at once."""
+    """A link to a node in this process: a cut link never answers, a killed node refuses at once."""
 
     def __init__(self, network, asker, name):
         self._network, self._asker, self._name = network, asker, name
@@ -147,7 +147,7 @@
     def _start(self):
         self.clock = StoreClock()
         self.known_rows = {}
-        """Position and value by key."""
+        """Position and value of each received row, by key."""
         self.era = 0
         self.rows = RelayedRows("rows", self.store, self.order, self.clock, WAIT_S)
         self.rows.links = VirtualLinks(self._network, self.name)
@@ -155,7 +155,7 @@
         self.task = asyncio.create_task(self._run())
 
     async def _run(self):
-        # Nodes do not begin together, so that their readings are held open at different times.
+        # Nodes start at different times, so that their held calls do not end at the same time.
         await asyncio.sleep(self.rng.uniform(0.0, WAIT_S))
         await self.follower.run()
 
@@ -171,16 +171,16 @@
         self.check(followed.confirmed_at_s)
 
     def check(self, confirmed_at_s):
-        """Everything written before the time of confirmation is known; nothing counts as confirmed in an era that
-        was over by then."""
+        """Assert that every row written before ``confirmed_at_s`` is here, and that no time after the end of an era
+        counts as confirmed in it."""
         if self.era < self._network.store.era:
-            assert confirmed_at_s <= self._network.store.restored_s, "an era that is over looks confirmed"
-            return  # What the copy lists again may have been deleted as far as this node knows.
+            assert confirmed_at_s <= self._network.store.restored_s, "a past era is confirmed after its end"
+            return  # This node may still see a row as deleted that the restored copy contains.
         for key in self._network.store.rows:
             written_s, position = self._network.store.written[key]
             if written_s < confirmed_at_s:
                 assert self.known_rows.get(key, (BEFORE_ALL_POSITIONS, b""))[0] >= position, (
-                    "knowledge looks newer than it is"
+                    "the node lacks a row that it counts as confirmed"
                 )
 
     def kill(self):
@@ -195,7 +195,7 @@
 
 class Network:
     def __init__(self, zones="zzzz", regions=None):
-        """``zones`` has a letter for each node; ``regions`` gives the region of each zone."""
+        """``zones`` has one letter per node; ``regions`` maps zones to regions."""
         self.regions = regions or {}
         self.store = Store()
         self.store._now_s = lambda: boot_time_s() + STORE_OFFSET_S
--- a/tests/unit/cluster/test_lease_candidate.py
+++ b/tests/unit/cluster/test_lease_candidate.py
@@ -1,4 +1,4 @@
-"""Whose turn it is to try for a lease."""
+"""Which node tries to acquire a lease, and when."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 class CandidateFleet:
-    """Nodes that all have work to do, over one table."""
+    """Several nodes with the same work, and the table that their lease is in."""
 
     def __init__(self):
         self.table = FaultyTable()
@@ -31,7 +31,7 @@
         return LeaseCandidate("work", name, LeaseKeeper("work", name, VALID_S, self.table), VALID_S, lambda: NAMES)
 
     async def step(self, is_due=True):
-        """Let time pass; every node that is there follows the row and tries when it is its turn."""
+        """Let ``TICK_S`` pass; every running node sees the lease's row and tries to acquire it if it may."""
         await asyncio.sleep(TICK_S)
         row = self.table.model.rows.get(LEASE_PREFIX + "work")
         for name, candidate in self.candidates.items():
--- a/tests/unit/cluster/test_leases.py
+++ b/tests/unit/cluster/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: one valid holder, rising fences, no harm from a paused holder."""
+"""Leases have at most one valid holder and rising fences, and a paused holder can do no harm."""
 
 import pytest
 from hypothesis import settings
@@ -16,7 +16,7 @@
 
 
 class TableOfNode:
-    """The table as one node reaches it: only its answers tell of a new era."""
+    """One node's access to the table; the node learns of a new era only from answers."""
 
     def __init__(self, machine, era):
         self._machine = machine
@@ -34,9 +34,9 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Nodes acquire, renew, pause and release one lease; answers are lost, and the table comes back from copies.
+    """Nodes acquire, renew, pause and release one lease; answers are lost, and the table is restored from copies.
 
-    Time only moves forward. A node hears of another era by an answer of its own.
+    Time only moves forward. A node learns of another era only from answers to its own calls.
     """
 
     def __init__(self):
@@ -48,7 +48,7 @@
         self.obeyed_fence = 0
         self.keepers = [self.new_keeper(index) for index in range(NODES)]
         self.holders = {}
-        """Who has held the lease with which fence."""
+        """The node that used each fence."""
 
     def new_keeper(self, index):
         era = StoreEra()
@@ -86,7 +86,7 @@
 
     @rule(node=st.integers(0, NODES - 1))
     def order(self, node):
-        """A node that was paused for any time sends an order with its last fence; the engine compares fences."""
+        """A node that may have been paused sends an order with its last fence; the engine refuses lower fences."""
         held = self.keepers[node].held
         if held is not None and held.fence >= self.obeyed_fence:
             self.obeyed_fence = held.fence
@@ -131,7 +131,7 @@
 
 
 class RestoredTable:
-    """A table with leases of two nodes that comes back from a copy; the time is the test's."""
+    """A table of leases that the test can restore from a copy, with a clock that the test sets."""
 
     def __init__(self):
         self.table = FaultyTable()
@@ -154,14 +154,14 @@
         return drive(keeper.try_acquire(self.now_s))
 
     def acquire_once_allowed(self, keeper):
-        """Hear of the era, wait until a lease may begin in it, and take it."""
+        """Learn of the new era, wait until a lease may start in it, and acquire the lease."""
         assert self.acquire(keeper) is None
         self.now_s += TTL_S
         return self.acquire(keeper)
 
 
 @pytest.mark.parametrize("has_row", [False, True], ids=["no row in the copy", "an older row in the copy"])
-@pytest.mark.parametrize("is_new", [False, True], ids=["a node that was there", "a node that has just started"])
+@pytest.mark.parametrize("is_new", [False, True], ids=["a running node", "a node that has just started"])
 def test_fences_rise_over_a_restore_that_lost_the_highest(has_row, is_new):
     restored = RestoredTable()
     first, second = restored.keeper("a"), restored.keeper("b")
--- a/tests/unit/cluster/test_load_reporter.py
+++ b/tests/unit/cluster/test_load_reporter.py
@@ -1,4 +1,4 @@
-"""Every node learns what all others have in flight, over sockets, whichever nodes stand between."""
+"""Every node learns the load of all others, over sockets, with any arrangement of members and relays."""
 
 import asyncio
 
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def with_nodes(run_async):
-    """Run a scenario on nodes of the listed zones, each with its number as its load of each engine."""
+    """Run a scenario on nodes of the listed zones; each has its index as its load of ``e0``, and 1 of ``e1``."""
 
     def run(zones, scenario):
         async def work():
@@ -138,7 +138,7 @@
 
 
 def test_every_node_knows_what_is_left_of_a_limit(with_nodes):
-    """Two nodes spend; members learn what is left, relays work it out."""
+    """Two nodes spend tokens; relays compute what is left of the limit, and members receive it."""
 
     async def scenario(nodes):
         for node in nodes:
@@ -176,13 +176,13 @@
         (10.0, None, LOW_BANDWIDTH_INTERVAL_S),
         (100.0, None, LOAD_REPORT_INTERVAL_S),
     ],
-    ids=["fast relay", "unknown link", "thin relay", "thin and alone", "fast and alone"],
+    ids=["fast relay", "unknown link", "slow relay", "slow and alone", "fast and alone"],
 )
 def test_reports_are_less_frequent_over_a_low_bandwidth_link(own_mbps, relay_mbps, interval_s):
     order = UpstreamOrder("n1", "a")
     order.members = {"n1": NodeRecord("a", "10.0.0.1:1", own_mbps)}
     if relay_mbps is not None:
-        # The node that stands first in its zone has the fastest link.
+        # The first node in the order of a zone has the fastest link.
         order.members["n0"] = NodeRecord("a", "10.0.0.2:1", relay_mbps)
     reporter = LoadReporter("n1", FleetLoad(), order)
     assert relay_mbps == 0.0 or (not order.followed_peers_in_zone(0.0)) == (relay_mbps is None)
@@ -200,7 +200,7 @@
 
 
 def test_a_relay_that_sends_a_report_is_reported_to_again_at_once(with_nodes):
-    """After a cut, the side that tries first ends the pause of both; pauses double up to 16 s."""
+    """After a cut, the relay that tries first ends the pause of both; pauses double up to 16 s."""
 
     async def scenario(nodes):
         first, second = nodes
@@ -224,7 +224,7 @@
     assert run_virtual(work()) == 1
 
 
-# --- crashes that the store does not have --------------------------------------------------------------------
+# --- crashes that are not in the store -----------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("zones", ["aaaa", "abc", "aaabbc", "a" * 45 + "bb"])
--- a/tests/unit/cluster/test_load_reports.py
+++ b/tests/unit/cluster/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Sums of what nodes report: the newest of each, and only for a while."""
+"""Sums of load reports: the newest report of each node counts, and only for a limited time."""
 
 from wallwell.cluster.demand import RATE_WINDOW_S, FleetDemand
 from wallwell.cluster.load_reports import REPORT_LIFETIME_S, Load, LoadReports, sum_loads
--- a/tests/unit/cluster/test_peer_link.py
+++ b/tests/unit/cluster/test_peer_link.py
@@ -1,4 +1,4 @@
-"""Peers that do not answer, or not so that it can be decoded, are logged once until they do."""
+"""Peers that do not answer, or whose replies cannot be decoded, are logged once until they answer again."""
 
 import asyncio
 
@@ -12,19 +12,19 @@
 
 
 class Question(PeerMessage, frozen=True):
-    """A request of this test."""
+    """The request that this test sends."""
 
     number: int
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """What is expected in answer."""
+    """The expected reply."""
 
     number: int
 
 
 class OtherAnswer(msgspec.Struct, frozen=True):
-    """What a peer of another version answers."""
+    """The reply of a peer of another version."""
 
     text: str = "x"
 
@@ -81,7 +81,7 @@
         try:
             assert await reader.read() == b""
         except ConnectionResetError:
-            pass  # The server ends the connection, by whichever way its system takes.
+            pass  # The server aborts the connection; the client may see an end of file or a reset.
         writer.close()
 
     async def work():
--- a/tests/unit/cluster/test_region_load_reporter.py
+++ b/tests/unit/cluster/test_region_load_reporter.py
@@ -1,4 +1,4 @@
-"""Regions report their loads to each other through one pair of nodes, whoever of them is lost, in virtual time."""
+"""Regions exchange loads through one pair of nodes, whichever nodes fail, in virtual time."""
 
 import asyncio
 from collections import Counter
@@ -38,7 +38,7 @@
 
 
 class VirtualLink:
-    """A link to a node in this process: it has a length, may be cut, and its end may be dead."""
+    """A link to a node in this process, with a delay; the link may be cut and the node may be dead."""
 
     def __init__(self, network, asker, peer):
         self._network, self._asker, self._peer = network, asker, peer
@@ -107,7 +107,7 @@
         self.members = {name: NodeRecord(zone, f"{name}:1") for name, zone in names}
         self.is_cut = False
         self.cut_off_nodes = set()
-        """Nodes that reach nobody of the other region, and all of their own."""
+        """Nodes that reach no node of the other region, but all nodes of their own."""
         self.cross_region_bytes = 0
         self.messages = Counter()
         self.nodes = {}
@@ -129,7 +129,7 @@
         return [self.nodes[name] for name in names[:3]]
 
     def fail(self, node):
-        """End a node; its region notices by the rows that come from it no more."""
+        """Kill a node and pause it at its region's nodes, as they do when it no longer relays rows."""
         node.kill()
         for each in self.live_nodes(node.region):
             each.order.health._by_name[node.name] = PeerHealth(1, float("inf"))
@@ -214,7 +214,7 @@
 
 @pytest.mark.parametrize("count", [1, 2])
 def test_the_next_delegates_take_over_from_relays_that_cannot_reach_the_other_region(count):
-    """Their own region finds nothing wrong with them."""
+    """Within their own region these relays work, so only the missing sums show that they are cut off."""
 
     async def scenario(network):
         await asyncio.sleep(3.0)
@@ -243,14 +243,14 @@
     is_noticed = cut_s > REPORT_LIFETIME_S + 0.7
     assert during == {5 if is_noticed else 11}
     assert regained_s < 1.5
-    # Each relay notices once, and no node says more than that.
+    # Each of the six relays logs the loss at most once, and no other node logs it.
     expected = {(Event.REGION_LOST, "a"), (Event.REGION_LOST, "b")} if is_noticed else set()
     assert {each for each in events if each[0] is Event.REGION_LOST} == expected
     assert len([each for each in events if each[0] is Event.REGION_LOST]) <= 6
 
 
 def test_limits_are_counted_for_both_regions_across_a_change_of_delegates():
-    """Sums of a region that began anew with each delegate lost what was spent between them."""
+    """Guards against totals that restart with each delegate, which lose what was spent in between."""
 
     async def scenario(network):
         await asyncio.sleep(3.0)
@@ -282,7 +282,7 @@
 
 @pytest.mark.parametrize(("zones", "backends", "tenants", "limit_bytes"), [(3, 36, 87, 6_000), (7, 60, 16, 6_000)])
 def test_a_region_sum_stays_below_its_size_limit(zones, backends, tenants, limit_bytes):
-    """A message at most, as it goes over the wire: a quarter of a second of 30 Mbit/s carries 940 KB."""
+    """Bounds a message as sent over the wire; a link of 30 Mbit/s carries 940 KB in a quarter of a second."""
     load = Load(
         requests={f"i-{number * 7919:08x}": number % 48 for number in range(backends)},
         generations=900,
@@ -313,12 +313,12 @@
         await asyncio.sleep(3.0)
         return {node.load.limits.levels(now()).get("t") for node in network.relays_of("a")}
 
-    # 10,000 less twice 6,000; each half of the fleet pays half of the debt.
+    # 10,000 minus twice 6,000 is -2,000; each half of the fleet carries half of this debt.
     assert run(scenario) == {-1_000}
 
 
 def test_a_node_that_stops_relaying_logs_no_lost_region(monkeypatch):
-    """It hears of them no more, and took that for their silence when it relayed again."""
+    """Guards against a node that, on becoming a relay again, takes the time without sums for a region's silence."""
     events = []
     monkeypatch.setattr(reporter_module, "emit", lambda event, **fields: events.append(event))
 
--- a/tests/unit/cluster/test_relay.py
+++ b/tests/unit/cluster/test_relay.py
@@ -1,4 +1,4 @@
-"""Rows through a peer, over sockets: changes come at once, and a peer that fails or falls behind is left."""
+"""Rows relayed by a peer over sockets: changes arrive at once, and a failing or stale peer is replaced."""
 
 import asyncio
 import contextlib
@@ -22,7 +22,7 @@
 
 
 class CountingRows(MemoryRows):
-    """Rows as the store keeps them; wakes who waits for a change, and counts calls."""
+    """The store's rows; a write wakes the calls held for a change, and calls are counted."""
 
     def __init__(self):
         super().__init__()
@@ -48,7 +48,7 @@
 
 
 class Node:
-    """A follower of one table with its listener for peers, and its own view of the store."""
+    """A follower of one table that also serves peers, with its own connection to the store."""
 
     def __init__(self, name, store):
         self.name, self.store = name, store
@@ -78,7 +78,7 @@
 
 @pytest.fixture
 def with_nodes(run_async):
-    """Run a scenario with nodes ``n0`` to ``n2`` that know each other; the first one of their order comes first."""
+    """Run a scenario with nodes ``n0`` to ``n2`` that know each other, sorted so that the relay is the first."""
 
     def run(scenario):
         async def work():
@@ -105,7 +105,7 @@
 
 def test_one_node_calls_the_store_and_all_nodes_get_the_changes(with_nodes):
     async def scenario(store, nodes):
-        # Every node may have one call of its own in flight from before it knew its peers.
+        # Each node may still have one call of its own to the store in flight, made before it knew its peers.
         await until(lambda: all(node.rows.links for node in nodes[1:]))
         before = store.calls
         for number in range(20):
@@ -166,7 +166,7 @@
 
 
 def test_large_rows_are_sent_compressed(with_nodes):
-    """A configuration goes to each member of a zone over one node's link."""
+    """A relay sends a configuration to each member of its zone over its own link."""
     value = b'{"tenants":[' + b",".join(b'{"name":"t%d","keys":["k%d"]}' % (n, n) for n in range(500)) + b"]}"
 
     async def scenario(store, nodes):
--- a/tests/unit/cluster/test_relay_network.py
+++ b/tests/unit/cluster/test_relay_network.py
@@ -1,7 +1,7 @@
-"""A zone of nodes that follow the store through each other, in virtual time, under any order of failures.
+"""Nodes follow the store through each other in virtual time, under any sequence of failures.
 
-What must hold for each node at all times: it never goes back, and whatever had been written at the time up to which
-it calls its knowledge confirmed, it knows. After the failures every node knows everything soon.
+At all times, no node goes back to older rows, and each node has every row written before the time up to which it
+counts its rows as confirmed. After the failures every node soon has all rows.
 """
 
 import asyncio
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("zones", ["zzzz", "aabbccdd"])
 def test_a_row_that_was_deleted_and_forgotten_returns_with_the_copy(zones):
-    """Drawn by hand-run histories: a node that reads everything before the restore has never heard of the row."""
+    """Found in manual runs: a node that reads all rows before the restore has never seen the deleted row."""
 
     async def work():
         network = Network(zones)
@@ -112,16 +112,16 @@
 
 
 MAX_PROPAGATION_S = 1.6
-"""Within which a change is known everywhere: operators allow two seconds."""
+"""Seconds in which a change must reach every node; operators allow two seconds."""
 RECOVERY_S = 3.0
-"""Seconds that nodes are given after the store's return before bounds in time hold."""
+"""Seconds after the store's return from which changes must arrive in time."""
 
 
 @pytest.mark.parametrize("zones", ["zzzz", "abcd", "aabbccddeeffgg"])
 @pytest.mark.parametrize("outage_s", [0.0, 0.3, 2.5])
 @pytest.mark.parametrize("lost", [1, 6, 40])
 def test_writes_to_a_restored_store_reach_every_node_in_time(zones, outage_s, lost):
-    """Also if its count has passed the one from before when a node asks: nothing but the era tells that apart."""
+    """Also if the restored store has passed the old version when a node asks: only the era shows the restore."""
 
     async def work():
         network = Network(zones)
@@ -160,7 +160,7 @@
 @pytest.mark.parametrize("zones", ["zzzz", "abcd", "aabbccdd"])
 @pytest.mark.parametrize("fault", ["killed", "silent", "refusing", "cut"])
 def test_a_change_reaches_every_node_in_time_when_the_relay_fails(fault, zones):
-    """The bound that operators set for their changes is two seconds."""
+    """Operators require that their changes reach every node within two seconds."""
 
     async def work():
         network = Network(zones)
@@ -186,7 +186,7 @@
 @pytest.mark.parametrize("zones", ["zzzz", "aabbcc"])
 @pytest.mark.parametrize("phase", range(20))
 def test_a_relayed_page_is_as_old_as_the_answer_of_the_store(phase, zones):
-    """A relay cut off from the store goes on answering for a moment; what it says is not newer for that."""
+    """A relay cut off from the store keeps answering for a moment; this must not make its rows count as newer."""
 
     async def work():
         network = Network(zones)
@@ -221,13 +221,13 @@
 
 
 def test_rows_in_the_last_zone_are_fresh_enough_to_save_prompts():
-    """The oldest page of the store from which prompts are saved is two seconds old (``SAVE_FRESHNESS_S``)."""
+    """Prompts are saved only by a page of the store that is at most two seconds old (``SAVE_FRESHNESS_S``)."""
 
     async def work():
         network = Network("aabbccddeeffgg")
         network.store.write("a", b"1")
         for node in network.nodes.values():
-            # As every node does when it starts, before it knows any peer.
+            # Every node calls the store itself when it starts, before it knows any peer.
             sent_s = boot_time_s()
             node.clock.confirmed_s(sent_s, (await node.store.read_all()).store_s)
         await asyncio.sleep(5.0)
@@ -246,7 +246,7 @@
 
 
 def put_link_before_store(network, region="west", loses_call=lambda: False, round_trip_s=LINK_ROUND_TRIP_S):
-    """Put the link between the regions between a region and the store."""
+    """Make the nodes of a region reach the store over the link between regions."""
     for node in network.nodes_of_region(region):
         node.store.round_trip_s = round_trip_s
         node.store.loses_call = loses_call
@@ -260,7 +260,7 @@
 
 
 def test_rows_cross_the_link_between_regions_once():
-    """One node of each region asks the store, whichever region the store stands in."""
+    """One node of each region calls the store, whichever region the store is in."""
 
     async def work():
         network = Network(BOTH_REGIONS, REGIONS)
@@ -356,7 +356,7 @@
         near_s = await time_until_known(network, east, "a", b"2")
         while boot_time_s() - cut_at_s < cut_s:
             await asyncio.sleep(0.1)
-            # Nobody takes its knowledge for newer than the cut, so each can stop relying on it in time.
+            # No node counts its rows as confirmed after the cut, so each can stop relying on them in time.
             assert all(node.follower.confirmed_at_s <= cut_at_s + LINK_ROUND_TRIP_S for node in west)
         for node in west:
             node.store.mode = "well"
@@ -373,7 +373,7 @@
 
 @pytest.mark.parametrize(("round_trip_s", "lost_fraction"), [(0.044, 0.05), (0.3, 0.0), (0.3, 0.05)])
 def test_rows_of_a_region_stay_fresh_over_a_slow_and_lossy_link(round_trip_s, lost_fraction):
-    """Prompts are saved by a page of the store that is two seconds old; a lost call is found after 1.5 s."""
+    """Prompts are saved by a page at most two seconds old, and a lost call is only detected after 1.5 s."""
 
     async def work():
         network = Network(BOTH_REGIONS, REGIONS)
--- a/tests/unit/cluster/test_stated_limits.py
+++ b/tests/unit/cluster/test_stated_limits.py
@@ -1,4 +1,4 @@
-"""What a node takes from its own answers and from others' reports on limits that back ends state."""
+"""How a node handles limits that back ends state, from its own answers and from reports of other nodes."""
 
 import random
 
@@ -66,13 +66,13 @@
     ("answers", "limit_in_force"),
     [
         ([(3.0, 9.0, 10.0)], 3.0),
-        ([(3.0, 9.0, 10.0), (NO_LIMIT_PER_S, 9.5, 10.1)], 3.0),  # Sent before the limit was read.
+        ([(3.0, 9.0, 10.0), (NO_LIMIT_PER_S, 9.5, 10.1)], 3.0),  # The request was sent before the limit was read.
         ([(3.0, 9.0, 10.0), (NO_LIMIT_PER_S, 10.1, 10.2)], NO_LIMIT_PER_S),
-        ([(3.0, 9.0, 10.0), (1.0, 8.0, 10.1)], 1.0),  # A lower one holds at once.
+        ([(3.0, 9.0, 10.0), (1.0, 8.0, 10.1)], 1.0),  # A lower limit is in force at once.
         ([(3.0, 9.0, 10.0), (5.0, 9.5, 10.1)], 3.0),
         ([(3.0, 9.0, 10.0), (5.0, 10.05, 10.1)], 5.0),
         ([(NO_LIMIT_PER_S, 9.0, 10.0)], NO_LIMIT_PER_S),
-        ([(3.0, float("-inf"), 10.0)], 3.0),  # The answer to a report or an order.
+        ([(3.0, float("-inf"), 10.0)], 3.0),  # The answer to a call that is no request.
     ],
 )
 def test_answers_that_arrive_out_of_order(answers, limit_in_force):
@@ -90,7 +90,7 @@
         (None, ReportedLimit(None, 300, STARTED_MS), NO_LIMIT_PER_S),
         (None, ReportedLimit(2.0, 300, STARTED_MS - 1), NO_LIMIT_PER_S),
         (None, ReportedLimit(2.0, 300, RESTARTED_MS), NO_LIMIT_PER_S),
-        (3.0, ReportedLimit(2.0, 300, STARTED_MS), 3.0),  # Older than the node's own word.
+        (3.0, ReportedLimit(2.0, 300, STARTED_MS), 3.0),  # Older than the statement that the node read.
         (3.0, ReportedLimit(2.0, 50, STARTED_MS), 2.0),
         (3.0, ReportedLimit(None, 50, STARTED_MS), NO_LIMIT_PER_S),
     ],
@@ -164,7 +164,7 @@
         load.stated_limits.on_sent(BACKEND, at_s)
     answer(load, 2.0, 10.0)
     (level,) = load.limits.levels(10.0).values()
-    assert level == 1_000 - 3_000  # Half a second of the rate, less three requests.
+    assert level == 1_000 - 3_000  # Half a second of the rate, minus three requests.
 
 
 def test_a_limit_that_changes_with_each_answer_is_logged_once_a_second():
@@ -179,7 +179,7 @@
 
 
 def test_behind_a_relay_of_an_older_version_no_unused_rate_is_saved():
-    """It reports no level of a back end's limit, which must not be taken for a full one."""
+    """Such a relay reports no level of a back end's limit; this must not be read as a full level."""
     load = node()
     answer(load, 2.0, 10.0)
     load.limits.learn_levels({}, 10.1)
--- a/tests/unit/cluster/test_stated_limits_fleet.py
+++ b/tests/unit/cluster/test_stated_limits_fleet.py
@@ -1,4 +1,4 @@
-"""All nodes together keep the limit that a back end states, whatever happens to nodes and to what lies between."""
+"""All nodes together enforce the limit that a back end states, whatever nodes and links between them fail."""
 
 import pytest
 
@@ -89,7 +89,7 @@
     network = run_network(event, 7, per_s, 4 * per_s)
     assert network.largest_window_of_informed_nodes(ENFORCED_S, ENDED_S) <= max_requests_in_window(per_s)
     assert network.rate(ENFORCED_S, ENDED_S) >= 0.5 * per_s
-    # Of a slow rate the next request alone can show that the limit has ended.
+    # At a low rate, only the answer to the next request shows that the limit has ended.
     known_s = ENDED_S + max(2.0, 3 / per_s)
     assert not [at_s for at_s in network.passed_over_s if at_s >= known_s]
 
@@ -105,7 +105,7 @@
 @pytest.mark.parametrize("per_s", [0.3, 1.8, 3.0, 10.0])
 @pytest.mark.parametrize("seed", range(5))
 def test_requests_before_the_first_statement_are_compensated_within_the_window(per_s, seed):
-    """Guards against a debt that is forgiven too early: callers ask for all that a window allows at one moment."""
+    """Guards against a debt that is dropped too early: callers send all requests of a window at one moment."""
     network = LimitNetwork(seed, 3, stated(per_s), 4 * per_s)
     network.requested_per_s = 1e-6
     for number in range(int(max_requests_in_window(per_s))):
--- a/tests/unit/cluster/test_upstream.py
+++ b/tests/unit/cluster/test_upstream.py
@@ -1,4 +1,4 @@
-"""Whom a node follows: few follow the store, nobody is followed in a circle, and what fails is passed over."""
+"""Which peers a node follows: few nodes follow the store, none in a circle, and failed peers are passed over."""
 
 import random
 
@@ -82,7 +82,7 @@
 
 
 def test_the_nodes_with_the_fastest_links_relay():
-    """Found on a deployment of 69 nodes: in a storm of configurations the relays' thin links stood still."""
+    """Found on a deployment of 69 nodes: a burst of configurations saturated the low-bandwidth links of relays."""
     members = {
         name: NodeRecord(each.zone, each.relay, 200.0 if name == "n7" else 10.0) for name, each in fleet(12).items()
     }
@@ -125,7 +125,7 @@
 @settings(deadline=None)
 @given(count=st.integers(2, 60), seed=st.integers(0, 1 << 32))
 def test_nobody_follows_a_peer_of_another_region_or_in_a_circle(count, seed):
-    """Whatever each node knows of the others, believes of them, and knows of the zones."""
+    """Holds for any differences in the nodes, failures and regions of zones that each node knows."""
     rng = random.Random(seed)
     members = fleet(count, zones=6)
     names = sorted(members)
@@ -159,7 +159,7 @@
             continue
         first_zone, second_zone = zones
         assert REGIONS[first_zone] == REGIONS[second_zone] == REGIONS[members[name].zone]
-        # The relay of the second zone follows that of the first; it is asked only if the first does not answer.
+        # The second zone's relay follows the first zone's relay, and is asked only if the latter does not answer.
         second = regional_orders(members)[candidates[1]]
         assert [peer for peer, _ in second.candidates(0.0)] == candidates[:1]
         for lost in (each for each in members if members[each].zone == first_zone):
@@ -200,7 +200,7 @@
     delegates = {tuple(name for name, _ in order.delegates_of("east")) for order in known.values()}
     assert len(delegates) == 1
     (names,) = delegates
-    # A relay of each zone first, then those who take their places.
+    # The relays of the zones come first, then their replacements.
     assert len(names) == 9
     assert all(not known[name].followed_peers_in_zone(0.0) for name in names[:3])
     assert [known[name].delegate_rank(0.0) for name in names] == list(range(9))
