--- a/src/wallwell/cluster/crash_count.py
+++ b/src/wallwell/cluster/crash_count.py
@@ -9,10 +9,10 @@
 from wallwell.routing.admission.quarantine import Quarantine
 
 
-def count_crash(quarantine: Quarantine, content: str, incarnation: str, now_s: float) -> bool:
+def count_crash(quarantine: Quarantine, content_digest: str, incarnation: str, now_s: float) -> bool:
     """Count a crash of one incarnation of a back end; return False if it did not count. Logs a new quarantine."""
-    was_free = not quarantine.left_s(content, now_s)
-    is_news = quarantine.on_crash(content, incarnation, now_s)
-    if was_free and quarantine.left_s(content, now_s):
-        emit(Event.REQUEST_QUARANTINED, content=content, last_crashed=incarnation)
-    return is_news
+    was_not_quarantined = not quarantine.left_s(content_digest, now_s)
+    is_new_crash = quarantine.on_crash(content_digest, incarnation, now_s)
+    if was_not_quarantined and quarantine.left_s(content_digest, now_s):
+        emit(Event.REQUEST_QUARANTINED, content=content_digest, last_crashed=incarnation)
+    return is_new_crash
--- a/src/wallwell/cluster/crash_reports.py
+++ b/src/wallwell/cluster/crash_reports.py
@@ -32,11 +32,11 @@
         self._from_members: dict[Crash, float] = {}
         self._from_relays: dict[Crash, float] = {}
 
-    def receive_from_member(self, crashes: Iterable[Crash], now_s: float) -> None:
+    def on_member_report(self, crashes: Iterable[Crash], now_s: float) -> None:
         """Handle crashes that a member reported to this relay."""
         self._receive(self._from_members, crashes, now_s)
 
-    def receive_from_relay(self, crashes: Iterable[Crash], now_s: float) -> None:
+    def on_relay_report(self, crashes: Iterable[Crash], now_s: float) -> None:
         """Handle crashes reported by a relay: the one that this node reports to, or another relay."""
         self._receive(self._from_relays, crashes, now_s)
 
--- a/src/wallwell/cluster/demand.py
+++ b/src/wallwell/cluster/demand.py
@@ -21,8 +21,8 @@
     peers_generations: int | None = None
     """Generations that all other nodes reported recently; None without recent reports."""
 
-    def generations_per_s(self, now_s: float, nodes: int) -> float:
-        """Return the fleet's generations per second. Without reports, ``nodes`` nodes like this one are assumed."""
+    def generations_per_s(self, now_s: float, node_count: int) -> float:
+        """Return the fleet's generations per second; without reports, this node's times ``node_count``."""
         own_count = self.own_generations.count(now_s)
-        total = own_count * nodes if self.peers_generations is None else own_count + self.peers_generations
+        total = own_count * node_count if self.peers_generations is None else own_count + self.peers_generations
         return total / RATE_WINDOW_S
--- a/src/wallwell/cluster/fleet_load.py
+++ b/src/wallwell/cluster/fleet_load.py
@@ -47,19 +47,19 @@
             configuration=self.own_configuration_version or msgspec.UNSET,
         )
 
-    def update_from_peers(self, others: Load, nodes: int, now_s: float) -> None:
-        """Apply the summed load of all other nodes; ``nodes`` is the size of the fleet, 0 if unknown."""
-        self.stated_limits.on_reported(others.stated_limits, now_s)
+    def update_from_peers(self, others: Load, node_count: int, now_s: float) -> None:
+        """Apply the summed load of all other nodes; ``node_count`` is the size of the fleet, 0 if unknown."""
+        self.stated_limits.on_peer_report(others.stated_limits, now_s)
         if others.configuration is not msgspec.UNSET:
             self.peers_configuration_version = max(self.peers_configuration_version, others.configuration)
         self.backends.learn_peer_loads(others.requests)
         self.demand.peers_generations = others.generations
         self.first_token_delays.peers = others.delays
-        self.limits.learn_fleet(others.asked, others.nodes, nodes)
+        self.limits.learn_fleet(others.asked, others.nodes, node_count)
 
-    def forget_peers(self, nodes: int) -> None:
-        """Drop the loads of other nodes, which are too old; ``nodes`` is the size of the fleet, 0 if unknown."""
+    def forget_peers(self, node_count: int) -> None:
+        """Drop the expired loads of other nodes; ``node_count`` is the size of the fleet, 0 if unknown."""
         self.backends.forget_peer_loads()
         self.demand.peers_generations = None
         self.first_token_delays.peers = Delays()
-        self.limits.forget_fleet(nodes)
+        self.limits.forget_fleet(node_count)
--- a/src/wallwell/cluster/load_aggregator.py
+++ b/src/wallwell/cluster/load_aggregator.py
@@ -32,9 +32,9 @@
     def on_member_load(self, message: MemberLoad, now_s: float) -> OthersLoad:
         """Handle a member's report and return the load of all other nodes."""
         self._members.record(message.node, message.load, now_s)
-        self._crashes.receive_from_member(message.crashes, now_s)
+        self._crashes.on_member_report(message.crashes, now_s)
         # Done first: a limit new to this node must exist before the member's spending of it can be counted.
-        self._load.stated_limits.on_reported(message.load.stated_limits, now_s)
+        self._load.stated_limits.on_peer_report(message.load.stated_limits, now_s)
         limits = self._load.limits
         limits.take_member(message.spent, now_s)
         others = self._members.recent(now_s, excluding=message.node)
@@ -44,18 +44,18 @@
     def on_zone_load(self, message: ZoneLoad, now_s: float) -> None:
         """Handle the sum of another relay of this region."""
         self._relays.record(message.node, message.load, now_s)
-        self._crashes.receive_from_relay(message.crashes, now_s)
-        self._load.stated_limits.on_reported(message.load.stated_limits, now_s)
+        self._crashes.on_relay_report(message.crashes, now_s)
+        self._load.stated_limits.on_peer_report(message.load.stated_limits, now_s)
         self._load.limits.take_relay(message.node, message.life, message.spent_totals, now_s)
         if message.node not in self._totals:
             # Nodes are replaced under new names, and an entry lists every tenant that spends: drop old entries.
             self._totals = {name: entry for name, entry in self._totals.items() if _is_recent(entry[1], now_s)}
         self._totals[message.node] = (RelaySpentTotals(message.node, message.life, message.spent_totals), now_s)
 
-    def on_region_sum(self, received: RegionSum, now_s: float) -> None:
+    def on_region_report(self, received: RegionSum, now_s: float) -> None:
         """Handle the sum of another region."""
         self._regions.record(received.region, received.load, now_s)
-        self._load.stated_limits.on_reported(received.load.stated_limits, now_s)
+        self._load.stated_limits.on_peer_report(received.load.stated_limits, now_s)
         limits = self._load.limits
         for totals in received.relays:
             limits.take_relay(totals.relay, totals.life, totals.spent, now_s, is_near=False)
--- a/src/wallwell/cluster/load_reporter.py
+++ b/src/wallwell/cluster/load_reporter.py
@@ -57,7 +57,7 @@
         self._order = order
         self._aggregator = LoadAggregator(node, load, self._crashes)
         self.region_reporter = RegionLoadReporter(
-            order, self._own_region_sum, self._on_region_sum, self._on_region_lost, traffic or RegionTraffic()
+            order, self._own_region_sum, self._on_region_report, self._on_region_lost, traffic or RegionTraffic()
         )
         self._links = PeerLinks()
         self._peers_load_received_at_s = float("-inf")
@@ -87,7 +87,7 @@
         else:
             await self._exchange_with(self._order.other_relays(now_s))
         if boot_time_s() - self._peers_load_received_at_s >= REPORT_LIFETIME_S:
-            self._load.forget_peers(self._order.fleet_size())
+            self._load.forget_peers(self._order.node_count())
 
     # --- as a member -------------------------------------------------------------------------------------
 
@@ -99,7 +99,7 @@
         now_s = boot_time_s()
         self._update_from_peers(reply.load)
         self._load.limits.learn_levels(reply.levels, now_s)
-        self._crashes.receive_from_relay(reply.crashes, now_s)
+        self._crashes.on_relay_report(reply.crashes, now_s)
 
     async def _send_report(self, relay: Peer) -> OthersLoad | None:
         """Report to the relay; return its reply, or None without one: the spending is then reported again."""
@@ -148,19 +148,19 @@
     def _own_region_sum(self) -> RegionSum | None:
         """Return the sum of this node's region; None if the node is no relay."""
         now_s = boot_time_s()
-        if self._order.followed_peers_in_zone(now_s) or not self._order.fleet_size():
+        if self._order.followed_peers_in_zone(now_s) or not self._order.node_count():
             return None
         return self._aggregator.region_sum(self._order.topology.own_region, now_s)
 
-    def _on_region_sum(self, received: RegionSum) -> None:
-        self._aggregator.on_region_sum(received, boot_time_s())
+    def _on_region_report(self, received: RegionSum) -> None:
+        self._aggregator.on_region_report(received, boot_time_s())
 
     def _on_region_lost(self, last: RegionSum) -> None:
         self._aggregator.on_region_lost(last, boot_time_s())
 
     def _update_from_peers(self, load: Load) -> None:
         self._peers_load_received_at_s = boot_time_s()
-        self._load.update_from_peers(load, self._order.fleet_size(), self._peers_load_received_at_s)
+        self._load.update_from_peers(load, self._order.node_count(), self._peers_load_received_at_s)
 
     # --- requests of peers -------------------------------------------------------------------------------
 
--- a/src/wallwell/cluster/relay.py
+++ b/src/wallwell/cluster/relay.py
@@ -176,11 +176,11 @@
     async def _wait_for_change(self, after: int, wait_s: float) -> None:
         deadline_s = boot_time_s() + wait_s
         era = self.replica.era
-        while self._has_nothing_after(era, after) and (left_s := deadline_s - boot_time_s()) > 0:
+        while self._has_no_change_after(era, after) and (left_s := deadline_s - boot_time_s()) > 0:
             if not await ends_within(self._advanced.wait(), min(left_s, max(0.0, self._stale_s - self._age_s()))):
                 return
 
-    def _has_nothing_after(self, era: int, version: int) -> bool:
+    def _has_no_change_after(self, era: int, version: int) -> bool:
         return self.replica.era == era and self.replica.changed_version <= version
 
     def _age_s(self) -> float:
--- a/src/wallwell/cluster/stated_limits.py
+++ b/src/wallwell/cluster/stated_limits.py
@@ -77,7 +77,7 @@
         limit.on_answer(statement, now_s)
         self._on_limit_change(backend, limit, previous_per_s, now_s)
 
-    def on_reported(self, reported: Mapping[str, ReportedLimit] | msgspec.UnsetType, now_s: float) -> None:
+    def on_peer_report(self, reported: Mapping[str, ReportedLimit] | msgspec.UnsetType, now_s: float) -> None:
         """Handle the statements, by incarnation, that another node reports for itself and others."""
         if reported is msgspec.UNSET:
             return
--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -67,12 +67,12 @@
     def candidates(self, now_s: float) -> list[Peer]:
         """Return the peers to follow, best first; empty if this node follows the store itself."""
         in_zone = self.followed_peers_in_zone(now_s)
-        own = self.members.get(self.node)
-        if in_zone or own is None or not own.relay:
+        own_record = self.members.get(self.node)
+        if in_zone or own_record is None or not own_record.relay:
             return in_zone
         return self._relays_of_earlier_zones(now_s)
 
-    def fleet_size(self) -> int:
+    def node_count(self) -> int:
         """Return how many nodes are registered; 0 while this node is not, as it may not know the others then."""
         return len(self.members) if self.node in self.members else 0
 
@@ -109,8 +109,8 @@
         if self.node not in same_zone:
             return []
         ordered, n_relays = self._ordered_members(self.zone, same_zone)
-        before = ordered[: ordered.index(self.node)]
-        working = [name for name in before if self.health.is_working(name, now_s)][:n_relays]
+        preceding = ordered[: ordered.index(self.node)]
+        working = [name for name in preceding if self.health.is_working(name, now_s)][:n_relays]
         if len(working) < n_relays:
             return []
         working.sort(key=lambda name: rendezvous_score(name, key_of(self.node)))
--- a/tests/unit/cluster/limit_network.py
+++ b/tests/unit/cluster/limit_network.py
@@ -198,7 +198,7 @@
         for region in range(self.regions):
             if str(region) != message.region:
                 for relay in self._relays_of_region(region):
-                    relay.aggregator.on_region_sum(message, now_s)
+                    relay.aggregator.on_region_report(message, now_s)
 
     # --- faults ----------------------------------------------------------------------------------------------
 
--- a/tests/unit/cluster/test_load_reporter.py
+++ b/tests/unit/cluster/test_load_reporter.py
@@ -240,8 +240,8 @@
 def test_a_received_crash_is_relayed_for_a_limited_time():
     received = []
     reports = CrashReports(tuple, received.append)
-    reports.receive_from_member([("c", "e0")], 10.0)
-    reports.receive_from_relay([("d", "e1")], 10.0)
+    reports.on_member_report([("c", "e0")], 10.0)
+    reports.on_relay_report([("d", "e1")], 10.0)
     assert reports.crashes_for_other_relays(10.0) == (("c", "e0"),)
     assert set(reports.crashes_for_members(10.0 + RELAYED_CRASH_LIFETIME_S)) == {("c", "e0"), ("d", "e1")}
     assert (
@@ -254,17 +254,17 @@
 
 def test_a_crash_does_not_circulate_between_relays_forever():
     relays = [CrashReports(tuple, lambda crash: None) for _ in range(2)]
-    relays[0].receive_from_member([("c", "e0")], 0.0)
+    relays[0].on_member_report([("c", "e0")], 0.0)
     for step in range(100):
         now_s = 0.1 * step
-        relays[1].receive_from_relay(relays[0].crashes_for_other_relays(now_s), now_s)
-        relays[0].receive_from_relay(relays[1].crashes_for_other_relays(now_s), now_s)
+        relays[1].on_relay_report(relays[0].crashes_for_other_relays(now_s), now_s)
+        relays[0].on_relay_report(relays[1].crashes_for_other_relays(now_s), now_s)
     assert relays[0].crashes_for_members(10.0) == relays[1].crashes_for_members(10.0) == ()
 
 
 def test_crashes_in_a_message_are_bounded_and_unwritten_ones_come_first():
     own = [(f"c{number}", "e0") for number in range(MAX_CRASHES_PER_MESSAGE - 1)]
     reports = CrashReports(lambda: own, lambda crash: None)
-    reports.receive_from_member([("m1", "e0"), ("m2", "e0")], 0.0)
+    reports.on_member_report([("m1", "e0"), ("m2", "e0")], 0.0)
     assert reports.crashes_for_members(0.0) == (*own, ("m1", "e0"))
     assert reports.crashes_for_own_relay() == tuple(own)
--- a/tests/unit/cluster/test_load_reports.py
+++ b/tests/unit/cluster/test_load_reports.py
@@ -35,6 +35,6 @@
 def test_without_reports_other_nodes_are_assumed_to_get_as_much_as_this_one():
     demand = FleetDemand()
     demand.own_generations.add(0.0)
-    assert demand.generations_per_s(0.1, nodes=8) == 8 / RATE_WINDOW_S
+    assert demand.generations_per_s(0.1, node_count=8) == 8 / RATE_WINDOW_S
     demand.peers_generations = 3
-    assert demand.generations_per_s(0.1, nodes=8) == 4 / RATE_WINDOW_S
+    assert demand.generations_per_s(0.1, node_count=8) == 4 / RATE_WINDOW_S
--- a/tests/unit/cluster/test_stated_limits.py
+++ b/tests/unit/cluster/test_stated_limits.py
@@ -99,7 +99,7 @@
     load = node()
     if own is not None:
         answer(load, own, 9.9)
-    load.stated_limits.on_reported({BACKEND: reported}, 10.0)
+    load.stated_limits.on_peer_report({BACKEND: reported}, 10.0)
     assert limit_of(load) == limit_in_force
 
 
@@ -114,7 +114,7 @@
 
 def test_a_node_reports_only_what_it_read_itself_and_for_a_limited_time():
     load = node()
-    load.stated_limits.on_reported({BACKEND: ReportedLimit(2.0, 0, STARTED_MS)}, 10.0)
+    load.stated_limits.on_peer_report({BACKEND: ReportedLimit(2.0, 0, STARTED_MS)}, 10.0)
     assert load.own_load(10.0).stated_limits is msgspec.UNSET
     answer(load, 2.0, 10.5)
     assert load.own_load(11.0).stated_limits == {BACKEND: ReportedLimit(2.0, 500, STARTED_MS)}
