--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -118,7 +118,7 @@
 
     def other_relays(self, now_s: float) -> list[Peer]:
         """Return the other relays of this node's region."""
-        relays = [peer for zone in self._own_zones() for peer in self._relays_of(zone, now_s)]
+        relays = [relay for zone in self._own_zones() for relay in self._relays_of(zone, now_s)]
         return [peer for peer in relays if peer.name != self.node]
 
     def _relays_of(self, zone: str, now_s: float) -> list[Peer]:
