--- a/src/wallwell/cluster/crash_count.py
+++ b/src/wallwell/cluster/crash_count.py
@@ -1,6 +1,6 @@
-"""Counting a crash against a request, the same for both routers.
+"""Counts a crash of a back end against the request that it was running; shared by both routers.
 
-Relies on :mod:`wallwell.routing.admission.quarantine` for the decision; logs a quarantine that begins.
+:mod:`wallwell.routing.admission.quarantine` decides on quarantines; this module logs each new one.
 """
 
 from __future__ import annotations
@@ -9,10 +9,10 @@
 from wallwell.routing.admission.quarantine import Quarantine
 
 
-def count_crash(quarantine: Quarantine, content: str, life: str, now_s: float) -> bool:
-    """Count a crash of one life of a back end; returns whether it was news. A quarantine that begins is logged."""
-    was_free = not quarantine.left_s(content, now_s)
-    is_news = quarantine.on_crash(content, life, now_s)
-    if was_free and quarantine.left_s(content, now_s):
-        emit(Event.REQUEST_QUARANTINED, content=content, last_crashed=life)
-    return is_news
+def count_crash(quarantine: Quarantine, content_digest: str, incarnation: str, now_s: float) -> bool:
+    """Count a crash of one incarnation of a back end; return False if it did not count. Logs a new quarantine."""
+    was_not_quarantined = not quarantine.left_s(content_digest, now_s)
+    is_new_crash = quarantine.on_crash(content_digest, incarnation, now_s)
+    if was_not_quarantined and quarantine.left_s(content_digest, now_s):
+        emit(Event.REQUEST_QUARANTINED, content=content_digest, last_crashed=incarnation)
+    return is_new_crash
--- a/src/wallwell/cluster/crash_reports.py
+++ b/src/wallwell/cluster/crash_reports.py
@@ -1,11 +1,11 @@
-"""Crashes that the store does not have yet, reported between nodes with their loads. Pure.
+"""Reports crashes that are not in the store yet between nodes, along with their loads. Pure.
 
-Nodes learn of crashes by the store's rows. While the store takes no writes, what each node has seen goes up to its
-relay and down again, as loads do: relays report to each other what their members reported, and to their members
-everything. So a request that crashes back ends is known to a region within some exchanges (0.05 s each) all the
-same. Nothing is reported while the store takes writes.
+Nodes normally learn of crashes from rows of the store. While the store accepts no writes, each node reports the
+crashes that it detected to its relay. Relays report their members' crashes to each other, and all crashes to their
+members. A request that crashes back ends is thus known to a whole region within a few exchanges (0.05 s each) even
+then. Nothing is reported while the store accepts writes.
 
-Owns what was received recently. Relies on ``node/crash_watch.py`` for this node's own unwritten crashes.
+Owns the crashes received recently. Relies on ``node/crash_watch.py`` for this node's own unwritten crashes.
 """
 
 from __future__ import annotations
@@ -13,57 +13,57 @@
 from collections.abc import Callable, Iterable, Sequence
 
 Crash = tuple[str, str]
-"""A request's content and the incarnation that ended under it."""
-RELAYED_FOR_S = 2.0
-"""Seconds for which a received crash is reported on: many exchanges, some of which fail. Who saw a crash reports it
-until it is written."""
-MAX_REPORTED = 32
-"""Crashes in one message, some 2 KB; the newest first, since those of a request that goes on matter most."""
+"""Digest of a request's content, and the incarnation of the back end that crashed while running the request."""
+RELAYED_CRASH_LIFETIME_S = 2.0
+"""Seconds for which a received crash is forwarded: many exchanges, since some of them fail. The node that detected
+a crash reports it until it is written to the store."""
+MAX_CRASHES_PER_MESSAGE = 32
+"""Crashes in one message, about 2 KB; newest first, since a request that is still causing crashes matters most."""
 
 
 class CrashReports:
-    """One node's part. Times are on its clock."""
+    """Crashes that one node has received from its peers and reports to them. Times are seconds on its clock."""
 
-    def __init__(self, own: Callable[[], Sequence[Crash]], listener: Callable[[Crash], None]) -> None:
-        """``own`` gives what this node has seen and not written, newest first; ``listener`` gets what is
-        received."""
-        self._own = own
-        self._listener = listener
+    def __init__(self, unwritten: Callable[[], Sequence[Crash]], on_received: Callable[[Crash], None]) -> None:
+        """``unwritten`` returns the crashes that this node has detected and not written to the store yet,
+        newest first; ``on_received`` is called with each received crash."""
+        self._unwritten = unwritten
+        self._on_received = on_received
         self._from_members: dict[Crash, float] = {}
         self._from_relays: dict[Crash, float] = {}
 
-    def receive_from_member(self, crashes: Iterable[Crash], now_s: float) -> None:
-        """Take what a member reported to this relay."""
+    def on_member_report(self, crashes: Iterable[Crash], now_s: float) -> None:
+        """Handle crashes that a member reported to this relay."""
         self._receive(self._from_members, crashes, now_s)
 
-    def receive_from_relay(self, crashes: Iterable[Crash], now_s: float) -> None:
-        """Take what a relay reported, this node's own or another one."""
+    def on_relay_report(self, crashes: Iterable[Crash], now_s: float) -> None:
+        """Handle crashes reported by a relay: the one that this node reports to, or another relay."""
         self._receive(self._from_relays, crashes, now_s)
 
-    def _receive(self, known: dict[Crash, float], crashes: Iterable[Crash], now_s: float) -> None:
+    def _receive(self, received_at_s: dict[Crash, float], crashes: Iterable[Crash], now_s: float) -> None:
         for crash in crashes:
-            known[crash] = now_s
-            self._listener(crash)
+            received_at_s[crash] = now_s
+            self._on_received(crash)
 
-    def for_relay(self) -> tuple[Crash, ...]:
-        """Return what a member reports to its relay."""
-        return tuple(self._own()[:MAX_REPORTED])
+    def crashes_for_own_relay(self) -> tuple[Crash, ...]:
+        """Return the crashes that this node reports to its relay as a member."""
+        return tuple(self._unwritten()[:MAX_CRASHES_PER_MESSAGE])
 
-    def for_relays(self, now_s: float) -> tuple[Crash, ...]:
-        """Return what a relay reports to the others: nothing that it has from one of them, or it would circle
-        forever."""
-        return self._bounded((self._from_members,), now_s)
+    def crashes_for_other_relays(self, now_s: float) -> tuple[Crash, ...]:
+        """Return the crashes that this relay reports to other relays. Crashes received from another relay are left
+        out, since relays would otherwise send them back and forth forever."""
+        return self._unwritten_and_recent((self._from_members,), now_s)
 
-    def for_members(self, now_s: float) -> tuple[Crash, ...]:
-        """Return what a relay reports to its members."""
-        return self._bounded((self._from_members, self._from_relays), now_s)
+    def crashes_for_members(self, now_s: float) -> tuple[Crash, ...]:
+        """Return the crashes that this relay reports to its members."""
+        return self._unwritten_and_recent((self._from_members, self._from_relays), now_s)
 
-    def _bounded(self, sources: Iterable[dict[Crash, float]], now_s: float) -> tuple[Crash, ...]:
-        reported = dict.fromkeys(self._own())
-        for known in sources:
-            for crash, received_s in list(known.items()):
-                if now_s - received_s > RELAYED_FOR_S:
-                    del known[crash]
+    def _unwritten_and_recent(self, sources: Iterable[dict[Crash, float]], now_s: float) -> tuple[Crash, ...]:
+        reported = dict.fromkeys(self._unwritten())
+        for received_at_s in sources:
+            for crash, at_s in list(received_at_s.items()):
+                if now_s - at_s > RELAYED_CRASH_LIFETIME_S:
+                    del received_at_s[crash]
                 else:
                     reported[crash] = None
-        return tuple(reported)[:MAX_REPORTED]
+        return tuple(reported)[:MAX_CRASHES_PER_MESSAGE]
--- a/src/wallwell/cluster/peer_link.py
+++ b/src/wallwell/cluster/peer_link.py
@@ -1,8 +1,8 @@
-"""Requests between nodes: JSON lines over TCP, one request and one reply at a time on a connection.
+"""Requests between nodes: JSON lines over TCP, with one request and one reply at a time per connection.
 
-For everything that nodes report to and ask of each other. Owns the connections, and which peers do not answer, so
-that each change of that is logged once. Relies on callers for whom to ask and how long to wait, and on
-:mod:`wallwell.socket_options` to end connections whose peer is silent.
+All messages between nodes use these links. Owns the connections, and the set of peers that do not answer, so that
+each change is logged once. Callers choose the peer and the time-out. Relies on :mod:`wallwell.socket_options` to
+end connections whose peer is silent.
 """
 
 from __future__ import annotations
@@ -19,69 +19,69 @@
 from wallwell.socket_options import end_when_silent
 
 MAX_LINE_BYTES = 16 * 1024 * 1024
-"""Bytes of the longest message, so that a peer that sends no end of line cannot fill the memory: a whole table of
-rows is one message."""
+"""Bytes of the longest message, so that a peer that sends no end of line cannot exhaust memory. Large, since all
+rows of a table are sent in one message."""
 CONNECT_TIMEOUT_S = 0.3
-"""Seconds for a connection: several times the 40 ms there and back between two regions."""
-UNACKNOWLEDGED_S = 1.0
-"""Seconds after which a link ends whose peer acknowledges nothing; requests have shorter or similar time-outs."""
-REFUSALS_LOGGED_EVERY_S = 10.0
-"""Seconds between two log lines of refused requests, since a peer of another version connects again at once."""
-MAX_SILENT_KNOWN = 1000
-"""Addresses remembered as silent. Nodes are replaced under new addresses, and the old ones never answer again."""
+"""Seconds in which a connection must be made: several times the round trip of 40 ms between two regions."""
+UNACKNOWLEDGED_TIMEOUT_S = 1.0
+"""Seconds without acknowledgements after which a connection ends; requests have shorter or similar time-outs."""
+REFUSAL_LOG_INTERVAL_S = 10.0
+"""Seconds between two log lines about refused requests: a peer of another version reconnects at once each time."""
+MAX_FAILING_PEERS = 1000
+"""Failing addresses remembered at most. Nodes are replaced under new addresses; the old ones never answer again."""
 
 Reply = TypeVar("Reply", bound=msgspec.Struct)
 Handler = Callable[[Any], Awaitable[msgspec.Struct]]
 
 
 class PeerMessage(msgspec.Struct, frozen=True, tag=True):
-    """Base of requests between nodes; the class's name travels as ``type``."""
+    """Base of requests between nodes; the class name is sent as ``type``."""
 
 
-class PeerAnswers:
-    """Which peers do not answer, by address, so that only changes are logged: requests go out 20 times a second."""
+class PeerFailureLog:
+    """Logs when a peer stops or resumes answering, once per change, since requests are sent 20 times a second."""
 
     def __init__(self) -> None:
-        self._failing: dict[str, Event] = {}
+        self._last_failures: dict[str, Event] = {}
 
     def on_answer(self, address: str) -> None:
-        """A peer answered."""
-        if self._failing.pop(address, None) is not None:
+        """Record that a peer answered, and log it if its last request failed."""
+        if self._last_failures.pop(address, None) is not None:
             emit(Event.PEER_ANSWERS, peer=address)
 
     def on_failure(self, address: str, request: str, error: Exception) -> None:
-        """A peer did not answer, or its reply could not be decoded."""
+        """Record that a peer did not answer or that its reply could not be decoded, and log it if that is new."""
         is_unreadable = isinstance(error, msgspec.MsgspecError | UnicodeError)
         event = Event.PEER_REPLY_UNREADABLE if is_unreadable else Event.PEER_SILENT
-        if self._failing.get(address) is event:
+        if self._last_failures.get(address) is event:
             return
-        self._failing[address] = event
-        if len(self._failing) > MAX_SILENT_KNOWN:
-            del self._failing[next(iter(self._failing))]
+        self._last_failures[address] = event
+        if len(self._last_failures) > MAX_FAILING_PEERS:
+            del self._last_failures[next(iter(self._last_failures))]
         emit(event, peer=address, request=request, reason=f"{type(error).__name__}: {error}")
 
 
 class PeerLink:
-    """One connection to a peer, made when it is needed."""
+    """One connection to a peer, opened on the first request."""
 
-    def __init__(self, address: str, answers: PeerAnswers | None = None) -> None:
+    def __init__(self, address: str, failure_log: PeerFailureLog | None = None) -> None:
         self.address = address
-        self._answers = answers or PeerAnswers()
+        self._failure_log = failure_log or PeerFailureLog()
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def ask(self, request: PeerMessage, reply_type: type[Reply], timeout_s: float) -> Reply:
-        """Return the peer's reply. Raises :class:`PeerUnavailableError`; the connection is then made anew."""
+        """Return the peer's reply. Raises :class:`PeerUnavailableError` and closes the connection on failure."""
         try:
             line = await self._round_trip(msgspec.json.encode(request) + b"\n", timeout_s)
             reply = msgspec.json.decode(line, type=reply_type)
         except (OSError, TimeoutError, EOFError, ValueError, msgspec.MsgspecError) as error:
             self.close()
-            self._answers.on_failure(self.address, type(request).__name__, error)
+            self._failure_log.on_failure(self.address, type(request).__name__, error)
             raise PeerUnavailableError(f"{self.address}: {type(error).__name__}") from error
         except BaseException:
             self.close()
             raise
-        self._answers.on_answer(self.address)
+        self._failure_log.on_answer(self.address)
         return reply
 
     async def _round_trip(self, line: bytes, timeout_s: float) -> bytes:
@@ -89,60 +89,60 @@
             host, _, port = self.address.rpartition(":")
             async with bounded(CONNECT_TIMEOUT_S):
                 self._streams = await asyncio.open_connection(host, int(port), limit=MAX_LINE_BYTES)
-            end_when_silent(self._streams[1].transport, UNACKNOWLEDGED_S)
+            end_when_silent(self._streams[1].transport, UNACKNOWLEDGED_TIMEOUT_S)
         reader, writer = self._streams
         writer.write(line)
         async with bounded(timeout_s):
             return await reader.readuntil(b"\n")
 
     def close(self) -> None:
-        """Close the connection; the next request makes another."""
+        """Close the connection; the next request opens a new one."""
         if self._streams is not None:
             self._streams[1].transport.abort()
             self._streams = None
 
 
 class PeerLinks:
-    """Links by the peer's name; those that are not needed any more are closed."""
+    """Links to peers by name; :meth:`keep` closes the links that are no longer needed."""
 
     def __init__(self) -> None:
         self._links: dict[str, PeerLink] = {}
-        self._answers = PeerAnswers()
-        """Outlives the links: one that failed is often closed and made again."""
+        self._failure_log = PeerFailureLog()
+        """Shared by all links and kept longer than they are: a link that failed is often closed and replaced."""
 
     def __len__(self) -> int:
         return len(self._links)
 
     def to(self, name: str, address: str) -> PeerLink:
-        """Return the link to a peer, a new one if its address has changed."""
+        """Return the link to a peer; replace it if the peer's address has changed."""
         link = self._links.get(name)
         if link is None or link.address != address:
             if link is not None:
                 link.close()
-            link = self._links[name] = PeerLink(address, self._answers)
+            link = self._links[name] = PeerLink(address, self._failure_log)
         return link
 
     def keep(self, names: set[str]) -> None:
-        """Close the links to all other peers."""
+        """Close the links to all peers other than ``names``."""
         for name in [name for name in self._links if name not in names]:
             self._links.pop(name).close()
 
 
 class PeerServer:
-    """Answers peers; ``handlers`` has one entry for each type of request."""
+    """Serves requests of peers; ``handlers`` has one entry per type of request."""
 
     def __init__(self, handlers: Mapping[type[PeerMessage], Handler]) -> None:
         self._handlers = handlers
-        self._decoder = msgspec.json.Decoder(_union(tuple(handlers)))
+        self._decoder = msgspec.json.Decoder(_union_of(tuple(handlers)))
         self._server: asyncio.Server | None = None
         self._connections: set[asyncio.Task[None]] = set()
-        self._refusals = 0
-        """Requests refused since this was logged last."""
+        self._unlogged_refusals = 0
+        """Requests refused since the last log line about refusals."""
         self._refusal_logged_s = float("-inf")
         self.address = ""
 
     async def start(self, host: str, port: int) -> None:
-        """Listen. Raises OSError if the address cannot be used."""
+        """Listen on an address. Raises OSError if the address cannot be used."""
         self._server = await asyncio.start_server(self._serve, host, port, limit=MAX_LINE_BYTES)
         self.address = f"{host}:{self._server.sockets[0].getsockname()[1]}"
 
@@ -151,29 +151,29 @@
         assert task is not None
         self._connections.add(task)
         try:
-            await self._answer_all(reader, writer)
+            await self._serve_requests(reader, writer)
         except OSError:
-            pass  # The peer is gone or out of reach; what it wanted is its own matter, and it logs that.
+            pass  # The peer is gone or unreachable; it logs the failure of its request itself.
         except (ValueError, KeyError, msgspec.MsgspecError) as error:
             self._on_refusal(writer.get_extra_info("peername"), error)
         except asyncio.CancelledError:
-            pass  # Closed below; the task ends here, and asyncio would log a cancelled one as an error.
+            pass  # Closed below. Not raised again, since asyncio would log a cancelled connection task as an error.
         finally:
             self._connections.discard(task)
             writer.transport.abort()
 
     def _on_refusal(self, peer: Any, error: Exception) -> None:
-        """Log a request that was refused; the peer sees a closed connection and connects again."""
-        self._refusals += 1
+        """Count a refused request, and log refusals at an interval. The peer's connection is closed."""
+        self._unlogged_refusals += 1
         now_s = boot_time_s()
-        if now_s - self._refusal_logged_s < REFUSALS_LOGGED_EVERY_S:
+        if now_s - self._refusal_logged_s < REFUSAL_LOG_INTERVAL_S:
             return
         reason = f"{type(error).__name__}: {error}"
-        emit(Event.PEER_REQUEST_REFUSED, peer=str(peer), reason=reason, refused=self._refusals)
+        emit(Event.PEER_REQUEST_REFUSED, peer=str(peer), reason=reason, refused=self._unlogged_refusals)
         self._refusal_logged_s = now_s
-        self._refusals = 0
+        self._unlogged_refusals = 0
 
-    async def _answer_all(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while line := await reader.readline():
             request = self._decoder.decode(line)
             reply = await self._handlers[type(request)](request)
@@ -181,15 +181,15 @@
             await writer.drain()
 
     def close(self) -> None:
-        """Stop listening and end the connections of peers, which then go elsewhere at once."""
+        """Stop listening and close the connections of peers, which then turn to other nodes at once."""
         if self._server is not None:
             self._server.close()
         for task in list(self._connections):
             task.cancel()
 
 
-def _union(types: tuple[type[PeerMessage], ...]) -> Any:
+def _union_of(types: tuple[type[PeerMessage], ...]) -> Any:
     union: Any = types[0]
-    for each in types[1:]:
-        union = union | each
+    for message_type in types[1:]:
+        union = union | message_type
     return union
--- a/tests/unit/cluster/relay_network.py
+++ b/tests/unit/cluster/relay_network.py
@@ -1,4 +1,4 @@
-"""Nodes that follow a store through each other, with links that are cut and a store that fails, in virtual time."""
+"""Simulates nodes that follow a store through each other in virtual time, with cut links and store failures."""
 
 import asyncio
 import random
@@ -17,19 +17,19 @@
 WAIT_S = 0.8
 ROUND_TRIP_S = 0.004
 STORE_OFFSET_S = -900.0
-NOWHERE = (0, 0)
-"""Before every position of a store."""
+BEFORE_ALL_POSITIONS = (0, 0)
+"""A store position lower than any real one."""
 SETTLE_S = 25.0
 
 
 class Store(MemoryRows):
-    """Rows with the times of their writes; wakes who waits."""
+    """The store's rows with the times of their writes; a write wakes the calls held for a change."""
 
     def __init__(self):
         super().__init__()
         self.calls = 0
         self.written = {}
-        """When each row was written, and its position: of rows in a copy that of their writing."""
+        """Time and position of the last write of each row; a restore brings back those of the copy."""
         self.restored_s = float("-inf")
         self._changed = asyncio.Event()
 
@@ -62,20 +62,20 @@
 
 
 class StoreOfNode:
-    """The store as one node reaches it: well, refusing, or silent."""
+    """One node's connection to the store, whose mode is well (working), refusing or silent."""
 
     def __init__(self, store):
         self.store = store
         self.mode = "well"
         self.round_trip_s = ROUND_TRIP_S
-        self.loses = lambda: False
+        self.loses_call = lambda: False
         self.calls = 0
 
     async def _call(self, read):
         self.store.calls += 1
         self.calls += 1
         mode = self.mode
-        if self.loses():
+        if self.loses_call():
             mode = "silent"
         await asyncio.sleep(self.round_trip_s / 2)
         if mode == "refusing":
@@ -99,7 +99,7 @@
 
 
 class VirtualLink:
-    """A link to a node in this process; cut links and frozen nodes say nothing, killed ones refuse at once."""
+    """A link to a node in this process: a cut link never answers, a killed node refuses at once."""
 
     def __init__(self, network, asker, name):
         self._network, self._asker, self._name = network, asker, name
@@ -146,8 +146,8 @@
 
     def _start(self):
         self.clock = StoreClock()
-        self.known = {}
-        """Position and value by key."""
+        self.known_rows = {}
+        """Position and value of each received row, by key."""
         self.era = 0
         self.rows = RelayedRows("rows", self.store, self.order, self.clock, WAIT_S)
         self.rows.links = VirtualLinks(self._network, self.name)
@@ -155,31 +155,33 @@
         self.task = asyncio.create_task(self._run())
 
     async def _run(self):
-        # Nodes do not begin together, so that their readings are held open at different times.
+        # Nodes start at different times, so that their held calls do not end at the same time.
         await asyncio.sleep(self.rng.uniform(0.0, WAIT_S))
         await self.follower.run()
 
     def _apply(self, followed):
         if followed.whole:
-            self.known = {}
+            self.known_rows = {}
         assert followed.page.era >= self.era, "an earlier era came after a later one"
         self.era = followed.page.era
         for row in followed.page.rows:
             position = (self.era, row.version)
-            assert position >= self.known.get(row.key, (NOWHERE, b""))[0], "a row went back"
-            self.known[row.key] = (position, row.value)
+            assert position >= self.known_rows.get(row.key, (BEFORE_ALL_POSITIONS, b""))[0], "a row went back"
+            self.known_rows[row.key] = (position, row.value)
         self.check(followed.confirmed_at_s)
 
     def check(self, confirmed_at_s):
-        """Everything written before the time of confirmation is known; nothing counts as confirmed in an era that
-        was over by then."""
+        """Assert that every row written before ``confirmed_at_s`` is here, and that no time after the end of an era
+        counts as confirmed in it."""
         if self.era < self._network.store.era:
-            assert confirmed_at_s <= self._network.store.restored_s, "an era that is over looks confirmed"
-            return  # What the copy lists again may have been deleted as far as this node knows.
+            assert confirmed_at_s <= self._network.store.restored_s, "a past era is confirmed after its end"
+            return  # This node may still see a row as deleted that the restored copy contains.
         for key in self._network.store.rows:
             written_s, position = self._network.store.written[key]
             if written_s < confirmed_at_s:
-                assert self.known.get(key, (NOWHERE, b""))[0] >= position, "knowledge looks newer than it is"
+                assert self.known_rows.get(key, (BEFORE_ALL_POSITIONS, b""))[0] >= position, (
+                    "the node lacks a row that it counts as confirmed"
+                )
 
     def kill(self):
         self.alive = False
@@ -193,7 +195,7 @@
 
 class Network:
     def __init__(self, zones="zzzz", regions=None):
-        """``zones`` has a letter for each node; ``regions`` gives the region of each zone."""
+        """``zones`` has one letter per node; ``regions`` maps zones to regions."""
         self.regions = regions or {}
         self.store = Store()
         self.store._now_s = lambda: boot_time_s() + STORE_OFFSET_S
@@ -210,7 +212,7 @@
             node.store.mode = "well"
             node.restart()
 
-    def root(self, region=None):
+    def node_following_store(self, region=None):
         return next(
             node
             for node in self.nodes.values()
@@ -218,5 +220,5 @@
             and (region is None or self.regions[node.order.zone] == region)
         )
 
-    def of_region(self, region):
+    def nodes_of_region(self, region):
         return [node for node in self.nodes.values() if self.regions[node.order.zone] == region]
--- a/tests/unit/cluster/test_leases.py
+++ b/tests/unit/cluster/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: one valid holder, rising fences, no harm from a paused holder."""
+"""Leases have at most one valid holder and rising fences, and a paused holder can do no harm."""
 
 import pytest
 from hypothesis import settings
@@ -16,7 +16,7 @@
 
 
 class TableOfNode:
-    """The table as one node reaches it: only its answers tell of a new era."""
+    """One node's access to the table; the node learns of a new era only from answers."""
 
     def __init__(self, machine, era):
         self._machine = machine
@@ -34,9 +34,9 @@
 
 
 class LeaseMachine(RuleBasedStateMachine):
-    """Nodes acquire, renew, pause and release one lease; answers are lost, and the table comes back from copies.
+    """Nodes acquire, renew, pause and release one lease; answers are lost, and the table is restored from copies.
 
-    Time only moves forward. A node hears of another era by an answer of its own.
+    Time only moves forward. A node learns of another era only from answers to its own calls.
     """
 
     def __init__(self):
@@ -48,7 +48,7 @@
         self.obeyed_fence = 0
         self.keepers = [self.new_keeper(index) for index in range(NODES)]
         self.holders = {}
-        """Who has held the lease with which fence."""
+        """The node that used each fence."""
 
     def new_keeper(self, index):
         era = StoreEra()
@@ -86,7 +86,7 @@
 
     @rule(node=st.integers(0, NODES - 1))
     def order(self, node):
-        """A node that was paused for any time sends an order with its last fence; the engine compares fences."""
+        """A node that may have been paused sends an order with its last fence; the engine refuses lower fences."""
         held = self.keepers[node].held
         if held is not None and held.fence >= self.obeyed_fence:
             self.obeyed_fence = held.fence
@@ -105,7 +105,7 @@
 
     def is_valid(self, keeper):
         try:
-            keeper.check(self.now_s)
+            keeper.require_held(self.now_s)
         except LeaseLostError:
             return False
         return True
@@ -115,7 +115,7 @@
 TestLeaseMachine.settings = settings(max_examples=150, stateful_step_count=40, derandomize=True, deadline=None)
 
 
-def test_a_released_lease_is_taken_at_once_and_an_expired_one_after_its_time():
+def test_a_released_lease_is_acquired_at_once_and_an_abandoned_one_after_its_time():
     table = FaultyTable()
     first, second = (LeaseKeeper("l", name, TTL_S, table) for name in ("a", "b"))
     held = drive(first.try_acquire(0.0))
@@ -127,11 +127,11 @@
     assert drive(first.try_acquire(12.9)) is None
     assert drive(first.try_acquire(13.0)).fence > taken.fence
     with pytest.raises(LeaseLostError):
-        second.check(13.0)
+        second.require_held(13.0)
 
 
 class RestoredTable:
-    """A table with leases of two nodes that comes back from a copy; the time is the test's."""
+    """A table of leases that the test can restore from a copy, with a clock that the test sets."""
 
     def __init__(self):
         self.table = FaultyTable()
@@ -154,65 +154,65 @@
         return drive(keeper.try_acquire(self.now_s))
 
     def acquire_once_allowed(self, keeper):
-        """Hear of the era, wait until a lease may begin in it, and take it."""
+        """Learn of the new era, wait until a lease may start in it, and acquire the lease."""
         assert self.acquire(keeper) is None
         self.now_s += TTL_S
         return self.acquire(keeper)
 
 
 @pytest.mark.parametrize("has_row", [False, True], ids=["no row in the copy", "an older row in the copy"])
-@pytest.mark.parametrize("is_new", [False, True], ids=["a node that was there", "a node that has just started"])
+@pytest.mark.parametrize("is_new", [False, True], ids=["a running node", "a node that has just started"])
 def test_fences_rise_over_a_restore_that_lost_the_highest(has_row, is_new):
-    world = RestoredTable()
-    first, second = world.keeper("a"), world.keeper("b")
-    copy = world.copy()
-    world.acquire(first)
+    restored = RestoredTable()
+    first, second = restored.keeper("a"), restored.keeper("b")
+    copy = restored.copy()
+    restored.acquire(first)
     drive(first.release())
     if has_row:
-        copy = world.copy()
-    world.acquire(second)
+        copy = restored.copy()
+    restored.acquire(second)
     drive(second.release())
     fences = []
     for _ in range(5):
-        world.now_s += 3 * TTL_S
-        fences.append(world.acquire(first).fence)
+        restored.now_s += 3 * TTL_S
+        fences.append(restored.acquire(first).fence)
         drive(first.release())
-    world.restore(copy)
-    keeper = world.keeper("c") if is_new else second
-    assert world.acquire_once_allowed(keeper).fence > max(fences)
-
-
-def test_a_lease_whose_row_the_copy_lacks_is_taken_over_only_after_its_time():
-    world = RestoredTable()
-    first, second = world.keeper("a"), world.keeper("b")
-    world.acquire(first)
-    world.restore((0, {}))
-    world.now_s = 0.5
-    assert world.acquire(second) is None
-    world.now_s = TTL_S
-    assert world.acquire(second) is None
-    world.now_s = TTL_S + 0.5
-    assert world.acquire(second) is not None
-
-
-def test_a_holder_that_hears_of_a_restore_holds_no_more():
-    world = RestoredTable()
-    keeper = world.keeper("a")
-    world.acquire(keeper)
-    keeper.check(0.1)
-    world.eras["a"].observe(1, 0.1)
+    restored.restore(copy)
+    keeper = restored.keeper("c") if is_new else second
+    assert restored.acquire_once_allowed(keeper).fence > max(fences)
+
+
+def test_a_lease_missing_from_the_copy_is_taken_over_only_after_its_time():
+    restored = RestoredTable()
+    first, second = restored.keeper("a"), restored.keeper("b")
+    restored.acquire(first)
+    restored.restore((0, {}))
+    restored.now_s = 0.5
+    assert restored.acquire(second) is None
+    restored.now_s = TTL_S
+    assert restored.acquire(second) is None
+    restored.now_s = TTL_S + 0.5
+    assert restored.acquire(second) is not None
+
+
+def test_a_holder_that_learns_of_a_restore_no_longer_holds_the_lease():
+    restored = RestoredTable()
+    keeper = restored.keeper("a")
+    restored.acquire(keeper)
+    keeper.require_held(0.1)
+    restored.eras["a"].observe(1, 0.1)
     with pytest.raises(LeaseLostError):
-        keeper.check(0.1)
+        keeper.require_held(0.1)
 
 
 def test_a_release_from_before_a_restore_does_not_end_the_lease_that_has_its_version_again():
-    world = RestoredTable()
-    first, second = world.keeper("a"), world.keeper("b")
-    copy = world.copy()
-    held = world.acquire(first)
-    world.restore(copy)
-    world.eras["a"].observe(world.era, world.now_s)
-    taken = world.acquire_once_allowed(second)
+    restored = RestoredTable()
+    first, second = restored.keeper("a"), restored.keeper("b")
+    copy = restored.copy()
+    held = restored.acquire(first)
+    restored.restore(copy)
+    restored.eras["a"].observe(restored.era, restored.now_s)
+    taken = restored.acquire_once_allowed(second)
     assert taken.version == held.version
     drive(first.release())
-    assert world.acquire(second).fence == taken.fence
+    assert restored.acquire(second).fence == taken.fence
--- a/tests/unit/cluster/test_peer_link.py
+++ b/tests/unit/cluster/test_peer_link.py
@@ -1,4 +1,4 @@
-"""Peers that do not answer, or not so that it can be decoded, are logged once until they do."""
+"""Peers that do not answer, or whose replies cannot be decoded, are logged once until they answer again."""
 
 import asyncio
 
@@ -6,25 +6,25 @@
 import pytest
 
 from wallwell.cluster import peer_link
-from wallwell.cluster.peer_link import REFUSALS_LOGGED_EVERY_S, PeerLinks, PeerMessage, PeerServer
+from wallwell.cluster.peer_link import REFUSAL_LOG_INTERVAL_S, PeerLinks, PeerMessage, PeerServer
 from wallwell.errors import PeerUnavailableError
 from wallwell.events import Event
 
 
 class Question(PeerMessage, frozen=True):
-    """A request of this test."""
+    """The request that this test sends."""
 
     number: int
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """What is expected in answer."""
+    """The expected reply."""
 
     number: int
 
 
 class OtherAnswer(msgspec.Struct, frozen=True):
-    """What a peer of another version answers."""
+    """The reply of a peer of another version."""
 
     text: str = "x"
 
@@ -44,7 +44,7 @@
             links.keep(set())
 
 
-def test_each_change_of_a_peer_is_logged_once_also_by_new_links(run_async, logged):
+def test_each_change_of_a_peer_is_logged_once_across_new_links(run_async, logged):
     replies = [Answer(1)]
 
     async def answer(question):
@@ -70,9 +70,7 @@
     assert {(fields["peer"], fields.get("request", "Question")) for _, fields in logged} == {(address, "Question")}
 
 
-def test_requests_that_cannot_be_decoded_are_logged_once_in_a_while_with_their_number(
-    run_async, logged, monkeypatch
-):
+def test_undecodable_requests_are_logged_at_an_interval_with_their_count(run_async, logged, monkeypatch):
     now_s = [100.0]
     monkeypatch.setattr(peer_link, "boot_time_s", lambda: now_s[0])
 
@@ -83,13 +81,13 @@
         try:
             assert await reader.read() == b""
         except ConnectionResetError:
-            pass  # The server ends the connection, by whichever way its system takes.
+            pass  # The server aborts the connection; the client may see an end of file or a reset.
         writer.close()
 
     async def work():
         server = PeerServer({Question: None})
         await server.start("127.0.0.1", 0)
-        for step_s in (0.0, 1.0, 1.0, REFUSALS_LOGGED_EVERY_S):
+        for step_s in (0.0, 1.0, 1.0, REFUSAL_LOG_INTERVAL_S):
             now_s[0] += step_s
             await send(server.address)
         server.close()
--- a/tests/unit/cluster/test_relay.py
+++ b/tests/unit/cluster/test_relay.py
@@ -1,4 +1,4 @@
-"""Rows through a peer, over sockets: changes come at once, and a peer that fails or falls behind is left."""
+"""Rows relayed by a peer over sockets: changes arrive at once, and a failing or stale peer is replaced."""
 
 import asyncio
 import contextlib
@@ -11,7 +11,7 @@
 from tests.unit.storage.memory_rows import MemoryRows, Mirror
 from wallwell.clock import boot_time_s
 from wallwell.cluster.peer_link import PeerServer
-from wallwell.cluster.relay import RelayedRows, answer_from
+from wallwell.cluster.relay import RelayedRows, rows_handler
 from wallwell.cluster.row_messages import RowsReply, RowsRequest, reply_with_rows, unpack_rows
 from wallwell.cluster.upstream import NodeRecord, UpstreamOrder
 from wallwell.deployment.freshness import StoreClock
@@ -22,7 +22,7 @@
 
 
 class CountingRows(MemoryRows):
-    """Rows as the store keeps them; wakes who waits for a change, and counts calls."""
+    """The store's rows; a write wakes the calls held for a change, and calls are counted."""
 
     def __init__(self):
         super().__init__()
@@ -48,7 +48,7 @@
 
 
 class Node:
-    """A follower of one table with its listener for peers, and its own view of the store."""
+    """A follower of one table that also serves peers, with its own connection to the store."""
 
     def __init__(self, name, store):
         self.name, self.store = name, store
@@ -57,7 +57,7 @@
         self.rows = RelayedRows("rows", store, self.order, clock, WAIT_S)
         self.mirror = Mirror()
         self.follower = RowFollower("rows", self.rows, self.mirror.apply, WAIT_S, clock, random.Random(5))
-        self.server = PeerServer({RowsRequest: answer_from({"rows": self.rows})})
+        self.server = PeerServer({RowsRequest: rows_handler({"rows": self.rows})})
 
     async def start(self):
         await self.server.start("127.0.0.1", 0)
@@ -78,7 +78,7 @@
 
 @pytest.fixture
 def with_nodes(run_async):
-    """Run a scenario with nodes ``n0`` to ``n2`` that know each other; the first one of their order comes first."""
+    """Run a scenario with nodes ``n0`` to ``n2`` that know each other, sorted so that the relay is the first."""
 
     def run(scenario):
         async def work():
@@ -103,9 +103,9 @@
     return run
 
 
-def test_one_node_asks_the_store_and_all_know(with_nodes):
+def test_one_node_calls_the_store_and_all_nodes_get_the_changes(with_nodes):
     async def scenario(store, nodes):
-        # Every node may have one call of its own in flight from before it knew its peers.
+        # Each node may still have one call of its own to the store in flight, made before it knew its peers.
         await until(lambda: all(node.rows.links for node in nodes[1:]))
         before = store.calls
         for number in range(20):
@@ -116,7 +116,7 @@
     assert with_nodes(scenario) <= 20 + 5
 
 
-def test_a_peer_that_goes_away_is_replaced(with_nodes):
+def test_a_peer_that_stops_is_replaced(with_nodes):
     async def scenario(store, nodes):
         await until(lambda: all(node.rows.links for node in nodes[1:]))
         await nodes[0].stop()
@@ -126,7 +126,7 @@
     with_nodes(scenario)
 
 
-def test_a_peer_that_the_store_refuses_is_left_and_says_so(with_nodes):
+def test_a_peer_that_the_store_refuses_reports_stale_rows_and_is_replaced(with_nodes):
     async def scenario(store, nodes):
         await until(lambda: all(node.rows.links for node in nodes[1:]))
         refusing = CountingRows()
@@ -140,7 +140,7 @@
     with_nodes(scenario)
 
 
-def test_what_a_peer_forgot_is_read_whole_again(with_nodes):
+def test_all_rows_are_read_again_when_a_peer_has_lost_the_history(with_nodes):
     async def scenario(store, nodes):
         await until(lambda: all(node.rows.links for node in nodes[1:]))
         store.write("a", None)
@@ -151,7 +151,7 @@
     with_nodes(scenario)
 
 
-def test_a_peer_that_knows_less_does_not_take_a_node_back(with_nodes):
+def test_a_peer_with_an_older_copy_does_not_set_a_node_back(with_nodes):
     async def scenario(store, nodes):
         store.write("b", b"2")
         await until(lambda: all(node.mirror.rows.get("b") == b"2" for node in nodes))
@@ -165,8 +165,8 @@
     assert with_nodes(scenario) == {"a", "b"}
 
 
-def test_large_rows_travel_compressed(with_nodes):
-    """A configuration goes to each member of a zone over one node's link."""
+def test_large_rows_are_sent_compressed(with_nodes):
+    """A relay sends a configuration to each member of its zone over its own link."""
     value = b'{"tenants":[' + b",".join(b'{"name":"t%d","keys":["k%d"]}' % (n, n) for n in range(500)) + b"]}"
 
     async def scenario(store, nodes):
@@ -184,7 +184,7 @@
         unpack_rows(RowsReply(version=1, packed=packed), "10.0.0.1:1")
 
 
-def test_nonsense_from_a_peer_ends_its_connection(with_nodes):
+def test_malformed_requests_from_a_peer_end_its_connection(with_nodes):
     async def scenario(store, nodes):
         host, _, port = nodes[0].server.address.rpartition(":")
         answers = []
--- a/tests/unit/cluster/test_upstream.py
+++ b/tests/unit/cluster/test_upstream.py
@@ -1,4 +1,4 @@
-"""Whom a node follows: few follow the store, nobody is followed in a circle, and what fails is passed over."""
+"""Which peers a node follows: few nodes follow the store, none in a circle, and failed peers are passed over."""
 
 import random
 
@@ -20,9 +20,9 @@
 
 
 @given(count=st.integers(1, 130), zones=st.integers(1, 4))
-def test_each_zone_has_one_relay_for_so_many_and_two_zones_follow_the_store(count, zones):
+def test_each_zone_has_a_relay_per_group_of_members_and_two_zones_follow_the_store(count, zones):
     members = fleet(count, zones)
-    relays = [name for name, order in orders(members).items() if not order.followed_in_zone(0.0)]
+    relays = [name for name, order in orders(members).items() if not order.followed_peers_in_zone(0.0)]
     roots = [name for name, order in orders(members).items() if not order.candidates(0.0)]
     sizes = [sum(member.zone == f"z{zone}" for member in members.values()) for zone in range(zones)]
     assert len(relays) == sum(-(-size // MEMBERS_PER_RELAY) for size in sizes)
@@ -82,7 +82,7 @@
 
 
 def test_the_nodes_with_the_fastest_links_relay():
-    """Found on a deployment of 69 nodes: in a storm of configurations the relays' thin links stood still."""
+    """Found on a deployment of 69 nodes: a burst of configurations saturated the low-bandwidth links of relays."""
     members = {
         name: NodeRecord(each.zone, each.relay, 200.0 if name == "n7" else 10.0) for name, each in fleet(12).items()
     }
@@ -92,7 +92,9 @@
 def test_a_zone_follows_the_store_itself_only_if_both_zones_before_it_are_silent():
     members = fleet(12, zones=4)
     later = next(
-        name for name, order in orders(members).items() if not order.followed_in_zone(0.0) and order.candidates(0.0)
+        name
+        for name, order in orders(members).items()
+        if not order.followed_peers_in_zone(0.0) and order.candidates(0.0)
     )
     order = UpstreamOrder(later, members[later].zone, members)
     followed = [name for name, _ in order.candidates(0.0)]
@@ -123,7 +125,7 @@
 @settings(deadline=None)
 @given(count=st.integers(2, 60), seed=st.integers(0, 1 << 32))
 def test_nobody_follows_a_peer_of_another_region_or_in_a_circle(count, seed):
-    """Whatever each node knows of the others, believes of them, and knows of the zones."""
+    """Holds for any differences in the nodes, failures and regions of zones that each node knows."""
     rng = random.Random(seed)
     members = fleet(count, zones=6)
     names = sorted(members)
@@ -148,16 +150,16 @@
     assert not any(reaches(name, name, set()) for name in members)
 
 
-def test_the_second_zone_of_a_region_stands_by_for_the_first():
+def test_the_second_zone_of_a_region_is_the_standby_of_the_first():
     members = fleet(12, zones=6)
     for name, order in regional_orders(members).items():
         candidates = [peer for peer, _ in order.candidates(0.0)]
         zones = [members[peer].zone for peer in candidates]
-        if order.followed_in_zone(0.0) or len(candidates) < 2:
+        if order.followed_peers_in_zone(0.0) or len(candidates) < 2:
             continue
         first_zone, second_zone = zones
         assert REGIONS[first_zone] == REGIONS[second_zone] == REGIONS[members[name].zone]
-        # The relay of the second zone follows that of the first; it is asked only if the first does not answer.
+        # The second zone's relay follows the first zone's relay, and is asked only if the latter does not answer.
         second = regional_orders(members)[candidates[1]]
         assert [peer for peer, _ in second.candidates(0.0)] == candidates[:1]
         for lost in (each for each in members if members[each].zone == first_zone):
@@ -167,7 +169,7 @@
     raise AssertionError("no zone follows two others")
 
 
-def test_a_region_that_is_left_alone_follows_the_store_itself():
+def test_a_region_whose_peers_are_gone_follows_the_store_itself():
     members = fleet(12, zones=6)
     alone = {name: member for name, member in members.items() if REGIONS[member.zone] == "west"}
     for known in (members, alone):
@@ -176,31 +178,31 @@
 
 
 @pytest.mark.parametrize("regions", [{}, {f"z{zone}": "east" for zone in range(6)}])
-def test_one_region_has_the_order_that_it_has_without_a_map(regions):
+def test_a_single_region_has_the_same_order_as_no_regions(regions):
     members = fleet(40, zones=6)
     plain, mapped = orders(members), regional_orders(members, regions)
     for name in members:
         assert mapped[name].candidates(0.0) == plain[name].candidates(0.0)
-        assert mapped[name].relays(0.0) == plain[name].relays(0.0)
+        assert mapped[name].other_relays(0.0) == plain[name].other_relays(0.0)
         assert not mapped[name].other_regions()
 
 
-def test_relays_of_other_regions_get_no_reports_of_each_node():
+def test_relays_report_only_to_relays_of_their_own_region():
     members = fleet(12, zones=6)
     for name, order in regional_orders(members).items():
-        reached = {REGIONS[members[peer].zone] for peer, _ in order.relays(0.0)}
+        reached = {REGIONS[members[peer].zone] for peer, _ in order.other_relays(0.0)}
         assert reached == {REGIONS[members[name].zone]}
 
 
-def test_nodes_of_a_region_speak_in_an_order_that_both_regions_know():
+def test_both_regions_compute_the_same_order_of_delegates():
     members = fleet(24, zones=6)
     known = regional_orders(members)
     delegates = {tuple(name for name, _ in order.delegates_of("east")) for order in known.values()}
     assert len(delegates) == 1
     (names,) = delegates
-    # A relay of each zone first, then those who take their places.
+    # The relays of the zones come first, then their replacements.
     assert len(names) == 9
-    assert all(not known[name].followed_in_zone(0.0) for name in names[:3])
+    assert all(not known[name].followed_peers_in_zone(0.0) for name in names[:3])
     assert [known[name].delegate_rank(0.0) for name in names] == list(range(9))
     known[names[1]].on_failure(names[0], 0.0)
     assert known[names[1]].delegate_rank(0.5) == 0
