--- a/src/wallwell/cluster/fleet_load.py
+++ b/src/wallwell/cluster/fleet_load.py
@@ -15,7 +15,7 @@
 from wallwell.cluster.stated_limits import StatedLimits
 from wallwell.routing.admission.fleet_limits import FleetLimits
 from wallwell.routing.health.backend_registry import BackendRegistry
-from wallwell.routing.retry.first_token import Delays, FirstTokenDelays
+from wallwell.routing.retry.first_token import DelayCounts, FirstTokenDelays
 
 
 @dataclass
@@ -40,8 +40,8 @@
         return Load(
             requests=self.backends.own_loads(),
             generations=self.demand.own.count(now_s),
-            delays=self.first_token_delays.own(now_s),
-            asked=self.limits.asked(now_s),
+            delays=self.first_token_delays.own_counts(now_s),
+            asked=self.limits.own_demand(now_s),
             nodes=1,
             stated_limits=self.stated_limits.own(now_s),
             configuration=self.own_configuration or msgspec.UNSET,
@@ -54,12 +54,12 @@
             self.peers_configuration = max(self.peers_configuration, others.configuration)
         self.backends.learn_peer_loads(others.requests)
         self.demand.peers_generations = others.generations
-        self.first_token_delays.peers = others.delays
-        self.limits.learn_fleet(others.asked, others.nodes, nodes)
+        self.first_token_delays.peer_counts = others.delays
+        self.limits.on_fleet_report(others.asked, others.nodes, nodes)
 
     def forget(self, nodes: int) -> None:
         """Drop what other nodes reported: it is too old."""
         self.backends.forget_peer_loads()
         self.demand.peers_generations = None
-        self.first_token_delays.peers = Delays()
-        self.limits.forget_fleet(nodes)
+        self.first_token_delays.peer_counts = DelayCounts()
+        self.limits.on_fleet_lost(nodes)
--- a/src/wallwell/cluster/known_loads.py
+++ b/src/wallwell/cluster/known_loads.py
@@ -37,7 +37,7 @@
         # First, so that what was spent of a limit which is new here is counted.
         self._load.stated_limits.on_reported(message.load.stated_limits, now_s)
         limits = self._load.limits
-        limits.take_member(message.spent, now_s)
+        limits.on_member_spending(message.spent, now_s)
         others = self._members.recent(now_s, without=message.node)
         load = sum_loads((*others, *self._beyond_members(now_s), self._load.own(now_s)))
         return OthersLoad(load, limits.levels(now_s), self._crashes.for_members(now_s))
@@ -47,7 +47,7 @@
         self._relays.take(message.node, message.load, now_s)
         self._crashes.receive_from_relay(message.crashes, now_s)
         self._load.stated_limits.on_reported(message.load.stated_limits, now_s)
-        self._load.limits.take_relay(message.node, message.life, message.spent_totals, now_s)
+        self._load.limits.on_relay_totals(message.node, message.life, message.spent_totals, now_s)
         if message.node not in self._totals:
             # Nodes are replaced under new names, and each has reported all tenants that spend.
             self._totals = {name: known for name, known in self._totals.items() if _is_recent(known[1], now_s)}
@@ -59,8 +59,8 @@
         self._load.stated_limits.on_reported(received.load.stated_limits, now_s)
         limits = self._load.limits
         for totals in received.relays:
-            limits.take_relay(totals.relay, totals.life, totals.spent, now_s, is_near=False)
-        limits.on_region_heard(received.region)
+            limits.on_relay_totals(totals.relay, totals.life, totals.spent, now_s, is_same_region=False)
+        limits.on_region_report(received.region)
 
     def on_region_lost(self, last: RegionSum, now_s: float) -> None:
         """Another region has been silent for too long; ``last`` is what it reported last."""
@@ -77,13 +77,15 @@
         """Return what this relay reports to the others; ``regions`` are sums of other regions to be passed on."""
         limits = self._load.limits
         crashes = self._crashes.for_relays(now_s)
-        return ZoneLoad(self._node, self._of_zone(now_s), limits.life, limits.spent_totals(), regions, crashes)
+        return ZoneLoad(
+            self._node, self._of_zone(now_s), limits.node_incarnation, limits.spent_totals(), regions, crashes
+        )
 
     def region_sum(self, region: str, now_s: float) -> RegionSum:
         """Return what this relay knows of its region, which is called ``region``."""
         limits = self._load.limits
         recent = [totals for totals, at_s in self._totals.values() if _is_recent(at_s, now_s)]
-        relays = (RelayTotals(self._node, limits.life, limits.spent_totals()), *recent)
+        relays = (RelayTotals(self._node, limits.node_incarnation, limits.spent_totals()), *recent)
         return RegionSum(region, self._of_region(now_s), relays)
 
     def _of_zone(self, now_s: float) -> Load:
--- a/src/wallwell/cluster/load_reports.py
+++ b/src/wallwell/cluster/load_reports.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from wallwell.cluster.stated_limits import ReportedLimit, newest_limits
-from wallwell.routing.retry.first_token import Delays, sum_delays
+from wallwell.routing.retry.first_token import DelayCounts, sum_delay_counts
 
 REPORT_LIFETIME_S = 1.5
 """Seconds for which a report counts; a node that is silent for longer may be gone with its requests: long enough
@@ -25,7 +25,7 @@
 
     ``requests`` counts by back end, long prompts several times. ``generations`` counts those that came in the last
     ``RATE_WINDOW_S`` of :mod:`wallwell.cluster.demand`. ``delays`` says how soon answers began. ``asked`` counts
-    what tenants with a limit asked for in the last ``ASKED_WINDOW_S`` of
+    what tenants with a limit asked for in the last ``DEMAND_WINDOW_S`` of
     :mod:`wallwell.routing.admission.fleet_limits`. ``stated_limits`` has what these nodes have read of limits that
     back ends state; it is left out where none does, and nodes of older versions neither send nor read it.
     ``configuration`` is the newest version of the operators' configuration that these nodes have in force, left out
@@ -34,7 +34,7 @@
 
     requests: dict[str, int] = {}
     generations: int = 0
-    delays: Delays = Delays()
+    delays: DelayCounts = DelayCounts()
     asked: dict[str, int] = {}
     nodes: int = 0
     stated_limits: dict[str, ReportedLimit] | msgspec.UnsetType = msgspec.UNSET
@@ -58,7 +58,7 @@
     return Load(
         requests=dict(requests),
         generations=sum(load.generations for load in loads),
-        delays=sum_delays(load.delays for load in loads),
+        delays=sum_delay_counts(load.delays for load in loads),
         asked=dict(asked),
         nodes=sum(load.nodes for load in loads),
         stated_limits=newest_limits(
--- a/src/wallwell/cluster/stated_limits.py
+++ b/src/wallwell/cluster/stated_limits.py
@@ -21,7 +21,7 @@
 
 from wallwell.deployment.backends import is_later_start
 from wallwell.events import Event, emit
-from wallwell.routing.admission.backend_rate import REQUEST_UNITS, backend_subject
+from wallwell.routing.admission.backend_rate import UNITS_PER_REQUEST, backend_limit_key
 from wallwell.routing.admission.fleet_limits import Admitted, FleetLimits, OverLimit
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.health.backend_registry import BackendRegistry
@@ -98,7 +98,7 @@
         if backend.request_limit is None:
             backend.request_limit = RequestLimit()
             if backend.incarnation in self._known:  # An earlier start of it stated one.
-                self._limits.forget_backend(backend.incarnation)
+                self._limits.remove_backend_limit(backend.incarnation)
             self._known[backend.incarnation] = backend
         return backend.request_limit
 
@@ -108,7 +108,7 @@
         is_begun, is_ended = before_per_s == NO_LIMIT_PER_S, limit.per_s == NO_LIMIT_PER_S
         if not is_ended:
             sent = self._sent_lately(backend.incarnation, now_s) if is_begun else 0
-            self._limits.limit_backend(backend.incarnation, limit.per_s, sent)
+            self._limits.set_backend_limit(backend.incarnation, limit.per_s, sent)
         logged_s = self._logged_s.get(backend.incarnation, float("-inf"))
         if is_begun or is_ended or now_s - logged_s >= LOG_INTERVAL_S:
             self._log(backend, limit, now_s)
@@ -141,7 +141,7 @@
         """Count a request that is to go to a back end, None; or return in how many seconds its limit allows one."""
         if not backend.is_limited:
             return None
-        taken = self._limits.admit(backend_subject(backend.incarnation), REQUEST_UNITS, now_s)
+        taken = self._limits.admit(backend_limit_key(backend.incarnation), UNITS_PER_REQUEST, now_s)
         if not isinstance(taken, OverLimit):
             return None
         self.passed_over += 1
@@ -150,11 +150,11 @@
     def give_back(self, backend: Backend) -> None:
         """A request that was counted did not reach its back end."""
         if backend.is_limited:
-            self._limits.refund(Admitted(backend_subject(backend.incarnation), REQUEST_UNITS))
+            self._limits.refund(Admitted(backend_limit_key(backend.incarnation), UNITS_PER_REQUEST))
 
     def has_headroom(self, backend: Backend, now_s: float) -> bool:
         """Whether a back end may be taken to accept a further request."""
-        return not backend.is_limited or self._limits.has_headroom(backend_subject(backend.incarnation), now_s)
+        return not backend.is_limited or self._limits.has_headroom(backend_limit_key(backend.incarnation), now_s)
 
     # --- what is reported ------------------------------------------------------------------------------
 
@@ -181,7 +181,7 @@
             if has_ended or self._backends.get(incarnation) is not backend:
                 del self._known[incarnation]
                 self._logged_s.pop(incarnation, None)
-                self._limits.forget_backend(incarnation)
+                self._limits.remove_backend_limit(incarnation)
                 backend.request_limit = None
 
 
--- a/src/wallwell/node/crash_watch.py
+++ b/src/wallwell/node/crash_watch.py
@@ -116,7 +116,7 @@
             return
         content, incarnation = _crash_of(row.key)
         if row.value is None:
-            self._state.quarantine.forget(content, incarnation)
+            self._state.quarantine.forget_crash(content, incarnation)
         elif self._state.quarantine.is_cleared(content, now_s):
             self._write({row.key: False})
         else:
@@ -195,7 +195,7 @@
     def _sweep(self, now_s: float) -> None:
         """Forget expired crashes; one node removes each row."""
         members = {*self._members(), self._state.node}
-        for content, incarnation in self._state.quarantine.expire(now_s):
+        for content, incarnation in self._state.quarantine.remove_expired(now_s):
             key = _key(content, incarnation)
             if owner(members, key_of(content)) == self._state.node:
                 self._write({key: False})
--- a/src/wallwell/node/metrics.py
+++ b/src/wallwell/node/metrics.py
@@ -98,7 +98,7 @@
         yield GaugeMetricFamily("wallwell_in_flight", "Attempts in flight.", value=in_flight)
 
     def _collect_quarantine(self) -> Iterator[Metric]:
-        suspects, quarantined = self._state.quarantine.suspects, self._state.quarantine.quarantined
+        suspects, quarantined = self._state.quarantine.suspect_count, self._state.quarantine.quarantined_count
         yield GaugeMetricFamily("wallwell_crash_suspects", "Requests that back ends crashed under.", value=suspects)
         yield GaugeMetricFamily("wallwell_quarantined", "Requests that get no back end.", value=quarantined)
 
@@ -125,10 +125,10 @@
         refused = CounterMetricFamily(
             "wallwell_limit_refusals", "Requests refused by a tenant's limit.", labels=["tenant"]
         )
-        for use in self._state.load.limits.most_refused(MAX_TENANTS_SHOWN, now_s):
-            left.add_metric([use.tenant], use.left)
-            asked.add_metric([use.tenant], use.asked_per_s)
-            refused.add_metric([use.tenant], use.refused)
+        for use in self._state.load.limits.most_refused_tenants(MAX_TENANTS_SHOWN, now_s):
+            left.add_metric([use.tenant], use.level)
+            asked.add_metric([use.tenant], use.demand_per_s)
+            refused.add_metric([use.tenant], use.refused_requests)
         yield from (left, asked, refused)
 
     def _collect_rollouts(self) -> Iterator[Metric]:
--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -41,9 +41,9 @@
 from wallwell.rollout.model import RolloutBounds
 from wallwell.rollout.records import RolloutBook
 from wallwell.routing.admission.access import RevocationBound, is_fresh_enough
-from wallwell.routing.admission.overload import GenerationTime
+from wallwell.routing.admission.overload import AverageDuration
 from wallwell.routing.admission.quarantine import Quarantine
-from wallwell.routing.admission.remaining_time import ShortestAnswer
+from wallwell.routing.admission.remaining_time import ShortestAnswerTime
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.health.backend_registry import BackendRegistry
 from wallwell.routing.health.zone_suspicion import ZoneSuspicion
@@ -114,11 +114,11 @@
     """Names of the live nodes."""
     # --- what was learnt from answers ------------------------------------------------------------------
     prefill_rate: PrefillRate = field(default_factory=PrefillRate)
-    generation_time: GenerationTime = field(default_factory=GenerationTime)
+    generation_time: AverageDuration = field(default_factory=AverageDuration)
     """How long generations take from their sending to their end."""
-    call_time: GenerationTime = field(default_factory=lambda: GenerationTime(DEFAULT_CALL_S))
+    call_time: AverageDuration = field(default_factory=lambda: AverageDuration(DEFAULT_CALL_S))
     """The same of calls."""
-    shortest_answers: dict[str, ShortestAnswer] = field(default_factory=dict)
+    shortest_answers: dict[str, ShortestAnswerTime] = field(default_factory=dict)
     """By route."""
     kv_store_contents: dict[str, KvStoreContents] = field(default_factory=dict)
     """What each KV store holds, by address."""
@@ -204,7 +204,9 @@
 
     def budgets_left(self, now_s: float) -> dict[str, float]:
         """Return this node's retries left, by service."""
-        return {service: budget.left(now_s, self.node_count) for service, budget in self._budgets.items()}
+        return {
+            service: budget.remaining_retries(now_s, self.node_count) for service, budget in self._budgets.items()
+        }
 
     def on_connect_timeout(self, backend: Backend, now_s: float) -> None:
         """A connection to a back end neither came up nor was refused."""
--- a/src/wallwell/routing/admission/backoff_hold.py
+++ b/src/wallwell/routing/admission/backoff_hold.py
@@ -12,13 +12,13 @@
 
 HOLD_FRACTION = 0.5
 """Fraction of what is left of the objective for which a request is held at most; the rest is for the attempt."""
-SPREAD_S = 0.03
+HOLD_JITTER_S = 0.03
 """Seconds over which held requests are sent after the end of the back-off, so that the back end gets them one after
 the other."""
 
 
-def hold_s(ends_in_s: float, objective_left_s: float, rng: random.Random) -> float | None:
+def hold_duration_s(backoff_ends_in_s: float, objective_left_s: float, rng: random.Random) -> float | None:
     """Return for how many seconds the request is held, None if it is refused at once."""
-    if ends_in_s > HOLD_FRACTION * objective_left_s:
+    if backoff_ends_in_s > HOLD_FRACTION * objective_left_s:
         return None
-    return ends_in_s + rng.uniform(0.0, SPREAD_S)
+    return backoff_ends_in_s + rng.uniform(0.0, HOLD_JITTER_S)
--- a/src/wallwell/routing/admission/fleet_bucket.py
+++ b/src/wallwell/routing/admission/fleet_bucket.py
@@ -13,7 +13,7 @@
 from wallwell.deployment.routes import FleetRate
 from wallwell.routing.sliding_window import SlidingWindow
 
-ASKED_WINDOW_S = 1.0
+DEMAND_WINDOW_S = 1.0
 """Seconds over which demand is counted; shorter than the time in which a bucket of one second's rate runs empty."""
 
 
@@ -24,33 +24,33 @@
     limit: FleetRate
     level: float
     """Negative while the fleet has spent more than the limit gave."""
-    largest_debt: float = math.inf
+    max_debt: float = math.inf
     """Most that the level may be below zero; what was spent beyond that is not made up for."""
     updated_s: float | None = None
     """When what time has earned was last added; None before the first time."""
     unreported: int = 0
     """Spent by this node and not contained in any report yet."""
-    reporting: int = 0
+    unacknowledged: int = 0
     """Contained in the report under way."""
     spent_total: int = 0
     """Spent by this node and those that report to it, since this node started."""
-    near_total: int = 0
+    region_spent_total: int = 0
     """Spent in this node's region, as far as it was reported; only differences mean anything."""
-    asked: SlidingWindow = field(default_factory=lambda: SlidingWindow(ASKED_WINDOW_S))
+    demand: SlidingWindow = field(default_factory=lambda: SlidingWindow(DEMAND_WINDOW_S))
     """What this node was asked for."""
-    asked_of_peers: int = 0
+    peer_demand: int = 0
     """What all other nodes were asked for in the last window, as they reported."""
-    refused: int = 0
+    refused_requests: int = 0
     """Requests that this node refused since it started."""
 
     def refill(self, now_s: float, fraction: float) -> None:
         """Add what time has earned of a fraction of the limit."""
         elapsed_s = max(0.0, now_s - self.updated_s) if self.updated_s is not None else 0.0
         level = self.level + elapsed_s * self.limit.rate_per_s * fraction
-        self.level = max(-self.largest_debt, min(self.limit.burst * fraction, level))
+        self.level = max(-self.max_debt, min(self.limit.burst * fraction, level))
         self.updated_s = now_s
 
-    def change(self, limit: FleetRate) -> None:
+    def change_limit(self, limit: FleetRate) -> None:
         """Take another limit: what it raises may be spent at once, what it lowers was not saved up."""
         self.level = min(limit.burst, self.level + max(0.0, limit.burst - self.limit.burst))
         self.limit = limit
@@ -60,26 +60,26 @@
         self.level -= tokens
         self.unreported += tokens
         self.spent_total += tokens
-        self.near_total += tokens
+        self.region_spent_total += tokens
 
-    def take_member(self, tokens: int) -> None:
+    def add_member_spending(self, tokens: int) -> None:
         """Take what a member that reports to this node has spent: this node passes it on in its totals."""
         self.level -= tokens
         self.spent_total += tokens
-        self.near_total += tokens
+        self.region_spent_total += tokens
 
-    def take_relay(self, tokens: int, is_near: bool) -> None:
+    def add_relay_spending(self, tokens: int, is_same_region: bool) -> None:
         """Take what was spent through another relay, of this node's region if it is near."""
         self.level -= tokens
-        self.near_total += tokens * is_near
+        self.region_spent_total += tokens * is_same_region
 
     def begin_report(self) -> None:
         """What is unreported goes into a report."""
-        self.reporting += self.unreported
+        self.unacknowledged += self.unreported
         self.unreported = 0
 
-    def end_report(self, is_taken: bool) -> None:
+    def end_report(self, is_acknowledged: bool) -> None:
         """The report was answered, or may be lost: what it contained is then reported again."""
-        if not is_taken:
-            self.unreported += self.reporting
-        self.reporting = 0
+        if not is_acknowledged:
+            self.unreported += self.unacknowledged
+        self.unacknowledged = 0
--- a/src/wallwell/routing/admission/overload.py
+++ b/src/wallwell/routing/admission/overload.py
@@ -19,19 +19,19 @@
 
 from wallwell.routing.health.backend import Backend
 
-BEGIN_REFUSING = 1.1
+REFUSAL_BEGIN_LOAD = 1.1
 """Load of the usable engines, by slot, from which generations of the most urgent rank are refused.
 
 Long prompts count several times in a load (see ``request_load``), so a fleet in time may be at 1."""
-REFUSE_ALL = 1.7
+REFUSE_ALL_LOAD = 1.7
 """Load by slot from which all of them are refused: most of a batch waits behind the one being served."""
-RANK_STEP = 0.1
+RANK_LOAD_STEP = 0.1
 """How much earlier each less urgent rank is refused, in load by slot."""
 MAX_RANK_STEPS = 3
 """Ranks beyond the most urgent one that differ: refusing begins at a load by slot of 0.8 at the least."""
 DEFAULT_GENERATION_S = 1.5
 """Seconds of a generation until some have been observed."""
-SMOOTHING = 0.05
+SMOOTHING_WEIGHT = 0.05
 """Weight of the newest observation in the average: some twenty decide."""
 
 
@@ -42,12 +42,12 @@
     slots: int
 
     @property
-    def per_slot(self) -> float:
+    def load_per_slot(self) -> float:
         """Load by slot; nothing can be said of engines without slots."""
         return self.load / self.slots if self.slots else 0.0
 
 
-def overloaded_occupancy(
+def occupancy_if_refused(
     engines: Sequence[Backend], rank: int, now_s: float, rng: random.Random
 ) -> Occupancy | None:
     """Return the occupancy on account of which a new generation is refused; None if it is not refused.
@@ -66,8 +66,8 @@
 
 def refused_fraction(occupancy: Occupancy, rank: int) -> float:
     """Return the fraction of new generations of a rank, 0 first, that is refused."""
-    begin = BEGIN_REFUSING - RANK_STEP * rank_steps(rank)
-    return min(1.0, max(0.0, (occupancy.per_slot - begin) / (REFUSE_ALL - BEGIN_REFUSING)))
+    begin_load = REFUSAL_BEGIN_LOAD - RANK_LOAD_STEP * rank_steps(rank)
+    return min(1.0, max(0.0, (occupancy.load_per_slot - begin_load) / (REFUSE_ALL_LOAD - REFUSAL_BEGIN_LOAD)))
 
 
 def rank_steps(rank: int) -> int:
@@ -76,11 +76,11 @@
 
 
 @dataclass
-class GenerationTime:
+class AverageDuration:
     """How long generations take from their sending to their end, averaged over the latest."""
 
     seconds: float = DEFAULT_GENERATION_S
 
     def observe(self, seconds: float) -> None:
         """Learn from one that has ended well."""
-        self.seconds += SMOOTHING * (seconds - self.seconds)
+        self.seconds += SMOOTHING_WEIGHT * (seconds - self.seconds)
--- a/src/wallwell/routing/admission/relay_spending.py
+++ b/src/wallwell/routing/admission/relay_spending.py
@@ -16,37 +16,41 @@
 What was spent in a longer silence was earned in it too; counted at once it would refuse everybody for as long."""
 
 
-class _Report(msgspec.Struct, frozen=True):
+class _RelayReport(msgspec.Struct, frozen=True):
     """What a relay reported in one life, and when."""
 
-    life: int
+    incarnation: int
     totals: Mapping[str, int]
-    at_s: float
+    received_s: float
 
 
 class RelaySpending:
     """The last totals of every relay that is heard, by its name."""
 
     def __init__(self) -> None:
-        self._last: dict[str, _Report] = {}
+        self._last_reports: dict[str, _RelayReport] = {}
 
     def __len__(self) -> int:
-        return len(self._last)
+        return len(self._last_reports)
 
-    def take(self, relay: str, life: int, totals: Mapping[str, int], now_s: float) -> dict[str, int]:
+    def add_report(self, relay: str, incarnation: int, totals: Mapping[str, int], now_s: float) -> dict[str, int]:
         """Take a relay's totals by tenant; returns what is new since its last report.
 
         Nothing is new in the first report, after a restart of the relay or after a silence. What was refunded is
         negative.
         """
-        last = self._last.get(relay)
-        if last is None:
-            self._forget_silent(now_s)
-        self._last[relay] = _Report(life, totals, now_s)
-        if last is None or last.life != life or now_s - last.at_s > RELAY_SILENCE_S:
+        previous = self._last_reports.get(relay)
+        if previous is None:
+            self._remove_silent_relays(now_s)
+        self._last_reports[relay] = _RelayReport(incarnation, totals, now_s)
+        if previous is None or previous.incarnation != incarnation or now_s - previous.received_s > RELAY_SILENCE_S:
             return {}
-        return {tenant: total - last.totals.get(tenant, 0) for tenant, total in totals.items()}
+        return {tenant: total - previous.totals.get(tenant, 0) for tenant, total in totals.items()}
 
-    def _forget_silent(self, now_s: float) -> None:
+    def _remove_silent_relays(self, now_s: float) -> None:
         """Drop what counts no more: nodes are replaced under new names, and each reports all tenants that spend."""
-        self._last = {name: last for name, last in self._last.items() if now_s - last.at_s <= RELAY_SILENCE_S}
+        self._last_reports = {
+            name: report
+            for name, report in self._last_reports.items()
+            if now_s - report.received_s <= RELAY_SILENCE_S
+        }
--- a/src/wallwell/routing/admission/request_content.py
+++ b/src/wallwell/routing/admission/request_content.py
@@ -16,8 +16,8 @@
     """
     digest = xxhash.xxh3_128()
     for text in (host, target, caller):
-        data = text.encode()
-        digest.update(len(data).to_bytes(4, "big"))
-        digest.update(data)
+        encoded = text.encode()
+        digest.update(len(encoded).to_bytes(4, "big"))
+        digest.update(encoded)
     digest.update(body)
     return digest.hexdigest()
--- a/src/wallwell/routing/retry/attempt_history.py
+++ b/src/wallwell/routing/retry/attempt_history.py
@@ -10,12 +10,12 @@
 
 from wallwell.routing.retry.attempt_outcome import REFUSED_BY_BACKEND, TransportEvent
 
-UNREACHABLE = (
+CONNECT_FAILURES = (
     TransportEvent.CONNECT_REFUSED,
     TransportEvent.CONNECT_TIMEOUT,
 )
 """Events that show that a back end cannot be connected to."""
-NOT_ARRIVED = (*UNREACHABLE, TransportEvent.WITHDRAWN)
+NOT_ARRIVED = (*CONNECT_FAILURES, TransportEvent.WITHDRAWN)
 """Events after which nothing of the request can have arrived at the back end."""
 
 
@@ -23,24 +23,24 @@
 class AttemptHistory:
     """Attempts of one request."""
 
-    tried: set[str] = field(default_factory=set)
+    tried_incarnations: set[str] = field(default_factory=set)
     """Incarnations of the back ends to which it was sent."""
     runs: int = 0
     """Attempts that may have been executed; the route bounds them."""
-    arrivals: int = 0
+    failed_arrivals: int = 0
     """Failed attempts for which a connection came up, whether the back end ran them, refused them or broke off."""
     prepaid_retries: int = 0
     """Retries drawn from the budget before the attempt that they follow was abandoned."""
     unresponsive_zones: set[str] = field(default_factory=set)
     """Zones in which a connection attempt of this request timed out."""
-    details: list[str] = field(default_factory=list)
+    failure_details: list[str] = field(default_factory=list)
     """One line for each failed attempt, for the error text."""
 
-    def on_failed(self, event: TransportEvent) -> None:
+    def on_attempt_failed(self, event: TransportEvent) -> None:
         """Count an attempt that ended without a whole answer."""
         if event in NOT_ARRIVED:
             return
-        self.arrivals += 1
+        self.failed_arrivals += 1
         if event not in REFUSED_BY_BACKEND:
             self.runs += 1
 
--- a/src/wallwell/routing/retry/attempt_outcome.py
+++ b/src/wallwell/routing/retry/attempt_outcome.py
@@ -35,28 +35,32 @@
     """Outcome of one attempt; ``retry_repeatable`` and ``retry_once_only`` say who may try again."""
 
     outcome: Outcome
-    retry_repeatable: bool
-    retry_once_only: bool
+    retry_if_repeatable: bool
+    retry_if_not_repeatable: bool
 
 
-_NEVER_RAN = AttemptVerdict(Outcome.NOT_RUN, retry_repeatable=True, retry_once_only=True)
-_MAY_HAVE_RUN = AttemptVerdict(Outcome.UNKNOWN, retry_repeatable=True, retry_once_only=False)
+_NOT_RUN = AttemptVerdict(Outcome.NOT_RUN, retry_if_repeatable=True, retry_if_not_repeatable=True)
+_MAY_HAVE_RUN = AttemptVerdict(Outcome.UNKNOWN, retry_if_repeatable=True, retry_if_not_repeatable=False)
 
 VERDICTS: dict[TransportEvent, AttemptVerdict] = {
-    TransportEvent.CONNECT_REFUSED: _NEVER_RAN,
-    TransportEvent.CONNECT_TIMEOUT: _NEVER_RAN,
-    TransportEvent.WITHDRAWN: _NEVER_RAN,
-    TransportEvent.RESET_BEFORE_SEND: _NEVER_RAN,
+    TransportEvent.CONNECT_REFUSED: _NOT_RUN,
+    TransportEvent.CONNECT_TIMEOUT: _NOT_RUN,
+    TransportEvent.WITHDRAWN: _NOT_RUN,
+    TransportEvent.RESET_BEFORE_SEND: _NOT_RUN,
     TransportEvent.RESET_AFTER_SEND: _MAY_HAVE_RUN,
     TransportEvent.ANSWER_TIMEOUT: _MAY_HAVE_RUN,
-    TransportEvent.PRECONDITION_REFUSED: _NEVER_RAN,
-    TransportEvent.BACKEND_LEAVING: _NEVER_RAN,
-    TransportEvent.BACKEND_OVERLOADED: _NEVER_RAN,
-    TransportEvent.CANCELLED_NEVER_STARTED: _NEVER_RAN,
+    TransportEvent.PRECONDITION_REFUSED: _NOT_RUN,
+    TransportEvent.BACKEND_LEAVING: _NOT_RUN,
+    TransportEvent.BACKEND_OVERLOADED: _NOT_RUN,
+    TransportEvent.CANCELLED_NEVER_STARTED: _NOT_RUN,
     TransportEvent.CANCEL_UNACKNOWLEDGED: _MAY_HAVE_RUN,
     TransportEvent.FOREIGN_ANSWER: _MAY_HAVE_RUN,
-    TransportEvent.ERROR_ANSWER: AttemptVerdict(Outcome.FAILED, retry_repeatable=False, retry_once_only=False),
-    TransportEvent.ANSWERED: AttemptVerdict(Outcome.COMPLETED, retry_repeatable=False, retry_once_only=False),
+    TransportEvent.ERROR_ANSWER: AttemptVerdict(
+        Outcome.FAILED, retry_if_repeatable=False, retry_if_not_repeatable=False
+    ),
+    TransportEvent.ANSWERED: AttemptVerdict(
+        Outcome.COMPLETED, retry_if_repeatable=False, retry_if_not_repeatable=False
+    ),
 }
 
 REFUSED_BY_BACKEND = (
@@ -67,13 +71,13 @@
 """Events by which a working back end itself states that it ran nothing."""
 
 
-def allows_retry(event: TransportEvent, repeatable: bool) -> bool:
+def is_safe_to_retry(event: TransportEvent, repeatable: bool) -> bool:
     """Whether a request may be sent again after an attempt that ended so."""
     verdict = VERDICTS[event]
-    return verdict.retry_repeatable if repeatable else verdict.retry_once_only
+    return verdict.retry_if_repeatable if repeatable else verdict.retry_if_not_repeatable
 
 
-_SEVERITY = {Outcome.NOT_RUN: 0, Outcome.FAILED: 1, Outcome.UNKNOWN: 2, Outcome.COMPLETED: 3}
+_OUTCOME_PRECEDENCE = {Outcome.NOT_RUN: 0, Outcome.FAILED: 1, Outcome.UNKNOWN: 2, Outcome.COMPLETED: 3}
 
 
 class AttemptLog:
@@ -92,6 +96,6 @@
         """Add one attempt's end; returns whether another attempt is allowed."""
         verdict = VERDICTS[event]
         self.attempts += 1
-        if _SEVERITY[verdict.outcome] > _SEVERITY[self.outcome]:
+        if _OUTCOME_PRECEDENCE[verdict.outcome] > _OUTCOME_PRECEDENCE[self.outcome]:
             self.outcome = verdict.outcome
-        return allows_retry(event, self.repeatable)
+        return is_safe_to_retry(event, self.repeatable)
--- a/src/wallwell/routing/retry/response_timeout.py
+++ b/src/wallwell/routing/retry/response_timeout.py
@@ -10,13 +10,13 @@
 
 from wallwell.routing.admission.remaining_time import MIN_REMAINING_S
 
-OBJECTIVE_FRACTION = 0.6
+OBJECTIVE_TIMEOUT_FRACTION = 0.6
 """Fraction of a route's objective after which a silent back end is abandoned, so that a second attempt can still
 answer within the objective."""
-REMAINING_FRACTION = 0.6
+REMAINING_TIMEOUT_FRACTION = 0.6
 """Fraction of the caller's remaining time that one silent back end may take at most: two fifths are left to the
 next one."""
-SLOWEST_PREFILL_TOKENS_PER_S = 10_000.0
+MIN_PREFILL_TOKENS_PER_S = 10_000.0
 """Prefill rate, in tokens per second, below which an engine counts as silent: a prompt is allowed the time of its
 whole prefill at this rate. About a ninth of the fastest engines known, 94 tokens per ms, and a quarter of the
 slowest, 38."""
@@ -27,19 +27,19 @@
 
 def response_timeout_s(objective_s: float, remaining_s: float, prompt_tokens: int | None) -> float:
     """Return how long the head of an answer is waited for, in seconds; ``prompt_tokens`` is None for calls."""
-    timeout_s = objective_s * OBJECTIVE_FRACTION
+    timeout_s = objective_s * OBJECTIVE_TIMEOUT_FRACTION
     if prompt_tokens is not None:
-        prefill_s = prompt_tokens / SLOWEST_PREFILL_TOKENS_PER_S
+        prefill_s = prompt_tokens / MIN_PREFILL_TOKENS_PER_S
         timeout_s = max(objective_s, timeout_s + prefill_s)
-    return min(remaining_s * REMAINING_FRACTION, timeout_s)
+    return min(remaining_s * REMAINING_TIMEOUT_FRACTION, timeout_s)
 
 
-def begin_timeout_s(usable_for_s: float, remaining_s: float) -> float | None:
+def begin_timeout_s(weights_usable_for_s: float, remaining_s: float) -> float | None:
     """Return how long an engine may take to begin while its weights are new enough for ``usable_for_s`` more.
 
     None if they outlast the caller's remaining time, so that they set no bound.
     """
-    return max(MIN_REMAINING_S, usable_for_s) if usable_for_s < remaining_s else None
+    return max(MIN_REMAINING_S, weights_usable_for_s) if weights_usable_for_s < remaining_s else None
 
 
 def stall_timeout_s(max_gap_s: float) -> float:
--- a/src/wallwell/routing/retry/retry_after.py
+++ b/src/wallwell/routing/retry/retry_after.py
@@ -20,44 +20,44 @@
 
 import msgspec
 
-from wallwell.routing.admission.overload import BEGIN_REFUSING, Occupancy, rank_steps
+from wallwell.routing.admission.overload import REFUSAL_BEGIN_LOAD, Occupancy, rank_steps
 
-HONOURED_FRACTION = 1 / 3
+HONOURED_WAIT_FRACTION = 1 / 3
 """Fraction of its remaining time up to which a caller waits; longer waits are cut to it. A bound of the callers'
 protocol."""
-SHORTEST_S = 0.01
+MIN_RETRY_AFTER_S = 0.01
 """Shortest wait that is sent, in seconds: a refused caller must not retry faster than its connection is made."""
-ELSEWHERE_S = 0.04
+OTHER_NODE_WAIT_S = 0.04
 """Wait in seconds where any other node can be expected to serve: only long enough that the callers of one node do
 not arrive at the others in one moment."""
 STORE_SILENCE_FRACTION = 0.5
 """Fraction of the store's silence so far for which it is expected to last on. Arithmetic: of outages seen at a
 random moment, as many have ended after half of their age again as have not."""
-LONGEST_STORE_WAIT_S = 2.0
+MAX_STORE_WAIT_S = 2.0
 """Longest wait in seconds for a silent store, so that callers notice its return soon."""
-NO_BACKEND_LISTED_S = 1.0
+NO_BACKEND_WAIT_S = 1.0
 """Wait in seconds where no back end is listed: about the time in which a started one is listed and known to all
 nodes."""
-SPREAD = (0.75, 1.25)
+WAIT_JITTER = (0.75, 1.25)
 """Multiples of a wait over which callers are spread, so that they do not retry together."""
-CUT_SPREAD = 0.5
+CAPPED_WAIT_JITTER = 0.5
 """Fraction of the longest wait a caller honours over which callers are spread who would have to wait longer."""
 SUSPENSION_MARGIN_S = 0.005
 """Added in seconds to the end of a suspension, so that a caller does not arrive just before it."""
-BACKOFF_SPREAD = (1.0, 1.25)
+BACKOFF_JITTER = (1.0, 1.25)
 """Multiples of the time until a back-off ends over which callers are spread: a back end that was full should not
 get all of them at once. None comes before the end, when it would be refused."""
-FREE_SLOTS_FRACTION = 0.5
+SLOT_RELEASE_FRACTION = 0.5
 """Fraction of a request's usual duration after which slots of a full service are free again: requests in flight at
 a random moment have on average half of their duration left."""
 
-OVERLOAD_FREE_SLOTS_FRACTION = 0.5
+OVERLOAD_SLOT_RELEASE_FRACTION = 0.5
 """Fraction of a generation's usual duration after which the first slots are free again: as
 ``FREE_SLOTS_FRACTION``."""
-OVERLOAD_SPREAD = (0.75, 1.75)
+OVERLOAD_JITTER = (0.75, 1.75)
 """Multiples of the expected time over which retries of generations are spread, so that they do not arrive at
 once."""
-OVERLOAD_RANK_DELAY = 0.25
+OVERLOAD_RANK_DELAY_FRACTION = 0.25
 """Fraction of that time by which each less urgent rank retries later."""
 
 
@@ -99,37 +99,37 @@
     """Return the wait in seconds; 0 if a retry within the caller's time is no use."""
     if cause is RefusalCause.TOO_LITTLE_TIME:
         return 0.0
-    longest_s = max(SHORTEST_S, circumstances.remaining_s * HONOURED_FRACTION)
+    max_wait_s = max(MIN_RETRY_AFTER_S, circumstances.remaining_s * HONOURED_WAIT_FRACTION)
     if cause is RefusalCause.ALL_SUSPENDED:
         # The end of the suspension is known, so the spread begins there.
         earliest_s = circumstances.suspension_ends_in_s + SUSPENSION_MARGIN_S
-        wait_s = earliest_s + rng.uniform(0.0, ELSEWHERE_S)
+        wait_s = earliest_s + rng.uniform(0.0, OTHER_NODE_WAIT_S)
     elif cause is RefusalCause.ALL_BACKING_OFF:
-        wait_s = circumstances.backoff_ends_in_s * rng.uniform(*BACKOFF_SPREAD)
+        wait_s = circumstances.backoff_ends_in_s * rng.uniform(*BACKOFF_JITTER)
     elif cause is RefusalCause.ALL_LIMITED:
         wait_s = circumstances.limit_wait_s
     else:
-        wait_s = _expected_s(cause, circumstances) * rng.uniform(*SPREAD)
-    if wait_s > longest_s:
-        wait_s = longest_s * rng.uniform(1.0 - CUT_SPREAD, 1.0)
-    return max(SHORTEST_S, wait_s)
+        wait_s = _expected_wait_s(cause, circumstances) * rng.uniform(*WAIT_JITTER)
+    if wait_s > max_wait_s:
+        wait_s = max_wait_s * rng.uniform(1.0 - CAPPED_WAIT_JITTER, 1.0)
+    return max(MIN_RETRY_AFTER_S, wait_s)
 
 
-def _expected_s(cause: RefusalCause, circumstances: RefusalCircumstances) -> float:
+def _expected_wait_s(cause: RefusalCause, circumstances: RefusalCircumstances) -> float:
     """Return the time in which the cause has probably ended for the caller."""
     match cause:
         case RefusalCause.NO_CONFIGURATION | RefusalCause.STALE_CONFIGURATION:
             if not circumstances.receives_peer_loads:
-                return ELSEWHERE_S
+                return OTHER_NODE_WAIT_S
             expected_s = STORE_SILENCE_FRACTION * circumstances.store_silence_s
-            return max(ELSEWHERE_S, min(LONGEST_STORE_WAIT_S, expected_s))
+            return max(OTHER_NODE_WAIT_S, min(MAX_STORE_WAIT_S, expected_s))
         case RefusalCause.NO_BACKEND_LISTED | RefusalCause.WEIGHTS_TOO_OLD:
-            return NO_BACKEND_LISTED_S
+            return NO_BACKEND_WAIT_S
         case RefusalCause.REFUSED_BY_BACKENDS:
-            return max(ELSEWHERE_S, FREE_SLOTS_FRACTION * circumstances.usual_duration_s)
+            return max(OTHER_NODE_WAIT_S, SLOT_RELEASE_FRACTION * circumstances.usual_duration_s)
         case _:
             # This node's retries are used up; a caller's own retry is a new request, which needs no budget.
-            return ELSEWHERE_S
+            return OTHER_NODE_WAIT_S
 
 
 def overload_retry_after_s(occupancy: Occupancy, rank: int, generation_s: float, rng: random.Random) -> float:
@@ -138,6 +138,8 @@
     ``generation_s`` is a generation's usual duration. The load beyond the threshold is served in as many of
     these as it is larger, by slot. Callers are spread around that, the urgent ones (rank 0) first.
     """
-    excess = max(0.0, occupancy.per_slot - BEGIN_REFUSING)
-    order = 1.0 + OVERLOAD_RANK_DELAY * rank_steps(rank)
-    return generation_s * order * (OVERLOAD_FREE_SLOTS_FRACTION + excess) * rng.uniform(*OVERLOAD_SPREAD)
+    excess_load = max(0.0, occupancy.load_per_slot - REFUSAL_BEGIN_LOAD)
+    rank_factor = 1.0 + OVERLOAD_RANK_DELAY_FRACTION * rank_steps(rank)
+    return (
+        generation_s * rank_factor * (OVERLOAD_SLOT_RELEASE_FRACTION + excess_load) * rng.uniform(*OVERLOAD_JITTER)
+    )
--- a/src/wallwell/routing/retry/retry_budget.py
+++ b/src/wallwell/routing/retry/retry_budget.py
@@ -12,7 +12,7 @@
 
 from wallwell.routing.sliding_window import SlidingWindow
 
-SAFETY = 0.8
+SAFETY_FACTOR = 0.8
 """Fraction of the budget that is used, since nodes' counts of each other lag."""
 RETRY_COST = 1.0
 """What one retry takes of a budget, which is counted in retries."""
@@ -37,19 +37,19 @@
         """Count an admitted request, also one that is then refused before it is sent."""
         self._requests.add(now_s)
 
-    def left(self, now_s: float, nodes: int) -> float:
+    def remaining_retries(self, now_s: float, node_count: int) -> float:
         """Return how many retries this node may still send now."""
-        extra = self.extra / max(1, nodes) if now_s - self.started_s >= self.window_s else 0.0
+        extra = self.extra / max(1, node_count) if now_s - self.started_s >= self.window_s else 0.0
         allowed = self.ratio * self._requests.count(now_s) + extra
-        return SAFETY * allowed - self._retries.count(now_s)
+        return SAFETY_FACTOR * allowed - self._retries.count(now_s)
 
-    def allows_retry(self, now_s: float, nodes: int) -> bool:
+    def allows_retry(self, now_s: float, node_count: int) -> bool:
         """Whether one retry may be sent now."""
-        return self.left(now_s, nodes) >= RETRY_COST
+        return self.remaining_retries(now_s, node_count) >= RETRY_COST
 
-    def try_retry(self, now_s: float, nodes: int) -> bool:
+    def try_retry(self, now_s: float, node_count: int) -> bool:
         """Spend one retry if the budget allows it."""
-        if not self.allows_retry(now_s, nodes):
+        if not self.allows_retry(now_s, node_count):
             return False
         self._retries.add(now_s)
         return True
--- a/src/wallwell/routing/retry/retry_policy.py
+++ b/src/wallwell/routing/retry/retry_policy.py
@@ -20,14 +20,14 @@
 
 from wallwell.deployment.routes import Route
 from wallwell.routing.retry.attempt_history import NOT_ARRIVED, AttemptHistory
-from wallwell.routing.retry.attempt_outcome import TransportEvent, allows_retry
+from wallwell.routing.retry.attempt_outcome import TransportEvent, is_safe_to_retry
 from wallwell.routing.retry.response_timeout import stall_timeout_s
 from wallwell.routing.retry.retry_after import RefusalCause
 from wallwell.routing.retry.retry_budget import FleetRetryBudget
 
-MAX_REFUSALS_BEYOND_ATTEMPTS = 3
+MAX_EXTRA_ARRIVALS = 3
 """Further arrivals beyond a route's attempts, for back ends that prove that they did not run the request."""
-MAX_UNREACHABLE = 3
+MAX_UNREACHED_ATTEMPTS = 3
 """Attempts that were not sent, mostly for want of a connection, after which the request is refused: its cause is
 then probably on this node's side of the network, and its caller reaches another node. Error answers that were
 retried count as well, since they are attempts that failed without counting as arrivals."""
@@ -47,9 +47,9 @@
 
 
 RETRY = Retry()
-AS_IT_ENDED = GiveUp(RefusalCause.REFUSED_BY_BACKENDS)
-NO_RUN_LEFT = GiveUp(RefusalCause.REFUSED_BY_BACKENDS, "every allowed attempt was used")
-NOTHING_REACHABLE = GiveUp(RefusalCause.ALL_SUSPENDED, "no back end can be reached")
+NOT_RETRYABLE = GiveUp(RefusalCause.REFUSED_BY_BACKENDS)
+RUNS_EXHAUSTED = GiveUp(RefusalCause.REFUSED_BY_BACKENDS, "every allowed attempt was used")
+NO_BACKEND_REACHABLE = GiveUp(RefusalCause.ALL_SUSPENDED, "no back end can be reached")
 TOO_MANY_REFUSALS = GiveUp(RefusalCause.REFUSED_BY_BACKENDS, "too many back ends refused")
 BUDGET_EXHAUSTED = GiveUp(RefusalCause.RETRY_BUDGET_EXHAUSTED, "the retry budget is used up")
 
@@ -85,7 +85,7 @@
         self,
         route: Route,
         history: AttemptHistory,
-        has_untried: Callable[[], bool],
+        has_untried_backend: Callable[[], bool],
         budget: FleetRetryBudget,
         now_s: float,
     ) -> bool:
@@ -96,10 +96,10 @@
         """
         if not self.may_interrupt(route, history):
             return False
-        return has_untried() and budget.allows_retry(now_s, self._node_count())
+        return has_untried_backend() and budget.allows_retry(now_s, self._node_count())
 
-    def abandon_silent(
-        self, history: AttemptHistory, are_all_behind: bool, budget: FleetRetryBudget, now_s: float
+    def try_abandon_silent(
+        self, history: AttemptHistory, is_fleet_behind: bool, budget: FleetRetryBudget, now_s: float
     ) -> bool:
         """Decide whether to abandon a silent attempt now; the retry that follows is then paid for in advance.
 
@@ -107,16 +107,16 @@
         while the engines of the whole fleet are behind: another one would prefill the prompt from its start
         behind others, and what this one has computed or queued would be lost.
         """
-        if are_all_behind or not self._draw(budget, now_s):
+        if is_fleet_behind or not self._draw_retry(budget, now_s):
             return False
         history.prepaid_retries += 1
         return True
 
-    def after_error_answer(
+    def try_retry_error_answer(
         self,
         route: Route,
         history: AttemptHistory,
-        has_untried: Callable[[], bool],
+        has_untried_backend: Callable[[], bool],
         budget: FleetRetryBudget,
         now_s: float,
     ) -> bool:
@@ -124,11 +124,11 @@
 
         The caller gets the error answer otherwise. ``has_untried`` as for :meth:`may_abandon_silent`.
         """
-        if not self.may_abandon_silent(route, history, has_untried, budget, now_s):
+        if not self.may_abandon_silent(route, history, has_untried_backend, budget, now_s):
             return False
-        return self._draw(budget, now_s)
+        return self._draw_retry(budget, now_s)
 
-    def after_failure(
+    def decide_after_failure(
         self,
         route: Route,
         history: AttemptHistory,
@@ -141,34 +141,34 @@
 
         ``attempts`` and ``history`` already count the attempt that failed.
         """
-        bound = self._exceeded_bound(route, history, attempts, event)
-        if bound is not None:
-            return bound
-        if event in NOT_ARRIVED or self._pay(history, budget, now_s):
+        give_up = self._exceeded_bound(route, history, attempts, event)
+        if give_up is not None:
+            return give_up
+        if event in NOT_ARRIVED or self._pay_for_retry(history, budget, now_s):
             return RETRY
         return BUDGET_EXHAUSTED
 
     def _exceeded_bound(
         self, route: Route, history: AttemptHistory, attempts: int, event: TransportEvent
     ) -> GiveUp | None:
-        if not allows_retry(event, route.repeatable):
-            return AS_IT_ENDED
+        if not is_safe_to_retry(event, route.repeatable):
+            return NOT_RETRYABLE
         if not self.may_run_again(route, history.runs):
-            return NO_RUN_LEFT
+            return RUNS_EXHAUSTED
         # An error answer that was retried counts here too: it is an attempt, and not among the arrivals.
-        if attempts - history.arrivals >= MAX_UNREACHABLE:
-            return NOTHING_REACHABLE
-        if history.arrivals >= route.max_attempts + MAX_REFUSALS_BEYOND_ATTEMPTS:
+        if attempts - history.failed_arrivals >= MAX_UNREACHED_ATTEMPTS:
+            return NO_BACKEND_REACHABLE
+        if history.failed_arrivals >= route.max_attempts + MAX_EXTRA_ARRIVALS:
             return TOO_MANY_REFUSALS
         return None
 
-    def _pay(self, history: AttemptHistory, budget: FleetRetryBudget, now_s: float) -> bool:
+    def _pay_for_retry(self, history: AttemptHistory, budget: FleetRetryBudget, now_s: float) -> bool:
         """Pay for a retry, with one that was paid in advance if there is one."""
         if history.prepaid_retries:
             history.prepaid_retries -= 1
             return True
-        return self._draw(budget, now_s)
+        return self._draw_retry(budget, now_s)
 
-    def _draw(self, budget: FleetRetryBudget, now_s: float) -> bool:
+    def _draw_retry(self, budget: FleetRetryBudget, now_s: float) -> bool:
         """Draw one retry from the budget; False if it is exhausted."""
         return budget.try_retry(now_s, self._node_count())
--- a/src/wallwell/serving/attempt.py
+++ b/src/wallwell/serving/attempt.py
@@ -92,7 +92,7 @@
         self._state.load.stated_limits.on_sent(backend.incarnation, sent_s)
         backend.in_flight += 1
         backend.load += load
-        active.history.tried.add(backend.incarnation)
+        active.history.tried_incarnations.add(backend.incarnation)
         active.timing.on_sent(sent_s, backend.fleet_load(self._state.node_count))
         return sent_s
 
@@ -159,7 +159,7 @@
     def _is_retried(self, active: ActiveRequest) -> bool:
         """Whether an error answer leads to another attempt, which is then paid for."""
         now_s = boot_time_s()
-        return self._policy.after_error_answer(
+        return self._policy.try_retry_error_answer(
             active.route,
             active.history,
             lambda: has_untried_backend(self._state, active, now_s),
--- a/src/wallwell/serving/attempt_learning.py
+++ b/src/wallwell/serving/attempt_learning.py
@@ -10,7 +10,7 @@
 from wallwell.events import Event, emit
 from wallwell.node.state import NodeState
 from wallwell.routing.health.backend import Backend
-from wallwell.routing.retry.attempt_history import UNREACHABLE
+from wallwell.routing.retry.attempt_history import CONNECT_FAILURES
 from wallwell.routing.retry.attempt_outcome import REFUSED_BY_BACKEND, TransportEvent
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.backend_choice import BackendChoice
@@ -110,7 +110,7 @@
             )
 
     def _count_failure(self, backend: Backend, event: TransportEvent, now_s: float) -> None:
-        if backend.on_failure(now_s, unreachable=event in UNREACHABLE):
+        if backend.on_failure(now_s, unreachable=event in CONNECT_FAILURES):
             emit(
                 Event.BACKEND_SUSPENDED,
                 backend=backend.incarnation,
--- a/src/wallwell/serving/backend_choice.py
+++ b/src/wallwell/serving/backend_choice.py
@@ -11,8 +11,8 @@
 
 from wallwell.errors import OverloadedError
 from wallwell.node.state import NodeState
-from wallwell.routing.admission.overload import overloaded_occupancy
-from wallwell.routing.admission.remaining_time import ShortestAnswer
+from wallwell.routing.admission.overload import occupancy_if_refused
+from wallwell.routing.admission.remaining_time import ShortestAnswerTime
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.retry.retry_after import overload_retry_after_s
 from wallwell.routing.selection.call_choice import choose_for_call
@@ -56,17 +56,19 @@
         A stream that a caller resumes and a request that was sent before are not new.
         """
         generation = active.request.generation
-        if generation is None or generation.resume_after is not None or active.history.tried:
+        if generation is None or generation.resume_after is not None or active.history.tried_incarnations:
             return
         state = self._state
         engines = eligible_backends(state, active.service, now_s)
         # The free slots of one that states a limit cannot be used.
         engines = [each for each in engines if not each.is_limited] or engines
-        occupancy = overloaded_occupancy(engines, active.rank, now_s, state.rng)
+        occupancy = occupancy_if_refused(engines, active.rank, now_s, state.rng)
         if occupancy is None:
             return
         wait_s = overload_retry_after_s(occupancy, active.rank, state.generation_time.seconds, state.rng)
-        raise OverloadedError(f"{occupancy.per_slot:.2f} under way by slot", retry_after_ms=round(wait_s * 1000))
+        raise OverloadedError(
+            f"{occupancy.load_per_slot:.2f} under way by slot", retry_after_ms=round(wait_s * 1000)
+        )
 
     def learn_time(self, active: ActiveRequest, now_s: float) -> None:
         """A request has ended well."""
@@ -75,7 +77,7 @@
         usual = state.call_time if active.request.generation is None else state.generation_time
         usual.observe(took_s)
         if not active.history.runs:
-            state.shortest_answers.setdefault(active.route.name, ShortestAnswer()).observe(took_s)
+            state.shortest_answers.setdefault(active.route.name, ShortestAnswerTime()).observe(took_s)
 
     def learn_first_token(self, active: ActiveRequest, now_s: float) -> None:
         """A token of the current attempt came: learn from the first one."""
@@ -93,5 +95,5 @@
         """The current attempt was given up before its first token."""
         timing = active.timing
         if timing.sent_s is not None and active.request.generation is not None:
-            self._state.first_token_delays.on_given_up(now_s)
+            self._state.first_token_delays.on_attempt_abandoned(now_s)
             timing.sent_s = None
--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -23,8 +23,8 @@
 from wallwell.errors import RequestError
 from wallwell.node.state import NodeState
 from wallwell.outcomes import Outcome
-from wallwell.routing.admission.backoff_hold import hold_s
-from wallwell.routing.admission.remaining_time import is_too_late
+from wallwell.routing.admission.backoff_hold import hold_duration_s
+from wallwell.routing.admission.remaining_time import has_too_little_time
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.retry.attempt_history import NOT_ARRIVED
 from wallwell.routing.retry.attempt_outcome import TransportEvent
@@ -185,7 +185,7 @@
     ) -> tuple[Sequence[Backend], Sequence[Backend]]:
         """Return the listed back ends and those of them that may get the next attempt, but for some."""
         listed, usable = candidates_for(self._state, active, now_s, without)
-        tried = active.history.tried
+        tried = active.history.tried_incarnations
         untried = [each for each in usable if each.incarnation not in tried]
         candidates = untried or (usable if self._is_proved_unrun(active) else [])
         unresponsive = active.history.unresponsive_zones
@@ -205,14 +205,16 @@
         if ends_s is None:
             return None
         objective_left_s = active.request.arrived_s + active.route.objective_s - now_s
-        seconds = hold_s(ends_s - now_s, objective_left_s, self._state.rng)
+        seconds = hold_duration_s(ends_s - now_s, objective_left_s, self._state.rng)
         return None if seconds is None else Hold(seconds)
 
     def _is_too_late(self, active: ActiveRequest) -> bool:
         generation = active.request.generation
         is_resumed = generation is not None and generation.resume_after is not None
         shortest = self._state.shortest_answers.get(active.route.name)
-        return is_too_late(shortest, active.remaining_s(), continues_run=bool(active.history.runs) or is_resumed)
+        return has_too_little_time(
+            shortest, active.remaining_s(), continues_run=bool(active.history.runs) or is_resumed
+        )
 
     def _is_proved_unrun(self, active: ActiveRequest) -> bool:
         return active.log.outcome is Outcome.NOT_RUN
@@ -224,14 +226,14 @@
         now_s = boot_time_s()
         event = failure.event
         active.log.record(event)
-        active.history.on_failed(event)
-        active.history.details.append(f"{backend.incarnation} {event.value} {failure.detail}")
+        active.history.on_attempt_failed(event)
+        active.history.failure_details.append(f"{backend.incarnation} {event.value} {failure.detail}")
         self._learning.on_failure(active, backend, failure, now_s)
         self._reports.on_attempt_failed(active, backend, failure)
         if event in NOT_ARRIVED:
             self._state.load.stated_limits.give_back(backend)
         budget = self._state.budget_of(active.service)
-        decision = self._policy.after_failure(
+        decision = self._policy.decide_after_failure(
             active.route, active.history, active.log.attempts, event, budget, now_s
         )
         if isinstance(decision, GiveUp):
--- a/src/wallwell/serving/request_errors.py
+++ b/src/wallwell/serving/request_errors.py
@@ -36,7 +36,7 @@
 
     def out_of_time(self, active: ActiveRequest) -> RequestError:
         """Return the error of a request whose time is over, or too short for any answer."""
-        text = "; ".join(active.history.details)
+        text = "; ".join(active.history.failure_details)
         if active.log.outcome is Outcome.NOT_RUN and not active.history.runs:
             wait_ms = self._retry_after.of_request(RefusalCause.TOO_LITTLE_TIME, active)
             if active.log.attempts:
@@ -52,7 +52,7 @@
 
         ``limit_wait_s`` is the time until a limit allows the request, where that is the cause.
         """
-        text = "; ".join((detail, *active.history.details))
+        text = "; ".join((detail, *active.history.failure_details))
         if active.log.outcome is Outcome.NOT_RUN:
             wait_ms = self._retry_after.of_request(cause, active, limit_wait_s)
             if active.log.attempts:
@@ -88,7 +88,7 @@
         Each further try would end one more of them, with all its runs.
         """
         quarantine = self._state.quarantine
-        left_s = quarantine.left_s(active.content, now_s) if quarantine.quarantined else 0.0
+        left_s = quarantine.remaining_s(active.content, now_s) if quarantine.quarantined_count else 0.0
         if not left_s:
             return None
         detail = f"back ends crashed under content {active.content}"
--- a/src/wallwell/serving/response_timeout.py
+++ b/src/wallwell/serving/response_timeout.py
@@ -82,7 +82,7 @@
         is_generation = active.request.generation is not None
         are_all_behind = is_generation and self._state.first_token_delays.is_fleet_behind(now_s)
         budget = self._state.budget_of(active.service)
-        return self._policy.abandon_silent(active.history, are_all_behind, budget, now_s)
+        return self._policy.try_abandon_silent(active.history, are_all_behind, budget, now_s)
 
     def _begin_timeout_s(self, active: ActiveRequest, backend: Backend) -> float | None:
         """Return within what time the engine must begin, since its weights are too old after it; None for calls."""
--- a/src/wallwell/standalone/crash_memory.py
+++ b/src/wallwell/standalone/crash_memory.py
@@ -61,7 +61,7 @@
 
     def refusal(self, content: str) -> RequestQuarantinedError | None:
         """Return the error of a request that crashes back ends, None for any other one."""
-        remaining_s = self.quarantine.left_s(content, boot_time_s())
+        remaining_s = self.quarantine.remaining_s(content, boot_time_s())
         if not remaining_s:
             return None
         message = "back ends crashed under this request"
@@ -84,7 +84,7 @@
     def _on_crash(self, content: str, backend: str) -> None:
         """Count and announce that a back end ended under a request."""
         now_s = boot_time_s()
-        self.quarantine.expire(now_s)
+        self.quarantine.remove_expired(now_s)
         life = self._ended_life(backend, now_s)
         if count_crash(self.quarantine, content, life, now_s):
             emit(Event.BACKEND_CRASHED, backend=backend, runs=1)
--- a/tests/suspects.py
+++ b/tests/suspects.py
@@ -7,4 +7,4 @@
 
 def suspected_contents(quarantine: Quarantine) -> set[str]:
     """Return the contents under which a back end has crashed: those whose crashes expire at some time."""
-    return {content for content, _ in quarantine.expired(float("inf"))}
+    return {content for content, _ in quarantine.expired_crashes(float("inf"))}
--- a/tests/unit/cluster/test_load_reporter.py
+++ b/tests/unit/cluster/test_load_reporter.py
@@ -162,7 +162,7 @@
             node.load.limits.set_limits({"t": TenantLimit(1e9, 1e9, counts_tokens=True)})
             node.load.limits.admit("t", 10**index, boot_time_s())
         await exchange(nodes)
-        return [node.load.limits.asked_of_peers("t") for node in nodes]
+        return [node.load.limits.peer_demand("t") for node in nodes]
 
     assert with_nodes("aabc", scenario) == [1110, 1101, 1011, 111]
 
--- a/tests/unit/node/test_crash_watch.py
+++ b/tests/unit/node/test_crash_watch.py
@@ -209,7 +209,7 @@
         for number in range(CRASHES_TO_QUARANTINE):
             node.watch.on_broken_run("c", node.backend(number))
         await asyncio.sleep(10.0)
-        known = node.state.quarantine.left_s("c", boot_time_s()) > 0
+        known = node.state.quarantine.remaining_s("c", boot_time_s()) > 0
         node.table.down = False
         await asyncio.sleep(2.0)
         return known, len(node.rows)
@@ -264,7 +264,7 @@
             node.watch.on_peer_report(("c", f"gone-{number}"))
             node.watch.on_peer_report(("c", f"gone-{number}"))
         await asyncio.sleep(1.0)
-        return node.state.quarantine.left_s("c", boot_time_s()) > 0, node.rows
+        return node.state.quarantine.remaining_s("c", boot_time_s()) > 0, node.rows
 
     assert run_virtual(work()) == (True, set())
 
@@ -276,7 +276,7 @@
         node.watch.on_answered("c")
         node.hear("c", "i-9")
         await asyncio.sleep(0.1)
-        return node.rows, node.state.quarantine.suspects
+        return node.rows, node.state.quarantine.suspect_count
 
     assert run_virtual(work()) == (set(), 0)
 
@@ -299,7 +299,7 @@
         node = Node()
         node.hear_quarantine()
         node.hear("c", "gone-0", value=None)
-        return node.state.quarantine.left_s("c", boot_time_s())
+        return node.state.quarantine.remaining_s("c", boot_time_s())
 
     assert run_virtual(work()) == 0
 
@@ -313,7 +313,7 @@
             node.hear("c", "i-9")
             node.table.model.rows[CRASH_PREFIX + "c/i-9"] = None
         await asyncio.sleep(SUSPECT_S + 2 * SWEEP_S)
-        return [not node.rows for node in nodes], [node.state.quarantine.suspects for node in nodes]
+        return [not node.rows for node in nodes], [node.state.quarantine.suspect_count for node in nodes]
 
     removed, known = run_virtual(work())
     assert sum(removed) == 1
@@ -330,9 +330,9 @@
         for number in range(20):  # With four members, some are another one's to remove.
             node.watch.on_broken_run(f"c-{number}", node.backend())
         await asyncio.sleep(PROBED_S)
-        before = node.state.quarantine.suspects
+        before = node.state.quarantine.suspect_count
         await asyncio.sleep(SUSPECT_S + 2 * SWEEP_S)
-        after = node.state.quarantine.suspects
+        after = node.state.quarantine.suspect_count
         node.table.down = False
         await asyncio.sleep(2.0)
         return before, after, node.rows
--- a/tests/unit/node/test_restarted_back_end.py
+++ b/tests/unit/node/test_restarted_back_end.py
@@ -62,7 +62,7 @@
             watch.on_broken_run("c", start_again(state, "i-0", born))
             await asyncio.sleep(5.0)
         running.cancel()
-        return state.quarantine.left_s("c", boot_time_s()), sorted(watch._table.model.rows)
+        return state.quarantine.remaining_s("c", boot_time_s()), sorted(watch._table.model.rows)
 
     left_s, rows = run_virtual(work())
     assert left_s > 0
@@ -84,7 +84,7 @@
         await asyncio.sleep(0.1)
         start_again(state, "i-0", 2)
         await asyncio.sleep(5.0)
-        return state.quarantine.suspects
+        return state.quarantine.suspect_count
 
     assert run_virtual(work()) == 1
 
@@ -98,7 +98,7 @@
         start_again(state, "i-0", 2)
         watch.on_broken_run("c", first)
         await asyncio.sleep(5.0)
-        return state.quarantine.suspects
+        return state.quarantine.suspect_count
 
     assert run_virtual(work()) == 0
 
--- a/tests/unit/routing/admission/limit_fleet.py
+++ b/tests/unit/routing/admission/limit_fleet.py
@@ -77,7 +77,7 @@
         """Start a node, or start it again without anything it knew."""
         node.limits = self._limits_type(random.Random(self.rng.random()))
         node.limits.set_limits({TENANT: self.limit})
-        node.limits.forget_fleet(len(self.nodes))
+        node.limits.on_fleet_lost(len(self.nodes))
         node.members, node.regions = {}, {}
         node.down = False
 
@@ -125,7 +125,7 @@
         relay = self._relay_of(node.zone, now_s)
         if node.unreachable:
             if now_s - node.heard_at_s >= REPORT_LIFETIME_S:
-                node.limits.learn_fleet({}, 0, len(self.nodes))
+                node.limits.on_fleet_report({}, 0, len(self.nodes))
         elif relay is node:
             self._exchange_with_relays(node, now_s)
             node.heard_at_s = now_s
@@ -134,7 +134,7 @@
             node.heard_at_s = now_s
 
     def _own(self, node, now_s):
-        return Load(asked=node.limits.asked(now_s), nodes=1)
+        return Load(asked=node.limits.own_demand(now_s), nodes=1)
 
     def _zone_load(self, node, now_s):
         members = [each for name, each in node.members.items() if not name.startswith("relay ")]
@@ -147,12 +147,14 @@
             if other is None or other is node or self._region(other) != self._region(node):
                 continue
             other.members["relay " + node.name] = (self._zone_load(node, now_s), now_s)
-            other.limits.take_relay(node.name, node.limits.life, node.limits.spent_totals(), now_s)
+            other.limits.on_relay_totals(node.name, node.limits.node_incarnation, node.limits.spent_totals(), now_s)
             node.members["relay " + other.name] = (self._zone_load(other, now_s), now_s)
-            node.limits.take_relay(other.name, other.limits.life, other.limits.spent_totals(), now_s)
+            node.limits.on_relay_totals(
+                other.name, other.limits.node_incarnation, other.limits.spent_totals(), now_s
+            )
         self._notice_silence(node, now_s)
         others = sum_loads(node.recent(now_s))
-        node.limits.learn_fleet(others.asked, others.nodes, len(self.nodes))
+        node.limits.on_fleet_report(others.asked, others.nodes, len(self.nodes))
 
     def _notice_silence(self, node, now_s):
         for region, (nodes, heard_at_s) in list(node.regions.items()):
@@ -176,7 +178,7 @@
         for region in range(self.regions):
             relays = self._relays_of_region(region, now_s)
             load = sum_loads([self._zone_load(relay, now_s) for relay in relays])
-            totals = [(relay.name, relay.limits.life, relay.limits.spent_totals()) for relay in relays]
+            totals = [(relay.name, relay.limits.node_incarnation, relay.limits.spent_totals()) for relay in relays]
 
             def arrive(at_s, region=region, load=load, totals=totals):
                 if not self.link_is_cut:
@@ -197,16 +199,16 @@
         relay.members[f"relay region {region}"] = (load, now_s)
         relay.regions[region] = (load.nodes, now_s)
         for name, life, spent in totals:
-            relay.limits.take_relay(name, life, spent, now_s, is_near=False)
-        relay.limits.on_region_heard(str(region))
+            relay.limits.on_relay_totals(name, life, spent, now_s, is_same_region=False)
+        relay.limits.on_region_report(str(region))
 
     def _report(self, node, relay, now_s):
         relay.members[node.name] = (self._own(node, now_s), now_s)
-        relay.limits.take_member(node.limits.begin_report(), now_s)
-        node.limits.end_report(taken=True)
+        relay.limits.on_member_spending(node.limits.begin_report(), now_s)
+        node.limits.end_report(is_acknowledged=True)
         others = sum_loads((*relay.recent(now_s, without=node.name), self._own(relay, now_s)))
-        node.limits.learn_fleet(others.asked, others.nodes, len(self.nodes))
-        node.limits.learn_levels(relay.limits.levels(now_s), now_s)
+        node.limits.on_fleet_report(others.asked, others.nodes, len(self.nodes))
+        node.limits.on_relay_levels(relay.limits.levels(now_s), now_s)
 
     # --- measures --------------------------------------------------------------------------------------
 
--- a/tests/unit/routing/admission/test_fleet_limits.py
+++ b/tests/unit/routing/admission/test_fleet_limits.py
@@ -6,7 +6,7 @@
 
 from tests.unit.routing.admission.limit_fleet import TENANT, LimitFleet
 from wallwell.deployment.routes import TenantLimit
-from wallwell.routing.admission.fleet_limits import LONGEST_WAIT_S, Admitted, FleetLimits, OverLimit
+from wallwell.routing.admission.fleet_limits import MAX_LIMIT_WAIT_S, Admitted, FleetLimits, OverLimit
 from wallwell.routing.admission.relay_spending import RELAY_SILENCE_S
 
 LARGE = TenantLimit(307_096, 307_096, counts_tokens=True)
@@ -129,18 +129,18 @@
 def test_a_relay_that_was_cut_off_does_not_count_what_was_spent_meanwhile():
     """It counted twelve seconds of the fleet's spending at once and refused everybody for as long."""
     limits = filled(LARGE)
-    limits.take_relay("n2", 1, {TENANT: 1_000}, now_s=100.0)
-    limits.take_relay("n2", 1, {TENANT: 2_000}, now_s=100.0)
+    limits.on_relay_totals("n2", 1, {TENANT: 1_000}, now_s=100.0)
+    limits.on_relay_totals("n2", 1, {TENANT: 2_000}, now_s=100.0)
     counted = limits.levels(100.0)[TENANT]
-    limits.take_relay("n2", 1, {TENANT: 2_000_000}, now_s=100.0 + RELAY_SILENCE_S + 0.1)
+    limits.on_relay_totals("n2", 1, {TENANT: 2_000_000}, now_s=100.0 + RELAY_SILENCE_S + 0.1)
     assert (counted, limits.levels(103.0)) == (LARGE.burst - 1_000, {})
 
 
 def test_a_relay_that_has_started_again_is_counted_from_there():
     limits = filled(LARGE)
-    limits.take_relay("n2", 1, {TENANT: 5_000}, now_s=100.0)
-    limits.take_relay("n2", 2, {TENANT: 700}, now_s=100.0)
-    limits.take_relay("n2", 2, {TENANT: 900}, now_s=100.0)
+    limits.on_relay_totals("n2", 1, {TENANT: 5_000}, now_s=100.0)
+    limits.on_relay_totals("n2", 2, {TENANT: 700}, now_s=100.0)
+    limits.on_relay_totals("n2", 2, {TENANT: 900}, now_s=100.0)
     assert limits.levels(100.0)[TENANT] == LARGE.burst - 200
 
 
@@ -148,19 +148,19 @@
     """A total that had become smaller looked like a new life of the relay: what others spent was not counted."""
     limits = FleetLimits(random.Random(5))
     limits.set_limits({TENANT: LARGE, "other": LARGE})
-    limits.learn_fleet({}, 0, 1)
+    limits.on_fleet_report({}, 0, 1)
     limits.levels(0.0)
     limits.levels(100.0)
-    limits.take_relay("n2", 1, {TENANT: 5_000, "other": 0}, now_s=100.0)
-    limits.take_relay("n2", 1, {TENANT: 6_000, "other": 0}, now_s=100.0)
-    limits.take_relay("n2", 1, {TENANT: 5_700, "other": 900}, now_s=100.0)
+    limits.on_relay_totals("n2", 1, {TENANT: 5_000, "other": 0}, now_s=100.0)
+    limits.on_relay_totals("n2", 1, {TENANT: 6_000, "other": 0}, now_s=100.0)
+    limits.on_relay_totals("n2", 1, {TENANT: 5_700, "other": 900}, now_s=100.0)
     assert limits.levels(100.0) == {TENANT: LARGE.burst - 700, "other": LARGE.burst - 900}
 
 
 def test_spending_is_taken_off_what_was_saved_until_then():
     """A bucket that had not been looked at for long earned what was spent at once."""
     limits = filled(LARGE)
-    limits.take_member({TENANT: 1_000}, now_s=110.0)
+    limits.on_member_spending({TENANT: 1_000}, now_s=110.0)
     assert limits.levels(110.0)[TENANT] == LARGE.burst - 1_000
 
 
@@ -168,7 +168,7 @@
     """Return the state of a node that has just started, its buckets empty."""
     limits = FleetLimits(random.Random(5))
     limits.set_limits({TENANT: limit})
-    limits.learn_fleet({}, nodes - 1, nodes)
+    limits.on_fleet_report({}, nodes - 1, nodes)
     limits.levels(0.0)
     return limits
 
@@ -229,7 +229,7 @@
         if isinstance(taken, OverLimit):
             refusals.append(taken.wait_s)
     # A refused caller waits longer the more is asked for, and not at one moment with the others.
-    assert min(refusals) >= 0.2 and max(refusals) <= LONGEST_WAIT_S
+    assert min(refusals) >= 0.2 and max(refusals) <= MAX_LIMIT_WAIT_S
     assert len(set(refusals[:5])) > 1
     assert refusals[0] < refusals[-1]
 
@@ -243,9 +243,9 @@
     limits = filled(LARGE)
     limits.admit(TENANT, 1_000, 100.0)
     first = limits.begin_report()
-    limits.end_report(taken=False)
+    limits.end_report(is_acknowledged=False)
     second = limits.begin_report()
-    limits.end_report(taken=True)
+    limits.end_report(is_acknowledged=True)
     assert (first, second, limits.begin_report()) == ({TENANT: 1_000}, {TENANT: 1_000}, {})
 
 
@@ -254,8 +254,8 @@
     limits.admit(TENANT, 1_000, 100.0)
     limits.begin_report()
     limits.admit(TENANT, 500, 100.0)
-    limits.end_report(taken=True)
-    limits.learn_levels({TENANT: 50_000}, 100.1)
+    limits.end_report(is_acknowledged=True)
+    limits.on_relay_levels({TENANT: 50_000}, 100.1)
     assert limits.levels(100.1)[TENANT] == 49_500
     assert limits.begin_report() == {TENANT: 500}
 
@@ -263,16 +263,16 @@
 def test_operators_see_the_tenants_that_are_refused_most():
     limits = FleetLimits(random.Random(5))
     limits.set_limits({name: SMALL for name in ("quiet", "busy", "excess")})
-    limits.learn_fleet({}, 0, 1)
+    limits.on_fleet_report({}, 0, 1)
     limits.levels(0.0)
     limits.levels(100.0)
     limits.admit("busy", 5_000, 100.0)
     for _ in range(100):
         limits.admit("excess", 5_000, 100.0)
-    first, second = limits.most_refused(2, 100.0)
+    first, second = limits.most_refused_tenants(2, 100.0)
     assert (first.tenant, second.tenant) == ("excess", "busy")
-    assert first.refused > 50 and second.refused == 0
-    assert (second.left, second.asked_per_s) == (24_000, 5_000)
+    assert first.refused_requests > 50 and second.refused_requests == 0
+    assert (second.level, second.demand_per_s) == (24_000, 5_000)
 
 
 def link_cut(from_s, to_s):
@@ -344,15 +344,15 @@
 
 def test_a_region_that_went_silent_is_taken_to_have_spent_as_this_one_did():
     limits = filled(LARGE)
-    limits.take_relay("near", 1, {TENANT: 0}, now_s=100.0)
-    limits.take_relay("far", 1, {TENANT: 0}, now_s=100.0, is_near=False)
+    limits.on_relay_totals("near", 1, {TENANT: 0}, now_s=100.0)
+    limits.on_relay_totals("far", 1, {TENANT: 0}, now_s=100.0, is_same_region=False)
     limits.charge_retry(Admitted(TENANT, 1_000))
-    limits.on_region_heard("west")
+    limits.on_region_report("west")
     before = limits.levels(100.0)[TENANT]
     limits.charge_retry(Admitted(TENANT, 500))
-    limits.take_member({TENANT: 300}, now_s=100.0)
-    limits.take_relay("near", 1, {TENANT: 200}, now_s=100.0)
-    limits.take_relay("far", 1, {TENANT: 70}, now_s=100.0, is_near=False)
+    limits.on_member_spending({TENANT: 300}, now_s=100.0)
+    limits.on_relay_totals("near", 1, {TENANT: 200}, now_s=100.0)
+    limits.on_relay_totals("far", 1, {TENANT: 70}, now_s=100.0, is_same_region=False)
     limits.on_region_lost("west", 2.0, now_s=100.0)
     # Spent here and reported by the other side, and twice what was spent in this region since its last report.
     assert before - limits.levels(100.0)[TENANT] == 1_070 + 2 * 1_000
@@ -363,5 +363,5 @@
 def test_relays_that_are_gone_are_not_remembered():
     limits = FleetLimits(random.Random(1))
     for number in range(100):
-        limits.take_relay(f"relay-{number}", 1, {"t": number}, 2.0 * RELAY_SILENCE_S * number)
-    assert len(limits._relays) == 1
+        limits.on_relay_totals(f"relay-{number}", 1, {"t": number}, 2.0 * RELAY_SILENCE_S * number)
+    assert len(limits._relay_spending) == 1
--- a/tests/unit/routing/admission/test_overload.py
+++ b/tests/unit/routing/admission/test_overload.py
@@ -3,30 +3,30 @@
 import pytest
 
 from wallwell.routing.admission.overload import (
-    BEGIN_REFUSING,
     DEFAULT_GENERATION_S,
-    RANK_STEP,
-    REFUSE_ALL,
-    GenerationTime,
+    RANK_LOAD_STEP,
+    REFUSAL_BEGIN_LOAD,
+    REFUSE_ALL_LOAD,
+    AverageDuration,
     Occupancy,
     refused_fraction,
 )
 
-RAMP = REFUSE_ALL - BEGIN_REFUSING
+RAMP = REFUSE_ALL_LOAD - REFUSAL_BEGIN_LOAD
 
 
 @pytest.mark.parametrize(
     ("per_slot", "rank", "fraction"),
     [
         (0.5, 0, 0.0),
-        (BEGIN_REFUSING, 0, 0.0),
-        ((BEGIN_REFUSING + REFUSE_ALL) / 2, 0, 0.5),
-        (REFUSE_ALL, 0, 1.0),
+        (REFUSAL_BEGIN_LOAD, 0, 0.0),
+        ((REFUSAL_BEGIN_LOAD + REFUSE_ALL_LOAD) / 2, 0, 0.5),
+        (REFUSE_ALL_LOAD, 0, 1.0),
         (9.0, 0, 1.0),
-        (BEGIN_REFUSING, 1, RANK_STEP / RAMP),
-        (BEGIN_REFUSING, 3, 3 * RANK_STEP / RAMP),
-        (BEGIN_REFUSING, 9, 3 * RANK_STEP / RAMP),
-        (BEGIN_REFUSING - 3 * RANK_STEP, 9, 0.0),
+        (REFUSAL_BEGIN_LOAD, 1, RANK_LOAD_STEP / RAMP),
+        (REFUSAL_BEGIN_LOAD, 3, 3 * RANK_LOAD_STEP / RAMP),
+        (REFUSAL_BEGIN_LOAD, 9, 3 * RANK_LOAD_STEP / RAMP),
+        (REFUSAL_BEGIN_LOAD - 3 * RANK_LOAD_STEP, 9, 0.0),
     ],
 )
 def test_fraction_refused(per_slot, rank, fraction):
@@ -38,7 +38,7 @@
 
 
 def test_the_time_of_a_generation_is_learned():
-    time = GenerationTime()
+    time = AverageDuration()
     before = time.seconds
     for _ in range(200):
         time.observe(4.0)
--- a/tests/unit/routing/admission/test_quarantine.py
+++ b/tests/unit/routing/admission/test_quarantine.py
@@ -4,9 +4,9 @@
 
 from tests.suspects import suspected_contents
 from wallwell.routing.admission.quarantine import (
-    CLEARED_S,
+    CLEARANCE_S,
     CRASHES_TO_QUARANTINE,
-    MAX_CLEARED,
+    MAX_CLEARED_REQUESTS,
     MAX_SUSPECTS,
     QUARANTINE_S,
     SUSPECT_S,
@@ -35,51 +35,54 @@
 )
 def test_different_back_ends_count(incarnations, is_quarantined):
     quarantine = crashed(incarnations)
-    assert (quarantine.left_s("c", 1.0) > 0, quarantine.quarantined) == (is_quarantined, int(is_quarantined))
-    assert quarantine.left_s("other", 1.0) == 0
+    assert (quarantine.remaining_s("c", 1.0) > 0, quarantine.quarantined_count) == (
+        is_quarantined,
+        int(is_quarantined),
+    )
+    assert quarantine.remaining_s("other", 1.0) == 0
 
 
 def test_an_answer_clears_what_came_before_and_what_comes_soon_after():
     quarantine = crashed(ENOUGH[:-1])
     assert set(quarantine.on_answered("c", 1.0)) == set(ENOUGH[:-1])
-    crashed(ENOUGH, now_s=CLEARED_S, quarantine=quarantine)
-    assert (quarantine.left_s("c", CLEARED_S), quarantine.suspects) == (0, 0)
-    crashed(ENOUGH, now_s=CLEARED_S + 2.0, quarantine=quarantine)
-    assert quarantine.left_s("c", CLEARED_S + 2.0) == QUARANTINE_S
+    crashed(ENOUGH, now_s=CLEARANCE_S, quarantine=quarantine)
+    assert (quarantine.remaining_s("c", CLEARANCE_S), quarantine.suspect_count) == (0, 0)
+    crashed(ENOUGH, now_s=CLEARANCE_S + 2.0, quarantine=quarantine)
+    assert quarantine.remaining_s("c", CLEARANCE_S + 2.0) == QUARANTINE_S
 
 
 def test_an_answer_ends_a_quarantine():
     quarantine = crashed(ENOUGH)
     assert set(quarantine.on_answered("c", 1.0)) == set(ENOUGH)
-    assert (quarantine.left_s("c", 1.0), quarantine.quarantined) == (0, 0)
+    assert (quarantine.remaining_s("c", 1.0), quarantine.quarantined_count) == (0, 0)
 
 
 @pytest.mark.parametrize(("incarnations", "lasts_s"), [(ENOUGH[:1], SUSPECT_S), (ENOUGH, QUARANTINE_S)])
 def test_crashes_count_for_a_time(incarnations, lasts_s):
     quarantine = crashed(incarnations, now_s=10.0)
-    assert list(quarantine.expired(10.0 + lasts_s - 1)) == []
-    expired = list(quarantine.expired(10.0 + lasts_s))
+    assert list(quarantine.expired_crashes(10.0 + lasts_s - 1)) == []
+    expired = list(quarantine.expired_crashes(10.0 + lasts_s))
     assert sorted(expired) == [("c", incarnation) for incarnation in incarnations]
-    assert quarantine.left_s("c", 10.0 + lasts_s) == 0
+    assert quarantine.remaining_s("c", 10.0 + lasts_s) == 0
     for content, incarnation in expired:
-        quarantine.forget(content, incarnation)
-    assert (quarantine.quarantined, quarantine.suspects) == (0, 0)
+        quarantine.forget_crash(content, incarnation)
+    assert (quarantine.quarantined_count, quarantine.suspect_count) == (0, 0)
 
 
 def test_a_crash_that_no_longer_counts_ends_the_quarantine_and_is_forgotten_once():
     quarantine = crashed(ENOUGH)
     for _ in range(2):
-        quarantine.forget("c", ENOUGH[0])
-    quarantine.forget("unknown", ENOUGH[0])
-    assert (quarantine.quarantined, quarantine.suspects) == (0, 1)
+        quarantine.forget_crash("c", ENOUGH[0])
+    quarantine.forget_crash("unknown", ENOUGH[0])
+    assert (quarantine.quarantined_count, quarantine.suspect_count) == (0, 1)
 
 
 def test_suspects_are_bounded_and_those_in_quarantine_stay():
     quarantine = crashed(ENOUGH)
     for number in range(MAX_SUSPECTS + 5):
         quarantine.on_crash(f"other-{number}", "i-1", 0.0)
-    assert quarantine.suspects == MAX_SUSPECTS
-    assert quarantine.left_s("c", 1.0) > 0
+    assert quarantine.suspect_count == MAX_SUSPECTS
+    assert quarantine.remaining_s("c", 1.0) > 0
     suspected = suspected_contents(quarantine)
     assert "other-0" not in suspected
     assert f"other-{MAX_SUSPECTS + 4}" in suspected
@@ -87,9 +90,9 @@
 
 def test_answered_requests_remembered_are_bounded():
     quarantine = Quarantine()
-    for number in range(MAX_CLEARED + 5):
+    for number in range(MAX_CLEARED_REQUESTS + 5):
         quarantine.on_answered(f"c-{number}", 0.0)
     assert not quarantine.is_cleared("c-0", 1.0)
-    assert quarantine.is_cleared(f"c-{MAX_CLEARED + 4}", 1.0)
-    quarantine.on_answered("last", CLEARED_S)
-    assert not quarantine.is_cleared(f"c-{MAX_CLEARED + 4}", CLEARED_S)
+    assert quarantine.is_cleared(f"c-{MAX_CLEARED_REQUESTS + 4}", 1.0)
+    quarantine.on_answered("last", CLEARANCE_S)
+    assert not quarantine.is_cleared(f"c-{MAX_CLEARED_REQUESTS + 4}", CLEARANCE_S)
--- a/tests/unit/routing/admission/test_relay_spending.py
+++ b/tests/unit/routing/admission/test_relay_spending.py
@@ -19,5 +19,5 @@
 )
 def test_what_is_new_in_a_report(life, totals, after_s, new):
     spending = RelaySpending()
-    assert spending.take("r", 1, {"t": 100}, 0.0) == {}
-    assert spending.take("r", life, totals, after_s) == new
+    assert spending.add_report("r", 1, {"t": 100}, 0.0) == {}
+    assert spending.add_report("r", life, totals, after_s) == new
--- a/tests/unit/routing/retry/test_attempt_outcome.py
+++ b/tests/unit/routing/retry/test_attempt_outcome.py
@@ -15,7 +15,7 @@
 def test_work_that_may_have_run_is_never_not_run_nor_sent_twice(event):
     verdict = VERDICTS[event]
     if verdict.outcome is not Outcome.NOT_RUN:
-        assert not verdict.retry_once_only
+        assert not verdict.retry_if_not_repeatable
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/routing/retry/test_response_timeout.py
+++ b/tests/unit/routing/retry/test_response_timeout.py
@@ -6,9 +6,9 @@
 
 from wallwell.routing.admission.remaining_time import MIN_REMAINING_S
 from wallwell.routing.retry.response_timeout import (
-    OBJECTIVE_FRACTION,
-    REMAINING_FRACTION,
-    SLOWEST_PREFILL_TOKENS_PER_S,
+    MIN_PREFILL_TOKENS_PER_S,
+    OBJECTIVE_TIMEOUT_FRACTION,
+    REMAINING_TIMEOUT_FRACTION,
     STALL_TIMEOUT_FACTOR,
     begin_timeout_s,
     response_timeout_s,
@@ -20,13 +20,13 @@
     ("objective_s", "remaining_s", "prompt_tokens", "expected_s"),
     [
         # A call leaves time for a second attempt within the objective.
-        (0.5, 9.0, None, 0.5 * OBJECTIVE_FRACTION),
+        (0.5, 9.0, None, 0.5 * OBJECTIVE_TIMEOUT_FRACTION),
         # A short prompt is given the objective, a long one the time of its prefill on top of the fraction.
         (0.5, 9.0, 100, 0.5),
-        (0.5, 9.0, 20_000, 0.5 * OBJECTIVE_FRACTION + 20_000 / SLOWEST_PREFILL_TOKENS_PER_S),
+        (0.5, 9.0, 20_000, 0.5 * OBJECTIVE_TIMEOUT_FRACTION + 20_000 / MIN_PREFILL_TOKENS_PER_S),
         # Whatever the objective, part of the caller's time is left for another back end.
-        (0.5, 0.2, None, 0.2 * REMAINING_FRACTION),
-        (0.5, 1.0, 20_000, REMAINING_FRACTION),
+        (0.5, 0.2, None, 0.2 * REMAINING_TIMEOUT_FRACTION),
+        (0.5, 1.0, 20_000, REMAINING_TIMEOUT_FRACTION),
     ],
 )
 def test_the_response_timeout(objective_s, remaining_s, prompt_tokens, expected_s):
@@ -35,7 +35,7 @@
 
 @given(st.floats(0.01, 10.0), st.floats(0.0, 100.0), st.none() | st.integers(1, 300_000))
 def test_time_is_always_left_for_another_back_end(objective_s, remaining_s, prompt_tokens):
-    assert response_timeout_s(objective_s, remaining_s, prompt_tokens) <= REMAINING_FRACTION * remaining_s
+    assert response_timeout_s(objective_s, remaining_s, prompt_tokens) <= REMAINING_TIMEOUT_FRACTION * remaining_s
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/routing/retry/test_retry_after.py
+++ b/tests/unit/routing/retry/test_retry_after.py
@@ -6,15 +6,15 @@
 
 from wallwell.routing.admission.overload import Occupancy
 from wallwell.routing.retry.retry_after import (
-    CUT_SPREAD,
-    ELSEWHERE_S,
-    FREE_SLOTS_FRACTION,
-    HONOURED_FRACTION,
-    LONGEST_STORE_WAIT_S,
-    NO_BACKEND_LISTED_S,
-    SHORTEST_S,
-    SPREAD,
+    CAPPED_WAIT_JITTER,
+    HONOURED_WAIT_FRACTION,
+    MAX_STORE_WAIT_S,
+    MIN_RETRY_AFTER_S,
+    NO_BACKEND_WAIT_S,
+    OTHER_NODE_WAIT_S,
+    SLOT_RELEASE_FRACTION,
     SUSPENSION_MARGIN_S,
+    WAIT_JITTER,
     RefusalCause,
     RefusalCircumstances,
     overload_retry_after_s,
@@ -32,7 +32,7 @@
 
 
 def around(expected_s):
-    return expected_s * SPREAD[0], expected_s * SPREAD[1]
+    return expected_s * WAIT_JITTER[0], expected_s * WAIT_JITTER[1]
 
 
 C = RefusalCause
@@ -42,29 +42,37 @@
     ("cause", "known", "expected"),
     [
         # This node alone: the next one serves.
-        (C.NO_CONFIGURATION, {"store_silence_s": 0.3}, around(ELSEWHERE_S)),
-        (C.STALE_CONFIGURATION, {"store_silence_s": 5.0}, around(ELSEWHERE_S)),
+        (C.NO_CONFIGURATION, {"store_silence_s": 0.3}, around(OTHER_NODE_WAIT_S)),
+        (C.STALE_CONFIGURATION, {"store_silence_s": 5.0}, around(OTHER_NODE_WAIT_S)),
         # The whole fleet, as far as is known: the longer it has lasted, the longer it is expected to last.
-        (C.NO_CONFIGURATION, {"store_silence_s": 0.02, "receives_peer_loads": True}, around(ELSEWHERE_S)),
+        (C.NO_CONFIGURATION, {"store_silence_s": 0.02, "receives_peer_loads": True}, around(OTHER_NODE_WAIT_S)),
         (C.NO_CONFIGURATION, {"store_silence_s": 1.0, "receives_peer_loads": True}, around(0.5)),
         (C.STALE_CONFIGURATION, {"store_silence_s": 3.0, "receives_peer_loads": True}, around(1.5)),
         (
             C.STALE_CONFIGURATION,
             {"store_silence_s": 60.0, "receives_peer_loads": True},
-            around(LONGEST_STORE_WAIT_S),
+            around(MAX_STORE_WAIT_S),
         ),
-        (C.NO_BACKEND_LISTED, {}, around(NO_BACKEND_LISTED_S)),
-        (C.WEIGHTS_TOO_OLD, {}, around(NO_BACKEND_LISTED_S)),
+        (C.NO_BACKEND_LISTED, {}, around(NO_BACKEND_WAIT_S)),
+        (C.WEIGHTS_TOO_OLD, {}, around(NO_BACKEND_WAIT_S)),
         (
             C.ALL_SUSPENDED,
             {"suspension_ends_in_s": 0.4},
-            (0.4 + SUSPENSION_MARGIN_S, 0.4 + SUSPENSION_MARGIN_S + ELSEWHERE_S),
+            (0.4 + SUSPENSION_MARGIN_S, 0.4 + SUSPENSION_MARGIN_S + OTHER_NODE_WAIT_S),
+        ),
+        (
+            C.ALL_SUSPENDED,
+            {"suspension_ends_in_s": 0.0},
+            (MIN_RETRY_AFTER_S, SUSPENSION_MARGIN_S + OTHER_NODE_WAIT_S),
         ),
-        (C.ALL_SUSPENDED, {"suspension_ends_in_s": 0.0}, (SHORTEST_S, SUSPENSION_MARGIN_S + ELSEWHERE_S)),
         (C.ALL_BACKING_OFF, {"backoff_ends_in_s": 0.8, "suspension_ends_in_s": 0.1}, (0.8, 1.0)),
-        (C.REFUSED_BY_BACKENDS, {"usual_duration_s": 1.2}, around(FREE_SLOTS_FRACTION * 1.2)),
-        (C.REFUSED_BY_BACKENDS, {"usual_duration_s": 0.02}, around(ELSEWHERE_S)),
-        (C.RETRY_BUDGET_EXHAUSTED, {"usual_duration_s": 9.0, "suspension_ends_in_s": 9.0}, around(ELSEWHERE_S)),
+        (C.REFUSED_BY_BACKENDS, {"usual_duration_s": 1.2}, around(SLOT_RELEASE_FRACTION * 1.2)),
+        (C.REFUSED_BY_BACKENDS, {"usual_duration_s": 0.02}, around(OTHER_NODE_WAIT_S)),
+        (
+            C.RETRY_BUDGET_EXHAUSTED,
+            {"usual_duration_s": 9.0, "suspension_ends_in_s": 9.0},
+            around(OTHER_NODE_WAIT_S),
+        ),
     ],
 )
 def test_waits_lie_around_what_is_expected_and_are_spread(cause, known, expected):
@@ -91,12 +99,14 @@
         "usual_duration_s": 60.0,
     }
     seen = waits(cause, remaining_s=remaining_s, **known)
-    longest_s = remaining_s * HONOURED_FRACTION
-    assert min(seen) >= SHORTEST_S
+    longest_s = remaining_s * HONOURED_WAIT_FRACTION
+    assert min(seen) >= MIN_RETRY_AFTER_S
     assert max(seen) <= longest_s + 1e-9
-    uncut_s = (SPREAD[1] - SPREAD[0]) * NO_BACKEND_LISTED_S
+    uncut_s = (WAIT_JITTER[1] - WAIT_JITTER[0]) * NO_BACKEND_WAIT_S
     if cause is not RefusalCause.RETRY_BUDGET_EXHAUSTED:
-        assert max(seen) - min(seen) > 0.8 * min(CUT_SPREAD * longest_s, longest_s - SHORTEST_S, uncut_s)
+        assert max(seen) - min(seen) > 0.8 * min(
+            CAPPED_WAIT_JITTER * longest_s, longest_s - MIN_RETRY_AFTER_S, uncut_s
+        )
 
 
 def test_there_is_nothing_to_come_back_for_without_time():
--- a/tests/unit/routing/retry/test_retry_budget.py
+++ b/tests/unit/routing/retry/test_retry_budget.py
@@ -32,16 +32,16 @@
 
 def test_a_quiet_node_may_retry_its_share():
     budget = FleetRetryBudget(RATIO, EXTRA, WINDOW_S)
-    granted = sum(budget.try_retry(1.0, nodes=6) for _ in range(100))
+    granted = sum(budget.try_retry(1.0, node_count=6) for _ in range(100))
     assert 5 <= granted <= EXTRA / 6
 
 
 def test_what_was_spent_comes_back_after_the_window():
     budget = FleetRetryBudget(RATIO, 6.0, WINDOW_S)
-    while budget.try_retry(1.0, nodes=1):
+    while budget.try_retry(1.0, node_count=1):
         pass
-    assert not budget.try_retry(10.9, nodes=1)
-    assert budget.try_retry(11.1, nodes=1)
+    assert not budget.try_retry(10.9, node_count=1)
+    assert budget.try_retry(11.1, node_count=1)
 
 
 def test_nodes_restarted_in_turn_do_not_spend_their_share_twice():
@@ -57,5 +57,5 @@
 
 def test_a_restarted_node_has_its_share_again_after_one_window():
     budget = FleetRetryBudget(RATIO, EXTRA, WINDOW_S, started_s=5.0)
-    assert not budget.try_retry(14.9, nodes=1)
-    assert budget.try_retry(15.1, nodes=1)
+    assert not budget.try_retry(14.9, node_count=1)
+    assert budget.try_retry(15.1, node_count=1)
--- a/tests/unit/routing/retry/test_retry_policy.py
+++ b/tests/unit/routing/retry/test_retry_policy.py
@@ -15,13 +15,13 @@
 from wallwell.routing.retry.retry_after import RefusalCause
 from wallwell.routing.retry.retry_budget import RETRY_COST, FleetRetryBudget
 from wallwell.routing.retry.retry_policy import (
-    AS_IT_ENDED,
     BUDGET_EXHAUSTED,
-    MAX_REFUSALS_BEYOND_ATTEMPTS,
-    MAX_UNREACHABLE,
-    NO_RUN_LEFT,
-    NOTHING_REACHABLE,
+    MAX_EXTRA_ARRIVALS,
+    MAX_UNREACHED_ATTEMPTS,
+    NO_BACKEND_REACHABLE,
+    NOT_RETRYABLE,
     RETRY,
+    RUNS_EXHAUSTED,
     TOO_MANY_REFUSALS,
     GiveUp,
     RetryPolicy,
@@ -54,7 +54,7 @@
 
 routes = st.builds(make_route, st.sampled_from(RouteKind), st.integers(1, 4), st.booleans())
 histories = st.builds(
-    AttemptHistory, runs=st.integers(0, 4), arrivals=st.integers(0, 7), prepaid_retries=st.integers(0, 2)
+    AttemptHistory, runs=st.integers(0, 4), failed_arrivals=st.integers(0, 7), prepaid_retries=st.integers(0, 2)
 )
 budgets = st.builds(make_budget, st.integers(0, 30), st.integers(0, 6), st.sampled_from([0.0, 2.5, 30.0]))
 
@@ -66,24 +66,24 @@
         (SAFE, 1, 1, 1, E.ANSWER_TIMEOUT, RETRY),
         (SAFE, 0, 1, 1, E.BACKEND_OVERLOADED, RETRY),
         (SAFE, 0, 0, 1, E.CONNECT_TIMEOUT, RETRY),
-        (SAFE, 2, 2, 2, E.RESET_AFTER_SEND, NO_RUN_LEFT),
-        (SAFE, 2, 2, 3, E.CONNECT_REFUSED, NO_RUN_LEFT),
-        (SAFE, 1, 1, 1, E.ERROR_ANSWER, AS_IT_ENDED),
-        (UNSAFE, 1, 1, 1, E.RESET_AFTER_SEND, AS_IT_ENDED),
-        (UNSAFE, 1, 1, 1, E.ANSWER_TIMEOUT, AS_IT_ENDED),
+        (SAFE, 2, 2, 2, E.RESET_AFTER_SEND, RUNS_EXHAUSTED),
+        (SAFE, 2, 2, 3, E.CONNECT_REFUSED, RUNS_EXHAUSTED),
+        (SAFE, 1, 1, 1, E.ERROR_ANSWER, NOT_RETRYABLE),
+        (UNSAFE, 1, 1, 1, E.RESET_AFTER_SEND, NOT_RETRYABLE),
+        (UNSAFE, 1, 1, 1, E.ANSWER_TIMEOUT, NOT_RETRYABLE),
         (UNSAFE, 0, 1, 1, E.BACKEND_LEAVING, RETRY),
-        (UNSAFE, 0, 1 + MAX_REFUSALS_BEYOND_ATTEMPTS, 4, E.BACKEND_LEAVING, TOO_MANY_REFUSALS),
-        (UNSAFE, 0, MAX_REFUSALS_BEYOND_ATTEMPTS, 3, E.BACKEND_LEAVING, RETRY),
-        (UNSAFE, 0, 0, MAX_UNREACHABLE - 1, E.CONNECT_REFUSED, RETRY),
-        (UNSAFE, 0, 0, MAX_UNREACHABLE, E.CONNECT_REFUSED, NOTHING_REACHABLE),
-        (UNSAFE, 0, 1, MAX_UNREACHABLE + 1, E.CONNECT_TIMEOUT, NOTHING_REACHABLE),
-        (ONCE_STREAM, 1, 1, 1, E.RESET_AFTER_SEND, AS_IT_ENDED),
+        (UNSAFE, 0, 1 + MAX_EXTRA_ARRIVALS, 4, E.BACKEND_LEAVING, TOO_MANY_REFUSALS),
+        (UNSAFE, 0, MAX_EXTRA_ARRIVALS, 3, E.BACKEND_LEAVING, RETRY),
+        (UNSAFE, 0, 0, MAX_UNREACHED_ATTEMPTS - 1, E.CONNECT_REFUSED, RETRY),
+        (UNSAFE, 0, 0, MAX_UNREACHED_ATTEMPTS, E.CONNECT_REFUSED, NO_BACKEND_REACHABLE),
+        (UNSAFE, 0, 1, MAX_UNREACHED_ATTEMPTS + 1, E.CONNECT_TIMEOUT, NO_BACKEND_REACHABLE),
+        (ONCE_STREAM, 1, 1, 1, E.RESET_AFTER_SEND, NOT_RETRYABLE),
         (RESUMABLE, 1, 1, 1, E.RESET_AFTER_SEND, RETRY),
     ],
 )
 def test_what_follows_a_failed_attempt(route, runs, arrivals, attempts, event, expected):
-    history = AttemptHistory(runs=runs, arrivals=arrivals)
-    assert POLICY.after_failure(route, history, attempts, event, make_budget(), NOW_S) == expected
+    history = AttemptHistory(runs=runs, failed_arrivals=arrivals)
+    assert POLICY.decide_after_failure(route, history, attempts, event, make_budget(), NOW_S) == expected
 
 
 @pytest.mark.parametrize(
@@ -97,15 +97,15 @@
 )
 def test_without_budget_only_free_and_prepaid_retries_are_made(prepaid, event, expected):
     history = AttemptHistory(prepaid_retries=prepaid)
-    history.on_failed(event)
-    assert POLICY.after_failure(SAFE, history, 1, event, EMPTY, NOW_S) == expected
+    history.on_attempt_failed(event)
+    assert POLICY.decide_after_failure(SAFE, history, 1, event, EMPTY, NOW_S) == expected
 
 
 @given(routes, histories, st.integers(0, 9), st.sampled_from(E), budgets)
 def test_a_retry_is_paid_once_and_giving_up_costs_nothing(route, history, attempts, event, budget):
-    before, prepaid = budget.left(NOW_S, NODES), history.prepaid_retries
-    decision = POLICY.after_failure(route, history, attempts, event, budget, NOW_S)
-    spent = before - budget.left(NOW_S, NODES)
+    before, prepaid = budget.remaining_retries(NOW_S, NODES), history.prepaid_retries
+    decision = POLICY.decide_after_failure(route, history, attempts, event, budget, NOW_S)
+    spent = before - budget.remaining_retries(NOW_S, NODES)
     used = prepaid - history.prepaid_retries
     if decision == RETRY and event not in NOT_ARRIVED:
         assert (round(spent, 6), used) == ((0, 1) if prepaid else (RETRY_COST, 0))
@@ -115,7 +115,7 @@
 
 @given(routes, histories, st.integers(0, 9), st.sampled_from(E), budgets)
 def test_no_request_runs_more_often_than_its_route_allows(route, history, attempts, event, budget):
-    decision = POLICY.after_failure(route, history, attempts, event, budget, NOW_S)
+    decision = POLICY.decide_after_failure(route, history, attempts, event, budget, NOW_S)
     if history.runs >= route.max_attempts or (
         not route.repeatable and VERDICTS[event].outcome is not Outcome.NOT_RUN
     ):
@@ -125,8 +125,8 @@
 @given(st.sampled_from(E))
 def test_what_an_attempt_counts_as(event):
     history = AttemptHistory()
-    history.on_failed(event)
-    assert history.arrivals == (event not in NOT_ARRIVED)
+    history.on_attempt_failed(event)
+    assert history.failed_arrivals == (event not in NOT_ARRIVED)
     assert history.runs == (event not in NOT_ARRIVED and event not in REFUSED_BY_BACKEND)
 
 
@@ -151,11 +151,11 @@
 @given(routes, histories, st.booleans(), budgets)
 def test_another_back_end_is_asked_only_if_there_is_one_and_a_retry_left(route, history, has_untried, budget):
     allowed = POLICY.may_interrupt(route, history) and has_untried and budget.allows_retry(NOW_S, NODES)
-    before = budget.left(NOW_S, NODES)
+    before = budget.remaining_retries(NOW_S, NODES)
     assert POLICY.may_abandon_silent(route, history, lambda: has_untried, budget, NOW_S) == allowed
-    assert budget.left(NOW_S, NODES) == before
-    assert POLICY.after_error_answer(route, history, lambda: has_untried, budget, NOW_S) == allowed
-    assert budget.left(NOW_S, NODES) == pytest.approx(before - RETRY_COST * allowed)
+    assert budget.remaining_retries(NOW_S, NODES) == before
+    assert POLICY.try_retry_error_answer(route, history, lambda: has_untried, budget, NOW_S) == allowed
+    assert budget.remaining_retries(NOW_S, NODES) == pytest.approx(before - RETRY_COST * allowed)
 
 
 def test_back_ends_are_not_looked_through_where_no_other_run_is_allowed():
@@ -163,22 +163,24 @@
         raise AssertionError("the answer makes no difference")
 
     assert not POLICY.may_abandon_silent(UNSAFE, AttemptHistory(), look, make_budget(), NOW_S)
-    assert not POLICY.after_error_answer(SAFE, AttemptHistory(runs=1), look, make_budget(), NOW_S)
+    assert not POLICY.try_retry_error_answer(SAFE, AttemptHistory(runs=1), look, make_budget(), NOW_S)
 
 
 @given(histories, st.booleans(), budgets)
 def test_a_silent_attempt_is_abandoned_if_its_retry_is_paid_in_advance(history, are_all_behind, budget):
     can_pay = budget.allows_retry(NOW_S, NODES)
     before, prepaid = copy.deepcopy(budget), history.prepaid_retries
-    abandoned = POLICY.abandon_silent(history, are_all_behind, budget, NOW_S)
+    abandoned = POLICY.try_abandon_silent(history, are_all_behind, budget, NOW_S)
     assert abandoned == (can_pay and not are_all_behind)
     assert history.prepaid_retries == prepaid + abandoned
-    assert budget.left(NOW_S, NODES) == pytest.approx(before.left(NOW_S, NODES) - RETRY_COST * abandoned)
+    assert budget.remaining_retries(NOW_S, NODES) == pytest.approx(
+        before.remaining_retries(NOW_S, NODES) - RETRY_COST * abandoned
+    )
 
 
 def test_every_way_to_give_up_names_its_cause():
-    assert {each.cause for each in (AS_IT_ENDED, NO_RUN_LEFT, TOO_MANY_REFUSALS)} == {
+    assert {each.cause for each in (NOT_RETRYABLE, RUNS_EXHAUSTED, TOO_MANY_REFUSALS)} == {
         RefusalCause.REFUSED_BY_BACKENDS
     }
-    assert NOTHING_REACHABLE.cause is RefusalCause.ALL_SUSPENDED
+    assert NO_BACKEND_REACHABLE.cause is RefusalCause.ALL_SUSPENDED
     assert BUDGET_EXHAUSTED.cause is RefusalCause.RETRY_BUDGET_EXHAUSTED
--- a/tests/unit/serving/test_cache_planning.py
+++ b/tests/unit/serving/test_cache_planning.py
@@ -18,7 +18,7 @@
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind, Service
 from wallwell.routing.health.backend import LoadInProgress
-from wallwell.routing.retry.first_token import Delays
+from wallwell.routing.retry.first_token import DelayCounts
 from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
 from wallwell.routing.selection.kv_store_choice import MIN_FETCH_TOKENS, home_store
 from wallwell.routing.selection.prefix_home import placement_key
@@ -100,7 +100,7 @@
 
 def behind(fleet):
     known("shared")(fleet)
-    fleet.first_token_delays.peers = Delays(100, 60)
+    fleet.first_token_delays.peer_counts = DelayCounts(100, 60)
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/serving/test_limited_requests.py
+++ b/tests/unit/serving/test_limited_requests.py
@@ -23,7 +23,7 @@
     async def work():
         state = make_state(route, tenants=(TenantAccess("t", ("key",), limit=LIMIT),))
         now_s = boot_time_s()
-        state.load.limits.learn_fleet({}, 0, 1)
+        state.load.limits.on_fleet_report({}, 0, 1)
         state.load.limits.levels(now_s - 2.0)
         state.load.limits.levels(now_s)
         pipeline = RequestPipeline(state, FakeClient(*scripts))
--- a/tests/unit/serving/test_pipeline.py
+++ b/tests/unit/serving/test_pipeline.py
@@ -34,7 +34,7 @@
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind, TenantAccess, WeightedService
 from wallwell.outcomes import Outcome
-from wallwell.routing.admission.remaining_time import ShortestAnswer
+from wallwell.routing.admission.remaining_time import ShortestAnswerTime
 from wallwell.routing.retry.attempt_outcome import TransportEvent as T
 from wallwell.serving.pipeline import RequestPipeline
 
@@ -133,9 +133,9 @@
     async def work():
         fleet = make_state(SAFE)
         budget = fleet.budget_of("svc")
-        before = budget.left(boot_time_s(), 1)
+        before = budget.remaining_retries(boot_time_s(), 1)
         await RequestPipeline(fleet, FakeClient(Script(head_after_s=60.0), OK)).serve(make_request(), FakeReply())
-        return before - budget.left(boot_time_s(), 1)
+        return before - budget.remaining_retries(boot_time_s(), 1)
 
     assert 0.8 < run_virtual(work()) <= 1.0
 
@@ -244,7 +244,7 @@
     route = make_route(RouteKind.STREAM)
 
     def learn(fleet):
-        fleet.shortest_answers[route.name] = ShortestAnswer(4.0)
+        fleet.shortest_answers[route.name] = ShortestAnswerTime(4.0)
 
     def refused(resume_after):
         generation = make_generation(resume_after=resume_after)
--- a/tests/unit/serving/test_requested_backoff.py
+++ b/tests/unit/serving/test_requested_backoff.py
@@ -8,8 +8,8 @@
 from tests.unit.serving.plays import OK, SHED, play
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
-from wallwell.routing.admission.backoff_hold import HOLD_FRACTION, SPREAD_S, hold_s
-from wallwell.routing.retry.retry_after import BACKOFF_SPREAD
+from wallwell.routing.admission.backoff_hold import HOLD_FRACTION, HOLD_JITTER_S, hold_duration_s
+from wallwell.routing.retry.retry_after import BACKOFF_JITTER
 from wallwell.serving.pipeline import RequestPipeline
 
 OBJECTIVE_S = make_route().objective_s
@@ -35,14 +35,14 @@
     ends_s = HOLD_FRACTION * OBJECTIVE_S - 0.05
     reply, client, took_s = play([OK], prepare=asks_for_backoff(3.0, ends_s, 3.0))
     assert reply.status == 200
-    assert ends_s <= took_s <= ends_s + SPREAD_S
+    assert ends_s <= took_s <= ends_s + HOLD_JITTER_S
     assert [each.backend.incarnation for each in client.sent] == ["i-1"]
 
 
 def test_any_other_is_refused_at_once_and_told_the_first_end():
     reply, client, took_s = play([OK], prepare=asks_for_backoff(1.2, 1.0, 3.0))
     assert (reply.status, took_s, client.sent) == (503, 0.0, [])
-    low, high = BACKOFF_SPREAD
+    low, high = BACKOFF_JITTER
     assert 1000 * low <= reply.error.retry_after_ms <= 1000 * high
 
 
@@ -103,6 +103,6 @@
 )
 def test_a_hold_takes_half_of_the_objective_at_most(ends_in_s, objective_left_s, is_held):
     state = make_state()
-    seconds = hold_s(ends_in_s, objective_left_s, state.rng)
+    seconds = hold_duration_s(ends_in_s, objective_left_s, state.rng)
     assert (seconds is not None) is is_held
-    assert seconds is None or ends_in_s <= seconds <= ends_in_s + SPREAD_S
+    assert seconds is None or ends_in_s <= seconds <= ends_in_s + HOLD_JITTER_S
--- a/tests/unit/serving/test_response_timeout.py
+++ b/tests/unit/serving/test_response_timeout.py
@@ -17,7 +17,7 @@
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind
-from wallwell.routing.retry.first_token import Delays
+from wallwell.routing.retry.first_token import DelayCounts
 from wallwell.serving.pipeline import RequestPipeline
 
 STREAMING = Script(chunks=(10.0, b"late"), head_after_s=0.01)
@@ -48,13 +48,15 @@
     assert client.cancelled == 1
 
 
-@pytest.mark.parametrize(("peers", "sent"), [(Delays(100, 20), 2), (Delays(100, 60), 1)], ids=["in time", "behind"])
+@pytest.mark.parametrize(
+    ("peers", "sent"), [(DelayCounts(100, 20), 2), (DelayCounts(100, 60), 1)], ids=["in time", "behind"]
+)
 def test_a_silent_engine_is_left_only_if_the_others_are_not_behind_as_well(peers, sent):
     """Found on a deployment of 195 nodes: 60 prompts a second were read again, and the fleet stayed behind."""
 
     async def work():
         state = make_state(make_route(RouteKind.STREAM, resumable=True))
-        state.first_token_delays.peers = peers
+        state.first_token_delays.peer_counts = peers
         client = FakeClient(
             Script(chunks=(event(1),), head_after_s=1.5, stream=True), Script(chunks=(event(1),), stream=True)
         )
@@ -72,10 +74,10 @@
             Script(chunks=(event(1),), head_after_s=1.5, stream=True), Script(chunks=(event(1),), stream=True)
         )
         await RequestPipeline(state, client).serve(make_request(generation=make_generation()), FakeReply())
-        return state.first_token_delays.own(boot_time_s())
+        return state.first_token_delays.own_counts(boot_time_s())
 
     delays = run_virtual(work())
-    assert delays == Delays(2, 1)
+    assert delays == DelayCounts(2, 1)
 
 
 class UnresponsiveNetwork(FakeClient):
@@ -124,7 +126,7 @@
     async def work():
         state = make_state(make_route(RouteKind.STREAM, resumable=True), versions={"m": 1})
         state.weights.name("m", 2, boot_time_s() - 6.75)
-        state.first_token_delays.peers = Delays(100, 60)
+        state.first_token_delays.peer_counts = DelayCounts(100, 60)
         client, reply = LoadedMeanwhile(state), FakeReply()
         await RequestPipeline(state, client).serve(make_request(generation=make_generation()), reply)
         return len(client.sent), reply.ended
--- a/tests/unit/standalone/test_crash_memory.py
+++ b/tests/unit/standalone/test_crash_memory.py
@@ -67,7 +67,7 @@
 
     _, memory = with_memory([REFUSED], scenario)
     assert {notice.life for notice in memory.notices.due(1100.0)} == {"e/n1/1", "e/n1/2"}
-    assert memory.quarantine.left_s("c", 1000.0) == 0
+    assert memory.quarantine.remaining_s("c", 1000.0) == 0
 
 
 def test_what_others_tell_quarantines_and_their_answer_clears(with_memory):
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -654,8 +654,8 @@
             if (each := state.rollouts.record(name)) is not None
         },
         "weights": state.weights.newest("m"),
-        "suspects": state.quarantine.suspects,
-        "quarantined": state.quarantine.quarantined,
+        "suspects": state.quarantine.suspect_count,
+        "quarantined": state.quarantine.quarantined_count,
     }
 
 
