--- a/src/wallwell/routing/admission/access.py
+++ b/src/wallwell/routing/admission/access.py
@@ -1,11 +1,11 @@
-"""May this caller ask, and is what the node knows fresh enough to say so. Pure.
+"""Whether a caller's request is admitted, and whether this node's configuration is recent enough to decide. Pure.
 
-Inputs are the configuration in force, whether it was confirmed recently enough, and what the request says of
-itself. The order of the checks is part of the decision: a node whose knowledge is old answers "not sure" (503, to
-be retried) wherever newer configuration could change the answer, and a definite refusal (404, 401, 413) elsewhere.
-Public routes and deployments without tenants need no credential, so they are served on old knowledge too.
+Inputs are the configuration in force, whether it was confirmed recently enough, and the request's address,
+credential and size. The order of the checks is part of the decision: with an old configuration, a node answers 503
+(to be retried) wherever a newer one could change the decision, and refuses definitely (404, 401, 413) elsewhere.
+Public routes and deployments without tenants need no credential, so they are served with an old configuration too.
 
-``serving/admission.py`` raises the error that belongs to a denial; tenants' limits are in ``fleet_limits``.
+``serving/admission.py`` raises the error that belongs to a denial; ``fleet_limits`` decides on tenants' limits.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 class Denial(enum.Enum):
     """Why a request is not admitted. The values are sent to callers as the error's detail."""
 
-    NO_CONFIGURATION = "no configuration yet"
-    STALE_ROUTE = "the route may be newer"
-    """No route is known, but a newer configuration may have one."""
+    NO_CONFIGURATION = "no configuration received yet"
+    STALE_ROUTE = "no route for this host and path in a configuration that may be out of date"
+    """This configuration has no route, but a newer one may have one."""
     UNKNOWN_ROUTE = "no route for this host and path"
-    STALE_CREDENTIAL = "credentials cannot be confirmed"
-    """A credential is needed, and what is known of it may have been revoked meanwhile."""
+    STALE_CREDENTIAL = "the credential cannot be verified: the configuration may be out of date"
+    """A credential is needed, and it may have been added or revoked since the configuration was confirmed."""
     UNKNOWN_CREDENTIAL = "the credential belongs to no tenant"
     BODY_TOO_LARGE = "body is larger than the limit"
 
@@ -35,11 +35,11 @@
 
     route: Route
     tenant: TenantAccess | None
-    """Who asks; None if nobody has to say so and the request does not."""
+    """The tenant that sends the request; None if the request needs no credential and has none that is known."""
 
 
 class AccessRequest(NamedTuple):
-    """What a request says of itself."""
+    """The parts of a request that decide on its access."""
 
     host: str
     path: str
@@ -48,17 +48,17 @@
 
 
 class RevocationBound(NamedTuple):
-    """How long after its removal a credential may still be accepted, as the operators set it. Times in seconds."""
+    """How long after its revocation a credential may still be accepted, as operators set it. Times in seconds."""
 
     is_strict: bool
-    """Whether the bound holds; else the node relies on what it knows, however old."""
+    """Whether the bound is enforced; otherwise the node uses its configuration whatever its age."""
     revocation_s: float
     margin_s: float
-    """How much earlier the node stops relying on a confirmation, for what is not measured on its way."""
+    """How much before the bound a confirmation expires, to allow for delays that are not measured."""
 
 
 def is_fresh_enough(freshness: Freshness, bound: RevocationBound, arrival_s: float) -> bool:
-    """Whether a request that arrived then may rely on the configuration known here."""
+    """Whether a request that arrived at ``arrival_s`` may be decided with this node's configuration."""
     return not bound.is_strict or freshness.covers(arrival_s, bound.revocation_s - bound.margin_s)
 
 
--- a/src/wallwell/routing/admission/backend_rate.py
+++ b/src/wallwell/routing/admission/backend_rate.py
@@ -1,7 +1,7 @@
-"""Which rate all nodes keep for a back end that states how many requests a second it takes. Pure.
+"""The rate that all nodes together keep to for a back end that states how many requests per second it takes. Pure.
 
-Input is what the back end states. Amounts are thousandths of requests, since nodes report what is left of a rate as
-whole numbers, and a back end may take less than one request a second. :mod:`.fleet_limits` keeps the rate.
+Input is the stated rate. Amounts are thousandths of requests, since nodes report levels as whole numbers and a back
+end may take less than one request per second. :mod:`.fleet_limits` enforces the rate.
 """
 
 from __future__ import annotations
@@ -9,35 +9,36 @@
 from wallwell.deployment.routes import FleetRate
 
 UNITS_PER_REQUEST = 1000
-"""What a request costs."""
+"""Amount that one request counts."""
 BURST_S = 0.5
-"""Seconds of the rate that may be saved up: the back end asks for relief, so little."""
+"""Seconds of the rate that may be saved for a burst: few, since the back end asks for relief."""
 MAX_DEBT_S = 4.5
-"""Most seconds of the rate that earlier requests may be ahead of it. A back end may count over four seconds: what
-reached it before anybody knew has to be out of that span before more follows. It gets nothing for so long at most,
-since somebody must hear when it takes more again."""
+"""Largest debt that is worked off, in seconds of the rate. A back end may count requests over four seconds: those
+that reached it before nodes knew of its limit must have left this span before more follow. The debt is bounded
+since the back end gets no requests meanwhile, and only an answer shows that it takes more again."""
 LOW_RATE_DEBT_REQUESTS = 3
-"""The same in requests where that is more: so many may be sent at low rates before nodes know of each other's."""
+"""Largest debt in requests where this is more than ``MAX_DEBT_S``: at low rates, nodes may send this many before
+they know of each other's requests."""
 MIN_RATE_PER_S = 0.1
-"""Least rate in requests a second: a back end that states 0 must be asked now and then, or nobody would learn that
-it takes requests again."""
+"""Lowest rate in requests per second: a back end that states 0 still gets a request now and then, since only its
+answer shows that it takes requests again."""
 MAX_RATE_PER_S = 1e6
-"""Most requests a second that are counted for one back end."""
+"""Highest rate in requests per second; a higher stated rate counts as this one."""
 _BACKEND_KEY_PREFIX = "\n"
-"""Sets the names of back ends apart from tenants': those are sent as a header, so none has a line break."""
+"""Distinguishes keys of back ends from tenants' names, which are sent in a header and so contain no line break."""
 
 
 def backend_limit_key(incarnation: str) -> str:
-    """Return the name under which the rate of a back end is kept and reported."""
+    """Return the limit key of a back end, under which nodes store and report its rate."""
     return _BACKEND_KEY_PREFIX + incarnation
 
 
 def backend_rate(per_s: float) -> FleetRate:
-    """Return the rate to keep for a back end that states ``per_s`` requests a second."""
+    """Return the rate to enforce for a back end that states ``per_s`` requests per second."""
     rate_per_s = min(MAX_RATE_PER_S, max(MIN_RATE_PER_S, per_s)) * UNITS_PER_REQUEST
     return FleetRate(rate_per_s, rate_per_s * BURST_S)
 
 
-def max_backend_debt(rate: FleetRate) -> float:
-    """Return how far requests may be ahead of a back end's rate; what is beyond that is not made up for."""
+def max_debt(rate: FleetRate) -> float:
+    """Return the largest debt of a back end's bucket; anything sent beyond that is not worked off."""
     return max(rate.rate_per_s * MAX_DEBT_S, LOW_RATE_DEBT_REQUESTS * UNITS_PER_REQUEST)
--- a/src/wallwell/routing/admission/fleet_share.py
+++ b/src/wallwell/routing/admission/fleet_share.py
@@ -1,28 +1,30 @@
-"""Which fraction of every tenant's limit the nodes that hear each other may spend together. Pure.
+"""Which fraction of a limit may be spent together by the nodes that reach each other. Pure.
 
-Inputs are how many nodes are heard and how many the fleet has. Each side of a cut gets the fraction of the nodes
-that it sees, and a majority ``TOLERATED_MISSING`` more. So both sides together spend at most 1.05 times the limit.
+Inputs are the number of nodes that reach each other and the size of the fleet. After a network partition, each side
+may spend the fraction of the limit that corresponds to its share of the nodes, and a majority
+``TOLERATED_MISSING_FRACTION`` more. So both sides together spend at most 1.05 times the limit.
 """
 
 from __future__ import annotations
 
 TOLERATED_MISSING_FRACTION = 0.05
-"""Fraction of the nodes that may be unheard without the others giving up their rate: stopped or replaced ones.
+"""Fraction of the nodes that may be unreachable, for example stopped or replaced, while the others still spend the
+whole limit.
 
-Only for a majority, so that two halves of a fleet cannot both use it."""
+It applies to a majority only, so that the two halves of a partitioned fleet cannot both use it."""
 MAJORITY_FRACTION = 0.5
-"""Fraction of the nodes above which those that hear each other are a majority."""
+"""Nodes that reach each other are a majority if they are more than this fraction of the fleet."""
 ASSUMED_FLEET_NODES = 100
-"""Size of the fleet for a node that knows of no others yet; it knows them within a second of its start.
+"""Fleet size assumed by a node that does not know of any other node yet; it does within a second of its start.
 
-A larger figure lets nodes that start admit less in that second."""
+With a larger value, starting nodes admit less during that second."""
 
 
 def spendable_fraction(reachable_nodes: int | None, fleet_nodes: int) -> float:
-    """Return the fraction of a limit that may be spent by the nodes that hear each other, this one among them.
+    """Return the fraction of a limit that the nodes which reach each other, this one included, may spend.
 
-    ``heard_nodes`` is None for a node that hears no other: it keeps to its equal share, as all that are cut off do.
-    ``fleet_nodes`` is the size of the fleet, 0 if unknown.
+    ``reachable_nodes`` includes this node; None if it reaches no other node, which leaves it an equal share of the
+    limit. ``fleet_nodes`` is the size of the fleet, 0 if unknown.
     """
     fleet_nodes = fleet_nodes or ASSUMED_FLEET_NODES
     if reachable_nodes is None:
--- a/src/wallwell/routing/admission/quarantine.py
+++ b/src/wallwell/routing/admission/quarantine.py
@@ -1,16 +1,16 @@
-"""Which requests crash the back ends that run them, so that they get no back end any more. Pure.
+"""Which requests crash the back ends that run them, so that they are no longer sent to any back end. Pure.
 
-A request is known by the digest of its content (``request_content``), since it comes again under other ids at other
-nodes. A crash makes suspects of all requests that the back end was running, most of which are harmless. Three rules
-tell them apart:
+A request is identified by the digest of its content (``request_content``), since callers send it again to other
+nodes under other ids. A crash makes suspects of all requests that the back end was running, most of which are
+harmless. Three rules tell them apart:
 
-1. A request answered with success anywhere is cleared, also of crashes in the next ``CLEARED_S``.
-2. One that is left with crashes of ``CRASHES_TO_QUARANTINE`` different back ends is quarantined until
-   ``QUARANTINE_S`` after its last crash. It is refused unsent before each attempt, with the time that is left.
-3. A suspect that is not quarantined is forgotten ``SUSPECT_S`` after its last crash.
+1. A request that any back end answered successfully is cleared, also of crashes in the next ``CLEARANCE_S``.
+2. A request with crashes of ``CRASHES_TO_QUARANTINE`` different back ends is quarantined until ``QUARANTINE_S``
+   after its last crash. It is refused before each attempt, with the remaining time, and not sent.
+3. A suspect that is not quarantined is removed ``SUSPECT_S`` after its last crash.
 
 Every node counts by itself, from its own attempts and from the rows and reports of other nodes
-(``node/crash_watch.py``, ``cluster/crash_count.py``); nothing here is agreed on, so nodes may differ for a moment.
+(``node/crash_watch.py``, ``cluster/crash_count.py``). Nodes do not agree on the counts, so they may differ briefly.
 """
 
 from __future__ import annotations
@@ -19,84 +19,84 @@
 from dataclasses import dataclass, field
 
 CRASHES_TO_QUARANTINE = 3
-"""Crashed back ends after which a request gets none.
+"""Different back ends that must crash under a request before it is quarantined.
 
-Arithmetic: where every engine goes down once in 10 s, a stream of 2 s meets an end by chance one time in 5. Two in
-a row are one in 25 and too many to refuse, three one in 125."""
+If every engine stops once in 10 s, a stream of 2 s is interrupted by chance 1 time in 5. Two interruptions in a row
+have a chance of 1 in 25, too high to refuse such requests; three have a chance of 1 in 125."""
 SUSPECT_S = 300.0
-"""Seconds that a crash counts against a request that is not quarantined.
+"""Seconds for which a crash counts against a request that is not quarantined.
 
-A request that is sent again less often than every five minutes crashes few back ends."""
+A request that is repeated less often than every five minutes crashes few back ends."""
 QUARANTINE_S = 600.0
-"""Seconds that a quarantine lasts from its last crash.
+"""Seconds that a quarantine lasts after its last crash.
 
-After it the request may crash three back ends again, so it loses the fleet three of them each ten minutes at most,
-and a harmless one that was quarantined by chance is served again."""
+Afterwards the request may crash three back ends again, so it costs the fleet at most three every ten minutes, and a
+harmless request that was quarantined by chance is served again."""
 CLEARANCE_S = 30.0
-"""Seconds for which an answer clears a request beforehand.
+"""Seconds after a successful answer during which crashes do not count against the request.
 
-Many back ends can end at once under a request that many callers send, and within this time some of these callers
-have been answered."""
+Many back ends can stop at once while they run a request that many callers send. Within this time, some of these
+callers have been answered."""
 MAX_CLEARED_REQUESTS = 2048
-"""Answered requests remembered. Arithmetic: 30 s of 68 requests a second, some ten times what a node serves."""
+"""Answered requests kept in memory: 30 s at 68 requests per second, about ten times the rate of one node."""
 MAX_SUSPECTS = 4096
-"""Suspects remembered, 1.9 MB as measured by allocations; the oldest that are not quarantined are dropped first."""
+"""Suspects kept in memory, 1.9 MB by measured allocations; the oldest not in quarantine are removed first."""
 
 
 @dataclass
 class Suspect:
-    """The back ends that crashed under a request. Times are on this node's clock."""
+    """The back ends that crashed while they ran one request. Times are on this node's clock."""
 
     crashed_incarnations: set[str] = field(default_factory=set)
-    """Their incarnations."""
+    """Incarnations of these back ends."""
     last_crash_s: float = float("-inf")
-    """When this node learnt of the last of them."""
+    """When this node was informed of the last crash."""
 
     @property
     def is_quarantined(self) -> bool:
-        """Whether it has crashed enough of them."""
+        """Whether enough back ends crashed for a quarantine."""
         return len(self.crashed_incarnations) >= CRASHES_TO_QUARANTINE
 
     @property
     def expires_s(self) -> float:
-        """Until when the crashes count."""
+        """Time at which the crashes stop counting."""
         return self.last_crash_s + (QUARANTINE_S if self.is_quarantined else SUSPECT_S)
 
 
 class Quarantine:
-    """What one node knows of requests that crash back ends, from its own attempts and from other nodes."""
+    """Suspected and quarantined requests on one node, from its own attempts and from other nodes' reports."""
 
     def __init__(self) -> None:
         self._suspects: dict[str, Suspect] = {}
-        """By content, in the order of their first crashes."""
+        """By content digest, in the order of their first crashes."""
         self._cleared: dict[str, float] = {}
-        """When a content was answered last, in that order."""
+        """Time of the last successful answer by content digest, in that order."""
         self._quarantined_count = 0
 
     @property
     def quarantined_count(self) -> int:
-        """Requests that get no back end."""
+        """Number of quarantined requests."""
         return self._quarantined_count
 
     @property
     def suspect_count(self) -> int:
-        """Requests under which a back end has crashed, quarantined or not."""
+        """Number of requests with crashes that count, quarantined or not."""
         return len(self._suspects)
 
     def remaining_s(self, content: str, now_s: float) -> float:
-        """Return how much longer a request gets no back end; 0 if it may go to one."""
+        """Return for how many more seconds a request is quarantined; 0 if it is not."""
         suspect = self._suspects.get(content)
         if suspect is None or not suspect.is_quarantined:
             return 0.0
         return max(0.0, suspect.expires_s - now_s)
 
     def is_cleared(self, content: str, now_s: float) -> bool:
-        """Whether a request was answered lately, so that a crash beside it says nothing against it."""
+        """Whether a request was answered so recently that a crash does not count against it."""
         answered_s = self._cleared.get(content)
         return answered_s is not None and now_s - answered_s < CLEARANCE_S
 
     def on_crash(self, content: str, incarnation: str, now_s: float) -> bool:
-        """A back end crashed while it ran a request; returns False if that was known or says nothing."""
+        """Count a crash of a back end that ran a request; returns False if it is a duplicate or does not count."""
         if self.is_cleared(content, now_s):
             return False
         suspect = self._suspects.setdefault(content, Suspect())
@@ -110,7 +110,7 @@
         return True
 
     def on_answered(self, content: str, now_s: float) -> tuple[str, ...]:
-        """A request was answered with success; returns the crashes that no longer count against it."""
+        """Clear a request that was answered successfully; returns the incarnations whose crashes counted."""
         self._cleared.pop(content, None)
         self._cleared[content] = now_s
         self._evict_cleared(now_s)
@@ -118,7 +118,7 @@
         return tuple(suspect.crashed_incarnations) if suspect is not None else ()
 
     def forget_crash(self, content: str, incarnation: str) -> None:
-        """A crash counts no longer against a request."""
+        """Remove one crash from a request's count."""
         suspect = self._suspects.get(content)
         if suspect is None or incarnation not in suspect.crashed_incarnations:
             return
@@ -129,14 +129,14 @@
             del self._suspects[content]
 
     def expired_crashes(self, now_s: float) -> Iterator[tuple[str, str]]:
-        """Yield the crashes whose time is over, as content and incarnation."""
+        """Yield the crashes that have expired, as content digest and incarnation."""
         for content, suspect in self._suspects.items():
             if now_s >= suspect.expires_s:
                 for incarnation in suspect.crashed_incarnations:
                     yield content, incarnation
 
     def remove_expired(self, now_s: float) -> list[tuple[str, str]]:
-        """Forget the crashes whose time is over and return them."""
+        """Remove the crashes that have expired and return them, as content digest and incarnation."""
         expired = list(self.expired_crashes(now_s))
         for content, incarnation in expired:
             self.forget_crash(content, incarnation)
--- a/src/wallwell/routing/admission/relay_spending.py
+++ b/src/wallwell/routing/admission/relay_spending.py
@@ -1,7 +1,7 @@
-"""What other relays report to have been spent through them, and what of it is new. Pure.
+"""What other relays report as spent through them, and how much of it is new. Pure.
 
-Relays report totals since their start, so a lost report loses nothing: the next one contains it. A total counts by
-its difference to the last one of the same life of the relay.
+Relays report totals since their start, so a lost report does no harm: the next one includes its amounts. Only the
+difference between a total and the previous one of the same incarnation of the relay counts.
 """
 
 from __future__ import annotations
@@ -11,13 +11,14 @@
 import msgspec
 
 RELAY_SILENCE_S = 1.5
-"""Seconds after which a relay's last totals count no more: the lifetime of the loads that it reports.
+"""Seconds after which a relay's last totals are no longer used: the lifetime of the loads that it reports.
 
-What was spent in a longer silence was earned in it too; counted at once it would refuse everybody for as long."""
+During a longer silence, the limit refilled as well. Counting all that was spent meanwhile at once would refuse all
+requests for as long as the silence."""
 
 
 class _RelayReport(msgspec.Struct, frozen=True):
-    """What a relay reported in one life, and when."""
+    """The totals that one incarnation of a relay reported, and when this node received them."""
 
     incarnation: int
     totals: Mapping[str, int]
@@ -25,32 +26,30 @@
 
 
 class RelaySpending:
-    """The last totals of every relay that is heard, by its name."""
+    """The last reported totals of every relay."""
 
     def __init__(self) -> None:
-        self._last_reports: dict[str, _RelayReport] = {}
+        self._reports: dict[str, _RelayReport] = {}
 
     def __len__(self) -> int:
-        return len(self._last_reports)
+        return len(self._reports)
 
     def add_report(self, relay: str, incarnation: int, totals: Mapping[str, int], now_s: float) -> dict[str, int]:
-        """Take a relay's totals by tenant; returns what is new since its last report.
+        """Store a relay's totals by limit key; returns what they add to its last report.
 
-        Nothing is new in the first report, after a restart of the relay or after a silence. What was refunded is
+        The result is empty for the first report of a relay, after its restart and after a silence. Refunds are
         negative.
         """
-        previous = self._last_reports.get(relay)
+        previous = self._reports.get(relay)
         if previous is None:
             self._remove_silent_relays(now_s)
-        self._last_reports[relay] = _RelayReport(incarnation, totals, now_s)
+        self._reports[relay] = _RelayReport(incarnation, totals, now_s)
         if previous is None or previous.incarnation != incarnation or now_s - previous.received_s > RELAY_SILENCE_S:
             return {}
-        return {tenant: total - previous.totals.get(tenant, 0) for tenant, total in totals.items()}
+        return {limit_key: total - previous.totals.get(limit_key, 0) for limit_key, total in totals.items()}
 
     def _remove_silent_relays(self, now_s: float) -> None:
-        """Drop what counts no more: nodes are replaced under new names, and each reports all tenants that spend."""
-        self._last_reports = {
-            name: report
-            for name, report in self._last_reports.items()
-            if now_s - report.received_s <= RELAY_SILENCE_S
+        """Remove expired reports: nodes are replaced under new names, and each report lists all limits in use."""
+        self._reports = {
+            name: report for name, report in self._reports.items() if now_s - report.received_s <= RELAY_SILENCE_S
         }
--- a/src/wallwell/routing/admission/request_content.py
+++ b/src/wallwell/routing/admission/request_content.py
@@ -1,4 +1,4 @@
-"""What a request holds, as one number: the same each time it comes, under any id and at any node. Pure."""
+"""Digest of a request's content: equal whenever the same request is sent again, to any node, under any id. Pure."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 def content_digest(host: str, target: str, caller: str, body: bytes) -> str:
     """Return the digest of a request's address, caller and body in hexadecimal.
 
-    ``target`` is path and query, ``caller`` names who sends it: its tenant, or its credential without one. Nothing
-    that changes from one sending to the next is part of it: not the request's id, its deadline or where it resumes.
+    ``target`` is path and query, ``caller`` the tenant that sends the request, or the credential if there is no
+    tenant. The digest excludes what differs between retries: the request's id, its deadline and where it resumes.
 
-    128 bits: no two requests of a fleet's life share a digest by chance. A caller who seeks two that do finds them
-    among its own requests only.
+    With 128 bits, no two requests in the lifetime of a fleet share a digest by chance. A caller who constructs two
+    that do can only do so among its own requests.
     """
     digest = xxhash.xxh3_128()
     for text in (host, target, caller):
--- a/src/wallwell/routing/retry/__init__.py
+++ b/src/wallwell/routing/retry/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions: what attempts prove, what may be sent again within which budget, and what Retry-After says."""
+"""Decisions: what failed attempts may have run, which retries the budget allows, what Retry-After states."""
--- a/src/wallwell/routing/retry/attempt_history.py
+++ b/src/wallwell/routing/retry/attempt_history.py
@@ -1,7 +1,7 @@
-"""What became of a request's attempts so far: the input of every decision on a further one. Pure.
+"""The attempts of a request so far: input of every decision on another attempt. Pure.
 
-Owned by one request and changed by the pipeline and by :mod:`wallwell.routing.retry.retry_policy` only. The
-proof of what all attempts together may have done is kept beside it, in :class:`~.attempt_outcome.AttemptLog`.
+Each request has its own history, changed only by the pipeline and :mod:`wallwell.routing.retry.retry_policy`. What
+all attempts together may have executed is recorded separately, in :class:`~.attempt_outcome.AttemptLog`.
 """
 
 from __future__ import annotations
@@ -14,30 +14,30 @@
     TransportEvent.CONNECT_REFUSED,
     TransportEvent.CONNECT_TIMEOUT,
 )
-"""Events that show that a back end cannot be connected to."""
+"""Events in which the connection to a back end could not be made."""
 NOT_ARRIVED = (*CONNECT_FAILURES, TransportEvent.WITHDRAWN)
-"""Events after which nothing of the request can have arrived at the back end."""
+"""Events after which no part of the request can have arrived at the back end."""
 
 
 @dataclass
 class AttemptHistory:
-    """Attempts of one request."""
+    """The attempts of one request so far."""
 
     tried_incarnations: set[str] = field(default_factory=set)
-    """Incarnations of the back ends to which it was sent."""
+    """Incarnations of the back ends that the request was sent to."""
     runs: int = 0
-    """Attempts that may have been executed; the route bounds them."""
+    """Attempts that may have been executed; the route limits their number."""
     failed_arrivals: int = 0
-    """Failed attempts for which a connection came up, whether the back end ran them, refused them or broke off."""
+    """Failed attempts that were connected to a back end, whether it ran or refused them or the connection broke."""
     prepaid_retries: int = 0
-    """Retries drawn from the budget before the attempt that they follow was abandoned."""
+    """Retries taken from the budget in advance, when a silent attempt was abandoned."""
     unresponsive_zones: set[str] = field(default_factory=set)
     """Zones in which a connection attempt of this request timed out."""
     failure_details: list[str] = field(default_factory=list)
-    """One line for each failed attempt, for the error text."""
+    """One line per failed attempt, for the error's detail."""
 
-    def on_attempt_failed(self, event: TransportEvent) -> None:
-        """Count an attempt that ended without a whole answer."""
+    def record_failure(self, event: TransportEvent) -> None:
+        """Count an attempt that ended without a complete answer."""
         if event in NOT_ARRIVED:
             return
         self.failed_arrivals += 1
@@ -45,8 +45,8 @@
             self.runs += 1
 
     def on_run_ended(self) -> None:
-        """Count a run that ended in an error answer, or with the caller's time.
+        """Count a run that ended with an error answer or when the caller's time ran out.
 
-        ``arrivals`` stays as it is: it counts attempts that broke off.
+        ``failed_arrivals`` does not change, since it counts attempts that ended without a complete answer.
         """
         self.runs += 1
--- a/src/wallwell/routing/retry/attempt_outcome.py
+++ b/src/wallwell/routing/retry/attempt_outcome.py
@@ -1,7 +1,7 @@
-"""What is proved of an attempt by how it ended, and whether a retry is allowed by that alone. Pure.
+"""Whether an attempt has run, from the way it ended, and whether it may be retried for that reason. Pure.
 
-``NOT_RUN`` needs proof: the connection was never made, or the back end itself said that it ran nothing.
-Everything that happened after bytes may have left and that the back end did not answer is ``UNKNOWN``.
+``NOT_RUN`` needs proof: either no connection was made, or the back end itself stated that it ran nothing. If bytes
+may have been sent and the back end did not answer, the outcome is ``UNKNOWN``.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
     CONNECT_REFUSED = "connect_refused"
     CONNECT_TIMEOUT = "connect_timeout"
-    WITHDRAWN = "withdrawn"  # While a connection was made, the back end asked for no requests.
+    WITHDRAWN = "withdrawn"  # The back end asked for no more requests while the connection was being made.
     RESET_BEFORE_SEND = "reset_before_send"
     RESET_AFTER_SEND = "reset_after_send"
     ANSWER_TIMEOUT = "answer_timeout"
@@ -32,7 +32,7 @@
 
 
 class AttemptVerdict(NamedTuple):
-    """Outcome of one attempt; ``retry_repeatable`` and ``retry_once_only`` say who may try again."""
+    """Outcome of one attempt, and whether repeatable and other requests may be retried after it."""
 
     outcome: Outcome
     retry_if_repeatable: bool
@@ -68,11 +68,11 @@
     TransportEvent.BACKEND_OVERLOADED,
     TransportEvent.BACKEND_LEAVING,
 )
-"""Events by which a working back end itself states that it ran nothing."""
+"""Events in which a working back end states that it did not run the request."""
 
 
 def is_safe_to_retry(event: TransportEvent, repeatable: bool) -> bool:
-    """Whether a request may be sent again after an attempt that ended so."""
+    """Whether a request may be sent again after ``event``; ``repeatable`` if it may run more than once."""
     verdict = VERDICTS[event]
     return verdict.retry_if_repeatable if repeatable else verdict.retry_if_not_repeatable
 
@@ -81,10 +81,10 @@
 
 
 class AttemptLog:
-    """Outcome over all attempts of one request.
+    """Outcome of all attempts of one request together.
 
-    A later refusal does not undo an earlier attempt: once one attempt is unknown, the request is ``UNKNOWN``
-    unless a later attempt completed.
+    A later refusal does not change what an earlier attempt may have done: once the outcome of one attempt is
+    unknown, the request is ``UNKNOWN`` unless a later attempt completes.
     """
 
     def __init__(self, repeatable: bool) -> None:
@@ -93,7 +93,7 @@
         self.outcome = Outcome.NOT_RUN
 
     def record(self, event: TransportEvent) -> bool:
-        """Add one attempt's end; returns whether another attempt is allowed."""
+        """Record how one attempt ended; returns whether another attempt is allowed."""
         verdict = VERDICTS[event]
         self.attempts += 1
         if _OUTCOME_PRECEDENCE[verdict.outcome] > _OUTCOME_PRECEDENCE[self.outcome]:
--- a/src/wallwell/routing/retry/first_token.py
+++ b/src/wallwell/routing/retry/first_token.py
@@ -1,9 +1,9 @@
-"""Whether engines of the whole fleet are behind: how soon they begin to answer, against callers' objectives. Pure.
+"""Whether the engines of the whole fleet are behind: how many answers begin after the callers' objectives. Pure.
 
-An engine that is silent for long is either broken or behind. One that is broken is best left for another one.
-One that is behind is not: the others are behind as well, and what it has prefilled of the prompt would be
-prefilled again. Which of the two it is shows in how soon answers begin everywhere, so nodes report their delays
-to each other.
+An engine that is silent for long is either broken or behind with its work. Requests at a broken engine are best
+sent to another one. Requests at an engine that is behind are not: the others are behind as well, and what has been
+prefilled of the prompt would be prefilled again. The delays of answers at all nodes tell the two cases apart, so
+nodes report them to each other.
 """
 
 from __future__ import annotations
@@ -16,36 +16,35 @@
 from wallwell.routing.sliding_window import SlidingWindow
 
 DELAY_WINDOW_S = 2.0
-"""Seconds over which delays are counted: long enough for some answers a node, short against an overload."""
+"""Seconds over which delays are counted: long enough for some answers per node, short compared to an overload."""
 LATE_FRACTION_THRESHOLD = 0.4
-"""Fraction of answers beginning after their objective from which the fleet counts as behind.
+"""Fraction of late answers (begun after their objective) from which the fleet counts as behind.
 
-Fleets that keep up have less than 0.1, those that do not about a half.
-While some engines are unresponsive, each attempt there is late and its retry elsewhere is not: with half of all
-engines unresponsive, a third of the answers would be late."""
+It is below 0.1 in fleets that keep up, and about a half in others. Each attempt at an unresponsive engine is late
+and its retry at another one is not: with half of all engines unresponsive, a third of the answers would be late."""
 MIN_ANSWERS = 5
-"""Answers below which that fraction is not relied on."""
+"""Minimum number of answers for which the fraction of late ones is evaluated."""
 
 
 class DelayCounts(msgspec.Struct, frozen=True, array_like=True):
-    """Answers that began or were given up in the window, and how many of them after their objective."""
+    """Number of answers that began or were abandoned in the window, and how many of them were late."""
 
     answers: int = 0
     late: int = 0
 
 
 def sum_delay_counts(delays: Iterable[DelayCounts]) -> DelayCounts:
-    """Return the delays of several nodes together."""
+    """Return the sum of the counts of several nodes."""
     counts = list(delays)
     return DelayCounts(sum(each.answers for each in counts), sum(each.late for each in counts))
 
 
 @dataclass
 class FirstTokenDelays:
-    """Delays of generations, of this node and of all others. Times are on this node's clock."""
+    """First-token delays of generations at this node and at all others. Times are on this node's clock."""
 
     peer_counts: DelayCounts = field(default_factory=DelayCounts)
-    """Of all other nodes, as they last reported them."""
+    """Counts of all other nodes, from their last reports."""
     _answers: SlidingWindow = field(default_factory=lambda: SlidingWindow(DELAY_WINDOW_S))
 
     def observe(self, delay_s: float, objective_s: float, now_s: float) -> None:
@@ -53,14 +52,14 @@
         self._answers.add(now_s, float(delay_s > objective_s))
 
     def on_attempt_abandoned(self, now_s: float) -> None:
-        """Count an attempt that was given up before its answer began."""
+        """Count an attempt that was abandoned before its answer began; it is late."""
         self._answers.add(now_s, 1.0)
 
     def own_counts(self, now_s: float) -> DelayCounts:
-        """Return this node's recent delays."""
+        """Return this node's counts for the last ``DELAY_WINDOW_S``."""
         return DelayCounts(self._answers.count(now_s), round(self._answers.total(now_s)))
 
     def is_fleet_behind(self, now_s: float) -> bool:
-        """Whether answers begin late everywhere."""
+        """Whether too many answers of the whole fleet begin late."""
         fleet = sum_delay_counts((self.own_counts(now_s), self.peer_counts))
         return fleet.answers >= MIN_ANSWERS and fleet.late >= LATE_FRACTION_THRESHOLD * fleet.answers
--- a/src/wallwell/routing/retry/response_timeout.py
+++ b/src/wallwell/routing/retry/response_timeout.py
@@ -1,9 +1,9 @@
-"""How long a silent back end is waited for before another one is asked. Pure.
+"""How long to wait for a silent back end before another one is tried. Pure.
 
-Three waits: for the head of an answer (:func:`response_timeout_s`), for an engine to begin before its weights
-are too old (:func:`begin_timeout_s`), and between two events of a stream (:func:`stall_timeout_s`). Whether
-another back end may be asked at all is decided in :mod:`wallwell.routing.retry.retry_policy`; the waiting
-itself is done in :mod:`wallwell.serving.response_timeout` and in the passing of streams.
+There are three waits: for the head of an answer (:func:`response_timeout_s`), for an engine to begin before its
+weights are too old (:func:`begin_timeout_s`), and between two events of a stream (:func:`stall_timeout_s`).
+:mod:`wallwell.routing.retry.retry_policy` decides whether another back end may be tried at all.
+:mod:`wallwell.serving.response_timeout` and the code that forwards streams do the waiting.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 from wallwell.routing.admission.remaining_time import MIN_REMAINING_S
 
 OBJECTIVE_TIMEOUT_FRACTION = 0.6
-"""Fraction of a route's objective after which a silent back end is abandoned, so that a second attempt can still
+"""A silent back end is abandoned after this fraction of the route's objective, so that a second attempt can still
 answer within the objective."""
 REMAINING_TIMEOUT_FRACTION = 0.6
-"""Fraction of the caller's remaining time that one silent back end may take at most: two fifths are left to the
+"""Largest fraction of the caller's remaining time that one silent back end may use: two fifths are left for the
 next one."""
 MIN_PREFILL_TOKENS_PER_S = 10_000.0
-"""Prefill rate, in tokens per second, below which an engine counts as silent: a prompt is allowed the time of its
-whole prefill at this rate. About a ninth of the fastest engines known, 94 tokens per ms, and a quarter of the
-slowest, 38."""
+"""Prefill rate in tokens per second below which an engine counts as silent: a prompt's timeout includes the time of
+its whole prefill at this rate. It is about a ninth of the rate of the fastest engines known, 94 tokens per ms, and
+a quarter of that of the slowest, 38."""
 STALL_TIMEOUT_FACTOR = 2.0
-"""Multiple of a route's largest allowed gap after which a silent stream is continued elsewhere: a gap of up to the
-allowed length is normal, one of twice that is late whatever follows."""
+"""Multiple of a route's largest allowed gap after which a silent stream is continued at another back end. Gaps up
+to the allowed length are normal; after twice that, the next event is too late in any case."""
 
 
 def response_timeout_s(objective_s: float, remaining_s: float, prompt_tokens: int | None) -> float:
-    """Return how long the head of an answer is waited for, in seconds; ``prompt_tokens`` is None for calls."""
+    """Return how many seconds to wait for the head of an answer; ``prompt_tokens`` is None for calls."""
     timeout_s = objective_s * OBJECTIVE_TIMEOUT_FRACTION
     if prompt_tokens is not None:
         prefill_s = prompt_tokens / MIN_PREFILL_TOKENS_PER_S
@@ -35,13 +35,13 @@
 
 
 def begin_timeout_s(weights_usable_for_s: float, remaining_s: float) -> float | None:
-    """Return how long an engine may take to begin while its weights are new enough for ``usable_for_s`` more.
+    """Return within how many seconds an engine must begin, if its weights are usable for ``weights_usable_for_s``.
 
-    None if they outlast the caller's remaining time, so that they set no bound.
+    Returns None if the weights stay usable for the caller's remaining time, so that they set no bound.
     """
     return max(MIN_REMAINING_S, weights_usable_for_s) if weights_usable_for_s < remaining_s else None
 
 
 def stall_timeout_s(max_gap_s: float) -> float:
-    """Return after how long without an event a stream counts as stalled, in seconds."""
+    """Return after how many seconds without an event a stream counts as stalled."""
     return max_gap_s * STALL_TIMEOUT_FACTOR
--- a/src/wallwell/routing/retry/retry_budget.py
+++ b/src/wallwell/routing/retry/retry_budget.py
@@ -1,9 +1,9 @@
-"""A retry budget that many nodes keep together without asking each other. Pure.
+"""A retry budget that many nodes keep together without coordination. Pure.
 
-The fleet may retry ``ratio`` x its requests plus ``extra`` in any window. Each node spends ``ratio`` x its own
-requests plus its share of ``extra``; the sum over nodes then keeps the fleet's bound. Both are counted in the
-window that ends now, so no burst at a window's edge can spend twice. A node that has just started does not know
-what it spent before, so its share of ``extra`` begins a window later.
+In any window, the fleet may retry ``ratio`` x its requests plus ``extra``. Each node spends at most ``ratio`` x its
+own requests plus its share of ``extra``, so the sum over all nodes stays within the fleet's bound. Requests and
+retries are counted in the window that ends now, so a burst at the edge of a window cannot spend the budget twice. A
+node that has just started does not know what it spent before, so it gets its share of ``extra`` one window later.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from wallwell.routing.sliding_window import SlidingWindow
 
 SAFETY_FACTOR = 0.8
-"""Fraction of the budget that is used, since nodes' counts of each other lag."""
+"""Fraction of the budget that nodes spend, since their counts of the fleet's nodes are delayed."""
 RETRY_COST = 1.0
-"""What one retry takes of a budget, which is counted in retries."""
+"""Cost of one retry; a budget is counted in retries."""
 
 
 @dataclass
@@ -34,7 +34,7 @@
         self._retries = SlidingWindow(self.window_s)
 
     def on_request(self, now_s: float) -> None:
-        """Count an admitted request, also one that is then refused before it is sent."""
+        """Count an admitted request, including one that is refused later without being sent."""
         self._requests.add(now_s)
 
     def remaining_retries(self, now_s: float, node_count: int) -> float:
@@ -44,11 +44,11 @@
         return SAFETY_FACTOR * allowed - self._retries.count(now_s)
 
     def allows_retry(self, now_s: float, node_count: int) -> bool:
-        """Whether one retry may be sent now."""
+        """Whether the budget allows a retry now; does not spend it."""
         return self.remaining_retries(now_s, node_count) >= RETRY_COST
 
     def try_retry(self, now_s: float, node_count: int) -> bool:
-        """Spend one retry if the budget allows it."""
+        """Spend one retry if the budget allows it; returns whether it does."""
         if not self.allows_retry(now_s, node_count):
             return False
         self._retries.add(now_s)
--- a/src/wallwell/routing/retry/retry_policy.py
+++ b/src/wallwell/routing/retry/retry_policy.py
@@ -1,15 +1,15 @@
-"""May a request be sent again? The one place that decides on further attempts. Pure.
+"""Whether a request may be sent again: the only place that decides on further attempts. Pure.
 
-Inputs are the route (how often a request may run, whether it may run twice at all), the history of its
-attempts, how the last one ended, and the service's retry budget. The pipeline and the response wait ask here
-and act on the result.
+Inputs are the route (how often a request may run, and whether it may run twice at all), the history of its
+attempts, how the last one ended, and the service's retry budget. The pipeline and the response wait ask this module
+and carry out its decision.
 
-Three bounds hold together. Runs: attempts that may have been executed, at most ``route.max_attempts``.
-Arrivals: back ends that refused without running anything are passed over, but not without end. Budget: retries
+Three bounds apply together. Runs: attempts that may have been executed, at most ``route.max_attempts``. Arrivals:
+after a back end refused without running the request, another one is tried, but not without limit. Budget: retries
 are limited to a fraction of recent requests, so that an outage is not amplified. An attempt that was not sent costs
-nothing of the budget, since it put no load on any back end.
+no budget, since it caused no load on any back end.
 
-This module is the only one that draws on the budget.
+No other module draws on the budget.
 """
 
 from __future__ import annotations
@@ -26,57 +26,57 @@
 from wallwell.routing.retry.retry_budget import FleetRetryBudget
 
 MAX_EXTRA_ARRIVALS = 3
-"""Further arrivals beyond a route's attempts, for back ends that prove that they did not run the request."""
+"""Failed arrivals allowed in addition to the route's attempts, for back ends that state that they ran nothing."""
 MAX_UNREACHED_ATTEMPTS = 3
-"""Attempts that were not sent, mostly for want of a connection, after which the request is refused: its cause is
-then probably on this node's side of the network, and its caller reaches another node. Error answers that were
-retried count as well, since they are attempts that failed without counting as arrivals."""
+"""Number of attempts that were not sent, mostly for lack of a connection, after which the request is refused. The
+cause is then probably this node's side of the network, and the caller's retry reaches another node. Retried error
+answers count as well, since they are attempts that do not count as failed arrivals."""
 
 
 class Retry(msgspec.Struct, frozen=True):
-    """Another attempt may be made; it is paid for if it costs anything."""
+    """Another attempt may be made; its cost has already been taken from the budget."""
 
 
 class GiveUp(msgspec.Struct, frozen=True):
     """No further attempt is made."""
 
     cause: RefusalCause
-    """What decides when the caller may try again, if nothing of the request has run."""
+    """Cause that determines the caller's Retry-After if no attempt has run."""
     detail: str | None = None
-    """The reason in words; None where how the last attempt ended is the reason."""
+    """Reason, for the error's detail; None if the way the last attempt ended is the reason."""
 
 
 RETRY = Retry()
 NOT_RETRYABLE = GiveUp(RefusalCause.REFUSED_BY_BACKENDS)
-RUNS_EXHAUSTED = GiveUp(RefusalCause.REFUSED_BY_BACKENDS, "every allowed attempt was used")
+RUNS_EXHAUSTED = GiveUp(RefusalCause.REFUSED_BY_BACKENDS, "all allowed attempts were used")
 NO_BACKEND_REACHABLE = GiveUp(RefusalCause.ALL_SUSPENDED, "no back end can be reached")
-TOO_MANY_REFUSALS = GiveUp(RefusalCause.REFUSED_BY_BACKENDS, "too many back ends refused")
-BUDGET_EXHAUSTED = GiveUp(RefusalCause.RETRY_BUDGET_EXHAUSTED, "the retry budget is used up")
+TOO_MANY_REFUSALS = GiveUp(RefusalCause.REFUSED_BY_BACKENDS, "too many back ends refused the request")
+BUDGET_EXHAUSTED = GiveUp(RefusalCause.RETRY_BUDGET_EXHAUSTED, "the retry budget is exhausted")
 
 
 class RetryPolicy:
     """Decides on further attempts of requests.
 
-    ``history`` counts ended attempts only; a method that speaks of an attempt in flight adds that one itself.
+    ``history`` contains ended attempts only; methods that decide on an attempt in flight add that one themselves.
     """
 
     def __init__(self, node_count: Callable[[], int]) -> None:
         """Create the policy of one node.
 
-        ``node_count`` returns how many nodes share the budgets; it is called only where a budget is consulted.
+        ``node_count`` returns how many nodes share the budgets; it is called only when a budget is checked.
         """
         self._node_count = node_count
 
     def may_run_again(self, route: Route, runs: int) -> bool:
-        """Whether a request that has run ``runs`` times, a run in flight included, may run once more."""
+        """Whether a request may run once more after ``runs`` runs, including the one in flight."""
         return runs < route.max_attempts
 
     def may_interrupt(self, route: Route, history: AttemptHistory) -> bool:
-        """Whether the attempt in flight may be ended early because its back end has stopped."""
+        """Whether the attempt in flight may be ended early when its back end is found to have stopped."""
         return route.repeatable and self.may_run_again(route, history.runs + 1)
 
     def stall_timeout_s(self, route: Route, history: AttemptHistory) -> float | None:
-        """Return after how long a pause the stream in flight is continued elsewhere; None if it may not be."""
+        """Return after how many silent seconds to continue the stream at another back end; None if not allowed."""
         if not route.resumable or not self.may_run_again(route, history.runs + 1):
             return None
         return stall_timeout_s(route.max_gap_s)
@@ -89,10 +89,10 @@
         budget: FleetRetryBudget,
         now_s: float,
     ) -> bool:
-        """Whether the attempt in flight may be abandoned for another back end once it has been silent for long.
+        """Whether the attempt in flight may be abandoned for another back end after a long silence.
 
-        ``has_untried`` says whether a usable back end was not tried yet. It is called only if the route allows
-        another run, since finding out takes a pass over all back ends of the service.
+        ``has_untried_backend`` returns whether a usable back end was not tried yet. It is called only if the route
+        allows another run, since it iterates over all back ends of the service.
         """
         if not self.may_interrupt(route, history):
             return False
@@ -101,11 +101,11 @@
     def try_abandon_silent(
         self, history: AttemptHistory, is_fleet_behind: bool, budget: FleetRetryBudget, now_s: float
     ) -> bool:
-        """Decide whether to abandon a silent attempt now; the retry that follows is then paid for in advance.
+        """Return whether to abandon a silent attempt now; if so, its retry is taken from the budget in advance.
 
-        A late answer is better than none, so the attempt goes on if the budget allows no retry. It also goes on
-        while the engines of the whole fleet are behind: another one would prefill the prompt from its start
-        behind others, and what this one has computed or queued would be lost.
+        A late answer is better than none, so the attempt continues if the budget allows no retry. It also continues
+        while the engines of the whole fleet are behind: another engine would queue the prompt behind others and
+        prefill it from the start, and what this one has computed or queued would be lost.
         """
         if is_fleet_behind or not self._draw_retry(budget, now_s):
             return False
@@ -120,9 +120,9 @@
         budget: FleetRetryBudget,
         now_s: float,
     ) -> bool:
-        """Decide whether the attempt in flight, answered with an error, is retried; the retry is then paid for.
+        """Return whether to retry the attempt in flight, which got an error answer; if so, budget is spent on it.
 
-        The caller gets the error answer otherwise. ``has_untried`` as for :meth:`may_abandon_silent`.
+        Otherwise the caller gets the error answer. ``has_untried_backend`` as for :meth:`may_abandon_silent`.
         """
         if not self.may_abandon_silent(route, history, has_untried_backend, budget, now_s):
             return False
@@ -137,9 +137,9 @@
         budget: FleetRetryBudget,
         now_s: float,
     ) -> Retry | GiveUp:
-        """Decide what follows an attempt that ended without a whole answer; a retry is then paid for.
+        """Return what follows an attempt that ended without a complete answer; budget is spent on a retry.
 
-        ``attempts`` and ``history`` already count the attempt that failed.
+        ``attempts`` and ``history`` already include the failed attempt.
         """
         give_up = self._exceeded_bound(route, history, attempts, event)
         if give_up is not None:
@@ -155,7 +155,7 @@
             return NOT_RETRYABLE
         if not self.may_run_again(route, history.runs):
             return RUNS_EXHAUSTED
-        # An error answer that was retried counts here too: it is an attempt, and not among the arrivals.
+        # A retried error answer counts here too: it is an attempt but not a failed arrival.
         if attempts - history.failed_arrivals >= MAX_UNREACHED_ATTEMPTS:
             return NO_BACKEND_REACHABLE
         if history.failed_arrivals >= route.max_attempts + MAX_EXTRA_ARRIVALS:
@@ -163,12 +163,12 @@
         return None
 
     def _pay_for_retry(self, history: AttemptHistory, budget: FleetRetryBudget, now_s: float) -> bool:
-        """Pay for a retry, with one that was paid in advance if there is one."""
+        """Pay for a retry with a prepaid one if there is one, else from the budget; False if neither is left."""
         if history.prepaid_retries:
             history.prepaid_retries -= 1
             return True
         return self._draw_retry(budget, now_s)
 
     def _draw_retry(self, budget: FleetRetryBudget, now_s: float) -> bool:
-        """Draw one retry from the budget; False if it is exhausted."""
+        """Take one retry from the budget; returns False if the budget is exhausted."""
         return budget.try_retry(now_s, self._node_count())
--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -226,7 +226,7 @@
         now_s = boot_time_s()
         event = failure.event
         active.log.record(event)
-        active.history.on_attempt_failed(event)
+        active.history.record_failure(event)
         active.history.failure_details.append(f"{backend.incarnation} {event.value} {failure.detail}")
         self._learning.on_failure(active, backend, failure, now_s)
         self._reports.on_attempt_failed(active, backend, failure)
--- a/tests/unit/routing/retry/test_retry_policy.py
+++ b/tests/unit/routing/retry/test_retry_policy.py
@@ -97,7 +97,7 @@
 )
 def test_without_budget_only_free_and_prepaid_retries_are_made(prepaid, event, expected):
     history = AttemptHistory(prepaid_retries=prepaid)
-    history.on_attempt_failed(event)
+    history.record_failure(event)
     assert POLICY.decide_after_failure(SAFE, history, 1, event, EMPTY, NOW_S) == expected
 
 
@@ -125,7 +125,7 @@
 @given(st.sampled_from(E))
 def test_what_an_attempt_counts_as(event):
     history = AttemptHistory()
-    history.on_attempt_failed(event)
+    history.record_failure(event)
     assert history.failed_arrivals == (event not in NOT_ARRIVED)
     assert history.runs == (event not in NOT_ARRIVED and event not in REFUSED_BY_BACKEND)
 
