--- a/src/wallwell/routing/admission/backend_rate.py
+++ b/src/wallwell/routing/admission/backend_rate.py
@@ -9,7 +9,7 @@
 from wallwell.deployment.routes import FleetRate
 
 UNITS_PER_REQUEST = 1000
-"""Amount that one request counts."""
+"""Thousandths that one request costs."""
 BURST_S = 0.5
 """Seconds of the rate that may be saved for a burst: few, since the back end asks for relief."""
 MAX_DEBT_S = 4.5
--- a/tests/unit/routing/admission/test_access.py
+++ b/tests/unit/routing/admission/test_access.py
@@ -1,4 +1,4 @@
-"""Who may ask, by what is known and how fresh that is."""
+"""Access decisions, by the configuration and how recently it was confirmed."""
 
 import pytest
 
@@ -24,17 +24,17 @@
 MAX_BODY_BYTES = 10
 
 
-def route(prefix, **more):
-    return Route(prefix, "h", prefix, RouteKind.SAFE, (WeightedService("svc", 1.0),), 4.0, 0.4, 2, **more)
+def make_route(prefix, **options):
+    return Route(prefix, "h", prefix, RouteKind.SAFE, (WeightedService("svc", 1.0),), 4.0, 0.4, 2, **options)
 
 
-PRIVATE, PUBLIC = route("/private"), route("/public", public=True)
+PRIVATE, PUBLIC = make_route("/private"), make_route("/public", public=True)
 CONFIG = DeploymentConfig(1, (PRIVATE, PUBLIC), tenants=(TENANT,), bounds=CallerBounds(MAX_BODY_BYTES))
-WITHOUT_TENANTS = DeploymentConfig(1, (PRIVATE,), bounds=CallerBounds(MAX_BODY_BYTES))
+CONFIG_WITHOUT_TENANTS = DeploymentConfig(1, (PRIVATE,), bounds=CallerBounds(MAX_BODY_BYTES))
 
 
 @pytest.mark.parametrize(
-    ("path", "credential", "body_bytes", "if_fresh", "if_stale"),
+    ("path", "credential", "body_bytes", "expected_if_fresh", "expected_if_stale"),
     [
         ("/private", "key", 0, Granted(PRIVATE, TENANT), Denial.STALE_CREDENTIAL),
         ("/private", "other", 0, Denial.UNKNOWN_CREDENTIAL, Denial.STALE_CREDENTIAL),
@@ -49,20 +49,20 @@
         ("/elsewhere", "key", 0, Denial.UNKNOWN_ROUTE, Denial.STALE_ROUTE),
     ],
 )
-def test_what_is_decided_on_fresh_and_on_stale_knowledge(path, credential, body_bytes, if_fresh, if_stale):
+def test_access_decision_by_configuration_age(path, credential, body_bytes, expected_if_fresh, expected_if_stale):
     request = AccessRequest("h", path, credential, body_bytes)
-    assert decide_access(CONFIG, True, request) == if_fresh
-    assert decide_access(CONFIG, False, request) == if_stale
+    assert decide_access(CONFIG, True, request) == expected_if_fresh
+    assert decide_access(CONFIG, False, request) == expected_if_stale
 
 
 @pytest.mark.parametrize("is_fresh", [True, False])
-def test_without_tenants_nobody_needs_a_credential(is_fresh):
+def test_no_credential_is_needed_without_tenants(is_fresh):
     request = AccessRequest("h", "/private", "", 0)
-    assert decide_access(WITHOUT_TENANTS, is_fresh, request) == Granted(PRIVATE, None)
+    assert decide_access(CONFIG_WITHOUT_TENANTS, is_fresh, request) == Granted(PRIVATE, None)
 
 
 @pytest.mark.parametrize("is_fresh", [True, False])
-def test_without_a_configuration_nobody_is_admitted(is_fresh):
+def test_no_request_is_admitted_without_configuration(is_fresh):
     assert decide_access(None, is_fresh, AccessRequest("h", "/private", "key", 0)) is Denial.NO_CONFIGURATION
 
 
@@ -70,6 +70,6 @@
     ("is_strict", "age_s", "is_fresh"),
     [(True, 4.5, True), (True, 4.75, False), (False, 1e9, True)],
 )
-def test_knowledge_is_fresh_until_the_bound_less_its_margin(is_strict, age_s, is_fresh):
+def test_configuration_is_fresh_until_the_bound_minus_its_margin(is_strict, age_s, is_fresh):
     bound = RevocationBound(is_strict, revocation_s=5.0, margin_s=0.5)
     assert is_fresh_enough(Freshness(100.0), bound, 100.0 + age_s) is is_fresh
--- a/tests/unit/routing/admission/test_fleet_share.py
+++ b/tests/unit/routing/admission/test_fleet_share.py
@@ -1,4 +1,4 @@
-"""Which fraction of a limit the nodes that hear each other may spend."""
+"""Which fraction of a limit the nodes that reach each other may spend."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ("heard", "fleet", "fraction"),
+    ("reachable_nodes", "fleet_nodes", "fraction"),
     [
         (None, 0, 1 / ASSUMED_FLEET_NODES),
         (None, 20, 1 / 20),
@@ -23,23 +23,23 @@
         (1, 0, 1 / ASSUMED_FLEET_NODES),
     ],
     ids=[
-        "starting",
-        "alone",
-        "all",
-        "more than listed",
-        "one missing",
+        "starting node",
+        "no other node reachable",
+        "all nodes",
+        "more nodes than listed",
+        "one node missing",
         "majority",
         "half",
-        "itself",
-        "no size yet",
+        "only itself",
+        "unknown fleet size",
     ],
 )
-def test_fraction_by_nodes_heard(heard, fleet, fraction):
-    assert spendable_fraction(heard, fleet) == pytest.approx(fraction)
+def test_fraction_by_number_of_reachable_nodes(reachable_nodes, fleet_nodes, fraction):
+    assert spendable_fraction(reachable_nodes, fleet_nodes) == pytest.approx(fraction)
 
 
-@pytest.mark.parametrize("size", [1, 2, 3, 10, 79, 410])
-def test_one_side_of_a_cut_gets_at_most_what_the_other_leaves_but_for_the_nodes_that_are_tolerated(size):
-    for heard in range(1, size):
-        both = spendable_fraction(heard, size) + spendable_fraction(size - heard, size)
+@pytest.mark.parametrize("fleet_nodes", [1, 2, 3, 10, 79, 410])
+def test_both_sides_of_a_partition_exceed_the_limit_by_at_most_the_tolerated_fraction(fleet_nodes):
+    for nodes in range(1, fleet_nodes):
+        both = spendable_fraction(nodes, fleet_nodes) + spendable_fraction(fleet_nodes - nodes, fleet_nodes)
         assert both <= 1.0 + TOLERATED_MISSING_FRACTION + 1e-9
--- a/tests/unit/routing/admission/test_overload.py
+++ b/tests/unit/routing/admission/test_overload.py
@@ -1,4 +1,4 @@
-"""A fraction of generations is refused while engines have too much in flight, the less urgent first."""
+"""A fraction of generations is refused while engines are overloaded; less urgent ranks are refused first."""
 
 import pytest
 
@@ -12,34 +12,36 @@
     refused_fraction,
 )
 
-RAMP = REFUSE_ALL_LOAD - REFUSAL_BEGIN_LOAD
+REFUSAL_RAMP = REFUSE_ALL_LOAD - REFUSAL_BEGIN_LOAD
 
 
 @pytest.mark.parametrize(
-    ("per_slot", "rank", "fraction"),
+    ("load_per_slot", "rank", "fraction"),
     [
         (0.5, 0, 0.0),
         (REFUSAL_BEGIN_LOAD, 0, 0.0),
         ((REFUSAL_BEGIN_LOAD + REFUSE_ALL_LOAD) / 2, 0, 0.5),
         (REFUSE_ALL_LOAD, 0, 1.0),
         (9.0, 0, 1.0),
-        (REFUSAL_BEGIN_LOAD, 1, RANK_LOAD_STEP / RAMP),
-        (REFUSAL_BEGIN_LOAD, 3, 3 * RANK_LOAD_STEP / RAMP),
-        (REFUSAL_BEGIN_LOAD, 9, 3 * RANK_LOAD_STEP / RAMP),
+        (REFUSAL_BEGIN_LOAD, 1, RANK_LOAD_STEP / REFUSAL_RAMP),
+        (REFUSAL_BEGIN_LOAD, 3, 3 * RANK_LOAD_STEP / REFUSAL_RAMP),
+        (REFUSAL_BEGIN_LOAD, 9, 3 * RANK_LOAD_STEP / REFUSAL_RAMP),
         (REFUSAL_BEGIN_LOAD - 3 * RANK_LOAD_STEP, 9, 0.0),
     ],
 )
-def test_fraction_refused(per_slot, rank, fraction):
-    assert refused_fraction(Occupancy(round(per_slot * 1_000), 1_000), rank) == pytest.approx(fraction, abs=1e-6)
+def test_refused_fraction_by_load_and_rank(load_per_slot, rank, fraction):
+    assert refused_fraction(Occupancy(round(load_per_slot * 1_000), 1_000), rank) == pytest.approx(
+        fraction, abs=1e-6
+    )
 
 
-def test_engines_without_slots_refuse_nothing():
+def test_nothing_is_refused_for_engines_without_slots():
     assert refused_fraction(Occupancy(5, 0), 0) == 0.0
 
 
-def test_the_time_of_a_generation_is_learned():
-    time = AverageDuration()
-    before = time.seconds
+def test_average_converges_to_the_observed_duration():
+    average = AverageDuration()
+    before = average.seconds
     for _ in range(200):
-        time.observe(4.0)
-    assert (before, time.seconds) == (DEFAULT_GENERATION_S, pytest.approx(4.0, abs=0.01))
+        average.observe(4.0)
+    assert (before, average.seconds) == (DEFAULT_GENERATION_S, pytest.approx(4.0, abs=0.01))
--- a/tests/unit/routing/admission/test_relay_spending.py
+++ b/tests/unit/routing/admission/test_relay_spending.py
@@ -1,4 +1,4 @@
-"""What a relay's totals add to what is known to be spent."""
+"""What a relay's reported totals add to its previous report."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize(
-    ("life", "totals", "after_s", "new"),
+    ("incarnation", "totals", "after_s", "expected"),
     [
         (1, {"t": 150}, 0.25, {"t": 50}),
         (1, {"t": 80}, 0.25, {"t": -20}),
@@ -15,9 +15,9 @@
         (1, {"t": 150}, RELAY_SILENCE_S, {"t": 50}),
         (1, {"t": 150}, RELAY_SILENCE_S + 0.01, {}),
     ],
-    ids=["more", "refunded", "another tenant", "restarted", "last moment", "after a silence"],
+    ids=["more spent", "refunded", "another tenant", "relay restarted", "just before silence", "after a silence"],
 )
-def test_what_is_new_in_a_report(life, totals, after_s, new):
+def test_amounts_added_by_a_report(incarnation, totals, after_s, expected):
     spending = RelaySpending()
     assert spending.add_report("r", 1, {"t": 100}, 0.0) == {}
-    assert spending.add_report("r", life, totals, after_s) == new
+    assert spending.add_report("r", incarnation, totals, after_s) == expected
--- a/tests/unit/routing/admission/test_remaining_time.py
+++ b/tests/unit/routing/admission/test_remaining_time.py
@@ -1,4 +1,4 @@
-"""Requests with too little time left are refused unsent, yet a slow first answer does not decide for ever."""
+"""Requests with too little time left are not sent, but a slow first answer does not refuse them forever."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 )
 
 
-def test_a_request_needs_part_of_the_shortest_answer_seen():
+def test_a_request_needs_a_fraction_of_the_shortest_answer_time():
     shortest = ShortestAnswerTime()
     assert shortest.required_remaining_s(0.02) == 0.02
     for seconds in (0.9, 0.4, 0.6):
@@ -20,7 +20,7 @@
     assert shortest.required_remaining_s(1.0) == 1.0
 
 
-def test_one_slow_first_answer_does_not_refuse_short_requests_for_ever():
+def test_a_slow_first_answer_does_not_refuse_short_requests_forever():
     shortest = ShortestAnswerTime()
     shortest.observe(8.0)
     refused = 0
@@ -39,7 +39,7 @@
         (None, MIN_REMAINING_S, False, False),
         (ShortestAnswerTime(4.0), 1.0, False, True),
         (ShortestAnswerTime(4.0), REQUIRED_ANSWER_FRACTION * 4.0, False, False),
-        # What is left of a run that goes on is unknown, and less than a whole answer.
+        # The rest of a continued run takes an unknown time, shorter than a whole answer.
         (ShortestAnswerTime(4.0), 1.0, True, False),
         (ShortestAnswerTime(4.0), MIN_REMAINING_S / 2, True, True),
     ],
--- a/tests/unit/routing/admission/test_request_content.py
+++ b/tests/unit/routing/admission/test_request_content.py
@@ -1,4 +1,4 @@
-"""What a request holds: the same each time it is sent, and different for all else."""
+"""The content digest: equal for every repetition of a request, different for any other request."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
 BASE = {"host": "h", "target": "/p?q=1", "caller": "t", "body": b"body"}
 
 
-def test_each_part_counts_and_none_runs_into_the_next():
+def test_digest_depends_on_each_part_and_on_the_boundaries_between_parts():
     changed = [{**BASE, name: value} for name, value in (("host", "h2"), ("target", "/p"), ("caller", "u"))]
     changed += [
         {**BASE, "body": b"bod"},
@@ -22,11 +22,11 @@
     assert len(digests) == 1 + len(changed)
 
 
-def test_a_request_that_is_sent_again_under_another_id_and_deadline_holds_the_same():
+def test_digest_is_equal_for_a_repeated_request_with_another_id_and_deadline():
     def content(**changes):
         request = msgspec.structs.replace(make_request(body=b"body"), **changes)
         tenant = TenantAccess("t", ("key", "key2"))
         return ActiveRequest(request, FakeReply(), make_route(), tenant, "svc", 0.0, AttemptLog(True)).content
 
-    again = {"request_id": "r-2", "allowance_s": 1.0, "credential": "key2", "headers": (("Last-Event-Id", "3"),)}
-    assert content() == content(**again) != content(body=b"other")
+    repeated = {"request_id": "r-2", "allowance_s": 1.0, "credential": "key2", "headers": (("Last-Event-Id", "3"),)}
+    assert content() == content(**repeated) != content(body=b"other")
--- a/tests/unit/routing/retry/test_attempt_outcome.py
+++ b/tests/unit/routing/retry/test_attempt_outcome.py
@@ -1,4 +1,4 @@
-"""The outcome table and what several attempts add up to."""
+"""The verdicts by event, and the outcome of several attempts together."""
 
 import pytest
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("event", list(E))
-def test_work_that_may_have_run_is_never_not_run_nor_sent_twice(event):
+def test_requests_that_may_not_repeat_are_retried_only_if_proved_not_run(event):
     verdict = VERDICTS[event]
     if verdict.outcome is not Outcome.NOT_RUN:
         assert not verdict.retry_if_not_repeatable
@@ -32,7 +32,7 @@
         ([E.CONNECT_REFUSED, E.ERROR_ANSWER], Outcome.FAILED),
     ],
 )
-def test_the_outcome_covers_all_attempts(events, outcome):
+def test_outcome_of_several_attempts(events, outcome):
     log = AttemptLog(repeatable=True)
     for event in events:
         log.record(event)
--- a/tests/unit/routing/retry/test_first_token.py
+++ b/tests/unit/routing/retry/test_first_token.py
@@ -1,4 +1,4 @@
-"""Whether the fleet is behind, from how soon answers begin at all nodes."""
+"""Whether the fleet is behind, from the number of answers that begin late at all nodes."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 )
 
 
-def observed(*delays_s):
+def delays_of(*delays_s):
     delays = FirstTokenDelays()
     for delay_s in delays_s:
         delays.observe(delay_s, 0.8, 10.0)
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("delays_s", "peers", "expected"),
+    ("delays_s", "peer_counts", "expected"),
     [
         ([0.2] * 10, DelayCounts(), False),
         ([0.9] * 10, DelayCounts(), True),
@@ -28,20 +28,20 @@
         ([0.1], DelayCounts(100, 60), True),
         ([5.0] * 15 + [0.2] * 30, DelayCounts(), False),
     ],
-    ids=["in time", "late", "too few", "late here only", "late elsewhere", "half of the engines unresponsive"],
+    ids=["in time", "late", "too few answers", "late here only", "late at peers", "half of engines unresponsive"],
 )
-def test_the_fleet_is_behind_if_answers_begin_late_everywhere(delays_s, peers, expected):
-    delays = observed(*delays_s)
-    delays.peer_counts = peers
+def test_fleet_is_behind_if_enough_answers_of_all_nodes_begin_late(delays_s, peer_counts, expected):
+    delays = delays_of(*delays_s)
+    delays.peer_counts = peer_counts
     assert delays.is_fleet_behind(10.0) is expected
 
 
-def test_delays_are_forgotten():
-    delays = observed(*[2.0] * 10)
+def test_delays_expire_after_the_window():
+    delays = delays_of(*[2.0] * 10)
     assert delays.is_fleet_behind(10.0 + DELAY_WINDOW_S / 2)
     assert not delays.is_fleet_behind(10.0 + DELAY_WINDOW_S)
 
 
-def test_an_answer_is_late_beyond_its_own_objective():
-    assert observed(0.4, 0.8, 0.81, 9.0).own_counts(10.0) == DelayCounts(4, 2)
+def test_answers_after_the_objective_count_as_late():
+    assert delays_of(0.4, 0.8, 0.81, 9.0).own_counts(10.0) == DelayCounts(4, 2)
     assert sum_delay_counts([DelayCounts(4, 2), DelayCounts(1, 1)]) == DelayCounts(5, 3)
--- a/tests/unit/routing/retry/test_response_timeout.py
+++ b/tests/unit/routing/retry/test_response_timeout.py
@@ -1,4 +1,4 @@
-"""How long a silent back end is waited for."""
+"""Timeouts after which a silent back end is abandoned."""
 
 import pytest
 from hypothesis import given
@@ -21,15 +21,17 @@
     [
         # A call leaves time for a second attempt within the objective.
         (0.5, 9.0, None, 0.5 * OBJECTIVE_TIMEOUT_FRACTION),
-        # A short prompt is given the objective, a long one the time of its prefill on top of the fraction.
+        # A short prompt may take the whole objective, a long one the time of its prefill besides the fraction.
         (0.5, 9.0, 100, 0.5),
         (0.5, 9.0, 20_000, 0.5 * OBJECTIVE_TIMEOUT_FRACTION + 20_000 / MIN_PREFILL_TOKENS_PER_S),
-        # Whatever the objective, part of the caller's time is left for another back end.
+        # For any objective, part of the caller's remaining time is left for another back end.
         (0.5, 0.2, None, 0.2 * REMAINING_TIMEOUT_FRACTION),
         (0.5, 1.0, 20_000, REMAINING_TIMEOUT_FRACTION),
     ],
 )
-def test_the_response_timeout(objective_s, remaining_s, prompt_tokens, expected_s):
+def test_response_timeout_by_objective_remaining_time_and_prompt(
+    objective_s, remaining_s, prompt_tokens, expected_s
+):
     assert response_timeout_s(objective_s, remaining_s, prompt_tokens) == pytest.approx(expected_s)
 
 
@@ -39,11 +41,11 @@
 
 
 @pytest.mark.parametrize(
-    ("usable_for_s", "remaining_s", "expected_s"),
+    ("weights_usable_for_s", "remaining_s", "expected_s"),
     [(0.5, 2.0, 0.5), (2.0, 2.0, None), (9.0, 2.0, None), (-1.0, 2.0, MIN_REMAINING_S)],
 )
-def test_an_engine_must_begin_while_its_weights_are_new_enough(usable_for_s, remaining_s, expected_s):
-    assert begin_timeout_s(usable_for_s, remaining_s) == expected_s
+def test_an_engine_must_begin_while_its_weights_are_new_enough(weights_usable_for_s, remaining_s, expected_s):
+    assert begin_timeout_s(weights_usable_for_s, remaining_s) == expected_s
 
 
 def test_a_stream_stalls_after_a_multiple_of_its_allowed_gap():
--- a/tests/unit/routing/retry/test_retry_after.py
+++ b/tests/unit/routing/retry/test_retry_after.py
@@ -1,4 +1,4 @@
-"""How long refused callers wait: by the cause, spread, and never longer than they honour."""
+"""Waits of refused callers: by the cause, with jitter, and never longer than callers honour."""
 
 import random
 
@@ -21,17 +21,17 @@
     retry_after_s,
 )
 
-LONG_S = 30.0
-"""Time of a caller that is never cut to what it honours."""
+LONG_REMAINING_S = 30.0
+"""Remaining time of a caller so long that no wait is cut to what the caller honours."""
 
 
-def waits(cause, draws=400, **known):
+def draw_waits(cause, draws=400, **circumstances):
     rng = random.Random(3)
-    knowledge = RefusalCircumstances(known.pop("remaining_s", LONG_S), **known)
-    return [retry_after_s(cause, knowledge, rng) for _ in range(draws)]
+    drawn_for = RefusalCircumstances(circumstances.pop("remaining_s", LONG_REMAINING_S), **circumstances)
+    return [retry_after_s(cause, drawn_for, rng) for _ in range(draws)]
 
 
-def around(expected_s):
+def jitter_range(expected_s):
     return expected_s * WAIT_JITTER[0], expected_s * WAIT_JITTER[1]
 
 
@@ -39,22 +39,26 @@
 
 
 @pytest.mark.parametrize(
-    ("cause", "known", "expected"),
+    ("cause", "circumstances", "expected"),
     [
-        # This node alone: the next one serves.
-        (C.NO_CONFIGURATION, {"store_silence_s": 0.3}, around(OTHER_NODE_WAIT_S)),
-        (C.STALE_CONFIGURATION, {"store_silence_s": 5.0}, around(OTHER_NODE_WAIT_S)),
-        # The whole fleet, as far as is known: the longer it has lasted, the longer it is expected to last.
-        (C.NO_CONFIGURATION, {"store_silence_s": 0.02, "receives_peer_loads": True}, around(OTHER_NODE_WAIT_S)),
-        (C.NO_CONFIGURATION, {"store_silence_s": 1.0, "receives_peer_loads": True}, around(0.5)),
-        (C.STALE_CONFIGURATION, {"store_silence_s": 3.0, "receives_peer_loads": True}, around(1.5)),
+        # Only this node lacks a configuration: another node serves the request.
+        (C.NO_CONFIGURATION, {"store_silence_s": 0.3}, jitter_range(OTHER_NODE_WAIT_S)),
+        (C.STALE_CONFIGURATION, {"store_silence_s": 5.0}, jitter_range(OTHER_NODE_WAIT_S)),
+        # Probably no node reaches the store: the longer its silence so far, the longer it is expected to last.
+        (
+            C.NO_CONFIGURATION,
+            {"store_silence_s": 0.02, "receives_peer_loads": True},
+            jitter_range(OTHER_NODE_WAIT_S),
+        ),
+        (C.NO_CONFIGURATION, {"store_silence_s": 1.0, "receives_peer_loads": True}, jitter_range(0.5)),
+        (C.STALE_CONFIGURATION, {"store_silence_s": 3.0, "receives_peer_loads": True}, jitter_range(1.5)),
         (
             C.STALE_CONFIGURATION,
             {"store_silence_s": 60.0, "receives_peer_loads": True},
-            around(MAX_STORE_WAIT_S),
+            jitter_range(MAX_STORE_WAIT_S),
         ),
-        (C.NO_BACKEND_LISTED, {}, around(NO_BACKEND_WAIT_S)),
-        (C.WEIGHTS_TOO_OLD, {}, around(NO_BACKEND_WAIT_S)),
+        (C.NO_BACKEND_LISTED, {}, jitter_range(NO_BACKEND_WAIT_S)),
+        (C.WEIGHTS_TOO_OLD, {}, jitter_range(NO_BACKEND_WAIT_S)),
         (
             C.ALL_SUSPENDED,
             {"suspension_ends_in_s": 0.4},
@@ -66,31 +70,31 @@
             (MIN_RETRY_AFTER_S, SUSPENSION_MARGIN_S + OTHER_NODE_WAIT_S),
         ),
         (C.ALL_BACKING_OFF, {"backoff_ends_in_s": 0.8, "suspension_ends_in_s": 0.1}, (0.8, 1.0)),
-        (C.REFUSED_BY_BACKENDS, {"usual_duration_s": 1.2}, around(SLOT_RELEASE_FRACTION * 1.2)),
-        (C.REFUSED_BY_BACKENDS, {"usual_duration_s": 0.02}, around(OTHER_NODE_WAIT_S)),
+        (C.REFUSED_BY_BACKENDS, {"usual_duration_s": 1.2}, jitter_range(SLOT_RELEASE_FRACTION * 1.2)),
+        (C.REFUSED_BY_BACKENDS, {"usual_duration_s": 0.02}, jitter_range(OTHER_NODE_WAIT_S)),
         (
             C.RETRY_BUDGET_EXHAUSTED,
             {"usual_duration_s": 9.0, "suspension_ends_in_s": 9.0},
-            around(OTHER_NODE_WAIT_S),
+            jitter_range(OTHER_NODE_WAIT_S),
         ),
     ],
 )
-def test_waits_lie_around_what_is_expected_and_are_spread(cause, known, expected):
-    seen = waits(cause, **known)
+def test_waits_vary_around_the_expected_time(cause, circumstances, expected):
+    waits_s = draw_waits(cause, **circumstances)
     low_s, high_s = expected
-    assert low_s <= min(seen) and max(seen) <= high_s
-    assert max(seen) - min(seen) > 0.8 * (high_s - low_s)
+    assert low_s <= min(waits_s) and max(waits_s) <= high_s
+    assert max(waits_s) - min(waits_s) > 0.8 * (high_s - low_s)
 
 
-def test_the_wait_for_a_limit_is_sent_as_it_is_since_it_is_spread_where_it_is_decided():
-    assert set(waits(C.ALL_LIMITED, limit_wait_s=0.7, suspension_ends_in_s=0.1)) == {0.7}
+def test_the_wait_for_a_limit_is_unchanged_since_it_includes_jitter_already():
+    assert set(draw_waits(C.ALL_LIMITED, limit_wait_s=0.7, suspension_ends_in_s=0.1)) == {0.7}
 
 
 @pytest.mark.parametrize("remaining_s", [0.06, 0.663, 4.47])
 @pytest.mark.parametrize("cause", [each for each in RefusalCause if each is not RefusalCause.TOO_LITTLE_TIME])
-def test_no_wait_is_longer_than_callers_honour_and_cut_ones_are_still_spread(cause, remaining_s):
-    """All callers that would wait longer would otherwise retry at the same fraction of their time."""
-    known = {
+def test_no_wait_is_longer_than_callers_honour_and_cut_waits_still_vary(cause, remaining_s):
+    """Otherwise all callers with a longer wait would retry after the same fraction of their remaining time."""
+    circumstances = {
         "store_silence_s": 60.0,
         "receives_peer_loads": True,
         "suspension_ends_in_s": 60.0,
@@ -98,36 +102,36 @@
         "limit_wait_s": 60.0,
         "usual_duration_s": 60.0,
     }
-    seen = waits(cause, remaining_s=remaining_s, **known)
+    waits_s = draw_waits(cause, remaining_s=remaining_s, **circumstances)
     longest_s = remaining_s * HONOURED_WAIT_FRACTION
-    assert min(seen) >= MIN_RETRY_AFTER_S
-    assert max(seen) <= longest_s + 1e-9
+    assert min(waits_s) >= MIN_RETRY_AFTER_S
+    assert max(waits_s) <= longest_s + 1e-9
     uncut_s = (WAIT_JITTER[1] - WAIT_JITTER[0]) * NO_BACKEND_WAIT_S
     if cause is not RefusalCause.RETRY_BUDGET_EXHAUSTED:
-        assert max(seen) - min(seen) > 0.8 * min(
+        assert max(waits_s) - min(waits_s) > 0.8 * min(
             CAPPED_WAIT_JITTER * longest_s, longest_s - MIN_RETRY_AFTER_S, uncut_s
         )
 
 
-def test_there_is_nothing_to_come_back_for_without_time():
-    assert set(waits(RefusalCause.TOO_LITTLE_TIME, usual_duration_s=1.0, suspension_ends_in_s=1.0)) == {0.0}
+def test_no_retry_is_offered_if_too_little_time_is_left():
+    assert set(draw_waits(RefusalCause.TOO_LITTLE_TIME, usual_duration_s=1.0, suspension_ends_in_s=1.0)) == {0.0}
 
 
-def returns(rank, per_slot, generation_s=2.0):
+def draw_overload_waits(rank, load_per_slot, generation_s=2.0):
     rng = random.Random(1)
-    occupancy = Occupancy(round(per_slot * 1_000), 1_000)
+    occupancy = Occupancy(round(load_per_slot * 1_000), 1_000)
     return sorted(overload_retry_after_s(occupancy, rank, generation_s, rng) for _ in range(200))
 
 
-def test_callers_refused_in_an_overload_return_later_the_more_is_under_way_and_not_all_at_once():
-    some, more = returns(0, 1.5), returns(0, 2.5)
-    assert sum(some) < sum(more)
-    assert some[-1] > 1.5 * some[0]
+def test_overload_waits_grow_with_the_load_and_vary():
+    lower_load, higher_load = draw_overload_waits(0, 1.5), draw_overload_waits(0, 2.5)
+    assert sum(lower_load) < sum(higher_load)
+    assert lower_load[-1] > 1.5 * lower_load[0]
 
 
-def test_after_an_overload_the_urgent_return_first():
-    assert sum(returns(0, 1.5)) < sum(returns(1, 1.5))
+def test_overload_waits_are_shorter_for_urgent_ranks():
+    assert sum(draw_overload_waits(0, 1.5)) < sum(draw_overload_waits(1, 1.5))
 
 
-def test_waits_after_an_overload_are_in_generations_time():
-    assert sum(returns(0, 1.5, generation_s=4.0)) == pytest.approx(2 * sum(returns(0, 1.5)))
+def test_overload_waits_are_proportional_to_the_duration_of_generations():
+    assert sum(draw_overload_waits(0, 1.5, generation_s=4.0)) == pytest.approx(2 * sum(draw_overload_waits(0, 1.5)))
--- a/tests/unit/routing/retry/test_retry_budget.py
+++ b/tests/unit/routing/retry/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Any number of nodes together never retry more than the fleet's budget."""
+"""All nodes together never retry more than the fleet's budget allows, for any number of nodes."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -30,13 +30,13 @@
             assert sum(at_s > start_s for at_s in retries) <= allowed
 
 
-def test_a_quiet_node_may_retry_its_share():
+def test_a_node_without_requests_may_retry_its_share_of_the_extra():
     budget = FleetRetryBudget(RATIO, EXTRA, WINDOW_S)
     granted = sum(budget.try_retry(1.0, node_count=6) for _ in range(100))
     assert 5 <= granted <= EXTRA / 6
 
 
-def test_what_was_spent_comes_back_after_the_window():
+def test_spent_retries_are_available_again_after_the_window():
     budget = FleetRetryBudget(RATIO, 6.0, WINDOW_S)
     while budget.try_retry(1.0, node_count=1):
         pass
@@ -44,8 +44,8 @@
     assert budget.try_retry(11.1, node_count=1)
 
 
-def test_nodes_restarted_in_turn_do_not_spend_their_share_twice():
-    """Seven nodes restarted within one window each spent their share of the extra anew."""
+def test_nodes_restarted_one_after_the_other_do_not_spend_their_share_twice():
+    """Seven nodes that were restarted within one window each spent their share of the extra a second time."""
     nodes, spent = 7, 0
     for node in range(nodes):
         before = FleetRetryBudget(RATIO, EXTRA, WINDOW_S)
@@ -55,7 +55,7 @@
     assert 0 < spent <= EXTRA
 
 
-def test_a_restarted_node_has_its_share_again_after_one_window():
+def test_a_restarted_node_gets_its_share_after_one_window():
     budget = FleetRetryBudget(RATIO, EXTRA, WINDOW_S, started_s=5.0)
     assert not budget.try_retry(14.9, node_count=1)
     assert budget.try_retry(15.1, node_count=1)
--- a/tests/unit/routing/retry/test_retry_policy.py
+++ b/tests/unit/routing/retry/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""What may be sent again: bounds on runs, arrivals and connections, and a budget drawn exactly once a retry."""
+"""Which requests may be retried: bounds on runs, arrivals and connections, and a budget spent once per retry."""
 
 import copy
 
@@ -48,9 +48,9 @@
 
 SAFE = make_route()
 UNSAFE = make_route(RouteKind.UNSAFE, attempts=1)
-ONCE_STREAM = make_route(RouteKind.STREAM)
+NOT_RESUMABLE = make_route(RouteKind.STREAM)
 RESUMABLE = make_route(RouteKind.STREAM, resumable=True)
-EMPTY = make_budget(extra=0.0)
+EXHAUSTED_BUDGET = make_budget(extra=0.0)
 
 routes = st.builds(make_route, st.sampled_from(RouteKind), st.integers(1, 4), st.booleans())
 histories = st.builds(
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(
-    ("route", "runs", "arrivals", "attempts", "event", "expected"),
+    ("route", "runs", "failed_arrivals", "attempts", "event", "expected"),
     [
         (SAFE, 1, 1, 1, E.RESET_AFTER_SEND, RETRY),
         (SAFE, 1, 1, 1, E.ANSWER_TIMEOUT, RETRY),
@@ -77,12 +77,12 @@
         (UNSAFE, 0, 0, MAX_UNREACHED_ATTEMPTS - 1, E.CONNECT_REFUSED, RETRY),
         (UNSAFE, 0, 0, MAX_UNREACHED_ATTEMPTS, E.CONNECT_REFUSED, NO_BACKEND_REACHABLE),
         (UNSAFE, 0, 1, MAX_UNREACHED_ATTEMPTS + 1, E.CONNECT_TIMEOUT, NO_BACKEND_REACHABLE),
-        (ONCE_STREAM, 1, 1, 1, E.RESET_AFTER_SEND, NOT_RETRYABLE),
+        (NOT_RESUMABLE, 1, 1, 1, E.RESET_AFTER_SEND, NOT_RETRYABLE),
         (RESUMABLE, 1, 1, 1, E.RESET_AFTER_SEND, RETRY),
     ],
 )
-def test_what_follows_a_failed_attempt(route, runs, arrivals, attempts, event, expected):
-    history = AttemptHistory(runs=runs, failed_arrivals=arrivals)
+def test_decision_after_a_failed_attempt(route, runs, failed_arrivals, attempts, event, expected):
+    history = AttemptHistory(runs=runs, failed_arrivals=failed_arrivals)
     assert POLICY.decide_after_failure(route, history, attempts, event, make_budget(), NOW_S) == expected
 
 
@@ -95,14 +95,14 @@
         (1, E.RESET_AFTER_SEND, RETRY),
     ],
 )
-def test_without_budget_only_free_and_prepaid_retries_are_made(prepaid, event, expected):
+def test_without_budget_only_free_and_prepaid_retries_are_allowed(prepaid, event, expected):
     history = AttemptHistory(prepaid_retries=prepaid)
     history.record_failure(event)
-    assert POLICY.decide_after_failure(SAFE, history, 1, event, EMPTY, NOW_S) == expected
+    assert POLICY.decide_after_failure(SAFE, history, 1, event, EXHAUSTED_BUDGET, NOW_S) == expected
 
 
 @given(routes, histories, st.integers(0, 9), st.sampled_from(E), budgets)
-def test_a_retry_is_paid_once_and_giving_up_costs_nothing(route, history, attempts, event, budget):
+def test_a_retry_is_paid_once_and_giving_up_costs_no_budget(route, history, attempts, event, budget):
     before, prepaid = budget.remaining_retries(NOW_S, NODES), history.prepaid_retries
     decision = POLICY.decide_after_failure(route, history, attempts, event, budget, NOW_S)
     spent = before - budget.remaining_retries(NOW_S, NODES)
@@ -123,7 +123,7 @@
 
 
 @given(st.sampled_from(E))
-def test_what_an_attempt_counts_as(event):
+def test_which_failed_attempts_count_as_arrivals_and_as_runs(event):
     history = AttemptHistory()
     history.record_failure(event)
     assert history.failed_arrivals == (event not in NOT_ARRIVED)
@@ -136,12 +136,14 @@
         (SAFE, 0, True, False),
         (SAFE, 1, False, False),
         (UNSAFE, 0, False, False),
-        (ONCE_STREAM, 0, False, False),
+        (NOT_RESUMABLE, 0, False, False),
         (RESUMABLE, 0, True, True),
         (RESUMABLE, 1, False, False),
     ],
 )
-def test_attempts_in_flight_are_ended_only_where_another_run_is_allowed(route, runs, may_interrupt, is_continued):
+def test_attempts_in_flight_are_interrupted_only_if_another_run_is_allowed(
+    route, runs, may_interrupt, is_continued
+):
     history = AttemptHistory(runs=runs)
     assert POLICY.may_interrupt(route, history) == may_interrupt
     stall_s = STALL_TIMEOUT_FACTOR * route.max_gap_s if is_continued else None
@@ -149,36 +151,38 @@
 
 
 @given(routes, histories, st.booleans(), budgets)
-def test_another_back_end_is_asked_only_if_there_is_one_and_a_retry_left(route, history, has_untried, budget):
-    allowed = POLICY.may_interrupt(route, history) and has_untried and budget.allows_retry(NOW_S, NODES)
+def test_a_silent_attempt_may_be_abandoned_only_with_an_untried_back_end_and_budget(
+    route, history, has_untried_backend, budget
+):
+    allowed = POLICY.may_interrupt(route, history) and has_untried_backend and budget.allows_retry(NOW_S, NODES)
     before = budget.remaining_retries(NOW_S, NODES)
-    assert POLICY.may_abandon_silent(route, history, lambda: has_untried, budget, NOW_S) == allowed
+    assert POLICY.may_abandon_silent(route, history, lambda: has_untried_backend, budget, NOW_S) == allowed
     assert budget.remaining_retries(NOW_S, NODES) == before
-    assert POLICY.try_retry_error_answer(route, history, lambda: has_untried, budget, NOW_S) == allowed
+    assert POLICY.try_retry_error_answer(route, history, lambda: has_untried_backend, budget, NOW_S) == allowed
     assert budget.remaining_retries(NOW_S, NODES) == pytest.approx(before - RETRY_COST * allowed)
 
 
-def test_back_ends_are_not_looked_through_where_no_other_run_is_allowed():
-    def look():
-        raise AssertionError("the answer makes no difference")
+def test_back_ends_are_not_searched_if_no_further_run_is_allowed():
+    def fail_if_called():
+        raise AssertionError("untried back ends make no difference if no further run is allowed")
 
-    assert not POLICY.may_abandon_silent(UNSAFE, AttemptHistory(), look, make_budget(), NOW_S)
-    assert not POLICY.try_retry_error_answer(SAFE, AttemptHistory(runs=1), look, make_budget(), NOW_S)
+    assert not POLICY.may_abandon_silent(UNSAFE, AttemptHistory(), fail_if_called, make_budget(), NOW_S)
+    assert not POLICY.try_retry_error_answer(SAFE, AttemptHistory(runs=1), fail_if_called, make_budget(), NOW_S)
 
 
 @given(histories, st.booleans(), budgets)
-def test_a_silent_attempt_is_abandoned_if_its_retry_is_paid_in_advance(history, are_all_behind, budget):
+def test_a_silent_attempt_is_abandoned_only_if_its_retry_can_be_prepaid(history, is_fleet_behind, budget):
     can_pay = budget.allows_retry(NOW_S, NODES)
     before, prepaid = copy.deepcopy(budget), history.prepaid_retries
-    abandoned = POLICY.try_abandon_silent(history, are_all_behind, budget, NOW_S)
-    assert abandoned == (can_pay and not are_all_behind)
+    abandoned = POLICY.try_abandon_silent(history, is_fleet_behind, budget, NOW_S)
+    assert abandoned == (can_pay and not is_fleet_behind)
     assert history.prepaid_retries == prepaid + abandoned
     assert budget.remaining_retries(NOW_S, NODES) == pytest.approx(
         before.remaining_retries(NOW_S, NODES) - RETRY_COST * abandoned
     )
 
 
-def test_every_way_to_give_up_names_its_cause():
+def test_every_decision_to_give_up_has_its_cause():
     assert {each.cause for each in (NOT_RETRYABLE, RUNS_EXHAUSTED, TOO_MANY_REFUSALS)} == {
         RefusalCause.REFUSED_BY_BACKENDS
     }
