--- a/src/wallwell/cluster/fleet_load.py
+++ b/src/wallwell/cluster/fleet_load.py
@@ -62,4 +62,4 @@
         self.backends.forget_peer_loads()
         self.demand.peers_generations = None
         self.first_token_delays.peer_counts = DelayCounts()
-        self.limits.on_fleet_lost(nodes)
+        self.limits.forget_fleet_report(nodes)
--- a/src/wallwell/cluster/known_loads.py
+++ b/src/wallwell/cluster/known_loads.py
@@ -37,7 +37,7 @@
         # First, so that what was spent of a limit which is new here is counted.
         self._load.stated_limits.on_reported(message.load.stated_limits, now_s)
         limits = self._load.limits
-        limits.on_member_spending(message.spent, now_s)
+        limits.on_member_report(message.spent, now_s)
         others = self._members.recent(now_s, without=message.node)
         load = sum_loads((*others, *self._beyond_members(now_s), self._load.own(now_s)))
         return OthersLoad(load, limits.levels(now_s), self._crashes.for_members(now_s))
@@ -47,7 +47,7 @@
         self._relays.take(message.node, message.load, now_s)
         self._crashes.receive_from_relay(message.crashes, now_s)
         self._load.stated_limits.on_reported(message.load.stated_limits, now_s)
-        self._load.limits.on_relay_totals(message.node, message.life, message.spent_totals, now_s)
+        self._load.limits.on_relay_report(message.node, message.life, message.spent_totals, now_s)
         if message.node not in self._totals:
             # Nodes are replaced under new names, and each has reported all tenants that spend.
             self._totals = {name: known for name, known in self._totals.items() if _is_recent(known[1], now_s)}
@@ -59,7 +59,7 @@
         self._load.stated_limits.on_reported(received.load.stated_limits, now_s)
         limits = self._load.limits
         for totals in received.relays:
-            limits.on_relay_totals(totals.relay, totals.life, totals.spent, now_s, is_same_region=False)
+            limits.on_relay_report(totals.relay, totals.life, totals.spent, now_s, is_same_region=False)
         limits.on_region_report(received.region)
 
     def on_region_lost(self, last: RegionSum, now_s: float) -> None:
--- a/src/wallwell/cluster/load_reporter.py
+++ b/src/wallwell/cluster/load_reporter.py
@@ -98,7 +98,7 @@
             return
         now_s = boot_time_s()
         self._learn(reply.load)
-        self._load.limits.on_relay_levels(reply.levels, now_s)
+        self._load.limits.on_levels_report(reply.levels, now_s)
         self._crashes.receive_from_relay(reply.crashes, now_s)
 
     async def _send_report(self, relay: Peer) -> OthersLoad | None:
--- a/src/wallwell/routing/admission/fleet_limits.py
+++ b/src/wallwell/routing/admission/fleet_limits.py
@@ -34,7 +34,7 @@
 SETTLING_S = 0.5
 """Seconds in which saved tokens are spent, and in which a debt is worked off, while demand exceeds the limit.
 
-It is longer than nodes' reports of each other are old."""
+It is longer than the age of the reports that nodes have of each other."""
 NODE_INCARNATION_BITS = 48
 """Random bits of a node's incarnation number: a node does not draw one twice, and JSON parsers read it exactly."""
 MAX_LEVELS_AGE_S = 0.3
@@ -132,10 +132,10 @@
         self._backend_buckets.pop(limit_key, None)
         self._buckets.pop(limit_key, None)
 
-    def _update_spendable_fraction(self, fleet_nodes: int) -> None:
-        """Update the spendable fraction for a fleet of ``fleet_nodes`` nodes, 0 if unknown."""
+    def _update_spendable_fraction(self, node_count: int) -> None:
+        """Update the spendable fraction for a fleet of ``node_count`` nodes, 0 if unknown."""
         previous_fraction = self._spendable_fraction
-        self._spendable_fraction = spendable_fraction(self._reachable_nodes, fleet_nodes)
+        self._spendable_fraction = spendable_fraction(self._reachable_nodes, node_count)
         for bucket in self._buckets.values():
             if bucket.level < 0:  # If a debt is worked off at a lower rate now, reduce it as well.
                 bucket.level *= min(1.0, self._spendable_fraction / previous_fraction)
@@ -249,7 +249,7 @@
 
     # --- reports from other nodes ----------------------------------------------------------------------
 
-    def on_member_spending(self, spent: Mapping[str, int], now_s: float) -> None:
+    def on_member_report(self, spent: Mapping[str, int], now_s: float) -> None:
         """Count the tokens that a member of this relay reports as spent, by limit key."""
         for limit_key, tokens in spent.items():
             bucket = self._buckets.get(limit_key)
@@ -257,14 +257,19 @@
                 self._refill(bucket, now_s)
                 bucket.add_member_spending(tokens)
 
-    def on_relay_totals(
-        self, relay: str, incarnation: int, totals: Mapping[str, int], now_s: float, is_same_region: bool = True
+    def on_relay_report(
+        self,
+        relay: str,
+        node_incarnation: int,
+        totals: Mapping[str, int],
+        now_s: float,
+        is_same_region: bool = True,
     ) -> None:
         """Count what another relay's totals since its start add to its last report.
 
         ``is_same_region`` is True for relays of this node's region.
         """
-        for limit_key, spent in self._relay_spending.add_report(relay, incarnation, totals, now_s).items():
+        for limit_key, spent in self._relay_spending.on_report(relay, node_incarnation, totals, now_s).items():
             bucket = self._buckets.get(limit_key)
             if bucket is not None:
                 self._refill(bucket, now_s)
@@ -292,7 +297,7 @@
             for bucket in self._buckets.values():
                 bucket.updated_s = None
 
-    def on_relay_levels(self, levels: Mapping[str, int], now_s: float) -> None:
+    def on_levels_report(self, levels: Mapping[str, int], now_s: float) -> None:
         """Set the levels reported by this node's relay, less what this node has spent since.
 
         A tenant's limit that is missing in the report is full. A back end's limit that is missing is not known to
@@ -305,16 +310,16 @@
             bucket.level = min(full_level, levels.get(limit_key, default_level)) - bucket.unreported
             bucket.updated_s = now_s
 
-    def on_fleet_report(self, peer_demand: Mapping[str, int], other_nodes: int, fleet_nodes: int) -> None:
+    def on_fleet_report(self, peer_demand: Mapping[str, int], other_nodes: int, node_count: int) -> None:
         """Set the demand at all other nodes, how many of them are reachable, and the size of the fleet."""
         self._reachable_nodes = other_nodes + 1
         self._resume_refilling()
-        self._update_spendable_fraction(fleet_nodes)
+        self._update_spendable_fraction(node_count)
         for limit_key, bucket in self._buckets.items():
             bucket.peer_demand = peer_demand.get(limit_key, 0)
 
-    def on_fleet_lost(self, fleet_nodes: int) -> None:
+    def forget_fleet_report(self, node_count: int) -> None:
         """Limit this node to an equal share, since no other node has been heard from for too long."""
         self._reachable_nodes = None
         self._resume_refilling()
-        self._update_spendable_fraction(fleet_nodes)
+        self._update_spendable_fraction(node_count)
--- a/src/wallwell/routing/admission/overload.py
+++ b/src/wallwell/routing/admission/overload.py
@@ -5,8 +5,8 @@
 long after its cause has ended. Refusing a fraction of the generations at once keeps the others in time, and the
 refused callers retry when slots are free.
 
-Nodes know each other's load with a delay of some reports, and all know the same. With a single threshold they would
-all refuse and admit in alternation, so the refused fraction grows gradually with the load.
+Nodes receive each other's load some reports late, and all receive the same. With a single threshold they would all
+refuse and admit in alternation, so the refused fraction grows gradually with the load.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 REFUSE_ALL_LOAD = 1.7
 """Load per slot from which all of them are refused: most of a further batch waits behind the running one."""
 RANK_LOAD_STEP = 0.1
-"""How much lower the load per slot is at which refusals begin for each less urgent rank."""
+"""Refusals begin at a load per slot that is lower by this for each step to a less urgent rank."""
 MAX_RANK_STEPS = 3
-"""Number of steps from the most urgent rank on: refusals begin at a load per slot of 0.8 at the lowest."""
+"""Steps by which a rank counts as less urgent at most: refusals begin at a load per slot of 0.8 at the lowest."""
 DEFAULT_GENERATION_S = 1.5
 """Assumed duration of a generation, in seconds, before the first one is observed."""
 SMOOTHING_WEIGHT = 0.05
--- a/src/wallwell/routing/admission/quarantine.py
+++ b/src/wallwell/routing/admission/quarantine.py
@@ -83,23 +83,23 @@
         """Number of requests with crashes that count, quarantined or not."""
         return len(self._suspects)
 
-    def remaining_s(self, content: str, now_s: float) -> float:
+    def remaining_s(self, content_digest: str, now_s: float) -> float:
         """Return for how many more seconds a request is quarantined; 0 if it is not."""
-        suspect = self._suspects.get(content)
+        suspect = self._suspects.get(content_digest)
         if suspect is None or not suspect.is_quarantined:
             return 0.0
         return max(0.0, suspect.expires_s - now_s)
 
-    def is_cleared(self, content: str, now_s: float) -> bool:
+    def is_cleared(self, content_digest: str, now_s: float) -> bool:
         """Whether a request was answered so recently that a crash does not count against it."""
-        answered_s = self._cleared.get(content)
+        answered_s = self._cleared.get(content_digest)
         return answered_s is not None and now_s - answered_s < CLEARANCE_S
 
-    def on_crash(self, content: str, incarnation: str, now_s: float) -> bool:
+    def on_crash(self, content_digest: str, incarnation: str, now_s: float) -> bool:
         """Count a crash of a back end that ran a request; returns False if it is a duplicate or does not count."""
-        if self.is_cleared(content, now_s):
+        if self.is_cleared(content_digest, now_s):
             return False
-        suspect = self._suspects.setdefault(content, Suspect())
+        suspect = self._suspects.setdefault(content_digest, Suspect())
         if incarnation in suspect.crashed_incarnations:
             return False
         was_quarantined = suspect.is_quarantined
@@ -109,41 +109,41 @@
         self._evict_suspects()
         return True
 
-    def on_answered(self, content: str, now_s: float) -> tuple[str, ...]:
+    def on_answered(self, content_digest: str, now_s: float) -> tuple[str, ...]:
         """Clear a request that was answered successfully; returns the incarnations whose crashes counted."""
-        self._cleared.pop(content, None)
-        self._cleared[content] = now_s
+        self._cleared.pop(content_digest, None)
+        self._cleared[content_digest] = now_s
         self._evict_cleared(now_s)
-        suspect = self._remove_suspect(content)
+        suspect = self._remove_suspect(content_digest)
         return tuple(suspect.crashed_incarnations) if suspect is not None else ()
 
-    def forget_crash(self, content: str, incarnation: str) -> None:
+    def forget_crash(self, content_digest: str, incarnation: str) -> None:
         """Remove one crash from a request's count."""
-        suspect = self._suspects.get(content)
+        suspect = self._suspects.get(content_digest)
         if suspect is None or incarnation not in suspect.crashed_incarnations:
             return
         self._quarantined_count -= suspect.is_quarantined
         suspect.crashed_incarnations.discard(incarnation)
         self._quarantined_count += suspect.is_quarantined
         if not suspect.crashed_incarnations:
-            del self._suspects[content]
+            del self._suspects[content_digest]
 
     def expired_crashes(self, now_s: float) -> Iterator[tuple[str, str]]:
         """Yield the crashes that have expired, as content digest and incarnation."""
-        for content, suspect in self._suspects.items():
+        for content_digest, suspect in self._suspects.items():
             if now_s >= suspect.expires_s:
                 for incarnation in suspect.crashed_incarnations:
-                    yield content, incarnation
+                    yield content_digest, incarnation
 
     def remove_expired(self, now_s: float) -> list[tuple[str, str]]:
         """Remove the crashes that have expired and return them, as content digest and incarnation."""
         expired = list(self.expired_crashes(now_s))
-        for content, incarnation in expired:
-            self.forget_crash(content, incarnation)
+        for content_digest, incarnation in expired:
+            self.forget_crash(content_digest, incarnation)
         return expired
 
-    def _remove_suspect(self, content: str) -> Suspect | None:
-        suspect = self._suspects.pop(content, None)
+    def _remove_suspect(self, content_digest: str) -> Suspect | None:
+        suspect = self._suspects.pop(content_digest, None)
         if suspect is not None:
             self._quarantined_count -= suspect.is_quarantined
         return suspect
@@ -151,7 +151,7 @@
     def _evict_suspects(self) -> None:
         if len(self._suspects) <= MAX_SUSPECTS:
             return
-        oldest = next((content for content, suspect in self._suspects.items() if not suspect.is_quarantined), None)
+        oldest = next((digest for digest, suspect in self._suspects.items() if not suspect.is_quarantined), None)
         self._remove_suspect(oldest if oldest is not None else next(iter(self._suspects)))
 
     def _evict_cleared(self, now_s: float) -> None:
--- a/src/wallwell/routing/admission/relay_spending.py
+++ b/src/wallwell/routing/admission/relay_spending.py
@@ -20,7 +20,7 @@
 class _RelayReport(msgspec.Struct, frozen=True):
     """The totals that one incarnation of a relay reported, and when this node received them."""
 
-    incarnation: int
+    node_incarnation: int
     totals: Mapping[str, int]
     received_s: float
 
@@ -34,21 +34,23 @@
     def __len__(self) -> int:
         return len(self._reports)
 
-    def add_report(self, relay: str, incarnation: int, totals: Mapping[str, int], now_s: float) -> dict[str, int]:
+    def on_report(
+        self, relay: str, node_incarnation: int, totals: Mapping[str, int], now_s: float
+    ) -> dict[str, int]:
         """Store a relay's totals by limit key; returns what they add to its last report.
 
         The result is empty for the first report of a relay, after its restart and after a silence. Refunds are
         negative.
         """
-        previous = self._reports.get(relay)
-        if previous is None:
-            self._remove_silent_relays(now_s)
-        self._reports[relay] = _RelayReport(incarnation, totals, now_s)
-        if previous is None or previous.incarnation != incarnation or now_s - previous.received_s > RELAY_SILENCE_S:
+        last = self._reports.get(relay)
+        if last is None:
+            self._forget_silent_relays(now_s)
+        self._reports[relay] = _RelayReport(node_incarnation, totals, now_s)
+        if last is None or last.node_incarnation != node_incarnation or now_s - last.received_s > RELAY_SILENCE_S:
             return {}
-        return {limit_key: total - previous.totals.get(limit_key, 0) for limit_key, total in totals.items()}
+        return {limit_key: total - last.totals.get(limit_key, 0) for limit_key, total in totals.items()}
 
-    def _remove_silent_relays(self, now_s: float) -> None:
+    def _forget_silent_relays(self, now_s: float) -> None:
         """Remove expired reports: nodes are replaced under new names, and each report lists all limits in use."""
         self._reports = {
             name: report for name, report in self._reports.items() if now_s - report.received_s <= RELAY_SILENCE_S
--- a/src/wallwell/routing/retry/retry_after.py
+++ b/src/wallwell/routing/retry/retry_after.py
@@ -55,7 +55,7 @@
 OVERLOAD_JITTER = (0.75, 1.75)
 """Lowest and highest random factor of a generation's wait, so that refused callers do not all return at once."""
 OVERLOAD_RANK_DELAY_FRACTION = 0.25
-"""Fraction of the wait by which it grows for each less urgent rank."""
+"""The wait grows by this fraction for each step to a less urgent rank."""
 
 
 class RefusalCause(enum.Enum):
@@ -81,7 +81,7 @@
     store_silence_s: float = 0.0
     """Time since the store last answered, or since the node's start if it never has."""
     receives_peer_loads: bool = False
-    """Whether other nodes report their loads to this one, so that the store is probably silent for them as well."""
+    """Whether other nodes report their loads to this one, so that the store may be silent for them as well."""
     suspension_ends_in_s: float = 0.0
     """Time until the first suspended back end may be tried again; 0 if one may be tried now."""
     backoff_ends_in_s: float = 0.0
--- a/tests/unit/cluster/limit_network.py
+++ b/tests/unit/cluster/limit_network.py
@@ -165,7 +165,7 @@
         reply = sent(relay.known.on_member(message, now_s), OthersLoad)
         limits.end_report(is_acknowledged=True)
         node.load.learn(reply.load, len(self.nodes), now_s)
-        limits.on_relay_levels(reply.levels, now_s)
+        limits.on_levels_report(reply.levels, now_s)
 
     def _exchange_with_relays(self, node, now_s):
         for other in self._relays_of_region(self._region_of(node)):
--- a/tests/unit/cluster/test_stated_limits.py
+++ b/tests/unit/cluster/test_stated_limits.py
@@ -182,6 +182,6 @@
     """It reports no level of a back end's limit, which must not be taken for a full one."""
     load = node()
     answer(load, 2.0, 10.0)
-    load.limits.on_relay_levels({}, 10.1)
+    load.limits.on_levels_report({}, 10.1)
     (level,) = load.limits.levels(10.1).values()
     assert level == 0
--- a/tests/unit/routing/admission/limit_fleet.py
+++ b/tests/unit/routing/admission/limit_fleet.py
@@ -77,7 +77,7 @@
         """Start a node, or restart it without any of its former state."""
         node.limits = self._limits_type(random.Random(self.rng.random()))
         node.limits.set_limits({TENANT: self.limit})
-        node.limits.on_fleet_lost(len(self.nodes))
+        node.limits.forget_fleet_report(len(self.nodes))
         node.members, node.regions = {}, {}
         node.is_down = False
 
@@ -147,9 +147,9 @@
             if other is None or other is node or self._region(other) != self._region(node):
                 continue
             other.members["relay " + node.name] = (self._zone_load(node, now_s), now_s)
-            other.limits.on_relay_totals(node.name, node.limits.node_incarnation, node.limits.spent_totals(), now_s)
+            other.limits.on_relay_report(node.name, node.limits.node_incarnation, node.limits.spent_totals(), now_s)
             node.members["relay " + other.name] = (self._zone_load(other, now_s), now_s)
-            node.limits.on_relay_totals(
+            node.limits.on_relay_report(
                 other.name, other.limits.node_incarnation, other.limits.spent_totals(), now_s
             )
         self._detect_lost_regions(node, now_s)
@@ -199,16 +199,16 @@
         relay.members[f"relay region {region}"] = (load, now_s)
         relay.regions[region] = (load.nodes, now_s)
         for name, incarnation, spent in totals:
-            relay.limits.on_relay_totals(name, incarnation, spent, now_s, is_same_region=False)
+            relay.limits.on_relay_report(name, incarnation, spent, now_s, is_same_region=False)
         relay.limits.on_region_report(str(region))
 
     def _report_to_relay(self, node, relay, now_s):
         relay.members[node.name] = (self._own_load(node, now_s), now_s)
-        relay.limits.on_member_spending(node.limits.begin_report(), now_s)
+        relay.limits.on_member_report(node.limits.begin_report(), now_s)
         node.limits.end_report(is_acknowledged=True)
         others = sum_loads((*relay.recent_loads(now_s, excluded=node.name), self._own_load(relay, now_s)))
         node.limits.on_fleet_report(others.asked, others.nodes, len(self.nodes))
-        node.limits.on_relay_levels(relay.limits.levels(now_s), now_s)
+        node.limits.on_levels_report(relay.limits.levels(now_s), now_s)
 
     # --- measures --------------------------------------------------------------------------------------
 
--- a/tests/unit/routing/admission/test_fleet_limits.py
+++ b/tests/unit/routing/admission/test_fleet_limits.py
@@ -131,18 +131,18 @@
 def test_spending_during_a_relays_silence_is_not_counted():
     """A relay counted twelve seconds of the fleet's spending at once, and then refused all requests for as long."""
     limits = filled_limits(LARGE)
-    limits.on_relay_totals("n2", 1, {TENANT: 1_000}, now_s=100.0)
-    limits.on_relay_totals("n2", 1, {TENANT: 2_000}, now_s=100.0)
+    limits.on_relay_report("n2", 1, {TENANT: 1_000}, now_s=100.0)
+    limits.on_relay_report("n2", 1, {TENANT: 2_000}, now_s=100.0)
     counted = limits.levels(100.0)[TENANT]
-    limits.on_relay_totals("n2", 1, {TENANT: 2_000_000}, now_s=100.0 + RELAY_SILENCE_S + 0.1)
+    limits.on_relay_report("n2", 1, {TENANT: 2_000_000}, now_s=100.0 + RELAY_SILENCE_S + 0.1)
     assert (counted, limits.levels(103.0)) == (LARGE.burst - 1_000, {})
 
 
 def test_totals_of_a_restarted_relay_count_from_its_first_report():
     limits = filled_limits(LARGE)
-    limits.on_relay_totals("n2", 1, {TENANT: 5_000}, now_s=100.0)
-    limits.on_relay_totals("n2", 2, {TENANT: 700}, now_s=100.0)
-    limits.on_relay_totals("n2", 2, {TENANT: 900}, now_s=100.0)
+    limits.on_relay_report("n2", 1, {TENANT: 5_000}, now_s=100.0)
+    limits.on_relay_report("n2", 2, {TENANT: 700}, now_s=100.0)
+    limits.on_relay_report("n2", 2, {TENANT: 900}, now_s=100.0)
     assert limits.levels(100.0)[TENANT] == LARGE.burst - 200
 
 
@@ -153,16 +153,16 @@
     limits.on_fleet_report({}, 0, 1)
     limits.levels(0.0)
     limits.levels(100.0)
-    limits.on_relay_totals("n2", 1, {TENANT: 5_000, "other": 0}, now_s=100.0)
-    limits.on_relay_totals("n2", 1, {TENANT: 6_000, "other": 0}, now_s=100.0)
-    limits.on_relay_totals("n2", 1, {TENANT: 5_700, "other": 900}, now_s=100.0)
+    limits.on_relay_report("n2", 1, {TENANT: 5_000, "other": 0}, now_s=100.0)
+    limits.on_relay_report("n2", 1, {TENANT: 6_000, "other": 0}, now_s=100.0)
+    limits.on_relay_report("n2", 1, {TENANT: 5_700, "other": 900}, now_s=100.0)
     assert limits.levels(100.0) == {TENANT: LARGE.burst - 700, "other": LARGE.burst - 900}
 
 
 def test_a_bucket_is_refilled_before_spending_is_counted():
     """A bucket that had not been refilled for long gained back at once what was spent."""
     limits = filled_limits(LARGE)
-    limits.on_member_spending({TENANT: 1_000}, now_s=110.0)
+    limits.on_member_report({TENANT: 1_000}, now_s=110.0)
     assert limits.levels(110.0)[TENANT] == LARGE.burst - 1_000
 
 
@@ -257,7 +257,7 @@
     limits.begin_report()
     limits.admit(TENANT, 500, 100.0)
     limits.end_report(is_acknowledged=True)
-    limits.on_relay_levels({TENANT: 50_000}, 100.1)
+    limits.on_levels_report({TENANT: 50_000}, 100.1)
     assert limits.levels(100.1)[TENANT] == 49_500
     assert limits.begin_report() == {TENANT: 500}
 
@@ -346,15 +346,15 @@
 
 def test_a_lost_region_is_assumed_to_have_spent_as_much_as_this_one_by_size():
     limits = filled_limits(LARGE)
-    limits.on_relay_totals("same region", 1, {TENANT: 0}, now_s=100.0)
-    limits.on_relay_totals("other region", 1, {TENANT: 0}, now_s=100.0, is_same_region=False)
+    limits.on_relay_report("same region", 1, {TENANT: 0}, now_s=100.0)
+    limits.on_relay_report("other region", 1, {TENANT: 0}, now_s=100.0, is_same_region=False)
     limits.charge_retry(Admitted(TENANT, 1_000))
     limits.on_region_report("west")
     before = limits.levels(100.0)[TENANT]
     limits.charge_retry(Admitted(TENANT, 500))
-    limits.on_member_spending({TENANT: 300}, now_s=100.0)
-    limits.on_relay_totals("same region", 1, {TENANT: 200}, now_s=100.0)
-    limits.on_relay_totals("other region", 1, {TENANT: 70}, now_s=100.0, is_same_region=False)
+    limits.on_member_report({TENANT: 300}, now_s=100.0)
+    limits.on_relay_report("same region", 1, {TENANT: 200}, now_s=100.0)
+    limits.on_relay_report("other region", 1, {TENANT: 70}, now_s=100.0, is_same_region=False)
     limits.on_region_lost("west", 2.0, now_s=100.0)
     # What was spent and reported, and twice what this region has spent since the lost one's last report.
     assert before - limits.levels(100.0)[TENANT] == 1_070 + 2 * 1_000
@@ -365,5 +365,5 @@
 def test_reports_of_silent_relays_are_removed():
     limits = FleetLimits(random.Random(1))
     for number in range(100):
-        limits.on_relay_totals(f"relay-{number}", 1, {"t": number}, 2.0 * RELAY_SILENCE_S * number)
+        limits.on_relay_report(f"relay-{number}", 1, {"t": number}, 2.0 * RELAY_SILENCE_S * number)
     assert len(limits._relay_spending) == 1
--- a/tests/unit/routing/admission/test_quarantine.py
+++ b/tests/unit/routing/admission/test_quarantine.py
@@ -16,10 +16,10 @@
 QUARANTINED_BY = [f"i-{number}" for number in range(CRASHES_TO_QUARANTINE)]
 
 
-def with_crashes(incarnations, content="c", now_s=0.0, quarantine=None):
+def with_crashes(incarnations, content_digest="c", now_s=0.0, quarantine=None):
     quarantine = quarantine or Quarantine()
     for incarnation in incarnations:
-        quarantine.on_crash(content, incarnation, now_s)
+        quarantine.on_crash(content_digest, incarnation, now_s)
     return quarantine
 
 
@@ -66,8 +66,8 @@
     expired = list(quarantine.expired_crashes(10.0 + lasts_s))
     assert sorted(expired) == [("c", incarnation) for incarnation in incarnations]
     assert quarantine.remaining_s("c", 10.0 + lasts_s) == 0
-    for content, incarnation in expired:
-        quarantine.forget_crash(content, incarnation)
+    for content_digest, incarnation in expired:
+        quarantine.forget_crash(content_digest, incarnation)
     assert (quarantine.quarantined_count, quarantine.suspect_count) == (0, 0)
 
 
--- a/tests/unit/routing/admission/test_relay_spending.py
+++ b/tests/unit/routing/admission/test_relay_spending.py
@@ -6,7 +6,7 @@
 
 
 @pytest.mark.parametrize(
-    ("incarnation", "totals", "after_s", "expected"),
+    ("node_incarnation", "totals", "after_s", "expected"),
     [
         (1, {"t": 150}, 0.25, {"t": 50}),
         (1, {"t": 80}, 0.25, {"t": -20}),
@@ -17,7 +17,7 @@
     ],
     ids=["more spent", "refunded", "another tenant", "relay restarted", "just before silence", "after a silence"],
 )
-def test_amounts_added_by_a_report(incarnation, totals, after_s, expected):
+def test_amounts_added_by_a_report(node_incarnation, totals, after_s, expected):
     spending = RelaySpending()
-    assert spending.add_report("r", 1, {"t": 100}, 0.0) == {}
-    assert spending.add_report("r", incarnation, totals, after_s) == expected
+    assert spending.on_report("r", 1, {"t": 100}, 0.0) == {}
+    assert spending.on_report("r", node_incarnation, totals, after_s) == expected
--- a/tests/unit/routing/admission/test_request_content.py
+++ b/tests/unit/routing/admission/test_request_content.py
@@ -23,10 +23,10 @@
 
 
 def test_digest_is_equal_for_a_repeated_request_with_another_id_and_deadline():
-    def content(**changes):
+    def digest_of(**changes):
         request = msgspec.structs.replace(make_request(body=b"body"), **changes)
         tenant = TenantAccess("t", ("key", "key2"))
         return ActiveRequest(request, FakeReply(), make_route(), tenant, "svc", 0.0, AttemptLog(True)).content
 
     repeated = {"request_id": "r-2", "allowance_s": 1.0, "credential": "key2", "headers": (("Last-Event-Id", "3"),)}
-    assert content() == content(**repeated) != content(body=b"other")
+    assert digest_of() == digest_of(**repeated) != digest_of(body=b"other")
--- a/tests/unit/routing/retry/test_retry_after.py
+++ b/tests/unit/routing/retry/test_retry_after.py
@@ -44,7 +44,7 @@
         # Only this node lacks a configuration: another node serves the request.
         (C.NO_CONFIGURATION, {"store_silence_s": 0.3}, jitter_range(OTHER_NODE_WAIT_S)),
         (C.STALE_CONFIGURATION, {"store_silence_s": 5.0}, jitter_range(OTHER_NODE_WAIT_S)),
-        # Probably no node reaches the store: the longer its silence so far, the longer it is expected to last.
+        # The store may be silent for all nodes: the longer its silence so far, the longer it is expected to last.
         (
             C.NO_CONFIGURATION,
             {"store_silence_s": 0.02, "receives_peer_loads": True},
