--- a/src/wallwell/cluster/load_aggregator.py
+++ b/src/wallwell/cluster/load_aggregator.py
@@ -36,7 +36,7 @@
         # Done first: a limit new to this node must exist before the member's spending of it can be counted.
         self._load.stated_limits.on_peer_report(message.load.stated_limits, now_s)
         limits = self._load.limits
-        limits.take_member(message.spent, now_s)
+        limits.on_member_report(message.spent, now_s)
         others = self._members.recent(now_s, excluding=message.node)
         load = sum_loads((*others, *self._other_relays_and_regions(now_s), self._load.own_load(now_s)))
         return OthersLoad(load, limits.levels(now_s), self._crashes.crashes_for_members(now_s))
@@ -46,7 +46,7 @@
         self._relays.record(message.node, message.load, now_s)
         self._crashes.on_relay_report(message.crashes, now_s)
         self._load.stated_limits.on_peer_report(message.load.stated_limits, now_s)
-        self._load.limits.take_relay(message.node, message.life, message.spent_totals, now_s)
+        self._load.limits.on_relay_report(message.node, message.life, message.spent_totals, now_s)
         if message.node not in self._totals:
             # Nodes are replaced under new names, and an entry lists every tenant that spends: drop old entries.
             self._totals = {name: entry for name, entry in self._totals.items() if _is_recent(entry[1], now_s)}
@@ -58,8 +58,8 @@
         self._load.stated_limits.on_peer_report(received.load.stated_limits, now_s)
         limits = self._load.limits
         for totals in received.relays:
-            limits.take_relay(totals.relay, totals.life, totals.spent, now_s, is_near=False)
-        limits.on_region_heard(received.region)
+            limits.on_relay_report(totals.relay, totals.life, totals.spent, now_s, is_same_region=False)
+        limits.on_region_report(received.region)
 
     def on_region_lost(self, last: RegionSum, now_s: float) -> None:
         """Handle the loss of a region that was silent for too long; ``last`` is the last sum that it reported."""
@@ -76,13 +76,15 @@
         """Return this relay's report to other relays; ``regions`` are sums of other regions to be forwarded."""
         limits = self._load.limits
         crashes = self._crashes.crashes_for_other_relays(now_s)
-        return ZoneLoad(self._node, self._zone_load(now_s), limits.life, limits.spent_totals(), regions, crashes)
+        return ZoneLoad(
+            self._node, self._zone_load(now_s), limits.node_incarnation, limits.spent_totals(), regions, crashes
+        )
 
     def region_sum(self, region: str, now_s: float) -> RegionSum:
         """Return the sum of this relay's own region, whose name is ``region``."""
         limits = self._load.limits
         recent = [totals for totals, at_s in self._totals.values() if _is_recent(at_s, now_s)]
-        relays = (RelaySpentTotals(self._node, limits.life, limits.spent_totals()), *recent)
+        relays = (RelaySpentTotals(self._node, limits.node_incarnation, limits.spent_totals()), *recent)
         return RegionSum(region, self._region_load(now_s), relays)
 
     def _zone_load(self, now_s: float) -> Load:
--- a/src/wallwell/cluster/load_reporter.py
+++ b/src/wallwell/cluster/load_reporter.py
@@ -98,7 +98,7 @@
             return
         now_s = boot_time_s()
         self._update_from_peers(reply.load)
-        self._load.limits.learn_levels(reply.levels, now_s)
+        self._load.limits.on_levels_report(reply.levels, now_s)
         self._crashes.on_relay_report(reply.crashes, now_s)
 
     async def _send_report(self, relay: Peer) -> OthersLoad | None:
--- a/src/wallwell/cluster/stated_limits.py
+++ b/src/wallwell/cluster/stated_limits.py
@@ -20,7 +20,7 @@
 
 from wallwell.deployment.backends import is_later_start
 from wallwell.events import Event, emit
-from wallwell.routing.admission.backend_rate import REQUEST_UNITS, backend_subject
+from wallwell.routing.admission.backend_rate import UNITS_PER_REQUEST, backend_limit_key
 from wallwell.routing.admission.fleet_limits import Admitted, FleetLimits, OverLimit
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.health.backend_registry import BackendRegistry
@@ -97,7 +97,7 @@
         if backend.request_limit is None:
             backend.request_limit = RequestLimit()
             if backend.incarnation in self._limited_backends:  # An earlier start of the back end stated a limit.
-                self._limits.forget_backend(backend.incarnation)
+                self._limits.remove_backend_limit(backend.incarnation)
             self._limited_backends[backend.incarnation] = backend
         return backend.request_limit
 
@@ -107,7 +107,7 @@
         has_begun, has_ended = previous_per_s == NO_LIMIT_PER_S, limit.per_s == NO_LIMIT_PER_S
         if not has_ended:
             sent = self._recent_request_count(backend.incarnation, now_s) if has_begun else 0
-            self._limits.limit_backend(backend.incarnation, limit.per_s, sent)
+            self._limits.set_backend_limit(backend.incarnation, limit.per_s, sent)
         logged_s = self._logged_s.get(backend.incarnation, float("-inf"))
         if has_begun or has_ended or now_s - logged_s >= CHANGE_LOG_INTERVAL_S:
             self._log(backend, limit, now_s)
@@ -140,7 +140,7 @@
         """Count a request about to be sent and return None, or return the seconds until the limit allows one."""
         if not backend.is_limited:
             return None
-        admission = self._limits.admit(backend_subject(backend.incarnation), REQUEST_UNITS, now_s)
+        admission = self._limits.admit(backend_limit_key(backend.incarnation), UNITS_PER_REQUEST, now_s)
         if not isinstance(admission, OverLimit):
             return None
         self.requests_passed_over += 1
@@ -149,11 +149,11 @@
     def refund(self, backend: Backend) -> None:
         """Uncount a request that was counted but did not reach its back end."""
         if backend.is_limited:
-            self._limits.refund(Admitted(backend_subject(backend.incarnation), REQUEST_UNITS))
+            self._limits.refund(Admitted(backend_limit_key(backend.incarnation), UNITS_PER_REQUEST))
 
     def has_headroom(self, backend: Backend, now_s: float) -> bool:
         """Return whether a back end's limit leaves room for a further request."""
-        return not backend.is_limited or self._limits.has_headroom(backend_subject(backend.incarnation), now_s)
+        return not backend.is_limited or self._limits.has_headroom(backend_limit_key(backend.incarnation), now_s)
 
     # --- reported statements ---------------------------------------------------------------------------
 
@@ -180,7 +180,7 @@
             if has_ended or self._backends.get(incarnation) is not backend:
                 del self._limited_backends[incarnation]
                 self._logged_s.pop(incarnation, None)
-                self._limits.forget_backend(incarnation)
+                self._limits.remove_backend_limit(incarnation)
                 backend.request_limit = None
 
 
--- a/src/wallwell/routing/retry/attempt_outcome.py
+++ b/src/wallwell/routing/retry/attempt_outcome.py
@@ -1,7 +1,7 @@
-"""What is proved of an attempt by how it ended, and whether a retry is allowed by that alone. Pure.
+"""Whether an attempt has run, from the way it ended, and whether it may be retried for that reason. Pure.
 
-``NOT_RUN`` needs proof: the connection was never made, or the back end itself said that it ran nothing.
-Everything that happened after bytes may have left and that the back end did not answer is ``UNKNOWN``.
+``NOT_RUN`` needs proof: either no connection was made, or the back end itself stated that it ran nothing. If bytes
+may have been sent and the back end did not answer, the outcome is ``UNKNOWN``.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
     CONNECT_REFUSED = "connect_refused"
     CONNECT_TIMEOUT = "connect_timeout"
-    WITHDRAWN = "withdrawn"  # While a connection was made, the back end asked for no requests.
+    WITHDRAWN = "withdrawn"  # The back end asked for no more requests while the connection was being made.
     RESET_BEFORE_SEND = "reset_before_send"
     RESET_AFTER_SEND = "reset_after_send"
     ANSWER_TIMEOUT = "answer_timeout"
@@ -32,31 +32,35 @@
 
 
 class AttemptVerdict(NamedTuple):
-    """Outcome of one attempt; ``retry_repeatable`` and ``retry_once_only`` say who may try again."""
+    """Outcome of one attempt, and whether repeatable and other requests may be retried after it."""
 
     outcome: Outcome
-    retry_repeatable: bool
-    retry_once_only: bool
+    retry_if_repeatable: bool
+    retry_if_not_repeatable: bool
 
 
-_NEVER_RAN = AttemptVerdict(Outcome.NOT_RUN, retry_repeatable=True, retry_once_only=True)
-_MAY_HAVE_RUN = AttemptVerdict(Outcome.UNKNOWN, retry_repeatable=True, retry_once_only=False)
+_NOT_RUN = AttemptVerdict(Outcome.NOT_RUN, retry_if_repeatable=True, retry_if_not_repeatable=True)
+_MAY_HAVE_RUN = AttemptVerdict(Outcome.UNKNOWN, retry_if_repeatable=True, retry_if_not_repeatable=False)
 
 VERDICTS: dict[TransportEvent, AttemptVerdict] = {
-    TransportEvent.CONNECT_REFUSED: _NEVER_RAN,
-    TransportEvent.CONNECT_TIMEOUT: _NEVER_RAN,
-    TransportEvent.WITHDRAWN: _NEVER_RAN,
-    TransportEvent.RESET_BEFORE_SEND: _NEVER_RAN,
+    TransportEvent.CONNECT_REFUSED: _NOT_RUN,
+    TransportEvent.CONNECT_TIMEOUT: _NOT_RUN,
+    TransportEvent.WITHDRAWN: _NOT_RUN,
+    TransportEvent.RESET_BEFORE_SEND: _NOT_RUN,
     TransportEvent.RESET_AFTER_SEND: _MAY_HAVE_RUN,
     TransportEvent.ANSWER_TIMEOUT: _MAY_HAVE_RUN,
-    TransportEvent.PRECONDITION_REFUSED: _NEVER_RAN,
-    TransportEvent.BACKEND_LEAVING: _NEVER_RAN,
-    TransportEvent.BACKEND_OVERLOADED: _NEVER_RAN,
-    TransportEvent.CANCELLED_NEVER_STARTED: _NEVER_RAN,
+    TransportEvent.PRECONDITION_REFUSED: _NOT_RUN,
+    TransportEvent.BACKEND_LEAVING: _NOT_RUN,
+    TransportEvent.BACKEND_OVERLOADED: _NOT_RUN,
+    TransportEvent.CANCELLED_NEVER_STARTED: _NOT_RUN,
     TransportEvent.CANCEL_UNACKNOWLEDGED: _MAY_HAVE_RUN,
     TransportEvent.FOREIGN_ANSWER: _MAY_HAVE_RUN,
-    TransportEvent.ERROR_ANSWER: AttemptVerdict(Outcome.FAILED, retry_repeatable=False, retry_once_only=False),
-    TransportEvent.ANSWERED: AttemptVerdict(Outcome.COMPLETED, retry_repeatable=False, retry_once_only=False),
+    TransportEvent.ERROR_ANSWER: AttemptVerdict(
+        Outcome.FAILED, retry_if_repeatable=False, retry_if_not_repeatable=False
+    ),
+    TransportEvent.ANSWERED: AttemptVerdict(
+        Outcome.COMPLETED, retry_if_repeatable=False, retry_if_not_repeatable=False
+    ),
 }
 
 REFUSED_BY_BACKEND = (
@@ -64,23 +68,23 @@
     TransportEvent.BACKEND_OVERLOADED,
     TransportEvent.BACKEND_LEAVING,
 )
-"""Events by which a working back end itself states that it ran nothing."""
+"""Events in which a working back end states that it did not run the request."""
 
 
-def allows_retry(event: TransportEvent, repeatable: bool) -> bool:
-    """Whether a request may be sent again after an attempt that ended so."""
+def is_safe_to_retry(event: TransportEvent, repeatable: bool) -> bool:
+    """Whether a request may be sent again after ``event``; ``repeatable`` if it may run more than once."""
     verdict = VERDICTS[event]
-    return verdict.retry_repeatable if repeatable else verdict.retry_once_only
+    return verdict.retry_if_repeatable if repeatable else verdict.retry_if_not_repeatable
 
 
-_SEVERITY = {Outcome.NOT_RUN: 0, Outcome.FAILED: 1, Outcome.UNKNOWN: 2, Outcome.COMPLETED: 3}
+_OUTCOME_PRECEDENCE = {Outcome.NOT_RUN: 0, Outcome.FAILED: 1, Outcome.UNKNOWN: 2, Outcome.COMPLETED: 3}
 
 
 class AttemptLog:
-    """Outcome over all attempts of one request.
+    """Outcome of all attempts of one request together.
 
-    A later refusal does not undo an earlier attempt: once one attempt is unknown, the request is ``UNKNOWN``
-    unless a later attempt completed.
+    A later refusal does not change what an earlier attempt may have done: once the outcome of one attempt is
+    unknown, the request is ``UNKNOWN`` unless a later attempt completes.
     """
 
     def __init__(self, repeatable: bool) -> None:
@@ -89,9 +93,9 @@
         self.outcome = Outcome.NOT_RUN
 
     def record(self, event: TransportEvent) -> bool:
-        """Add one attempt's end; returns whether another attempt is allowed."""
+        """Record how one attempt ended; returns whether another attempt is allowed."""
         verdict = VERDICTS[event]
         self.attempts += 1
-        if _SEVERITY[verdict.outcome] > _SEVERITY[self.outcome]:
+        if _OUTCOME_PRECEDENCE[verdict.outcome] > _OUTCOME_PRECEDENCE[self.outcome]:
             self.outcome = verdict.outcome
-        return allows_retry(event, self.repeatable)
+        return is_safe_to_retry(event, self.repeatable)
--- a/tests/unit/cluster/limit_network.py
+++ b/tests/unit/cluster/limit_network.py
@@ -167,9 +167,9 @@
             MemberLoad(node.name, node.load.own_load(now_s), limits.begin_report()), MemberLoad
         )
         reply = encode_and_decode(relay.aggregator.on_member_load(message, now_s), OthersLoad)
-        limits.end_report(taken=True)
+        limits.end_report(is_acknowledged=True)
         node.load.update_from_peers(reply.load, len(self.nodes), now_s)
-        limits.learn_levels(reply.levels, now_s)
+        limits.on_levels_report(reply.levels, now_s)
 
     def _exchange_with_relays(self, node, now_s):
         for other in self._relays_of_region(self._region_of(node)):
--- a/tests/unit/cluster/test_stated_limits.py
+++ b/tests/unit/cluster/test_stated_limits.py
@@ -182,6 +182,6 @@
     """Such a relay reports no level of a back end's limit; this must not be read as a full level."""
     load = node()
     answer(load, 2.0, 10.0)
-    load.limits.learn_levels({}, 10.1)
+    load.limits.on_levels_report({}, 10.1)
     (level,) = load.limits.levels(10.1).values()
     assert level == 0
--- a/tests/unit/routing/admission/test_fleet_share.py
+++ b/tests/unit/routing/admission/test_fleet_share.py
@@ -1,41 +1,45 @@
-"""Which fraction of a limit the nodes that hear each other may spend."""
+"""Which fraction of a limit the nodes that reach each other may spend."""
 
 import pytest
 
-from wallwell.routing.admission.fleet_share import ASSUMED_NODES, TOLERATED_MISSING, spendable_fraction
+from wallwell.routing.admission.fleet_share import (
+    ASSUMED_NODE_COUNT,
+    TOLERATED_MISSING_FRACTION,
+    spendable_fraction,
+)
 
 
 @pytest.mark.parametrize(
-    ("heard", "fleet", "fraction"),
+    ("reachable_nodes", "node_count", "fraction"),
     [
-        (None, 0, 1 / ASSUMED_NODES),
+        (None, 0, 1 / ASSUMED_NODE_COUNT),
         (None, 20, 1 / 20),
         (20, 20, 1.0),
         (25, 20, 1.0),
         (19, 20, 1.0),
-        (15, 20, 0.75 + TOLERATED_MISSING),
+        (15, 20, 0.75 + TOLERATED_MISSING_FRACTION),
         (10, 20, 0.5),
         (1, 20, 1 / 20),
-        (1, 0, 1 / ASSUMED_NODES),
+        (1, 0, 1 / ASSUMED_NODE_COUNT),
     ],
     ids=[
-        "starting",
-        "alone",
-        "all",
-        "more than listed",
-        "one missing",
+        "starting node",
+        "no other node reachable",
+        "all nodes",
+        "more nodes than listed",
+        "one node missing",
         "majority",
         "half",
-        "itself",
-        "no size yet",
+        "only itself",
+        "unknown fleet size",
     ],
 )
-def test_fraction_by_nodes_heard(heard, fleet, fraction):
-    assert spendable_fraction(heard, fleet) == pytest.approx(fraction)
+def test_fraction_by_number_of_reachable_nodes(reachable_nodes, node_count, fraction):
+    assert spendable_fraction(reachable_nodes, node_count) == pytest.approx(fraction)
 
 
-@pytest.mark.parametrize("size", [1, 2, 3, 10, 79, 410])
-def test_one_side_of_a_cut_gets_at_most_what_the_other_leaves_but_for_the_nodes_that_are_tolerated(size):
-    for heard in range(1, size):
-        both = spendable_fraction(heard, size) + spendable_fraction(size - heard, size)
-        assert both <= 1.0 + TOLERATED_MISSING + 1e-9
+@pytest.mark.parametrize("node_count", [1, 2, 3, 10, 79, 410])
+def test_both_sides_of_a_partition_exceed_the_limit_by_at_most_the_tolerated_fraction(node_count):
+    for nodes in range(1, node_count):
+        both = spendable_fraction(nodes, node_count) + spendable_fraction(node_count - nodes, node_count)
+        assert both <= 1.0 + TOLERATED_MISSING_FRACTION + 1e-9
