--- a/src/wallwell/node/metrics.py
+++ b/src/wallwell/node/metrics.py
@@ -14,7 +14,7 @@
 from wallwell.build_info import build_commit, build_version
 from wallwell.clock import boot_time_s
 from wallwell.node.state import NodeState
-from wallwell.serving.counters import LATENCY_BOUNDS_S, FleetCounters, LatencyHistogram
+from wallwell.serving.counters import LATENCY_BOUNDS_S, LatencyHistogram, RequestCounters
 
 MAX_TENANTS_SHOWN = 20
 """Tenants with series of their own: those that were refused most, so that labels stay bounded with any number of
@@ -24,7 +24,7 @@
 class FleetCollector:
     """Turns a node's numbers into metrics at the moment they are collected."""
 
-    def __init__(self, counters: FleetCounters, state: NodeState, is_ready: bool) -> None:
+    def __init__(self, counters: RequestCounters, state: NodeState, is_ready: bool) -> None:
         """``is_ready`` is what the node's readiness address says now."""
         self._counters = counters
         self._state = state
@@ -45,9 +45,9 @@
         yield requests
         yield _counter("wallwell_refusals", "Own errors by code.", "code", counters.refusals)
         yield _counter("wallwell_attempts", "Attempts by result.", "result", counters.attempts)
-        yield _histogram("wallwell_first_piece_seconds", "Time to the first token.", counters.first_token)
-        yield _histogram("wallwell_answer_seconds", "Time to the whole answer.", counters.whole_answer)
-        yield _histogram("wallwell_largest_gap_seconds", "Largest pause of a stream.", counters.largest_gap)
+        yield _histogram("wallwell_first_piece_seconds", "Time to the first token.", counters.first_token_latency)
+        yield _histogram("wallwell_answer_seconds", "Time to the whole answer.", counters.answer_latency)
+        yield _histogram("wallwell_largest_gap_seconds", "Largest pause of a stream.", counters.largest_event_gap)
 
     def _collect_state(self) -> Iterator[Metric]:
         now_s = boot_time_s()
@@ -177,7 +177,7 @@
     return family
 
 
-def metrics_text(counters: FleetCounters, state: NodeState, is_ready: bool) -> bytes:
+def metrics_text(counters: RequestCounters, state: NodeState, is_ready: bool) -> bytes:
     """Return the text exposition of one node; ``is_ready`` as for :class:`FleetCollector`."""
     registry = CollectorRegistry()
     registry.register(FleetCollector(counters, state, is_ready))
--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -44,7 +44,7 @@
 from wallwell.rollout.planner import RolloutPlanner
 from wallwell.rollout.reporter import CountsReporter
 from wallwell.rollout.reports import CountsReport, FleetCounts
-from wallwell.serving.liveness import Liveness
+from wallwell.serving.liveness import LivenessMonitor
 from wallwell.serving.messages import CallerReply, CallerRequest
 from wallwell.serving.pipeline import RequestPipeline
 
@@ -106,7 +106,7 @@
     # --- wiring ----------------------------------------------------------------------------------------
 
     def _build_pipeline(self, adapter: NodeAdapter) -> None:
-        self._liveness = Liveness(self.state, adapter.check)
+        self._liveness = LivenessMonitor(self.state, adapter.check)
         self._crashes = CrashWatch(self.state, adapter.check, adapter.sources.table, lambda: self._order.members)
         self._pipeline = RequestPipeline(self.state, adapter.client, liveness=self._liveness, crashes=self._crashes)
 
--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -14,7 +14,7 @@
 tenants' limits, configuration of peers)    nodes), ``serving`` (own ones),   metrics; ``node``
                                             ``node`` (own configuration)
 kv_store_contents                           ``node/kv_store_watch.py``        ``serving/cache_planning.py``
-prefill_rate, generation_time, call_time,   ``serving/backend_choice.py``     ``serving``
+prefill_rate, generation_time, call_time,   ``serving/backend_selector.py``   ``serving``
 shortest_answers
 zones                                       methods below, called by          ``serving``, ``node``
                                             ``serving``
--- a/src/wallwell/platform/request_parsing.py
+++ b/src/wallwell/platform/request_parsing.py
@@ -28,7 +28,7 @@
         headers=_headers_to_pass_on(headers),
         body=body,
         credential=headers.get(names.CREDENTIAL, ""),
-        allowance_s=_allowance_s(headers.get(names.DEADLINE_MS, "")),
+        caller_timeout_s=_allowance_s(headers.get(names.DEADLINE_MS, "")),
         arrived_s=arrived_s,
         generation=_generation(headers),
         declared_tokens=_declared_tokens(headers.get(names.TOKEN_USAGE, "")),
--- a/src/wallwell/platform/workers.py
+++ b/src/wallwell/platform/workers.py
@@ -76,7 +76,7 @@
     async def send(self, dispatch: Dispatch) -> WorkerAnswer:
         """See :class:`wallwell.serving.messages.BackendClient`."""
         connection = await self._connect(dispatch)
-        if not dispatch.is_wanted():
+        if not dispatch.may_send():
             self._pool.put_back(dispatch.backend.address, connection)
             raise AttemptError(TransportEvent.WITHDRAWN, "the back end has asked for no requests meanwhile")
         sent_s = boot_time_s()
--- a/src/wallwell/routing/retry/response_timeout.py
+++ b/src/wallwell/routing/retry/response_timeout.py
@@ -3,7 +3,7 @@
 Three waits: for the head of an answer (:func:`response_timeout_s`), for an engine to begin before its weights
 are too old (:func:`begin_timeout_s`), and between two events of a stream (:func:`stall_timeout_s`). Whether
 another back end may be asked at all is decided in :mod:`wallwell.routing.retry.retry_policy`; the waiting
-itself is done in :mod:`wallwell.serving.response_timeout` and in the passing of streams.
+itself is done in :mod:`wallwell.serving.response_wait` and in the passing of streams.
 """
 
 from __future__ import annotations
--- a/src/wallwell/routing/selection/prefill_rate.py
+++ b/src/wallwell/routing/selection/prefill_rate.py
@@ -1,6 +1,6 @@
 """How long engines take to begin a long prompt by the load they have, learned from first tokens. Pure.
 
-One instance a node: ``BackendChoice`` observes the first token of each long prompt, ``engine_choice`` asks up to
+One instance a node: ``BackendSelector`` observes the first token of each long prompt, ``engine_choice`` asks up to
 which load an engine still begins a prompt within its objective.
 """
 
--- a/src/wallwell/serving/active_request.py
+++ b/src/wallwell/serving/active_request.py
@@ -26,39 +26,39 @@
 class AnswerTiming:
     """When the events of an answer came, for the log and for learning. Times in seconds on this node's clock."""
 
-    first_s: float | None = None
+    first_event_s: float | None = None
     """When the first event of the whole answer came."""
-    last_s: float = 0.0
+    last_event_s: float = 0.0
     max_gap_s: float = 0.0
     """Longest pause between two events, over all runs."""
-    sent_s: float | None = None
+    unanswered_since_s: float | None = None
     """When the current attempt was sent; None once its first event has come or it was given up."""
-    attempt_s: float = 0.0
+    attempt_sent_s: float = 0.0
     """When the current attempt was sent."""
     load_when_sent: int = 0
     """Load of its back end then, its own included."""
-    run_first_s: float | None = None
+    attempt_first_event_s: float | None = None
     """When the first event of the current attempt came."""
-    run_events: int = 0
+    attempt_event_reads: int = 0
     """Reads of the current attempt that held whole events."""
 
     def on_sent(self, now_s: float, load: int) -> None:
         """Note that an attempt is sent."""
-        self.sent_s = self.attempt_s = now_s
+        self.unanswered_since_s = self.attempt_sent_s = now_s
         self.load_when_sent = load
-        self.run_first_s = None
-        self.run_events = 0
+        self.attempt_first_event_s = None
+        self.attempt_event_reads = 0
 
-    def on_token(self, now_s: float) -> None:
+    def on_events_forwarded(self, now_s: float) -> None:
         """Note that events are passed on."""
-        if self.first_s is None:
-            self.first_s = now_s
+        if self.first_event_s is None:
+            self.first_event_s = now_s
         else:
-            self.max_gap_s = max(self.max_gap_s, now_s - self.last_s)
-        if self.run_first_s is None:
-            self.run_first_s = now_s
-        self.run_events += 1
-        self.last_s = now_s
+            self.max_gap_s = max(self.max_gap_s, now_s - self.last_event_s)
+        if self.attempt_first_event_s is None:
+            self.attempt_first_event_s = now_s
+        self.attempt_event_reads += 1
+        self.last_event_s = now_s
 
 
 @dataclass
@@ -71,11 +71,11 @@
     tenant: TenantAccess | None
     service: str
     deadline_s: float
-    log: AttemptLog
-    admitted: Admitted | None = None
+    attempt_log: AttemptLog
+    limit_charge: Admitted | None = None
     """What was taken of the tenant's limit; None if it has no limit."""
     history: AttemptHistory = field(default_factory=AttemptHistory)
-    position: StreamPosition = field(default_factory=StreamPosition)
+    stream_position: StreamPosition = field(default_factory=StreamPosition)
     timing: AnswerTiming = field(default_factory=AnswerTiming)
     prefers_target: bool | None = None
     """Whether it goes to the target version of a rollout first; None before that is drawn."""
@@ -88,7 +88,7 @@
         return self.route.rank
 
     @cached_property
-    def placement(self) -> int:
+    def prefix_key(self) -> int:
         """The key that places a generation: its longest shared prefix.
 
         Within the tenant only if the tenant shares no cache with others.
@@ -98,7 +98,7 @@
         return placement_key(self.request.generation.parts, scope)
 
     @cached_property
-    def content(self) -> str:
+    def request_digest(self) -> str:
         """The digest of what the request holds; the same each time its caller sends it again."""
         request = self.request
         caller = self.tenant.name if self.tenant is not None else request.credential
--- a/src/wallwell/serving/admission.py
+++ b/src/wallwell/serving/admission.py
@@ -25,7 +25,7 @@
 from wallwell.routing.retry.retry_after import RefusalCause
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.messages import CallerReply, CallerRequest
-from wallwell.serving.retry_after import RetryAfter
+from wallwell.serving.retry_after import RetryAfterEstimator
 
 
 class Admission:
@@ -33,21 +33,21 @@
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
-        self._retry_after = RetryAfter(state)
+        self._retry_after = RetryAfterEstimator(state)
 
     def admit(self, request: CallerRequest, reply: CallerReply) -> ActiveRequest:
         """Find route, tenant and service. Raises :class:`RequestError`."""
         state = self._state
         is_fresh = state.is_fresh(request.arrived_s)
-        asked = AccessRequest(request.host, request.path, request.credential, len(request.body))
-        access = decide_access(state.config, is_fresh, asked)
+        access_request = AccessRequest(request.host, request.path, request.credential, len(request.body))
+        access = decide_access(state.config, is_fresh, access_request)
         if isinstance(access, Denial):
-            raise self._denied(access, request)
+            raise self._denial_error(access, request)
         route, tenant = access
-        admitted = self._take_of_limit(request, tenant)
-        allowance_s = route.timeout_s
-        if request.allowance_s is not None:
-            allowance_s = min(allowance_s, request.allowance_s)
+        limit_charge = self._charge_tenant_limit(request, tenant)
+        timeout_s = route.timeout_s
+        if request.caller_timeout_s is not None:
+            timeout_s = min(timeout_s, request.caller_timeout_s)
         service = state.split.choose(route, state.split_offset)
         state.budget_of(service).on_request(boot_time_s())
         if request.generation is not None:
@@ -58,20 +58,20 @@
             route=route,
             tenant=tenant,
             service=service,
-            deadline_s=request.arrived_s + allowance_s,
-            log=AttemptLog(repeatable=route.repeatable),
-            admitted=admitted,
+            deadline_s=request.arrived_s + timeout_s,
+            attempt_log=AttemptLog(repeatable=route.repeatable),
+            limit_charge=limit_charge,
         )
 
-    def _denied(self, denial: Denial, request: CallerRequest) -> RequestError:
+    def _denial_error(self, denial: Denial, request: CallerRequest) -> RequestError:
         """Return the error of a denial; where newer knowledge may change the answer, with when to retry."""
         detail = denial.value
         match denial:
             case Denial.NO_CONFIGURATION:
-                wait_ms = self._retry_after.of_arrival(RefusalCause.NO_CONFIGURATION, request)
+                wait_ms = self._retry_after.for_unrouted_request_ms(RefusalCause.NO_CONFIGURATION, request)
                 return NotReadyError(detail, retry_after_ms=wait_ms)
             case Denial.STALE_ROUTE | Denial.STALE_CREDENTIAL:
-                wait_ms = self._retry_after.of_arrival(RefusalCause.STALE_CONFIGURATION, request)
+                wait_ms = self._retry_after.for_unrouted_request_ms(RefusalCause.STALE_CONFIGURATION, request)
                 return StaleConfigurationError(detail, retry_after_ms=wait_ms)
             case Denial.UNKNOWN_ROUTE:
                 return UnknownResourceError(detail)
@@ -80,13 +80,13 @@
             case Denial.BODY_TOO_LARGE:
                 return BodyTooLargeError(detail)
 
-    def _take_of_limit(self, request: CallerRequest, tenant: TenantAccess | None) -> Admitted | None:
+    def _charge_tenant_limit(self, request: CallerRequest, tenant: TenantAccess | None) -> Admitted | None:
         """Take a request's tokens of its tenant's limit. Raises :class:`RateLimitedError`."""
         if tenant is None or tenant.limit is None:
             return None
         cost = tenant.limit.cost(request.declared_tokens)
-        taken = self._state.load.limits.admit(tenant.name, cost, boot_time_s())
-        if isinstance(taken, OverLimit):
+        charge = self._state.load.limits.admit(tenant.name, cost, boot_time_s())
+        if isinstance(charge, OverLimit):
             detail = f"the limit of {tenant.name} is used up"
-            raise RateLimitedError(detail, retry_after_ms=round(taken.wait_s * 1000))
-        return taken
+            raise RateLimitedError(detail, retry_after_ms=round(charge.wait_s * 1000))
+        return charge
--- a/src/wallwell/serving/attempt_learning.py
+++ b/src/wallwell/serving/attempt_feedback.py
@@ -13,10 +13,10 @@
 from wallwell.routing.retry.attempt_history import UNREACHABLE
 from wallwell.routing.retry.attempt_outcome import REFUSED_BY_BACKEND, TransportEvent
 from wallwell.serving.active_request import ActiveRequest
-from wallwell.serving.backend_choice import BackendChoice
+from wallwell.serving.backend_selector import BackendSelector
 from wallwell.serving.messages import AnswerHead, AttemptError, CrashObserver
 
-NO_SIGN_OF_LIFE = (
+NO_RESPONSE_EVENTS = (
     TransportEvent.CONNECT_TIMEOUT,
     TransportEvent.ANSWER_TIMEOUT,
     TransportEvent.RESET_BEFORE_SEND,
@@ -25,12 +25,12 @@
 """Ends that an attempt also comes to while all packets to its back end are dropped."""
 
 
-class AttemptLearning:
+class AttemptFeedback:
     """Learns from attempts of one node."""
 
-    def __init__(self, state: NodeState, choice: BackendChoice, crashes: CrashObserver | None) -> None:
+    def __init__(self, state: NodeState, selector: BackendSelector, crashes: CrashObserver | None) -> None:
         self._state = state
-        self._choice = choice
+        self._selector = selector
         self._crashes = crashes
 
     def on_head(self, active: ActiveRequest, backend: Backend, head: AnswerHead) -> None:
@@ -41,11 +41,11 @@
         now_s = boot_time_s()
         backend.silence.on_heard(now_s)
         self._state.on_sign_of_life(backend, now_s)
-        self._learn_acceptance(backend, now_s)
+        self._record_acceptance(backend, now_s)
         if head.ok:
             backend.on_success(now_s)
 
-    def _learn_acceptance(self, backend: Backend, now_s: float) -> None:
+    def _record_acceptance(self, backend: Backend, now_s: float) -> None:
         """A request was taken: a back end that had asked for back-off wants requests again."""
         backoff_s = backend.on_accepted(now_s)
         if backoff_s is not None:
@@ -55,52 +55,52 @@
         """Bytes of a stream came."""
         backend.silence.on_heard(now_s)
         self._state.on_sign_of_life(backend, now_s)
-        self._choice.learn_first_token(active, now_s)
+        self._selector.record_first_token(active, now_s)
 
-    def on_whole_answer(self, active: ActiveRequest, backend: Backend, head: AnswerHead) -> None:
+    def on_complete_answer(self, active: ActiveRequest, backend: Backend, head: AnswerHead) -> None:
         """An answer came to its end."""
         backend.on_success(boot_time_s())
         if self._crashes is not None and head.ok:
-            self._crashes.on_answered(active.content)
+            self._crashes.on_answered(active.request_digest)
 
     def on_failure(self, active: ActiveRequest, backend: Backend, failure: AttemptError, now_s: float) -> None:
         """An attempt ended without a whole answer."""
         event = failure.event
         if event is TransportEvent.WITHDRAWN:
             return  # Nothing was sent.
-        self._learn_reachability(active, backend, event, now_s)
+        self._record_reachability(active, backend, event, now_s)
         if event is TransportEvent.ANSWER_TIMEOUT:
-            self._choice.learn_silence(active, now_s)
+            self._selector.record_no_first_token(active, now_s)
         if event in REFUSED_BY_BACKEND:
-            self._learn_refusal(active, backend, failure, now_s)
+            self._record_refusal(active, backend, failure, now_s)
             return  # A back end that answers works.
         if event is TransportEvent.ERROR_ANSWER:
             return
         if event is TransportEvent.RESET_AFTER_SEND and self._crashes is not None:
-            self._crashes.on_broken_run(active.content, backend)
+            self._crashes.on_broken_run(active.request_digest, backend)
         if event is TransportEvent.ANSWER_TIMEOUT and backend.is_answering(now_s):
             return  # Busy, not broken.
         self._count_failure(backend, event, now_s)
 
-    def _learn_reachability(
+    def _record_reachability(
         self, active: ActiveRequest, backend: Backend, event: TransportEvent, now_s: float
     ) -> None:
         if event is TransportEvent.CONNECT_TIMEOUT:
             active.history.unresponsive_zones.add(backend.record.zone)
             self._state.on_connect_timeout(backend, now_s)
-        elif event not in NO_SIGN_OF_LIFE:
+        elif event not in NO_RESPONSE_EVENTS:
             self._state.on_sign_of_life(backend, now_s)
 
-    def _learn_refusal(self, active: ActiveRequest, backend: Backend, failure: AttemptError, now_s: float) -> None:
+    def _record_refusal(self, active: ActiveRequest, backend: Backend, failure: AttemptError, now_s: float) -> None:
         """Learn from a refusal that the back end is full, or that its weights are others than was expected."""
         generation = active.request.generation
         if failure.event is TransportEvent.PRECONDITION_REFUSED and generation is not None:
-            self._learn_acceptance(backend, now_s)  # It is not full, since it looked at what was expected of it.
+            self._record_acceptance(backend, now_s)  # It is not full, since it looked at what was expected of it.
             self._state.on_version_refused(backend, generation.model, failure.weights_version)
         elif failure.event is TransportEvent.BACKEND_OVERLOADED:
-            self._count_refusal(backend, now_s)
+            self._count_overload_refusal(backend, now_s)
 
-    def _count_refusal(self, backend: Backend, now_s: float) -> None:
+    def _count_overload_refusal(self, backend: Backend, now_s: float) -> None:
         if backend.on_refused(now_s):
             emit(
                 Event.BACKEND_SUSPENDED,
--- a/src/wallwell/serving/backend_choice.py
+++ b/src/wallwell/serving/backend_selector.py
@@ -22,7 +22,7 @@
 from wallwell.serving.version_choice import eligible_backends
 
 
-class BackendChoice:
+class BackendSelector:
     """Asks the decisions of ``routing/`` for one attempt at a time, and learns from how attempts went."""
 
     def __init__(self, state: NodeState) -> None:
@@ -42,7 +42,7 @@
         if listed is None:
             listed = state.backends.of_service(active.service)
         prompt = Prompt(
-            key=active.placement,
+            key=active.prefix_key,
             tokens=generation.prompt_tokens,
             shared_tokens=sum(part.tokens for part in shared_parts(generation.parts)),
             objective_s=active.route.objective_s,
@@ -68,30 +68,30 @@
         wait_s = overload_retry_after_s(occupancy, active.rank, state.generation_time.seconds, state.rng)
         raise OverloadedError(f"{occupancy.per_slot:.2f} under way by slot", retry_after_ms=round(wait_s * 1000))
 
-    def learn_time(self, active: ActiveRequest, now_s: float) -> None:
+    def record_duration(self, active: ActiveRequest, now_s: float) -> None:
         """A request has ended well."""
         state = self._state
-        took_s = now_s - active.timing.attempt_s
-        usual = state.call_time if active.request.generation is None else state.generation_time
-        usual.observe(took_s)
+        duration_s = now_s - active.timing.attempt_sent_s
+        average = state.call_time if active.request.generation is None else state.generation_time
+        average.observe(duration_s)
         if not active.history.runs:
-            state.shortest_answers.setdefault(active.route.name, ShortestAnswer()).observe(took_s)
+            state.shortest_answers.setdefault(active.route.name, ShortestAnswer()).observe(duration_s)
 
-    def learn_first_token(self, active: ActiveRequest, now_s: float) -> None:
+    def record_first_token(self, active: ActiveRequest, now_s: float) -> None:
         """A token of the current attempt came: learn from the first one."""
         timing = active.timing
         generation = active.request.generation
-        if timing.sent_s is None or generation is None:
+        if timing.unanswered_since_s is None or generation is None:
             return
-        delay_s = now_s - timing.sent_s
+        delay_s = now_s - timing.unanswered_since_s
         self._state.first_token_delays.observe(delay_s, active.route.objective_s, now_s)
         if is_long(generation.prompt_tokens):
             self._state.prefill_rate.observe(timing.load_when_sent, delay_s)
-        timing.sent_s = None
+        timing.unanswered_since_s = None
 
-    def learn_silence(self, active: ActiveRequest, now_s: float) -> None:
+    def record_no_first_token(self, active: ActiveRequest, now_s: float) -> None:
         """The current attempt was given up before its first token."""
         timing = active.timing
-        if timing.sent_s is not None and active.request.generation is not None:
+        if timing.unanswered_since_s is not None and active.request.generation is not None:
             self._state.first_token_delays.on_given_up(now_s)
-            timing.sent_s = None
+            timing.unanswered_since_s = None
--- a/src/wallwell/serving/cache_planning.py
+++ b/src/wallwell/serving/cache_planning.py
@@ -33,21 +33,21 @@
         assert generation is not None
         parts, zone = generation.parts, backend.record.zone
         version = backend.believed_version(generation.model)
-        scope = _scope(active, generation.model, version)
+        scope = _cache_scope(active, generation.model, version)
         stores = state.kv_stores
         # Without a known weights version nothing can be named that is certainly made by the same weights.
-        home = home_store(stores, active.placement, zone) if version else ""
+        home = home_store(stores, active.prefix_key, zone) if version else ""
         if not home or is_unreachable(stores, home):
             return CachePlan(scope)
         fetch_from = ""
         if is_worth_fetching(parts, state.first_token_delays, now_s):
             fetch_from = best_source(stores, home, scope, parts, zone)
-        is_safe = may_save(backend.is_about_to_load(now_s), state.freshness.confirmed_at_s, now_s)
-        saves = is_safe and begins_save(stores, home, scope, parts, now_s)
-        return CachePlan(scope, fetch_from, home if saves else "")
+        is_save_allowed = may_save(backend.is_about_to_load(now_s), state.freshness.confirmed_at_s, now_s)
+        is_saved = is_save_allowed and begins_save(stores, home, scope, parts, now_s)
+        return CachePlan(scope, fetch_from, home if is_saved else "")
 
 
-def _scope(active: ActiveRequest, model: str, version: int) -> str:
+def _cache_scope(active: ActiveRequest, model: str, version: int) -> str:
     """Return the name under which a store keeps parts: by weights, and by tenant for tenants that share none."""
     scope = f"{model}:{version}"
     if active.tenant is not None and active.tenant.isolated:
--- a/src/wallwell/serving/counted_answer.py
+++ b/src/wallwell/serving/counted_answer.py
@@ -12,7 +12,7 @@
 from wallwell.serving.messages import BackendAnswer
 
 
-class CountedAnswer:
+class TrafficCountedAnswer:
     """A back end's answer whose bytes are added to the traffic between regions; see :class:`BackendAnswer`."""
 
     def __init__(self, answer: BackendAnswer, traffic: RegionTraffic, cause: str) -> None:
--- a/src/wallwell/serving/counters.py
+++ b/src/wallwell/serving/counters.py
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class FleetCounters:
+class RequestCounters:
     """Counts by bounded labels: kinds of request, outcomes, error codes and attempt results."""
 
     requests: Counter[tuple[str, str]] = field(default_factory=Counter)
@@ -34,18 +34,18 @@
     """By error code."""
     attempts: Counter[str] = field(default_factory=Counter)
     """By what became of the attempt."""
-    first_token: dict[str, LatencyHistogram] = field(default_factory=dict)
-    whole_answer: dict[str, LatencyHistogram] = field(default_factory=dict)
-    largest_gap: dict[str, LatencyHistogram] = field(default_factory=dict)
+    first_token_latency: dict[str, LatencyHistogram] = field(default_factory=dict)
+    answer_latency: dict[str, LatencyHistogram] = field(default_factory=dict)
+    largest_event_gap: dict[str, LatencyHistogram] = field(default_factory=dict)
 
-    def on_answered(self, kind: str, first_s: float, total_s: float, gap_s: float | None) -> None:
+    def on_answered(self, kind: str, first_event_s: float, total_s: float, gap_s: float | None) -> None:
         """A request got a back end's whole answer; ``gap_s`` is the largest pause of a stream."""
         self.requests[(kind, "answered")] += 1
         self.attempts["answered"] += 1
-        self.first_token.setdefault(kind, LatencyHistogram()).observe(first_s)
-        self.whole_answer.setdefault(kind, LatencyHistogram()).observe(total_s)
+        self.first_token_latency.setdefault(kind, LatencyHistogram()).observe(first_event_s)
+        self.answer_latency.setdefault(kind, LatencyHistogram()).observe(total_s)
         if gap_s is not None:
-            self.largest_gap.setdefault(kind, LatencyHistogram()).observe(gap_s)
+            self.largest_event_gap.setdefault(kind, LatencyHistogram()).observe(gap_s)
 
     def on_refused(self, kind: str, outcome: str, code: str) -> None:
         """A request got an error of the router's own."""
--- a/src/wallwell/serving/event_stream.py
+++ b/src/wallwell/serving/event_stream.py
@@ -41,14 +41,14 @@
 class StreamPosition:
     """How far an answer has come, over all of its runs."""
 
-    last_number: int | None = None
+    last_event_number: int | None = None
     """Number of the last event passed on; the next run resumes after it."""
-    events_passed: int = 0
-    _remainder: bytes = field(default=b"")
+    events_forwarded: int = 0
+    _partial_event: bytes = field(default=b"")
 
-    def begin_run(self) -> None:
+    def discard_partial_event(self) -> None:
         """A run starts; whatever was left of the one before is dropped."""
-        self._remainder = b""
+        self._partial_event = b""
 
     def feed(self, data: bytes) -> list[bytes]:
         """Take bytes of the current run and return the events to pass on.
@@ -56,21 +56,21 @@
         Raises :class:`StreamOrderError` if numbers do not rise or an event grows out of bounds. Nothing of ``data``
         is then passed on, and the position stays where it was, so that the next run sends it again.
         """
-        events, self._remainder = split_events(self._remainder + data)
-        if len(self._remainder) > MAX_EVENT_BYTES:
+        events, self._partial_event = split_events(self._partial_event + data)
+        if len(self._partial_event) > MAX_EVENT_BYTES:
             raise StreamOrderError("an event exceeds its bound")
-        last_number = self.last_number
+        last_event_number = self.last_event_number
         for event in events:
             number = event_number(event)
             if number is not None:
-                if last_number is not None and number <= last_number:
-                    raise StreamOrderError(f"event {number} after {last_number}")
-                last_number = number
-        self.last_number = last_number
-        self.events_passed += len(events)
+                if last_event_number is not None and number <= last_event_number:
+                    raise StreamOrderError(f"event {number} after {last_event_number}")
+                last_event_number = number
+        self.last_event_number = last_event_number
+        self.events_forwarded += len(events)
         return events
 
     @property
-    def has_remainder(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether the run stands in the middle of an event."""
-        return bool(self._remainder.strip())
+        return bool(self._partial_event.strip())
--- a/src/wallwell/serving/liveness.py
+++ b/src/wallwell/serving/liveness.py
@@ -23,7 +23,7 @@
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.messages import AttemptError
 
-PROBE_TICK_S = 0.04
+PROBE_CHECK_INTERVAL_S = 0.04
 """Seconds between two looks at which back ends are to be probed: a fraction of the shortest silence that counts as
 long."""
 
@@ -36,29 +36,29 @@
         ...
 
 
-class Liveness:
+class LivenessMonitor:
     """Probes back ends that are silent for long while requests are in flight there."""
 
     def __init__(self, state: NodeState, check: ReachabilityCheck) -> None:
         self._state = state
         self._check = check
-        self._interruptible: dict[Backend, set[asyncio.Timeout]] = {}
+        self._interruptible_attempts: dict[Backend, set[asyncio.Timeout]] = {}
         """Attempts in flight that may be ended for another back end, by theirs."""
         self._probes = BackgroundTasks()
 
     async def run(self) -> None:
         """Watch until cancelled."""
         while True:
-            await asyncio.sleep(PROBE_TICK_S)
-            self.step()
+            await asyncio.sleep(PROBE_CHECK_INTERVAL_S)
+            self.probe_due_backends()
 
-    def step(self) -> None:
+    def probe_due_backends(self) -> None:
         """Probe every back end that has been silent for long, and one of each zone that may be cut off.
 
         Attempts on back ends that others have replaced are ended.
         """
         now_s = boot_time_s()
-        for backend in list(self._interruptible):
+        for backend in list(self._interruptible_attempts):
             if backend.is_replaced:
                 self._end_attempts(backend)
             elif not backend.gone and backend.silence.begin_probe_if_due(now_s):
@@ -74,8 +74,8 @@
             self._state.on_connect_timeout(backend, boot_time_s())
 
     async def _probe(self, backend: Backend) -> None:
-        probed_s = boot_time_s()
-        if await self._check.is_reachable(backend.record) or backend.silence.heard_s >= probed_s:
+        probe_started_s = boot_time_s()
+        if await self._check.is_reachable(backend.record) or backend.silence.heard_s >= probe_started_s:
             return
         now_s = boot_time_s()
         backend.on_failure(now_s, unreachable=True)
@@ -84,12 +84,12 @@
             Event.BACKEND_SILENT,
             backend=backend.incarnation,
             silent_ms=round((now_s - backend.silence.heard_s) * 1000),
-            attempts=len(self._interruptible.get(backend, ())),
+            attempts=len(self._interruptible_attempts.get(backend, ())),
         )
         self._end_attempts(backend)
 
     def _end_attempts(self, backend: Backend) -> None:
-        for attempt in self._interruptible.get(backend, set()):
+        for attempt in self._interruptible_attempts.get(backend, set()):
             if not attempt.expired():
                 attempt.reschedule(asyncio.get_running_loop().time())
 
@@ -100,7 +100,7 @@
         Only for attempts that may be interrupted; the retry policy says which.
         """
         attempt = asyncio.timeout(None)
-        watched = self._interruptible.setdefault(backend, set())
+        watched = self._interruptible_attempts.setdefault(backend, set())
         watched.add(attempt)
         try:
             async with attempt:
@@ -112,4 +112,4 @@
         finally:
             watched.discard(attempt)
             if not watched:
-                self._interruptible.pop(backend, None)
+                self._interruptible_attempts.pop(backend, None)
--- a/src/wallwell/serving/messages.py
+++ b/src/wallwell/serving/messages.py
@@ -47,7 +47,7 @@
     """End-to-end headers that are the caller's to set."""
     body: bytes
     credential: str
-    allowance_s: float | None
+    caller_timeout_s: float | None
     """How long the caller waits, from its arrival here."""
     arrived_s: float
     generation: Generation | None = None
@@ -76,7 +76,7 @@
     """Whether a connection is being made, so that nothing can have reached the back end."""
 
 
-def _always() -> bool:
+def _always_true() -> bool:
     return True
 
 
@@ -93,7 +93,7 @@
     resume_after: int | None = None
     cache: CachePlan | None = None
     progress: SendProgress = field(default_factory=SendProgress)
-    is_wanted: Callable[[], bool] = _always
+    may_send: Callable[[], bool] = _always_true
     """Whether the back end still wants the request, to be asked right before it is sent: connecting takes time."""
 
 
--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -6,10 +6,10 @@
 to retry. The pipeline knows no wire format and decides nothing itself: it asks
 
 - :class:`~wallwell.serving.admission.Admission` who may send what, and for how long;
-- :class:`~wallwell.serving.backend_choice.BackendChoice` which back end is next;
-- :class:`~wallwell.serving.attempt.Attempts` to make one attempt there;
+- :class:`~wallwell.serving.backend_selector.BackendSelector` which back end is next;
+- :class:`~wallwell.serving.attempt.AttemptRunner` to make one attempt there;
 - :class:`~wallwell.routing.retry.retry_policy.RetryPolicy` what follows an attempt that failed;
-- :class:`~wallwell.serving.request_errors.RequestErrors` what is proved when no attempt follows.
+- :class:`~wallwell.serving.request_errors.RequestErrorFactory` what is proved when no attempt follows.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 from wallwell.routing.selection.candidates import backoff_ends_s, without_unresponsive_zones
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.admission import Admission
-from wallwell.serving.attempt import Attempts
-from wallwell.serving.attempt_learning import AttemptLearning
-from wallwell.serving.backend_choice import BackendChoice
-from wallwell.serving.counters import FleetCounters
-from wallwell.serving.liveness import Liveness
+from wallwell.serving.attempt import AttemptRunner
+from wallwell.serving.attempt_feedback import AttemptFeedback
+from wallwell.serving.backend_selector import BackendSelector
+from wallwell.serving.counters import RequestCounters
+from wallwell.serving.liveness import LivenessMonitor
 from wallwell.serving.messages import (
     AttemptError,
     BackendClient,
@@ -45,8 +45,8 @@
     CallerRequest,
     CrashObserver,
 )
-from wallwell.serving.request_errors import RequestErrors
-from wallwell.serving.request_reports import RequestReports
+from wallwell.serving.request_errors import RequestErrorFactory
+from wallwell.serving.request_reports import RequestReporter
 from wallwell.serving.version_choice import candidates_for
 
 
@@ -63,19 +63,19 @@
         self,
         state: NodeState,
         client: BackendClient,
-        counters: FleetCounters | None = None,
-        liveness: Liveness | None = None,
+        counters: RequestCounters | None = None,
+        liveness: LivenessMonitor | None = None,
         crashes: CrashObserver | None = None,
     ) -> None:
         self._state = state
         self._admission = Admission(state)
-        self._choice = BackendChoice(state)
-        self._errors = RequestErrors(state)
+        self._selector = BackendSelector(state)
+        self._error_factory = RequestErrorFactory(state)
         self._policy = RetryPolicy(lambda: state.node_count)
-        self._learning = AttemptLearning(state, self._choice, crashes)
-        self._attempts = Attempts(state, client, self._policy, self._learning, liveness)
-        self.counters = counters or FleetCounters()
-        self._reports = RequestReports(state, self.counters)
+        self._feedback = AttemptFeedback(state, self._selector, crashes)
+        self._attempt_runner = AttemptRunner(state, client, self._policy, self._feedback, liveness)
+        self.counters = counters or RequestCounters()
+        self._reporter = RequestReporter(state, self.counters)
 
     async def serve(self, request: CallerRequest, reply: CallerReply) -> None:
         """Answer one request."""
@@ -83,7 +83,7 @@
             active = self._admission.admit(request, reply)
             await self._run_admitted(active)
         except RequestError as error:
-            self._reports.on_refused(request, error)
+            self._reporter.on_refused(request, error)
             if reply.started:
                 reply.abort()
             else:
@@ -98,41 +98,41 @@
                 self._refund(active)
             raise
         except CallerGoneError:
-            if self._is_proved_unrun(active):
+            if self._is_proved_not_run(active):
                 self._refund(active)
             raise
 
     def _refund(self, active: ActiveRequest) -> None:
-        if active.admitted is not None:
-            self._state.load.limits.refund(active.admitted)
+        if active.limit_charge is not None:
+            self._state.load.limits.refund(active.limit_charge)
 
     async def _run(self, active: ActiveRequest) -> None:
         """Make attempts until one ends the request. Raises :class:`RequestError` or :class:`CallerGoneError`."""
         while True:
             backend = await self._next_backend(active)
             try:
-                if await self._attempts.make(active, backend):
+                if await self._attempt_runner.make_attempt(active, backend):
                     self._on_answered(active, backend)
                     return
-                retried = AttemptError(TransportEvent.ERROR_ANSWER, "server error, not passed on")
-                self._reports.on_attempt_failed(active, backend, retried)
+                server_error = AttemptError(TransportEvent.ERROR_ANSWER, "server error, not passed on")
+                self._reporter.on_attempt_failed(active, backend, server_error)
             except AttemptError as failure:
                 self._after_failure(active, backend, failure)
             except TimeoutError:
-                raise self._out_of_time(active) from None
+                raise self._deadline_error(active) from None
 
     def _on_answered(self, active: ActiveRequest, backend: Backend) -> None:
         now_s = boot_time_s()
-        self._choice.learn_time(active, now_s)
-        self._reports.on_ended(active, backend, now_s)
+        self._selector.record_duration(active, now_s)
+        self._reporter.on_answered(active, backend, now_s)
 
-    def _out_of_time(self, active: ActiveRequest) -> RequestError:
+    def _deadline_error(self, active: ActiveRequest) -> RequestError:
         """Return the error of a request whose time ended during an attempt."""
-        self._choice.learn_silence(active, boot_time_s())
+        self._selector.record_no_first_token(active, boot_time_s())
         # The attempt was in flight: it may have reached its back end, whatever became of earlier ones.
-        active.log.record(TransportEvent.ANSWER_TIMEOUT)
+        active.attempt_log.record(TransportEvent.ANSWER_TIMEOUT)
         active.history.on_run_ended()
-        return self._errors.out_of_time(active)
+        return self._error_factory.deadline_error(active)
 
     # --- before an attempt -----------------------------------------------------------------------------
 
@@ -142,12 +142,12 @@
         Raises :class:`RequestError` or :class:`CallerGoneError`.
         """
         while True:
-            chosen = self._choose(active)
+            chosen = self._choose_or_hold(active)
             if isinstance(chosen, Backend):
                 return chosen
             await asyncio.sleep(chosen.seconds)
 
-    def _choose(self, active: ActiveRequest) -> Backend | Hold:
+    def _choose_or_hold(self, active: ActiveRequest) -> Backend | Hold:
         """Return the back end of the next attempt, or for how long the request is held.
 
         Raises :class:`RequestError` or :class:`CallerGoneError`.
@@ -156,10 +156,10 @@
             # On a node that is short of processor time a request can be read after its caller has left.
             raise CallerGoneError("closed before its request was sent on")
         if self._is_too_late(active):
-            raise self._errors.out_of_time(active)
+            raise self._error_factory.deadline_error(active)
         now_s = boot_time_s()
         # Before each attempt, since other nodes may have seen crashes under the request meanwhile.
-        refusal = self._errors.quarantined(active, now_s)
+        refusal = self._error_factory.quarantine_error(active, now_s)
         if refusal is not None:
             raise refusal
         limit_waits_s: dict[Backend, float] = {}
@@ -169,29 +169,29 @@
             if not candidates:
                 break
             if not limit_waits_s:
-                self._choice.refuse_if_overloaded(active, now_s)
-            backend = self._choice.choose(active, candidates, listed)
+                self._selector.refuse_if_overloaded(active, now_s)
+            backend = self._selector.choose(active, candidates, listed)
             wait_s = self._state.load.stated_limits.take(backend, now_s)
             if wait_s is None:
                 return backend
             limit_waits_s[backend] = wait_s
-        hold = self._hold(active, listed, limit_waits_s, now_s)
+        hold = self._decide_hold(active, listed, limit_waits_s, now_s)
         if hold is None:
-            raise self._errors.none_usable(active, now_s, limit_waits_s.values())
+            raise self._error_factory.no_usable_backend_error(active, now_s, limit_waits_s.values())
         return hold
 
     def _candidates(
-        self, active: ActiveRequest, now_s: float, without: Collection[Backend]
+        self, active: ActiveRequest, now_s: float, excluded: Collection[Backend]
     ) -> tuple[Sequence[Backend], Sequence[Backend]]:
         """Return the listed back ends and those of them that may get the next attempt, but for some."""
-        listed, usable = candidates_for(self._state, active, now_s, without)
+        listed, usable = candidates_for(self._state, active, now_s, excluded)
         tried = active.history.tried
         untried = [each for each in usable if each.incarnation not in tried]
-        candidates = untried or (usable if self._is_proved_unrun(active) else [])
+        candidates = untried or (usable if self._is_proved_not_run(active) else [])
         unresponsive = active.history.unresponsive_zones
         return listed, without_unresponsive_zones(candidates, unresponsive, self._state.zone)
 
-    def _hold(
+    def _decide_hold(
         self,
         active: ActiveRequest,
         listed: Sequence[Backend],
@@ -214,8 +214,8 @@
         shortest = self._state.shortest_answers.get(active.route.name)
         return is_too_late(shortest, active.remaining_s(), continues_run=bool(active.history.runs) or is_resumed)
 
-    def _is_proved_unrun(self, active: ActiveRequest) -> bool:
-        return active.log.outcome is Outcome.NOT_RUN
+    def _is_proved_not_run(self, active: ActiveRequest) -> bool:
+        return active.attempt_log.outcome is Outcome.NOT_RUN
 
     # --- after an attempt ------------------------------------------------------------------------------
 
@@ -223,16 +223,18 @@
         """Record a failed attempt; returns if another one follows. Raises :class:`RequestError` if none does."""
         now_s = boot_time_s()
         event = failure.event
-        active.log.record(event)
+        active.attempt_log.record(event)
         active.history.on_failed(event)
         active.history.details.append(f"{backend.incarnation} {event.value} {failure.detail}")
-        self._learning.on_failure(active, backend, failure, now_s)
-        self._reports.on_attempt_failed(active, backend, failure)
+        self._feedback.on_failure(active, backend, failure, now_s)
+        self._reporter.on_attempt_failed(active, backend, failure)
         if event in NOT_ARRIVED:
             self._state.load.stated_limits.give_back(backend)
         budget = self._state.budget_of(active.service)
         decision = self._policy.after_failure(
-            active.route, active.history, active.log.attempts, event, budget, now_s
+            active.route, active.history, active.attempt_log.attempts, event, budget, now_s
         )
         if isinstance(decision, GiveUp):
-            raise self._errors.exhausted(active, decision.detail or failure.detail or event.value, decision.cause)
+            raise self._error_factory.attempts_exhausted_error(
+                active, decision.detail or failure.detail or event.value, decision.cause
+            )
--- a/src/wallwell/serving/request_reports.py
+++ b/src/wallwell/serving/request_reports.py
@@ -8,17 +8,17 @@
 from wallwell.node.state import NodeState
 from wallwell.routing.health.backend import Backend
 from wallwell.serving.active_request import ActiveRequest
-from wallwell.serving.counters import FleetCounters
+from wallwell.serving.counters import RequestCounters
 from wallwell.serving.messages import AttemptError, CallerRequest
 
-NEVER_CONFIRMED_MS = -1
+NEVER_CONFIRMED_AGE_MS = -1
 """Logged as the store's age while the store was never heard."""
 
 
-class RequestReports:
+class RequestReporter:
     """Reports requests of one node."""
 
-    def __init__(self, state: NodeState, counters: FleetCounters) -> None:
+    def __init__(self, state: NodeState, counters: RequestCounters) -> None:
         self._state = state
         self._counters = counters
 
@@ -48,18 +48,18 @@
             software=backend.record.software,
             reason=reason,
             detail=failure.detail,
-            attempts=active.log.attempts,
-            events=active.position.events_passed,
-            content=active.content,
+            attempts=active.attempt_log.attempts,
+            events=active.stream_position.events_forwarded,
+            content=active.request_digest,
         )
 
-    def on_ended(self, active: ActiveRequest, backend: Backend, now_s: float) -> None:
+    def on_answered(self, active: ActiveRequest, backend: Backend, now_s: float) -> None:
         """A request got a back end's whole answer."""
         request, timing = active.request, active.timing
-        first_s = timing.first_s or now_s
-        gap_s = timing.max_gap_s if timing.first_s is not None else None
+        first_event_s = timing.first_event_s or now_s
+        gap_s = timing.max_gap_s if timing.first_event_s is not None else None
         kind = active.route.kind.value
-        self._counters.on_answered(kind, first_s - request.arrived_s, now_s - request.arrived_s, gap_s)
+        self._counters.on_answered(kind, first_event_s - request.arrived_s, now_s - request.arrived_s, gap_s)
         emit(
             Event.REQUEST_ENDED,
             request_id=request.request_id,
@@ -68,9 +68,9 @@
             backend=backend.incarnation,
             software=backend.record.software,
             backend_in_flight=backend.in_flight,
-            attempts=active.log.attempts + 1,
+            attempts=active.attempt_log.attempts + 1,
             prompt_tokens=request.generation.prompt_tokens if request.generation is not None else 0,
-            first_ms=round((first_s - request.arrived_s) * 1000),
+            first_ms=round((first_event_s - request.arrived_s) * 1000),
             max_gap_ms=round(timing.max_gap_s * 1000),
             total_ms=round((now_s - request.arrived_s) * 1000),
         )
@@ -79,5 +79,5 @@
         """Return how long ago the store confirmed what this node knows."""
         confirmed_s = self._state.freshness.confirmed_at_s
         if confirmed_s == float("-inf"):
-            return NEVER_CONFIRMED_MS
+            return NEVER_CONFIRMED_AGE_MS
         return round((boot_time_s() - confirmed_s) * 1000)
--- a/src/wallwell/serving/response_timeout.py
+++ b/src/wallwell/serving/response_wait.py
@@ -16,12 +16,12 @@
 from wallwell.routing.retry.response_timeout import begin_timeout_s, response_timeout_s
 from wallwell.routing.retry.retry_policy import RetryPolicy
 from wallwell.serving.active_request import ActiveRequest
-from wallwell.serving.alternatives import has_untried_backend
 from wallwell.serving.messages import AttemptError, BackendAnswer, BackendClient, Dispatch
-from wallwell.serving.version_choice import generation_begins_by_s
+from wallwell.serving.untried_backends import has_untried_backend
+from wallwell.serving.version_choice import generation_start_deadline_s
 
 
-class ResponseWait:
+class ResponseWaiter:
     """Waits for the heads of answers."""
 
     def __init__(self, state: NodeState, client: BackendClient, policy: RetryPolicy) -> None:
@@ -34,31 +34,31 @@
 
         Raises :class:`AttemptError`, also if the engine does not begin before its weights are too old.
         """
-        timeout_s = self._response_timeout_s(active)
-        begin_within_s = self._begin_timeout_s(active, backend)
+        head_timeout_s = self._response_timeout_s(active)
+        start_timeout_s = self._start_timeout_s(active, backend)
         sending = asyncio.create_task(self._send(dispatch))
         try:
-            if timeout_s is not None and (begin_within_s is None or timeout_s < begin_within_s):
-                is_silent = not await is_done_within(sending, timeout_s)
-                if is_silent and self._abandon(active):
-                    await _withdraw(sending)
+            if head_timeout_s is not None and (start_timeout_s is None or head_timeout_s < start_timeout_s):
+                is_silent = not await is_done_within(sending, head_timeout_s)
+                if is_silent and self._decide_to_abandon(active):
+                    await _cancel_and_close(sending)
                     raise _response_timed_out(dispatch)
-            if begin_within_s is not None and not await self._begins_in_time(active, backend, sending):
+            if start_timeout_s is not None and not await self._starts_in_time(active, backend, sending):
                 raise AttemptError(TransportEvent.ANSWER_TIMEOUT, "its weights are too old to begin")
             return await sending
         except BaseException:
-            await _withdraw(sending)
+            await _cancel_and_close(sending)
             raise
 
-    async def _begins_in_time(
+    async def _starts_in_time(
         self, active: ActiveRequest, backend: Backend, sending: asyncio.Task[BackendAnswer]
     ) -> bool:
         """Wait for an engine until its weights are too old to begin; returns whether it has begun by then."""
         if sending.done():
             return True
         # Asked anew: an earlier wait took of this time, and the engine may have got the newest weights meanwhile.
-        begin_within_s = self._begin_timeout_s(active, backend)
-        return begin_within_s is None or await is_done_within(sending, begin_within_s)
+        start_timeout_s = self._start_timeout_s(active, backend)
+        return start_timeout_s is None or await is_done_within(sending, start_timeout_s)
 
     async def _send(self, dispatch: Dispatch) -> BackendAnswer:
         return await self._client.send(dispatch)
@@ -76,20 +76,20 @@
         prompt_tokens = None if generation is None else generation.prompt_tokens
         return response_timeout_s(active.route.objective_s, active.remaining_s(), prompt_tokens)
 
-    def _abandon(self, active: ActiveRequest) -> bool:
+    def _decide_to_abandon(self, active: ActiveRequest) -> bool:
         """Decide whether to leave a silent back end now; the retry that follows is then paid for."""
         now_s = boot_time_s()
         is_generation = active.request.generation is not None
-        are_all_behind = is_generation and self._state.first_token_delays.is_fleet_behind(now_s)
+        is_fleet_behind = is_generation and self._state.first_token_delays.is_fleet_behind(now_s)
         budget = self._state.budget_of(active.service)
-        return self._policy.abandon_silent(active.history, are_all_behind, budget, now_s)
+        return self._policy.abandon_silent(active.history, is_fleet_behind, budget, now_s)
 
-    def _begin_timeout_s(self, active: ActiveRequest, backend: Backend) -> float | None:
+    def _start_timeout_s(self, active: ActiveRequest, backend: Backend) -> float | None:
         """Return within what time the engine must begin, since its weights are too old after it; None for calls."""
         generation = active.request.generation
         if generation is None:
             return None
-        usable_for_s = generation_begins_by_s(self._state, backend, generation.model) - boot_time_s()
+        usable_for_s = generation_start_deadline_s(self._state, backend, generation.model) - boot_time_s()
         return begin_timeout_s(usable_for_s, active.remaining_s())
 
 
@@ -100,7 +100,7 @@
     return AttemptError(TransportEvent.ANSWER_TIMEOUT, "no answer in time")
 
 
-async def _withdraw(sending: asyncio.Task[BackendAnswer]) -> None:
+async def _cancel_and_close(sending: asyncio.Task[BackendAnswer]) -> None:
     """Cancel a dispatch; an answer whose head has come all the same is closed, so that its back end stops."""
     sending.cancel()
     (result,) = await asyncio.gather(sending, return_exceptions=True)
--- a/src/wallwell/serving/retry_after.py
+++ b/src/wallwell/serving/retry_after.py
@@ -13,29 +13,29 @@
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.messages import CallerRequest
 
-ASSUMED_ALLOWANCE_S = 3.0
+DEFAULT_CALLER_TIMEOUT_S = 3.0
 """Time in seconds allowed by a caller who states none, where no route is known that would: a short one of those in
 use."""
 
 
-class RetryAfter:
+class RetryAfterEstimator:
     """Waits by cause, from one node's state."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
 
-    def of_arrival(self, cause: RefusalCause, request: CallerRequest) -> int:
+    def for_unrouted_request_ms(self, cause: RefusalCause, request: CallerRequest) -> int:
         """Return the wait of a request that has no route yet, in milliseconds."""
         now_s = boot_time_s()
-        allowance_s = ASSUMED_ALLOWANCE_S if request.allowance_s is None else request.allowance_s
+        timeout_s = DEFAULT_CALLER_TIMEOUT_S if request.caller_timeout_s is None else request.caller_timeout_s
         circumstances = RefusalCircumstances(
-            remaining_s=request.arrived_s + allowance_s - now_s,
+            remaining_s=request.arrived_s + timeout_s - now_s,
             store_silence_s=self._store_silence_s(now_s),
             receives_peer_loads=self._receives_peer_loads(),
         )
         return self._retry_after_ms(cause, circumstances)
 
-    def of_request(self, cause: RefusalCause, active: ActiveRequest, limit_wait_s: float = 0.0) -> int:
+    def for_admitted_request_ms(self, cause: RefusalCause, active: ActiveRequest, limit_wait_s: float = 0.0) -> int:
         """Return the wait of an admitted request, in milliseconds; 0 if a retry within its time is no use.
 
         ``limit_wait_s`` as in :class:`RefusalCircumstances`.
--- a/src/wallwell/serving/stream_passing.py
+++ b/src/wallwell/serving/stream_forwarding.py
@@ -15,21 +15,21 @@
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.routing.retry.retry_policy import RetryPolicy
 from wallwell.serving.active_request import ActiveRequest
-from wallwell.serving.attempt_learning import AttemptLearning
+from wallwell.serving.attempt_feedback import AttemptFeedback
 from wallwell.serving.messages import AttemptError, BackendAnswer
 
 
-class StreamPassing:
+class StreamForwarder:
     """Passes streams on."""
 
-    def __init__(self, policy: RetryPolicy, learning: AttemptLearning) -> None:
+    def __init__(self, policy: RetryPolicy, feedback: AttemptFeedback) -> None:
         self._policy = policy
-        self._learning = learning
+        self._feedback = feedback
 
-    async def pass_stream(self, active: ActiveRequest, backend: Backend, answer: BackendAnswer) -> None:
+    async def forward(self, active: ActiveRequest, backend: Backend, answer: BackendAnswer) -> None:
         """Pass events on until the stream ends. Raises :class:`AttemptError` if the run breaks off."""
-        position = active.position
-        position.begin_run()
+        position = active.stream_position
+        position.discard_partial_event()
         stall_s = self._policy.stall_timeout_s(active.route, active.history)
         async with aclosing(answer.chunks()) as chunks:  # type: ignore[type-var]
             while True:
@@ -40,20 +40,20 @@
                     raise AttemptError(TransportEvent.ANSWER_TIMEOUT, "the stream stalled") from None
                 if data is None:
                     break
-                self._learning.on_stream_data(active, backend, boot_time_s())
+                self._feedback.on_stream_data(active, backend, boot_time_s())
                 await self._write_events(active, answer, data)
-        if position.has_remainder or not position.events_passed:
+        if position.has_partial_event or not position.events_forwarded:
             raise AttemptError(TransportEvent.RESET_AFTER_SEND, "the stream ended inside an event")
         await active.reply.finish()
 
     async def _write_events(self, active: ActiveRequest, answer: BackendAnswer, data: bytes) -> None:
         try:
-            events = active.position.feed(data)
+            events = active.stream_position.feed(data)
         except StreamOrderError as error:
             raise AttemptError(TransportEvent.FOREIGN_ANSWER, error.detail) from error
         if not events:
             return
         if not active.reply.started:
             await active.reply.start(answer.head)
-        active.timing.on_token(boot_time_s())
+        active.timing.on_events_forwarded(boot_time_s())
         await active.reply.write(b"".join(events))
--- a/src/wallwell/serving/version_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -27,22 +27,22 @@
 
 
 def candidates_for(
-    state: NodeState, active: ActiveRequest, now_s: float, without: Collection[Backend] = ()
+    state: NodeState, active: ActiveRequest, now_s: float, excluded: Collection[Backend] = ()
 ) -> Candidates:
-    """Return the back ends among which the next attempt's is chosen; those ``without`` are listed, not usable."""
+    """Return the back ends among which the next attempt's is chosen; those ``excluded`` are listed, not usable."""
     listed = state.backends.of_service(active.service)
     generation = active.request.generation
     requirement = None if generation is None else _weights_requirement(state, generation.model)
     rollout = state.rollouts.active.get(active.service)
     if rollout is None:
-        return Candidates(listed, usable_backends(listed, requirement, now_s, without))
+        return Candidates(listed, usable_backends(listed, requirement, now_s, excluded))
     if active.prefers_target is None:
         active.prefers_target = rollout.draws_target(state.rng, now_s)
     prefers_target = active.prefers_target and _may_prefer_target(rollout, now_s)
-    return candidates_of_tiers(rollout.tiers(listed, prefers_target, now_s), requirement, now_s, without)
+    return candidates_of_tiers(rollout.tiers(listed, prefers_target, now_s), requirement, now_s, excluded)
 
 
-def generation_begins_by_s(state: NodeState, backend: Backend, model: str) -> float:
+def generation_start_deadline_s(state: NodeState, backend: Backend, model: str) -> float:
     """Return until when a generation may begin at a back end on the weights it is believed to have."""
     return candidates.begin_by_s(backend, _weights_requirement(state, model))
 
@@ -64,7 +64,9 @@
     return listed if rollout is None else rollout.eligible_backends(listed, now_s)
 
 
-def begin_attempt(state: NodeState, active: ActiveRequest, backend: Backend, now_s: float) -> CountedAttempt | None:
+def count_attempt_start(
+    state: NodeState, active: ActiveRequest, backend: Backend, now_s: float
+) -> CountedAttempt | None:
     """Count an attempt that is sent during a rollout; a retry after it goes to the current version."""
     rollout = state.rollouts.active.get(active.service)
     if rollout is None:
@@ -80,19 +82,21 @@
     return CountedAttempt(counts, now_s, now_s >= backend.slow_until_s)
 
 
-def end_attempt(
+def count_attempt_end(
     attempt: CountedAttempt, active: ActiveRequest, status: int, failure: BaseException | None, now_s: float
 ) -> None:
     """Count how an attempt ended."""
     timing = active.timing
     if failure is None:
-        first_s = timing.run_first_s
-        attempt.on_whole(status, now_s if first_s is None else first_s, timing.last_s, timing.run_events)
-    elif isinstance(failure, TimeoutError) or _is_silence(failure):
-        attempt.on_given_up(timing.run_first_s, now_s)
+        first_s = timing.attempt_first_event_s
+        attempt.on_whole(
+            status, now_s if first_s is None else first_s, timing.last_event_s, timing.attempt_event_reads
+        )
+    elif isinstance(failure, TimeoutError) or _is_answer_timeout(failure):
+        attempt.on_given_up(timing.attempt_first_event_s, now_s)
     else:
         attempt.on_broken()
 
 
-def _is_silence(failure: BaseException) -> bool:
+def _is_answer_timeout(failure: BaseException) -> bool:
     return isinstance(failure, AttemptError) and failure.event is TransportEvent.ANSWER_TIMEOUT
--- a/tests/unit/node/test_crash_watch.py
+++ b/tests/unit/node/test_crash_watch.py
@@ -9,7 +9,7 @@
 from tests.suspects import suspected_contents
 from tests.unit.serving.fakes import FakeClient, FakeReply, Script, event, make_generation, make_request, make_route
 from tests.unit.serving.fakes import make_state as fresh_state
-from tests.unit.serving.plays import OK, RESET, SAFE, UNSAFE
+from tests.unit.serving.single_request import OK, RESET, SAFE, UNSAFE
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind
@@ -24,7 +24,7 @@
 PROBED_S = FIRST_PROBE_DELAY_S + PROBE_INTERVAL_S + 0.1
 REFUSED, ANSWERS = True, False
 RESUMABLE = make_route(RouteKind.STREAM, resumable=True, attempts=2)
-CUT_STREAM = Script(chunks=(event(1),), breaks=T.RESET_AFTER_SEND, stream=True)
+CUT_STREAM = Script(chunks=(event(1),), body_error=T.RESET_AFTER_SEND, stream=True)
 
 
 class Check:
@@ -419,7 +419,7 @@
 
         node.third = asyncio.create_task(third())
 
-    slow_reset = Script(fails=T.RESET_AFTER_SEND, head_after_s=0.2)
+    slow_reset = Script(send_error=T.RESET_AFTER_SEND, head_delay_s=0.2)
     reply, sends, _ = serve(SAFE, [slow_reset, OK], two_crashes)
     assert (reply.status, sends, reply.error.outcome) == (504, 1, Outcome.UNKNOWN)
 
@@ -430,7 +430,7 @@
             node.hear(CONTENT, f"gone-{number}")
         asyncio.get_running_loop().call_later(0.1, lambda: node.hear(CONTENT, "gone-9"))
 
-    slow_cut = Script(chunks=(event(1), 0.2), breaks=T.RESET_AFTER_SEND, stream=True)
+    slow_cut = Script(chunks=(event(1), 0.2), body_error=T.RESET_AFTER_SEND, stream=True)
     reply, sends, _ = serve(RESUMABLE, [slow_cut, CUT_STREAM], third_crash_meanwhile, make_generation())
     assert (reply.ended, sends) == ("aborted", 1)
 
--- a/tests/unit/node/test_fleet_recovery.py
+++ b/tests/unit/node/test_fleet_recovery.py
@@ -25,7 +25,7 @@
 from wallwell.routing.retry.attempt_outcome import AttemptLog
 from wallwell.routing.selection.prefix_home import PromptPart, request_load
 from wallwell.serving.active_request import ActiveRequest
-from wallwell.serving.backend_choice import BackendChoice
+from wallwell.serving.backend_selector import BackendSelector
 from wallwell.serving.messages import Generation
 from wallwell.serving.version_choice import candidates_for
 
@@ -174,7 +174,7 @@
         active = ActiveRequest(request, None, ROUTE, None, "svc", now_s + 5.0, AttemptLog(repeatable=True))
         usable = candidates_for(state, active, now_s).usable
         candidates = [each for each in usable if each is not sent.backend]
-        sent.backend = backend = BackendChoice(state).choose(active, candidates)
+        sent.backend = backend = BackendSelector(state).choose(active, candidates)
         sent.load = request_load(generation.prompt_tokens)
         backend.load += sent.load
         load_when_sent = backend.fleet_load(NODES)
--- a/tests/unit/node/test_kv_store_choice.py
+++ b/tests/unit/node/test_kv_store_choice.py
@@ -21,7 +21,7 @@
 from wallwell.serving.pipeline import RequestPipeline
 
 STREAM = make_route(RouteKind.STREAM)
-ANSWER = Script(chunks=(b"ok",), stream=False, version=1)
+ANSWER = Script(chunks=(b"ok",), stream=False, weights_version=1)
 
 
 def stores(*zones):
--- a/tests/unit/node/test_restarted_back_end.py
+++ b/tests/unit/node/test_restarted_back_end.py
@@ -28,7 +28,7 @@
 from wallwell.deployment.routes import RouteKind
 from wallwell.node.crash_watch import CRASH_PREFIX, CrashWatch
 from wallwell.routing.admission.quarantine import CRASHES_TO_QUARANTINE
-from wallwell.serving.liveness import Liveness
+from wallwell.serving.liveness import LivenessMonitor
 from wallwell.serving.pipeline import RequestPipeline
 
 RESUMABLE = make_route(RouteKind.STREAM, resumable=True, attempts=2)
@@ -109,7 +109,7 @@
         state = make_state(RESUMABLE, versions={"m": 1}, backends=2)
         for number in (0, 1):
             start_again(state, f"i-{number}", 1)
-        liveness = Liveness(state, Answers())
+        liveness = LivenessMonitor(state, Answers())
         watching = asyncio.create_task(liveness.run())
         client, reply = FakeClient(HANGS, REST), FakeReply()
         started_s = boot_time_s()
@@ -123,7 +123,7 @@
             start_again(state, client.sent[0].backend.incarnation, 2)
         await serving
         watching.cancel()
-        assert not liveness._interruptible
+        assert not liveness._interruptible_attempts
         return reply.ended, reply.ended_at_s - started_s
 
     ended, took_s = run_virtual(work())
--- a/tests/unit/serving/fakes.py
+++ b/tests/unit/serving/fakes.py
@@ -26,17 +26,17 @@
 
     status: int = 200
     chunks: tuple = ()
-    head_after_s: float = 0.0
-    fails: TransportEvent | None = None
-    breaks: TransportEvent | None = None
+    head_delay_s: float = 0.0
+    send_error: TransportEvent | None = None
+    body_error: TransportEvent | None = None
     stream: bool = False
-    version: int = 0
-    refused_version: int = 0
+    weights_version: int = 0
+    refused_weights_version: int = 0
 
 
 class FakeAnswer:
     def __init__(self, client, script):
-        self.head = AnswerHead(script.status, (("X-Mark", "kept"),), script.version, script.stream)
+        self.head = AnswerHead(script.status, (("X-Mark", "kept"),), script.weights_version, script.stream)
         self._client = client
         self._script = script
         self._open = True
@@ -48,8 +48,8 @@
                 await asyncio.sleep(chunk)
             else:
                 yield chunk
-        if self._script.breaks is not None:
-            raise AttemptError(self._script.breaks, "scripted")
+        if self._script.body_error is not None:
+            raise AttemptError(self._script.body_error, "scripted")
         self._ended = True
 
     def close(self):
@@ -72,12 +72,12 @@
         self.sent_at_s.append(boot_time_s())
         script = self.scripts.pop(0) if len(self.scripts) > 1 else self.scripts[0]
         try:
-            await asyncio.sleep(script.head_after_s)
+            await asyncio.sleep(script.head_delay_s)
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
-        if script.fails is not None:
-            raise AttemptError(script.fails, "scripted", script.refused_version)
+        if script.send_error is not None:
+            raise AttemptError(script.send_error, "scripted", script.refused_weights_version)
         return FakeAnswer(self, script)
 
 
@@ -128,10 +128,20 @@
         self._end("aborted")
 
 
-def make_route(kind=RouteKind.SAFE, resumable=False, attempts=2, timeout_s=4.0, **more):
-    services = more.pop("services", (WeightedService("svc", 1.0),))
+def make_route(kind=RouteKind.SAFE, resumable=False, attempts=2, timeout_s=4.0, **options):
+    services = options.pop("services", (WeightedService("svc", 1.0),))
     return Route(
-        "r", "h.example", "/", kind, services, timeout_s, 0.4, attempts, resumable=resumable, max_gap_s=0.5, **more
+        "r",
+        "h.example",
+        "/",
+        kind,
+        services,
+        timeout_s,
+        0.4,
+        attempts,
+        resumable=resumable,
+        max_gap_s=0.5,
+        **options,
     )
 
 
@@ -147,7 +157,9 @@
     return state
 
 
-def make_request(credential="key", allowance_s=None, generation=None, host="h.example", target="/p?q=1", body=b""):
+def make_request(
+    credential="key", caller_timeout_s=None, generation=None, host="h.example", target="/p?q=1", body=b""
+):
     return CallerRequest(
         request_id="r-1",
         host=host,
@@ -156,7 +168,7 @@
         headers=(),
         body=body,
         credential=credential,
-        allowance_s=allowance_s,
+        caller_timeout_s=caller_timeout_s,
         arrived_s=boot_time_s(),
         generation=generation,
     )
--- a/tests/unit/serving/plays.py
+++ b/tests/unit/serving/single_request.py
@@ -11,21 +11,21 @@
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind
-from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.pipeline import RequestPipeline
 
 OK = Script(chunks=(b"ok",))
-SHED = Script(fails=T.BACKEND_OVERLOADED)
-MISDIRECTED = Script(fails=T.PRECONDITION_REFUSED)
-UNREACHABLE = Script(fails=T.CONNECT_TIMEOUT)
-NOBODY_LISTENS = Script(fails=T.CONNECT_REFUSED)
-RESET = Script(fails=T.RESET_AFTER_SEND)
-FOREIGN = Script(fails=T.FOREIGN_ANSWER)
-ERROR = Script(status=500, chunks=(b"broken",))
-CUT = Script(chunks=(b"o",), breaks=T.RESET_AFTER_SEND)
+OVERLOADED = Script(send_error=TransportEvent.BACKEND_OVERLOADED)
+PRECONDITION_REFUSED = Script(send_error=TransportEvent.PRECONDITION_REFUSED)
+CONNECT_TIMEOUT = Script(send_error=TransportEvent.CONNECT_TIMEOUT)
+CONNECT_REFUSED = Script(send_error=TransportEvent.CONNECT_REFUSED)
+RESET = Script(send_error=TransportEvent.RESET_AFTER_SEND)
+FOREIGN_ANSWER = Script(send_error=TransportEvent.FOREIGN_ANSWER)
+SERVER_ERROR = Script(status=500, chunks=(b"broken",))
+BODY_RESET = Script(chunks=(b"o",), body_error=TransportEvent.RESET_AFTER_SEND)
 
 
-def play(scripts, route=None, request=None, prepare=None, **state):
+def serve_request(scripts, route=None, request=None, prepare=None, **state):
     """Serve one request and return the reply, the client and the seconds it took."""
 
     async def work():
--- a/tests/unit/serving/test_requested_backoff.py
+++ b/tests/unit/serving/test_backoff_holds.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.unit.serving.fakes import FakeClient, FakeReply, make_request, make_route, make_state
-from tests.unit.serving.plays import OK, SHED, play
+from tests.unit.serving.single_request import OK, OVERLOADED, serve_request
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.routing.admission.backoff_hold import HOLD_FRACTION, SPREAD_S, hold_s
@@ -26,21 +26,21 @@
 
 
 def test_requests_go_to_the_back_ends_that_have_not_asked():
-    reply, client, took_s = play([OK], prepare=asks_for_backoff(3.0, 3.0))
+    reply, client, took_s = serve_request([OK], prepare=asks_for_backoff(3.0, 3.0))
     assert (reply.status, took_s) == (200, 0.0)
     assert [each.backend.incarnation for each in client.sent] == ["i-2"]
 
 
 def test_a_request_that_can_still_be_in_time_is_held_for_the_first_end():
     ends_s = HOLD_FRACTION * OBJECTIVE_S - 0.05
-    reply, client, took_s = play([OK], prepare=asks_for_backoff(3.0, ends_s, 3.0))
+    reply, client, took_s = serve_request([OK], prepare=asks_for_backoff(3.0, ends_s, 3.0))
     assert reply.status == 200
     assert ends_s <= took_s <= ends_s + SPREAD_S
     assert [each.backend.incarnation for each in client.sent] == ["i-1"]
 
 
 def test_any_other_is_refused_at_once_and_told_the_first_end():
-    reply, client, took_s = play([OK], prepare=asks_for_backoff(1.2, 1.0, 3.0))
+    reply, client, took_s = serve_request([OK], prepare=asks_for_backoff(1.2, 1.0, 3.0))
     assert (reply.status, took_s, client.sent) == (503, 0.0, [])
     low, high = BACKOFF_SPREAD
     assert 1000 * low <= reply.error.retry_after_ms <= 1000 * high
@@ -60,7 +60,7 @@
                 return await super().send(dispatch)
 
         started_s = boot_time_s()
-        client = Refusing(SHED)
+        client = Refusing(OVERLOADED)
         await RequestPipeline(state, client).serve(make_request(), held)
         return held.status, held.ended_at_s - started_s, len(client.sent)
 
@@ -80,7 +80,7 @@
         class TwoRefuse(FakeClient):
             async def send(self, dispatch):
                 sent.append(dispatch.backend.incarnation)
-                self.scripts = [OK if dispatch.backend.incarnation == "i-2" else SHED]
+                self.scripts = [OK if dispatch.backend.incarnation == "i-2" else OVERLOADED]
                 return await super().send(dispatch)
 
         pipeline = RequestPipeline(state, TwoRefuse(OK))
--- a/tests/unit/serving/test_event_stream.py
+++ b/tests/unit/serving/test_event_stream.py
@@ -22,8 +22,8 @@
     for start, end in itertools.pairwise(edges):
         passed += position.feed(whole[start:end])
     assert b"".join(passed) == whole
-    assert position.last_number == (count or None)
-    assert not position.has_remainder
+    assert position.last_event_number == (count or None)
+    assert not position.has_partial_event
 
 
 @pytest.mark.parametrize("numbers", [(1, 1), (3, 2), (5, 6, 6), (2, 1, 3)])
@@ -40,17 +40,17 @@
     assert position.feed(event(4)) == [event(4)]
     with pytest.raises(StreamOrderError):
         position.feed(event(5) + event(6) + event(6))
-    assert (position.last_number, position.events_passed) == (4, 1)
-    position.begin_run()
+    assert (position.last_event_number, position.events_forwarded) == (4, 1)
+    position.discard_partial_event()
     assert position.feed(event(5) + event(6)) == [event(5), event(6)]
 
 
 def test_a_broken_event_is_never_passed_on_and_the_next_run_starts_clean():
     position = StreamPosition()
     assert position.feed(event(1) + b"id: 2\nda") == [event(1)]
-    assert position.has_remainder
-    position.begin_run()
-    assert not position.has_remainder
+    assert position.has_partial_event
+    position.discard_partial_event()
+    assert not position.has_partial_event
     assert position.feed(event(2) + event(3)) == [event(2), event(3)]
 
 
--- a/tests/unit/serving/test_limited_requests.py
+++ b/tests/unit/serving/test_limited_requests.py
@@ -8,13 +8,13 @@
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind, TenantAccess, TenantLimit
 from wallwell.outcomes import Outcome
-from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.pipeline import RequestPipeline
 
 LIMIT = TenantLimit(rate_per_s=1_000, burst=1_000, counts_tokens=True, plain_tokens=200)
 OK = Script(chunks=(b"ok",))
-SHED = Script(fails=T.BACKEND_OVERLOADED)
-RESET = Script(fails=T.RESET_AFTER_SEND)
+OVERLOADED = Script(send_error=TransportEvent.BACKEND_OVERLOADED)
+RESET = Script(send_error=TransportEvent.RESET_AFTER_SEND)
 
 
 def play(scripts, declared_tokens=None, requests=1, route=None):
@@ -42,9 +42,9 @@
         ((OK,), None, 800),
         ((OK,), 0, 1_000),
         # Not run: refunded. May have run once, runs once more: counts twice. Refused first, then run: once.
-        ((SHED,), 700, 1_000),
+        ((OVERLOADED,), 700, 1_000),
         ((RESET, OK), 300, 400),
-        ((SHED, OK), 300, 700),
+        ((OVERLOADED, OK), 300, 700),
         # Nobody knows whether it ran.
         ((RESET, RESET), 300, 400),
     ],
--- a/tests/unit/serving/test_liveness.py
+++ b/tests/unit/serving/test_liveness.py
@@ -18,7 +18,7 @@
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind
 from wallwell.outcomes import Outcome
-from wallwell.serving.liveness import Liveness
+from wallwell.serving.liveness import LivenessMonitor
 from wallwell.serving.pipeline import RequestPipeline
 
 RESUMABLE = make_route(RouteKind.STREAM, resumable=True, attempts=2)
@@ -28,7 +28,7 @@
 PIECES = tuple(part for number in range(1, 9) for part in (event(number), 0.02))
 REST = Script(chunks=(event(9), event(10)), stream=True)
 STOPS = Script(chunks=(*PIECES, 30.0), stream=True)
-MUTE = Script(head_after_s=30.0)
+MUTE = Script(head_delay_s=30.0)
 OK = Script(chunks=(b"ok",))
 
 
@@ -51,7 +51,7 @@
     async def work():
         state = make_state(route, versions={"m": 1}, backends=2)
         check = Check(reachable)
-        liveness = Liveness(state, check)
+        liveness = LivenessMonitor(state, check)
         watching = asyncio.create_task(liveness.run())
         client, reply = FakeClient(*scripts), FakeReply()
         request = make_request(generation=make_generation() if generation else None)
@@ -59,7 +59,7 @@
         await RequestPipeline(state, client, liveness=liveness).serve(request, reply)
         watching.cancel()
         suspended = [each.suspended_until_s > boot_time_s() for each in state.backends.all()]
-        assert not liveness._interruptible
+        assert not liveness._interruptible_attempts
         return reply, client, check, reply.ended_at_s - started_s, suspended
 
     return run_virtual(work())
--- a/tests/unit/serving/test_overload_refusals.py
+++ b/tests/unit/serving/test_overload_refusals.py
@@ -15,7 +15,7 @@
 from tests.virtual_time import run_virtual
 from wallwell.deployment.routes import RouteKind
 from wallwell.outcomes import Outcome
-from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.pipeline import RequestPipeline
 
 STREAM = make_route(RouteKind.STREAM, resumable=True, rank=0)
@@ -61,5 +61,7 @@
 
 
 def test_a_generation_that_was_sent_is_not_refused_on_its_second_attempt():
-    reply, client = serve(SLOTS, make_generation(), scripts=(Script(fails=T.RESET_AFTER_SEND), OK))
+    reply, client = serve(
+        SLOTS, make_generation(), scripts=(Script(send_error=TransportEvent.RESET_AFTER_SEND), OK)
+    )
     assert (reply.ended, len(client.sent)) == ("finished", 2)
--- a/tests/unit/serving/test_pipeline.py
+++ b/tests/unit/serving/test_pipeline.py
@@ -16,26 +16,26 @@
     make_route,
     make_state,
 )
-from tests.unit.serving.plays import (
-    CUT,
-    ERROR,
-    FOREIGN,
-    MISDIRECTED,
-    NOBODY_LISTENS,
+from tests.unit.serving.single_request import (
+    BODY_RESET,
+    CONNECT_REFUSED,
+    CONNECT_TIMEOUT,
+    FOREIGN_ANSWER,
     OK,
+    OVERLOADED,
+    PRECONDITION_REFUSED,
     RESET,
     SAFE,
-    SHED,
-    UNREACHABLE,
+    SERVER_ERROR,
     UNSAFE,
-    play,
+    serve_request,
 )
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind, TenantAccess, WeightedService
 from wallwell.outcomes import Outcome
 from wallwell.routing.admission.remaining_time import ShortestAnswer
-from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.pipeline import RequestPipeline
 
 
@@ -44,27 +44,27 @@
     [
         (SAFE, [OK], 200, 1, None),
         (SAFE, [RESET, OK], 200, 2, None),
-        (SAFE, [CUT, OK], 200, 2, None),
-        (SAFE, [FOREIGN, OK], 200, 2, None),
-        (SAFE, [ERROR, OK], 200, 2, None),
-        (SAFE, [ERROR, ERROR], 500, 2, None),
+        (SAFE, [BODY_RESET, OK], 200, 2, None),
+        (SAFE, [FOREIGN_ANSWER, OK], 200, 2, None),
+        (SAFE, [SERVER_ERROR, OK], 200, 2, None),
+        (SAFE, [SERVER_ERROR, SERVER_ERROR], 500, 2, None),
         (SAFE, [RESET, RESET], 504, 2, Outcome.UNKNOWN),
-        (SAFE, [RESET, SHED], 504, 3, Outcome.UNKNOWN),
-        (SAFE, [UNREACHABLE, UNREACHABLE, OK], 200, 3, None),
+        (SAFE, [RESET, OVERLOADED], 504, 3, Outcome.UNKNOWN),
+        (SAFE, [CONNECT_TIMEOUT, CONNECT_TIMEOUT, OK], 200, 3, None),
         (UNSAFE, [OK], 200, 1, None),
-        (UNSAFE, [ERROR], 500, 1, None),
+        (UNSAFE, [SERVER_ERROR], 500, 1, None),
         (UNSAFE, [RESET, OK], 504, 1, Outcome.UNKNOWN),
-        (UNSAFE, [CUT, OK], 504, 1, Outcome.UNKNOWN),
-        (UNSAFE, [FOREIGN, OK], 504, 1, Outcome.UNKNOWN),
-        (UNSAFE, [SHED, OK], 200, 2, None),
-        (UNSAFE, [MISDIRECTED, UNREACHABLE, OK], 200, 3, None),
-        (UNSAFE, [SHED, RESET, OK], 504, 2, Outcome.UNKNOWN),
-        (UNSAFE, [SHED], 503, 4, Outcome.NOT_RUN),
-        (UNSAFE, [UNREACHABLE], 503, 3, Outcome.NOT_RUN),
+        (UNSAFE, [BODY_RESET, OK], 504, 1, Outcome.UNKNOWN),
+        (UNSAFE, [FOREIGN_ANSWER, OK], 504, 1, Outcome.UNKNOWN),
+        (UNSAFE, [OVERLOADED, OK], 200, 2, None),
+        (UNSAFE, [PRECONDITION_REFUSED, CONNECT_TIMEOUT, OK], 200, 3, None),
+        (UNSAFE, [OVERLOADED, RESET, OK], 504, 2, Outcome.UNKNOWN),
+        (UNSAFE, [OVERLOADED], 503, 4, Outcome.NOT_RUN),
+        (UNSAFE, [CONNECT_TIMEOUT], 503, 3, Outcome.NOT_RUN),
     ],
 )
 def test_sequences_of_attempts(route, scripts, status, sends, outcome):
-    reply, client, _ = play(scripts, route)
+    reply, client, _ = serve_request(scripts, route)
     assert reply.status == status
     assert len(client.sent) <= sends
     assert (reply.error.outcome if reply.error else None) == outcome
@@ -73,47 +73,47 @@
 
 
 def test_a_failed_answer_is_passed_on_as_it_is():
-    reply, _, _ = play([ERROR], UNSAFE)
+    reply, _, _ = serve_request([SERVER_ERROR], UNSAFE)
     assert (reply.body, reply.heads[0].headers) == (b"broken", (("X-Mark", "kept"),))
 
 
 def test_a_request_that_never_ran_is_refused_at_once_with_a_retry_after():
-    reply, _, took_s = play([SHED], UNSAFE)
+    reply, _, took_s = serve_request([OVERLOADED], UNSAFE)
     assert reply.error.retry_after_ms > 0
     assert took_s < 0.1
 
 
 def test_no_back_end_at_all():
-    reply, _, took_s = play([OK], SAFE, backends=0)
+    reply, _, took_s = serve_request([OK], SAFE, backends=0)
     assert (reply.status, reply.error.outcome, took_s) == (503, Outcome.NOT_RUN, 0.0)
 
 
 @pytest.mark.parametrize(
-    ("allowance_s", "timeout_s", "expected_s"), [(None, 2.0, 2.0), (1.0, 2.0, 1.0), (9.0, 2.0, 2.0)]
+    ("caller_timeout_s", "timeout_s", "expected_s"), [(None, 2.0, 2.0), (1.0, 2.0, 1.0), (9.0, 2.0, 2.0)]
 )
-def test_the_answer_comes_when_the_shorter_time_is_over(allowance_s, timeout_s, expected_s):
+def test_the_answer_comes_when_the_shorter_time_is_over(caller_timeout_s, timeout_s, expected_s):
     route = make_route(RouteKind.UNSAFE, attempts=1, timeout_s=timeout_s)
-    silent = Script(head_after_s=60.0)
-    reply, client, took_s = play([silent], route, lambda: make_request(allowance_s=allowance_s))
+    silent = Script(head_delay_s=60.0)
+    reply, client, took_s = serve_request([silent], route, lambda: make_request(caller_timeout_s=caller_timeout_s))
     assert (reply.status, reply.error.outcome) == (504, Outcome.UNKNOWN)
     assert took_s == pytest.approx(expected_s, abs=0.01)
     assert client.cancelled == 1
 
 
 def test_each_attempt_is_handed_what_is_left():
-    slow_shed = Script(fails=T.BACKEND_OVERLOADED, head_after_s=0.5)
-    _, client, _ = play([slow_shed, OK], UNSAFE, lambda: make_request(allowance_s=2.0))
+    slow_overloaded = Script(send_error=TransportEvent.BACKEND_OVERLOADED, head_delay_s=0.5)
+    _, client, _ = serve_request([slow_overloaded, OK], UNSAFE, lambda: make_request(caller_timeout_s=2.0))
     assert [round(each.remaining_s, 2) for each in client.sent] == [2.0, 1.5]
 
 
 def test_a_silent_back_end_is_given_up_in_time_for_another_and_its_work_cancelled():
-    reply, client, took_s = play([Script(head_after_s=60.0), OK], SAFE)
+    reply, client, took_s = serve_request([Script(head_delay_s=60.0), OK], SAFE)
     assert (reply.status, client.cancelled) == (200, 1)
     assert took_s < SAFE.objective_s
 
 
 def test_a_silent_back_end_is_waited_for_when_nothing_may_be_retried():
-    reply, client, _ = play([Script(chunks=(b"late",), head_after_s=1.5)], UNSAFE)
+    reply, client, _ = serve_request([Script(chunks=(b"late",), head_delay_s=1.5)], UNSAFE)
     assert (reply.status, reply.body, len(client.sent)) == (200, b"late", 1)
 
 
@@ -124,8 +124,8 @@
         budget = fleet.budget_of("svc")
         asyncio.get_running_loop().call_later(0.1, lambda: [budget.try_retry(boot_time_s(), 1) for _ in range(99)])
 
-    late = Script(chunks=(b"late",), head_after_s=1.0)
-    reply, client, _ = play([late], SAFE, prepare=use_up_while_waiting)
+    late = Script(chunks=(b"late",), head_delay_s=1.0)
+    reply, client, _ = serve_request([late], SAFE, prepare=use_up_while_waiting)
     assert (reply.status, reply.body, len(client.sent), client.cancelled) == (200, b"late", 1, 0)
 
 
@@ -134,7 +134,7 @@
         fleet = make_state(SAFE)
         budget = fleet.budget_of("svc")
         before = budget.left(boot_time_s(), 1)
-        await RequestPipeline(fleet, FakeClient(Script(head_after_s=60.0), OK)).serve(make_request(), FakeReply())
+        await RequestPipeline(fleet, FakeClient(Script(head_delay_s=60.0), OK)).serve(make_request(), FakeReply())
         return before - budget.left(boot_time_s(), 1)
 
     assert 0.8 < run_virtual(work()) <= 1.0
@@ -145,7 +145,7 @@
         fleet = make_state(SAFE, backends=2)
         for each in fleet.backends.all():
             each.on_success(boot_time_s())
-        client = FakeClient(Script(head_after_s=60.0), OK)
+        client = FakeClient(Script(head_delay_s=60.0), OK)
         await RequestPipeline(fleet, client).serve(make_request(), FakeReply())
         return [each.consecutive_failures for each in fleet.backends.all()]
 
@@ -171,8 +171,8 @@
 # --- Retry-After --------------------------------------------------------------------------------------
 
 
-def retry_after_s(scripts, route=SAFE, **more):
-    return play(scripts, route, **more)[0].error.retry_after_ms / 1000
+def retry_after_s(scripts, route=SAFE, **options):
+    return serve_request(scripts, route, **options)[0].error.retry_after_ms / 1000
 
 
 def test_the_wait_follows_the_cause_of_the_refusal():
@@ -190,31 +190,31 @@
         fleet.config = None
         fleet.started_s = boot_time_s() - 0.5
 
-    assert retry_after_s([SHED], UNSAFE, prepare=know_calls) > 0.3
-    assert retry_after_s([SHED], UNSAFE) < 0.1
+    assert retry_after_s([OVERLOADED], UNSAFE, prepare=know_calls) > 0.3
+    assert retry_after_s([OVERLOADED], UNSAFE) < 0.1
     assert retry_after_s([OK], backends=0) > 0.6
-    assert 0.5 < retry_after_s([NOBODY_LISTENS], UNSAFE) < 0.7
-    assert retry_after_s([NOBODY_LISTENS], UNSAFE, backends=9) < 0.1
+    assert 0.5 < retry_after_s([CONNECT_REFUSED], UNSAFE) < 0.7
+    assert retry_after_s([CONNECT_REFUSED], UNSAFE, backends=9) < 0.1
     # Connections that time out make the whole zone suspected, for longer than this caller would wait.
-    assert 0.6 < retry_after_s([UNREACHABLE], UNSAFE, backends=9) < 1.4
+    assert 0.6 < retry_after_s([CONNECT_TIMEOUT], UNSAFE, backends=9) < 1.4
     assert retry_after_s([OK], prepare=hear_fleet) > 0.6
     assert retry_after_s([OK], prepare=hear_nobody) < 0.1
     assert retry_after_s([OK], prepare=start_without_configuration) < 0.1
 
 
 def test_no_wait_is_sent_beyond_a_third_of_the_callers_time():
-    assert retry_after_s([OK], backends=0, request=lambda: make_request(allowance_s=0.3)) <= 0.1
+    assert retry_after_s([OK], backends=0, request=lambda: make_request(caller_timeout_s=0.3)) <= 0.1
 
 
 def test_a_request_with_less_time_than_any_answer_took_is_refused_unsent():
     """It would be late for certain, and its work a back end's time."""
 
     async def work():
-        client = FakeClient(Script(chunks=(b"ok",), head_after_s=0.4))
+        client = FakeClient(Script(chunks=(b"ok",), head_delay_s=0.4))
         pipeline = RequestPipeline(make_state(UNSAFE), client)
         replies = [FakeReply() for _ in range(3)]
-        for allowance_s, reply in zip((2.0, 0.15, 0.3), replies, strict=True):
-            await pipeline.serve(make_request(allowance_s=allowance_s), reply)
+        for caller_timeout_s, reply in zip((2.0, 0.15, 0.3), replies, strict=True):
+            await pipeline.serve(make_request(caller_timeout_s=caller_timeout_s), reply)
         return client, replies
 
     client, (served, refused, tried) = run_virtual(work())
@@ -226,13 +226,13 @@
 
 def test_short_requests_are_served_again_after_one_slow_answer():
     async def work():
-        client = FakeClient(Script(chunks=(b"ok",), head_after_s=2.5), Script(chunks=(b"ok",), head_after_s=0.05))
+        client = FakeClient(Script(chunks=(b"ok",), head_delay_s=2.5), Script(chunks=(b"ok",), head_delay_s=0.05))
         fleet = make_state(UNSAFE)
         pipeline = RequestPipeline(fleet, client)
         replies = [FakeReply() for _ in range(60)]
         for number, reply in enumerate(replies):
             fleet.freshness.confirm(boot_time_s())
-            await pipeline.serve(make_request(allowance_s=1.0 if number else 9.0), reply)
+            await pipeline.serve(make_request(caller_timeout_s=1.0 if number else 9.0), reply)
         return [reply.status for reply in replies]
 
     statuses = run_virtual(work())
@@ -248,8 +248,8 @@
 
     def refused(resume_after):
         generation = make_generation(resume_after=resume_after)
-        _, client, _ = play(
-            [OK], route, lambda: make_request(generation=generation, allowance_s=1.0), prepare=learn
+        _, client, _ = serve_request(
+            [OK], route, lambda: make_request(generation=generation, caller_timeout_s=1.0), prepare=learn
         )
         return len(client.sent) == 0
 
@@ -265,13 +265,13 @@
     [("key", "h.example", 200), ("wrong", "h.example", 401), ("", "h.example", 401), ("key", "other", 404)],
 )
 def test_credentials_and_routes(credential, host, status):
-    reply, client, _ = play([OK], SAFE, lambda: make_request(credential=credential, host=host))
+    reply, client, _ = serve_request([OK], SAFE, lambda: make_request(credential=credential, host=host))
     assert reply.status == status
     assert len(client.sent) == (1 if status == 200 else 0)
 
 
 def test_a_public_route_needs_no_credential():
-    reply, client, _ = play([OK], make_route(public=True), lambda: make_request(credential=""))
+    reply, client, _ = serve_request([OK], make_route(public=True), lambda: make_request(credential=""))
     assert (reply.status, client.sent[0].tenant) == (200, "")
 
 
@@ -282,20 +282,21 @@
     def age(fleet):
         fleet.freshness.confirmed_at_s = boot_time_s() - 4.7
 
-    reply, client, _ = play([OK], SAFE, lambda: make_request(credential=credential), prepare=age)
+    reply, client, _ = serve_request([OK], SAFE, lambda: make_request(credential=credential), prepare=age)
     assert (reply.status, reply.error.outcome, client.sent) == (503, Outcome.NOT_RUN, [])
     assert reply.error.retry_after_ms > 0
 
 
 def test_the_tenants_rank_goes_before_the_routes():
     tenants = (TenantAccess("t", ("key",), rank=0),)
-    _, client, _ = play([OK], make_route(rank=4), tenants=tenants)
+    _, client, _ = serve_request([OK], make_route(rank=4), tenants=tenants)
     assert client.sent[0].rank == 0
 
 
 def test_a_split_route_sends_to_its_services_by_weight():
     route = make_route(services=(WeightedService("svc", 1.0), WeightedService("none", 1.0)))
     replies = [
-        play([OK], route, prepare=lambda fleet, at=at: setattr(fleet, "split_offset", at))[0] for at in (0, 0.99)
+        serve_request([OK], route, prepare=lambda fleet, at=at: setattr(fleet, "split_offset", at))[0]
+        for at in (0, 0.99)
     ]
     assert {reply.status for reply in replies} == {200, 503}
--- a/tests/unit/serving/test_regions.py
+++ b/tests/unit/serving/test_regions.py
@@ -32,8 +32,8 @@
 from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
 from wallwell.routing.selection.prefix_home import PromptPart
 from wallwell.serving.active_request import ActiveRequest
-from wallwell.serving.backend_choice import BackendChoice
-from wallwell.serving.counters import FleetCounters
+from wallwell.serving.backend_selector import BackendSelector
+from wallwell.serving.counters import RequestCounters
 from wallwell.serving.pipeline import RequestPipeline
 
 MAP = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
@@ -193,7 +193,7 @@
             engine.peers_load = loads[MAP[engine.record.zone]]
         candidates = [each for each in state.backends.of_service("svc") if MAP[each.record.zone] not in without]
         state.prefill_rate.seconds_per_unit = 0.095
-        choice = BackendChoice(state)
+        choice = BackendSelector(state)
         chosen = Counter()
         for number in range(prompts):
             active = exchange_of(f"p{number}", shared, tokens - shared)
@@ -253,7 +253,7 @@
         for engine in state.backends.all():
             engine.peers_load = SLOTS if MAP[engine.record.zone] == "a" else 2
         state.backends.get("i-2").peers_load = 0
-        choice = BackendChoice(state)
+        choice = BackendSelector(state)
         chosen = Counter()
         for number in range(300):
             chosen[choice.choose(exchange_of(f"p{number}"), state.backends.of_service("svc")).incarnation] += 1
@@ -277,7 +277,7 @@
         state = fleet_state(zone, ENGINE_ZONES)
         for engine in state.backends.all():
             engine.peers_load = (loads or {}).get(MAP[engine.record.zone], 0)
-        choice = BackendChoice(state)
+        choice = BackendSelector(state)
         candidates = state.backends.of_service("svc")
         return [choice.choose(exchange_of(f"p{number}", tokens), candidates).record for number in range(50)]
 
@@ -370,7 +370,7 @@
         client = FakeClient(Script(chunks=(event(1), event(2)), stream=True))
         request = make_request(generation=make_generation(), body=b"x" * 100)
         await RequestPipeline(state, client).serve(request, FakeReply())
-        return state, metrics_text(FleetCounters(), state, is_ready=True).decode()
+        return state, metrics_text(RequestCounters(), state, is_ready=True).decode()
 
     state, text = run_virtual(work())
     size = 100 + len(event(1)) + len(event(2))
--- a/tests/unit/serving/test_response_timeout.py
+++ b/tests/unit/serving/test_response_wait.py
@@ -20,7 +20,7 @@
 from wallwell.routing.retry.first_token import Delays
 from wallwell.serving.pipeline import RequestPipeline
 
-STREAMING = Script(chunks=(10.0, b"late"), head_after_s=0.01)
+STREAMING = Script(chunks=(10.0, b"late"), head_delay_s=0.01)
 
 
 class LeavingCaller(FakeClient):
@@ -56,7 +56,7 @@
         state = make_state(make_route(RouteKind.STREAM, resumable=True))
         state.first_token_delays.peers = peers
         client = FakeClient(
-            Script(chunks=(event(1),), head_after_s=1.5, stream=True), Script(chunks=(event(1),), stream=True)
+            Script(chunks=(event(1),), head_delay_s=1.5, stream=True), Script(chunks=(event(1),), stream=True)
         )
         reply = FakeReply()
         await RequestPipeline(state, client).serve(make_request(generation=make_generation()), reply)
@@ -69,7 +69,7 @@
     async def work():
         state = make_state(make_route(RouteKind.STREAM, resumable=True))
         client = FakeClient(
-            Script(chunks=(event(1),), head_after_s=1.5, stream=True), Script(chunks=(event(1),), stream=True)
+            Script(chunks=(event(1),), head_delay_s=1.5, stream=True), Script(chunks=(event(1),), stream=True)
         )
         await RequestPipeline(state, client).serve(make_request(generation=make_generation()), FakeReply())
         return state.first_token_delays.own(boot_time_s())
@@ -109,7 +109,7 @@
     """Its engine gets the newest weights while it works on the request, before its answer begins."""
 
     def __init__(self, state):
-        super().__init__(Script(chunks=(event(1),), head_after_s=1.5, stream=True))
+        super().__init__(Script(chunks=(event(1),), head_delay_s=1.5, stream=True))
         self.state = state
 
     async def send(self, dispatch):
--- a/tests/unit/serving/test_rollout_requests.py
+++ b/tests/unit/serving/test_rollout_requests.py
@@ -15,20 +15,20 @@
     make_route,
     make_state,
 )
-from tests.unit.serving.plays import ERROR, OK, RESET, SAFE, SHED
+from tests.unit.serving.single_request import OK, OVERLOADED, RESET, SAFE, SERVER_ERROR
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import RouteKind
 from wallwell.deployment.store_era import StorePosition
 from wallwell.rollout.model import Phase, RolloutOrder, RolloutRecord, delay_bucket
-from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.routing.selection.prefix_home import PromptPart, engine_pool
 from wallwell.serving.messages import Generation
 from wallwell.serving.pipeline import RequestPipeline
 
 STREAM = make_route(RouteKind.STREAM, resumable=True, rank=0)
-PIECES = Script(chunks=(event(1), 0.2, event(2), 0.4, event(3)), stream=True, head_after_s=0.3)
+PIECES = Script(chunks=(event(1), 0.2, event(2), 0.4, event(3)), stream=True, head_delay_s=0.3)
 
 
 def fleet(phase=Phase.CANARY, share=0.0, route=SAFE, old=6, new=4, new_weights=1, slow_for_s=0.0):
@@ -105,7 +105,7 @@
 
 
 def test_a_repeat_after_a_failed_answer_of_the_target_side_goes_to_the_current_one():
-    sent, reply, _ = serve([ERROR, OK], phase=Phase.SWITCHING)
+    sent, reply, _ = serve([SERVER_ERROR, OK], phase=Phase.SWITCHING)
     assert (sent, reply.status) == (["v2", "v1"], 200)
 
 
@@ -178,7 +178,7 @@
                 each.suspended_until_s = boot_time_s() + 1.0
         state.rollouts.active["svc"].record_written_s -= 1.0
 
-    slow = Script(fails=T.RESET_AFTER_SEND, head_after_s=3.0)
+    slow = Script(send_error=TransportEvent.RESET_AFTER_SEND, head_delay_s=3.0)
     route = msgspec.structs.replace(SAFE, objective_s=4.0)
     assert serve([slow, OK], phase=Phase.SWITCHING, route=route, prepare=prepare)[0] == ["v1", "v1"]
 
@@ -197,10 +197,10 @@
     ("script", "expected"),
     [
         (OK, (1, 0, 0)),
-        (ERROR, (1, 1, 0)),
+        (SERVER_ERROR, (1, 1, 0)),
         (RESET, (0, 0, 1)),
-        (SHED, (0, 0, 1)),
-        (Script(chunks=(b"o",), breaks=T.RESET_AFTER_SEND), (0, 0, 1)),
+        (OVERLOADED, (0, 0, 1)),
+        (Script(chunks=(b"o",), body_error=TransportEvent.RESET_AFTER_SEND), (0, 0, 1)),
     ],
 )
 def test_each_attempt_ends_in_one_count(script, expected):
@@ -224,7 +224,7 @@
 
 
 def test_a_silent_target_back_end_counts_as_late():
-    silent = Script(head_after_s=60.0)
+    silent = Script(head_delay_s=60.0)
     route = msgspec.structs.replace(SAFE, timeout_s=2.0, max_attempts=1)
     _, reply, state = serve([silent], phase=Phase.SWITCHING, route=route)
     (target,) = counts_of(state).answers
--- a/tests/unit/serving/test_split_shares.py
+++ b/tests/unit/serving/test_split_shares.py
@@ -10,7 +10,7 @@
 from tests.virtual_time import run_virtual
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import RouteKind, WeightedService
-from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.pipeline import RequestPipeline
 
 NODES = 64
@@ -66,10 +66,10 @@
     ("troubled", "script"),
     [
         ("", OK),
-        ("main", Script(fails=T.BACKEND_OVERLOADED)),
-        ("part", Script(fails=T.BACKEND_OVERLOADED)),
-        ("part", Script(fails=T.CONNECT_REFUSED)),
-        ("part", Script(fails=T.RESET_AFTER_SEND)),
+        ("main", Script(send_error=TransportEvent.BACKEND_OVERLOADED)),
+        ("part", Script(send_error=TransportEvent.BACKEND_OVERLOADED)),
+        ("part", Script(send_error=TransportEvent.CONNECT_REFUSED)),
+        ("part", Script(send_error=TransportEvent.RESET_AFTER_SEND)),
         ("part", Script(status=500, chunks=(b"bad",))),
     ],
     ids=["all well", "main refuses", "part refuses", "part is away", "part breaks off", "part fails"],
@@ -87,7 +87,7 @@
         route = make_route(services=(WeightedService("svc", 1.0), WeightedService("other", 1.0)))
         state = make_state(route)
         state.backends.upsert(BackendRecord("o-0", "other", "o:1", "z1", 8))
-        client = FakeClient(Script(fails=T.BACKEND_OVERLOADED))
+        client = FakeClient(Script(send_error=TransportEvent.BACKEND_OVERLOADED))
         await RequestPipeline(state, client).serve(make_request(), FakeReply())
         return {each.backend.service for each in client.sent}, len(client.sent)
 
--- a/tests/unit/serving/test_stated_limits.py
+++ b/tests/unit/serving/test_stated_limits.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from tests.unit.serving.fakes import make_route
-from tests.unit.serving.plays import OK, play
+from tests.unit.serving.single_request import OK, serve_request
 from wallwell.clock import boot_time_s
 from wallwell.errors import NoBackendError
 from wallwell.routing.admission.backend_rate import BURST_S
@@ -31,18 +31,18 @@
 
 
 def test_requests_go_to_the_back_ends_that_have_room():
-    reply, client, took_s = play([OK], prepare=states_limits(1.0, 0, 2))
+    reply, client, took_s = serve_request([OK], prepare=states_limits(1.0, 0, 2))
     assert (reply.status, took_s) == (200, 0.0)
     assert [each.backend.incarnation for each in client.sent] == ["i-1"]
 
 
 def test_a_limit_that_is_not_used_up_sends_nothing_elsewhere():
-    reply, client, took_s = play([OK], prepare=states_limits(100.0, 0, 1, 2, sent=0))
+    reply, client, took_s = serve_request([OK], prepare=states_limits(100.0, 0, 1, 2, sent=0))
     assert (reply.status, took_s, len(client.sent)) == (200, 0.0, 1)
 
 
 def test_a_request_is_refused_at_once_where_no_limit_allows_it_in_time():
-    reply, client, took_s = play([OK], prepare=states_limits(1.0, 0, 1, 2))
+    reply, client, took_s = serve_request([OK], prepare=states_limits(1.0, 0, 1, 2))
     assert (reply.status, took_s, client.sent) == (503, 0.0, [])
     assert isinstance(reply.error, NoBackendError)
     assert reply.error.retry_after_ms > 1000 * HOLD_FRACTION * OBJECTIVE_S
@@ -53,7 +53,7 @@
         states_limits(1.0, 0, 1)(state)
         state.backends.get("i-2").suspend_at_least_until(boot_time_s() + 5.0)
 
-    reply, client, _ = play([OK], prepare=prepare)
+    reply, client, _ = serve_request([OK], prepare=prepare)
     assert reply.status == 200
     assert [each.backend.incarnation for each in client.sent] == ["i-2"]
 
@@ -63,6 +63,6 @@
     has a hundredth of the limit."""
     saved_up = round(10_000 * BURST_S)
     patient = msgspec.structs.replace(make_route(), objective_s=2.0)
-    reply, _, took_s = play([OK], patient, prepare=states_limits(10_000.0, 0, 1, 2, sent=saved_up + 60))
+    reply, _, took_s = serve_request([OK], patient, prepare=states_limits(10_000.0, 0, 1, 2, sent=saved_up + 60))
     assert reply.status == 200
     assert 0.6 <= took_s <= HOLD_FRACTION * 2.0
--- a/tests/unit/serving/test_zone_cut.py
+++ b/tests/unit/serving/test_zone_outage.py
@@ -13,7 +13,7 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import RouteKind
 from wallwell.routing.retry.attempt_outcome import TransportEvent
-from wallwell.serving.liveness import Liveness
+from wallwell.serving.liveness import LivenessMonitor
 from wallwell.serving.messages import AttemptError
 from wallwell.serving.pipeline import RequestPipeline
 
@@ -27,7 +27,7 @@
     """Back ends that answer soon, behind zones that can be cut off: connections into them time out."""
 
     def __init__(self):
-        super().__init__(Script(chunks=(b"ok",), head_after_s=WORK_S))
+        super().__init__(Script(chunks=(b"ok",), head_delay_s=WORK_S))
         self.cut = set()
         self.timed_out = []
 
@@ -57,7 +57,7 @@
                 # Calls leave their zone only while its back ends are busy.
                 backend.peers_load = 4 if name == zone else 0
         network = Network()
-        liveness = Liveness(state, network)
+        liveness = LivenessMonitor(state, network)
         pipeline = RequestPipeline(state, network, liveness=liveness)
         watching = asyncio.create_task(liveness.run())
         serving, replies = [], []
--- a/tests/unit/test_suspended_machine.py
+++ b/tests/unit/test_suspended_machine.py
@@ -44,7 +44,7 @@
 UNSAFE = make_route(RouteKind.UNSAFE, attempts=1, timeout_s=8.0)
 STREAM = make_route(RouteKind.STREAM, attempts=1, timeout_s=8.0)
 OK = Script(chunks=(b"ok",))
-SILENT = Script(head_after_s=60.0)
+SILENT = Script(head_delay_s=60.0)
 STALLED = Script(chunks=(event(1), 60.0), stream=True)
 
 
@@ -250,7 +250,7 @@
 
 def test_an_attempt_after_it_is_handed_what_is_left():
     async def work():
-        shed_slowly = Script(fails=T.BACKEND_OVERLOADED, head_after_s=0.5)
+        shed_slowly = Script(send_error=T.BACKEND_OVERLOADED, head_delay_s=0.5)
         reply, client = FakeReply(), FakeClient(shed_slowly, OK)
         pipeline = RequestPipeline(make_state(UNSAFE), client)
         await take_s(pipeline.serve(make_request(), reply), away_at_s=0.2)
@@ -263,7 +263,7 @@
     """The attempt that was under way then may have run, so the answer does not promise anything."""
 
     async def work():
-        shed_slowly = Script(fails=T.BACKEND_OVERLOADED, head_after_s=0.5)
+        shed_slowly = Script(send_error=T.BACKEND_OVERLOADED, head_delay_s=0.5)
         reply, client = FakeReply(), FakeClient(shed_slowly, OK)
         pipeline = RequestPipeline(make_state(UNSAFE), client)
         await take_s(pipeline.serve(make_request(), reply), away_at_s=0.2, away_s=20.0)
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -63,7 +63,7 @@
 from wallwell.routing.health.backend_notice import BackendNotices
 from wallwell.routing.rendezvous import key_of, owner
 from wallwell.routing.selection.kv_store import CachePage, CachePosition
-from wallwell.serving.counters import FleetCounters
+from wallwell.serving.counters import RequestCounters
 from wallwell.serving.messages import AttemptError, CachePlan, CallerRequest, Dispatch
 from wallwell.standalone import operators_app
 from wallwell.standalone.backends import engine_protocol
@@ -423,7 +423,7 @@
 
 def metrics_of_platform_router() -> dict[str, str]:
     """Return type, labels and bounds of the metrics of a router on the platform, by exposed name."""
-    counters = FleetCounters()
+    counters = RequestCounters()
     counters.on_answered("stream", 0.1, 0.2, 0.1)
     collector = FleetCollector(counters, _node().state, is_ready=True)
     registry = CollectorRegistry()
@@ -744,7 +744,7 @@
             "host": request.host,
             "target": request.target,
             "credential": request.credential,
-            "allowance_s": request.allowance_s,
+            "allowance_s": request.caller_timeout_s,
             "told_tokens": request.declared_tokens,
             "model": generation.model if generation else None,
             "parts": [[part.identity, part.tokens] for part in generation.parts] if generation else [],
