--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -108,7 +108,9 @@
     def _build_pipeline(self, adapter: NodeAdapter) -> None:
         self._liveness = LivenessMonitor(self.state, adapter.check)
         self._crashes = CrashWatch(self.state, adapter.check, adapter.sources.table, lambda: self._order.members)
-        self._pipeline = RequestPipeline(self.state, adapter.client, liveness=self._liveness, crashes=self._crashes)
+        self._pipeline = RequestPipeline(
+            self.state, adapter.client, liveness=self._liveness, crash_observer=self._crashes
+        )
 
     def _build_drivers(self, adapter: NodeAdapter) -> None:
         """Build what changes engines and services, at most one node at a time."""
--- a/src/wallwell/serving/admission.py
+++ b/src/wallwell/serving/admission.py
@@ -45,9 +45,9 @@
             raise self._denial_error(access, request)
         route, tenant = access
         limit_charge = self._charge_tenant_limit(request, tenant)
-        timeout_s = route.timeout_s
+        effective_timeout_s = route.timeout_s
         if request.caller_timeout_s is not None:
-            timeout_s = min(timeout_s, request.caller_timeout_s)
+            effective_timeout_s = min(effective_timeout_s, request.caller_timeout_s)
         service = state.split.choose(route, state.split_offset)
         state.budget_of(service).on_request(boot_time_s())
         if request.generation is not None:
@@ -58,7 +58,7 @@
             route=route,
             tenant=tenant,
             service=service,
-            deadline_s=request.arrived_s + timeout_s,
+            deadline_s=request.arrived_s + effective_timeout_s,
             attempt_log=AttemptLog(repeatable=route.repeatable),
             limit_charge=limit_charge,
         )
--- a/src/wallwell/serving/attempt_feedback.py
+++ b/src/wallwell/serving/attempt_feedback.py
@@ -28,10 +28,10 @@
 class AttemptFeedback:
     """Learns from attempts of one node."""
 
-    def __init__(self, state: NodeState, selector: BackendSelector, crashes: CrashObserver | None) -> None:
+    def __init__(self, state: NodeState, selector: BackendSelector, crash_observer: CrashObserver | None) -> None:
         self._state = state
         self._selector = selector
-        self._crashes = crashes
+        self._crash_observer = crash_observer
 
     def on_head(self, active: ActiveRequest, backend: Backend, head: AnswerHead) -> None:
         """The head of an answer came."""
@@ -60,8 +60,8 @@
     def on_complete_answer(self, active: ActiveRequest, backend: Backend, head: AnswerHead) -> None:
         """An answer came to its end."""
         backend.on_success(boot_time_s())
-        if self._crashes is not None and head.ok:
-            self._crashes.on_answered(active.request_digest)
+        if self._crash_observer is not None and head.ok:
+            self._crash_observer.on_answered(active.request_digest)
 
     def on_failure(self, active: ActiveRequest, backend: Backend, failure: AttemptError, now_s: float) -> None:
         """An attempt ended without a whole answer."""
@@ -76,8 +76,8 @@
             return  # A back end that answers works.
         if event is TransportEvent.ERROR_ANSWER:
             return
-        if event is TransportEvent.RESET_AFTER_SEND and self._crashes is not None:
-            self._crashes.on_broken_run(active.request_digest, backend)
+        if event is TransportEvent.RESET_AFTER_SEND and self._crash_observer is not None:
+            self._crash_observer.on_broken_run(active.request_digest, backend)
         if event is TransportEvent.ANSWER_TIMEOUT and backend.is_answering(now_s):
             return  # Busy, not broken.
         self._count_failure(backend, event, now_s)
--- a/src/wallwell/serving/liveness.py
+++ b/src/wallwell/serving/liveness.py
@@ -39,9 +39,9 @@
 class LivenessMonitor:
     """Probes back ends that are silent for long while requests are in flight there."""
 
-    def __init__(self, state: NodeState, check: ReachabilityCheck) -> None:
+    def __init__(self, state: NodeState, reachability_check: ReachabilityCheck) -> None:
         self._state = state
-        self._check = check
+        self._reachability_check = reachability_check
         self._interruptible_attempts: dict[Backend, set[asyncio.Timeout]] = {}
         """Attempts in flight that may be ended for another back end, by theirs."""
         self._probes = BackgroundTasks()
@@ -68,14 +68,17 @@
 
     async def _probe_zone(self, backend: Backend) -> None:
         """Probe one back end on behalf of its whole zone."""
-        if await self._check.is_reachable(backend.record):
+        if await self._reachability_check.is_reachable(backend.record):
             self._state.on_sign_of_life(backend, boot_time_s())
         else:
             self._state.on_connect_timeout(backend, boot_time_s())
 
     async def _probe(self, backend: Backend) -> None:
         probe_started_s = boot_time_s()
-        if await self._check.is_reachable(backend.record) or backend.silence.heard_s >= probe_started_s:
+        if (
+            await self._reachability_check.is_reachable(backend.record)
+            or backend.silence.heard_s >= probe_started_s
+        ):
             return
         now_s = boot_time_s()
         backend.on_failure(now_s, unreachable=True)
--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -65,14 +65,14 @@
         client: BackendClient,
         counters: RequestCounters | None = None,
         liveness: LivenessMonitor | None = None,
-        crashes: CrashObserver | None = None,
+        crash_observer: CrashObserver | None = None,
     ) -> None:
         self._state = state
         self._admission = Admission(state)
         self._selector = BackendSelector(state)
         self._error_factory = RequestErrorFactory(state)
         self._policy = RetryPolicy(lambda: state.node_count)
-        self._feedback = AttemptFeedback(state, self._selector, crashes)
+        self._feedback = AttemptFeedback(state, self._selector, crash_observer)
         self._attempt_runner = AttemptRunner(state, client, self._policy, self._feedback, liveness)
         self.counters = counters or RequestCounters()
         self._reporter = RequestReporter(state, self.counters)
--- a/src/wallwell/serving/response_wait.py
+++ b/src/wallwell/serving/response_wait.py
@@ -80,9 +80,9 @@
         """Decide whether to leave a silent back end now; the retry that follows is then paid for."""
         now_s = boot_time_s()
         is_generation = active.request.generation is not None
-        is_fleet_behind = is_generation and self._state.first_token_delays.is_fleet_behind(now_s)
+        fleet_is_behind = is_generation and self._state.first_token_delays.is_fleet_behind(now_s)
         budget = self._state.budget_of(active.service)
-        return self._policy.abandon_silent(active.history, is_fleet_behind, budget, now_s)
+        return self._policy.abandon_silent(active.history, fleet_is_behind, budget, now_s)
 
     def _start_timeout_s(self, active: ActiveRequest, backend: Backend) -> float | None:
         """Return within what time the engine must begin, since its weights are too old after it; None for calls."""
--- a/tests/unit/node/test_crash_watch.py
+++ b/tests/unit/node/test_crash_watch.py
@@ -370,7 +370,7 @@
     async def work():
         node = Node(route=route)
         reply, client = FakeReply(), FakeClient(*scripts)
-        pipeline = RequestPipeline(node.state, client, crashes=node.watch)
+        pipeline = RequestPipeline(node.state, client, crash_observer=node.watch)
         request = make_request(generation=generation)
         prepare(node)
         await pipeline.serve(request, reply)
--- a/tests/unit/platform/test_request_parsing.py
+++ b/tests/unit/platform/test_request_parsing.py
@@ -45,7 +45,7 @@
     ],
 )
 def test_the_time_that_a_caller_waits(text, allowance_s):
-    assert parse(("X-Deadline-Ms", text)).allowance_s == allowance_s
+    assert parse(("X-Deadline-Ms", text)).caller_timeout_s == allowance_s
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/routing/admission/test_request_content.py
+++ b/tests/unit/routing/admission/test_request_content.py
@@ -26,7 +26,14 @@
     def content(**changes):
         request = msgspec.structs.replace(make_request(body=b"body"), **changes)
         tenant = TenantAccess("t", ("key", "key2"))
-        return ActiveRequest(request, FakeReply(), make_route(), tenant, "svc", 0.0, AttemptLog(True)).content
-
-    again = {"request_id": "r-2", "allowance_s": 1.0, "credential": "key2", "headers": (("Last-Event-Id", "3"),)}
+        return ActiveRequest(
+            request, FakeReply(), make_route(), tenant, "svc", 0.0, AttemptLog(True)
+        ).request_digest
+
+    again = {
+        "request_id": "r-2",
+        "caller_timeout_s": 1.0,
+        "credential": "key2",
+        "headers": (("Last-Event-Id", "3"),),
+    }
     assert content() == content(**again) != content(body=b"other")
--- a/tests/unit/serving/test_backoff_holds.py
+++ b/tests/unit/serving/test_backoff_holds.py
@@ -15,7 +15,7 @@
 OBJECTIVE_S = make_route().objective_s
 
 
-def asks_for_backoff(*seconds):
+def request_backoff(*seconds):
     """Return what makes the first back ends of a state ask for back-off, each for its time."""
 
     def prepare(state):
@@ -25,28 +25,28 @@
     return prepare
 
 
-def test_requests_go_to_the_back_ends_that_have_not_asked():
-    reply, client, took_s = serve_request([OK], prepare=asks_for_backoff(3.0, 3.0))
+def test_requests_go_to_back_ends_that_are_not_in_backoff():
+    reply, client, took_s = serve_request([OK], prepare=request_backoff(3.0, 3.0))
     assert (reply.status, took_s) == (200, 0.0)
     assert [each.backend.incarnation for each in client.sent] == ["i-2"]
 
 
-def test_a_request_that_can_still_be_in_time_is_held_for_the_first_end():
+def test_a_request_is_held_until_the_first_backoff_ends_if_that_is_in_time():
     ends_s = HOLD_FRACTION * OBJECTIVE_S - 0.05
-    reply, client, took_s = serve_request([OK], prepare=asks_for_backoff(3.0, ends_s, 3.0))
+    reply, client, took_s = serve_request([OK], prepare=request_backoff(3.0, ends_s, 3.0))
     assert reply.status == 200
     assert ends_s <= took_s <= ends_s + SPREAD_S
     assert [each.backend.incarnation for each in client.sent] == ["i-1"]
 
 
-def test_any_other_is_refused_at_once_and_told_the_first_end():
-    reply, client, took_s = serve_request([OK], prepare=asks_for_backoff(1.2, 1.0, 3.0))
+def test_a_request_is_refused_with_the_first_backoff_end_if_that_is_too_late():
+    reply, client, took_s = serve_request([OK], prepare=request_backoff(1.2, 1.0, 3.0))
     assert (reply.status, took_s, client.sent) == (503, 0.0, [])
     low, high = BACKOFF_SPREAD
     assert 1000 * low <= reply.error.retry_after_ms <= 1000 * high
 
 
-def test_a_request_that_is_refused_after_its_hold_is_held_again_only_within_its_objective():
+def test_a_request_refused_after_a_hold_is_held_again_only_within_its_objective():
 
     async def work():
         state = make_state(backends=1)
@@ -54,13 +54,13 @@
         backend.backoff.on_requested(0.1, boot_time_s())
         held = FakeReply()
 
-        class Refusing(FakeClient):
+        class BackoffRequestingClient(FakeClient):
             async def send(self, dispatch):
                 backend.backoff.on_requested(0.1, boot_time_s())
                 return await super().send(dispatch)
 
         started_s = boot_time_s()
-        client = Refusing(OVERLOADED)
+        client = BackoffRequestingClient(OVERLOADED)
         await RequestPipeline(state, client).serve(make_request(), held)
         return held.status, held.ended_at_s - started_s, len(client.sent)
 
@@ -70,20 +70,20 @@
     assert sent >= 2
 
 
-def test_back_ends_that_refuse_without_a_time_soon_get_few_requests():
+def test_back_ends_that_refuse_without_a_backoff_time_get_few_requests():
     """Two of three refuse everything: the retry budget is not used up on them."""
 
     async def work():
         state = make_state(route=make_route(attempts=3))
         sent = []
 
-        class TwoRefuse(FakeClient):
+        class TwoOverloadedClient(FakeClient):
             async def send(self, dispatch):
                 sent.append(dispatch.backend.incarnation)
                 self.scripts = [OK if dispatch.backend.incarnation == "i-2" else OVERLOADED]
                 return await super().send(dispatch)
 
-        pipeline = RequestPipeline(state, TwoRefuse(OK))
+        pipeline = RequestPipeline(state, TwoOverloadedClient(OK))
         statuses = []
         for _ in range(200):
             reply = FakeReply()
@@ -101,7 +101,7 @@
     ("ends_in_s", "objective_left_s", "is_held"),
     [(0.2, 0.4, True), (0.21, 0.4, False), (0.0, 0.0, True), (0.1, -1.0, False), (3.0, 10.0, True)],
 )
-def test_a_hold_takes_half_of_the_objective_at_most(ends_in_s, objective_left_s, is_held):
+def test_a_hold_takes_at_most_half_of_the_objective(ends_in_s, objective_left_s, is_held):
     state = make_state()
     seconds = hold_s(ends_in_s, objective_left_s, state.rng)
     assert (seconds is not None) is is_held
--- a/tests/unit/serving/test_cache_planning.py
+++ b/tests/unit/serving/test_cache_planning.py
@@ -28,7 +28,7 @@
 ROUTE = make_route(RouteKind.STREAM, attempts=1)
 
 
-def cache_of(*parts):
+def store_contents(*parts):
     contents = KvStoreContents()
     contents.take(
         CachePage(CachePosition(1, 1), tuple(CacheEntry(1, "m:1", each, 2000) for each in parts), whole=True)
@@ -36,7 +36,7 @@
     return contents
 
 
-def plan(prepare, tokens=2000):
+def cache_plan_for(prepare, tokens=2000):
     """Return where the one engine that gets a generation fetches from and saves to."""
 
     async def work():
@@ -52,19 +52,19 @@
     return run_virtual(work())
 
 
-def known(*parts, reachable=True):
+def store_holding(*parts, reachable=True):
     def prepare(fleet):
-        fleet.kv_store_contents[STORE] = cache_of(*parts)
+        fleet.kv_store_contents[STORE] = store_contents(*parts)
         fleet.kv_store_contents[STORE].reachable = reachable
 
     return prepare
 
 
-def loading(fleet):
+def engine_loading_weights(fleet):
     fleet.backends.get("i-0").loading = LoadInProgress("m", 2, boot_time_s() + 1.0)
 
 
-def old_confirmation(fleet):
+def stale_confirmation(fleet):
     fleet.freshness.confirmed_at_s = boot_time_s() - 2.5
 
 
@@ -72,24 +72,24 @@
     ("prepare", "fetches", "saves"),
     [
         (lambda fleet: None, True, True),
-        (known(), True, True),
-        (known("shared"), True, False),
-        (known("shared", reachable=False), False, False),
-        (loading, True, False),
-        (old_confirmation, True, False),
+        (store_holding(), True, True),
+        (store_holding("shared"), True, False),
+        (store_holding("shared", reachable=False), False, False),
+        (engine_loading_weights, True, False),
+        (stale_confirmation, True, False),
     ],
     ids=["unknown", "lacking", "held", "unreachable", "about to load", "old confirmation"],
 )
-def test_what_is_fetched_and_saved(prepare, fetches, saves):
-    assert plan(prepare) == (STORE if fetches else "", STORE if saves else "")
+def test_fetch_and_save_by_store_contents_and_engine_state(prepare, fetches, saves):
+    assert cache_plan_for(prepare) == (STORE if fetches else "", STORE if saves else "")
 
 
-def test_requests_at_the_same_time_save_a_prefix_once():
+def test_concurrent_requests_save_a_prefix_once():
     async def work():
         fleet = make_state(ROUTE, versions={"m": 1})
         services = (Service("kv", kv_store_address=STORE),)
         fleet.apply_config(dataclasses.replace(fleet.config, version=2, services=services))
-        fleet.kv_store_contents[STORE] = cache_of()
+        fleet.kv_store_contents[STORE] = store_contents()
         client = FakeClient(Script(chunks=(event(1),), stream=True))
         for _ in range(3):
             await RequestPipeline(fleet, client).serve(make_request(generation=make_generation()), FakeReply())
@@ -98,23 +98,23 @@
     assert run_virtual(work()) == [True, False, False]
 
 
-def behind(fleet):
-    known("shared")(fleet)
+def store_holding_and_fleet_behind(fleet):
+    store_holding("shared")(fleet)
     fleet.first_token_delays.peers = Delays(100, 60)
 
 
 @pytest.mark.parametrize(
     ("prepare", "tokens", "fetches"),
     [
-        (known("shared"), MIN_FETCH_TOKENS - 1, True),
-        (behind, MIN_FETCH_TOKENS - 1, False),
-        (behind, MIN_FETCH_TOKENS, True),
+        (store_holding("shared"), MIN_FETCH_TOKENS - 1, True),
+        (store_holding_and_fleet_behind, MIN_FETCH_TOKENS - 1, False),
+        (store_holding_and_fleet_behind, MIN_FETCH_TOKENS, True),
     ],
     ids=["short, in time", "short, behind", "long, behind"],
 )
-def test_shared_parts_that_are_prefilled_at_once_do_not_wait_for_a_busy_link(prepare, tokens, fetches):
+def test_short_shared_parts_are_not_fetched_while_the_fleet_is_behind(prepare, tokens, fetches):
     """Before, in a deployment of 195 nodes, prompts of 800 tokens waited 2 s for their turn to move 200 of them."""
-    assert plan(prepare, tokens)[0] == (STORE if fetches else "")
+    assert cache_plan_for(prepare, tokens)[0] == (STORE if fetches else "")
 
 
 OTHER_STORE = "10.9.0.2:80"
@@ -130,8 +130,8 @@
         home = home_store(fleet.kv_stores, placement, "z1")
         other = OTHER_STORE if home == STORE else STORE
         fleet.kv_store_contents[home], fleet.kv_store_contents[other] = (
-            cache_of(*home_parts),
-            cache_of(*other_parts),
+            store_contents(*home_parts),
+            store_contents(*other_parts),
         )
         fleet.kv_store_contents[other].reachable = other_reachable
         fleet.home = home
@@ -150,7 +150,7 @@
     ],
     ids=["nowhere", "both", "home", "elsewhere", "elsewhere, unreachable"],
 )
-def test_parts_are_fetched_from_the_store_that_has_them_and_saved_at_their_home(
+def test_parts_are_fetched_from_any_store_that_holds_them_and_saved_at_their_home_store(
     home_parts, other_parts, other_reachable, from_home
 ):
     """After a change of weights, engines prefilled a part again that another store already held."""
@@ -160,6 +160,6 @@
         two_stores(home_parts, other_parts, other_reachable)(fleet)
         homes.append(fleet.home)
 
-    fetch_from, save_to = plan(prepare)
+    fetch_from, save_to = cache_plan_for(prepare)
     assert (fetch_from == homes[0]) == from_home
     assert save_to == ("" if "shared" in home_parts else homes[0])
--- a/tests/unit/serving/test_call_placement.py
+++ b/tests/unit/serving/test_call_placement.py
@@ -10,10 +10,10 @@
 from wallwell.routing.selection.call_choice import choose_for_call
 
 SLOTS = 6
-PICKS = 600
+CALLS = 600
 
 
-def picks(loads, zones=("z2", "z2", "z2"), own=None):
+def calls_by_backend(loads, zones=("z2", "z2", "z2"), own_loads=None):
     """Return how many of many calls each back end gets; ``loads`` are of the other nodes."""
 
     async def work():
@@ -22,45 +22,45 @@
             record = BackendRecord(f"b{index}", "svc", f"10.0.0.{index}:1", zone, SLOTS)
             backend = state.backends.upsert(record)
             backend.peers_load = load
-            backend.load = (own or {}).get(record.incarnation, 0)
+            backend.load = (own_loads or {}).get(record.incarnation, 0)
         candidates = state.backends.of_service("svc")
         return Counter(
             choose_for_call(candidates, state.node_count, state.zone, state.topology, state.rng).incarnation
-            for _ in range(PICKS)
+            for _ in range(CALLS)
         )
 
     return run_virtual(work())
 
 
-def test_nodes_with_the_same_old_reports_do_not_all_take_the_same_back_end():
-    shares = picks((0, 1, 2))
-    assert max(shares.values()) < 0.65 * PICKS
-    assert shares["b0"] > shares["b1"] > shares["b2"] > 0.1 * PICKS
+def test_nodes_with_identical_stale_load_reports_spread_their_calls():
+    shares = calls_by_backend((0, 1, 2))
+    assert max(shares.values()) < 0.65 * CALLS
+    assert shares["b0"] > shares["b1"] > shares["b2"] > 0.1 * CALLS
 
 
-def test_a_full_back_end_gets_next_to_nothing_while_others_have_free_slots():
-    shares = picks((SLOTS + 3, 1, 1))
-    assert shares["b0"] < 0.01 * PICKS
-    assert abs(shares["b1"] - shares["b2"]) < 0.15 * PICKS
+def test_a_full_back_end_gets_almost_no_calls_while_others_have_free_slots():
+    shares = calls_by_backend((SLOTS + 3, 1, 1))
+    assert shares["b0"] < 0.01 * CALLS
+    assert abs(shares["b1"] - shares["b2"]) < 0.15 * CALLS
 
 
-def test_if_all_are_full_all_share():
-    shares = picks((SLOTS, SLOTS, SLOTS))
-    assert min(shares.values()) > 0.2 * PICKS
+def test_calls_are_shared_evenly_when_all_back_ends_are_full():
+    shares = calls_by_backend((SLOTS, SLOTS, SLOTS))
+    assert min(shares.values()) > 0.2 * CALLS
 
 
 @pytest.mark.parametrize(("near_load", "stays_near"), [(0, True), (2, True), (3, False), (9, False)])
 def test_calls_stay_in_their_zone_while_half_of_the_slots_there_are_free(near_load, stays_near):
-    shares = picks((near_load, 0, 0), zones=("z1", "z2", "z2"))
-    assert (shares["b0"] == PICKS) is stays_near
+    shares = calls_by_backend((near_load, 0, 0), zones=("z1", "z2", "z2"))
+    assert (shares["b0"] == CALLS) is stays_near
 
 
-def test_own_calls_count_beside_those_of_other_nodes():
-    shares = picks((2, 0, 0), zones=("z1", "z2", "z2"), own={"b0": 1})
-    assert shares["b0"] < PICKS
+def test_own_calls_are_added_to_the_load_reported_by_other_nodes():
+    shares = calls_by_backend((2, 0, 0), zones=("z1", "z2", "z2"), own_loads={"b0": 1})
+    assert shares["b0"] < CALLS
 
 
-def test_without_reports_of_other_nodes_they_are_taken_to_send_as_much():
+def test_without_peer_reports_the_other_nodes_are_assumed_to_send_as_much():
     async def work():
         state = make_state(backends=0)
         state.members = {f"n{index}" for index in range(4)}
--- a/tests/unit/serving/test_event_stream.py
+++ b/tests/unit/serving/test_event_stream.py
@@ -15,7 +15,7 @@
 
 
 @given(count=st.integers(0, 12), cuts=st.lists(st.integers(0, 400), max_size=12))
-def test_any_cutting_gives_the_same_events(count, cuts):
+def test_any_split_into_chunks_gives_the_same_events(count, cuts):
     whole = b"".join(event(number) for number in range(1, count + 1))
     position, passed = StreamPosition(), []
     edges = sorted({0, len(whole), *(cut for cut in cuts if cut < len(whole))})
@@ -27,14 +27,14 @@
 
 
 @pytest.mark.parametrize("numbers", [(1, 1), (3, 2), (5, 6, 6), (2, 1, 3)])
-def test_numbers_that_do_not_rise_end_the_run(numbers):
+def test_event_numbers_that_do_not_increase_raise_a_stream_order_error(numbers):
     position = StreamPosition()
     with pytest.raises(StreamOrderError):
         for number in numbers:
             position.feed(event(number))
 
 
-def test_what_is_not_passed_on_because_of_a_wrong_number_is_sent_again_by_the_next_run():
+def test_events_dropped_because_of_a_wrong_number_are_forwarded_from_the_next_run():
     """One read may hold good events before the wrong one; the next run resumes after what the caller really has."""
     position = StreamPosition()
     assert position.feed(event(4)) == [event(4)]
@@ -45,7 +45,7 @@
     assert position.feed(event(5) + event(6)) == [event(5), event(6)]
 
 
-def test_a_broken_event_is_never_passed_on_and_the_next_run_starts_clean():
+def test_a_partial_event_is_discarded_before_the_next_run():
     position = StreamPosition()
     assert position.feed(event(1) + b"id: 2\nda") == [event(1)]
     assert position.has_partial_event
@@ -54,9 +54,9 @@
     assert position.feed(event(2) + event(3)) == [event(2), event(3)]
 
 
-def test_crlf_ends_events_too():
-    events, rest = split_events(b"id: 1\r\ndata: a\r\n\r\nid: 2")
-    assert (len(events), rest) == (1, b"id: 2")
+def test_crlf_line_endings_separate_events():
+    events, remainder = split_events(b"id: 1\r\ndata: a\r\n\r\nid: 2")
+    assert (len(events), remainder) == (1, b"id: 2")
 
 
 @pytest.mark.parametrize(
@@ -66,6 +66,6 @@
     assert event_number(data) == number
 
 
-def test_an_event_without_end_is_bounded():
+def test_an_unfinished_event_is_limited_in_size():
     with pytest.raises(StreamOrderError):
         StreamPosition().feed(b"data: " + b"x" * MAX_EVENT_BYTES)
--- a/tests/unit/serving/test_limited_requests.py
+++ b/tests/unit/serving/test_limited_requests.py
@@ -17,7 +17,7 @@
 RESET = Script(send_error=TransportEvent.RESET_AFTER_SEND)
 
 
-def play(scripts, declared_tokens=None, requests=1, route=None):
+def serve_requests(scripts, declared_tokens=None, requests=1, route=None):
     """Serve requests of a lone node with a full bucket; return the replies and what is left of the limit."""
 
     async def work():
@@ -49,18 +49,18 @@
         ((RESET, RESET), 300, 400),
     ],
 )
-def test_what_a_request_takes_of_the_limit(scripts, declared_tokens, left):
-    _, level = play(scripts, declared_tokens)
+def test_limit_left_after_a_request(scripts, declared_tokens, left):
+    _, level = serve_requests(scripts, declared_tokens)
     assert level == left
 
 
-def test_an_unsafe_request_of_unknown_outcome_stays_counted():
-    _, level = play((RESET,), 300, route=make_route(RouteKind.UNSAFE, attempts=1))
+def test_an_unsafe_request_of_unknown_outcome_is_not_refunded():
+    _, level = serve_requests((RESET,), 300, route=make_route(RouteKind.UNSAFE, attempts=1))
     assert level == 700
 
 
-def test_what_is_beyond_the_limit_is_refused_at_once_with_a_time_to_retry():
-    replies, _ = play((OK,), 900, requests=6)
+def test_requests_over_the_limit_are_refused_at_once_with_a_retry_after():
+    replies, _ = serve_requests((OK,), 900, requests=6)
     refused = [reply for reply in replies if reply.error is not None]
     assert replies[0].ended == "answered"
     assert refused and all(reply.status == 429 for reply in refused)
--- a/tests/unit/serving/test_liveness.py
+++ b/tests/unit/serving/test_liveness.py
@@ -22,35 +22,35 @@
 from wallwell.serving.pipeline import RequestPipeline
 
 RESUMABLE = make_route(RouteKind.STREAM, resumable=True, attempts=2)
-ONCE = make_route(RouteKind.STREAM, attempts=1)
+NOT_RESUMABLE = make_route(RouteKind.STREAM, attempts=1)
 SAFE = make_route(RouteKind.SAFE)
 UNSAFE = make_route(RouteKind.UNSAFE, attempts=1)
-PIECES = tuple(part for number in range(1, 9) for part in (event(number), 0.02))
-REST = Script(chunks=(event(9), event(10)), stream=True)
-STOPS = Script(chunks=(*PIECES, 30.0), stream=True)
-MUTE = Script(head_delay_s=30.0)
+FIRST_EVENTS = tuple(part for number in range(1, 9) for part in (event(number), 0.02))
+REMAINING_EVENTS = Script(chunks=(event(9), event(10)), stream=True)
+STALLED_STREAM = Script(chunks=(*FIRST_EVENTS, 30.0), stream=True)
+NO_RESPONSE = Script(head_delay_s=30.0)
 OK = Script(chunks=(b"ok",))
 
 
-class Check:
+class FakeReachabilityCheck:
     """A machine that answers a new connection, or does not."""
 
     def __init__(self, reachable):
         self.reachable = reachable
-        self.asked = 0
+        self.probe_count = 0
 
     async def is_reachable(self, backend):
-        self.asked += 1
+        self.probe_count += 1
         await asyncio.sleep(0.001 if self.reachable else 0.1)
         return self.reachable
 
 
-def play(scripts, route, reachable, generation=True):
+def serve_one(scripts, route, reachable, generation=True):
     """Serve one request; return the reply, the client, the check and the seconds it took."""
 
     async def work():
         state = make_state(route, versions={"m": 1}, backends=2)
-        check = Check(reachable)
+        check = FakeReachabilityCheck(reachable)
         liveness = LivenessMonitor(state, check)
         watching = asyncio.create_task(liveness.run())
         client, reply = FakeClient(*scripts), FakeReply()
@@ -65,38 +65,40 @@
     return run_virtual(work())
 
 
-def test_a_stream_of_a_stopped_engine_goes_on_elsewhere_within_the_allowed_gap():
-    reply, client, _, took_s, suspended = play([STOPS, REST], RESUMABLE, reachable=False)
+def test_a_stream_of_a_stopped_engine_is_resumed_elsewhere_within_the_allowed_gap():
+    reply, client, _, took_s, suspended = serve_one([STALLED_STREAM, REMAINING_EVENTS], RESUMABLE, reachable=False)
     assert (reply.ended, reply.body) == ("finished", b"".join(event(number) for number in range(1, 11)))
     assert (len(client.sent), client.cancelled) == (2, 1)
     assert took_s < 8 * 0.02 + RESUMABLE.max_gap_s
     assert suspended.count(True) == 1
 
 
-def test_a_silent_engine_whose_machine_answers_is_waited_for_as_before():
-    reply, _, check, took_s, suspended = play([STOPS, REST], RESUMABLE, reachable=True)
+def test_a_silent_engine_that_accepts_connections_is_left_to_the_stall_timeout():
+    reply, _, check, took_s, suspended = serve_one([STALLED_STREAM, REMAINING_EVENTS], RESUMABLE, reachable=True)
     assert reply.ended == "finished"
     assert took_s > 2 * RESUMABLE.max_gap_s
-    assert check.asked >= 1
+    assert check.probe_count >= 1
     assert not any(suspended)
 
 
-@pytest.mark.parametrize("route", [ONCE, UNSAFE], ids=["stream", "call"])
-def test_what_may_run_once_is_neither_abandoned_nor_retried(route):
+@pytest.mark.parametrize("route", [NOT_RESUMABLE, UNSAFE], ids=["stream", "call"])
+def test_a_request_that_may_run_only_once_is_neither_abandoned_nor_retried(route):
     """A back end's silence alone is no reason to end such an answer sooner."""
-    reply, client, check, took_s, _ = play([MUTE], route, reachable=False, generation=route is ONCE)
-    assert (len(client.sent), check.asked) == (1, 0)
+    reply, client, check, took_s, _ = serve_one(
+        [NO_RESPONSE], route, reachable=False, generation=route is NOT_RESUMABLE
+    )
+    assert (len(client.sent), check.probe_count) == (1, 0)
     assert (reply.error.outcome, round(took_s, 1)) == (Outcome.UNKNOWN, route.timeout_s)
 
 
-def test_a_call_that_waits_at_a_stopped_back_end_is_retried():
-    reply, client, _, took_s, _ = play([MUTE, OK], SAFE, reachable=False, generation=False)
+def test_a_call_waiting_at_a_stopped_back_end_is_retried():
+    reply, client, _, took_s, _ = serve_one([NO_RESPONSE, OK], SAFE, reachable=False, generation=False)
     assert (reply.status, len(client.sent)) == (200, 2)
     assert took_s < 1.3
 
 
-def test_the_last_attempt_is_not_ended():
-    reply, client, _, took_s, _ = play([STOPS, MUTE], RESUMABLE, reachable=False)
+def test_the_last_allowed_attempt_is_not_interrupted():
+    reply, client, _, took_s, _ = serve_one([STALLED_STREAM, NO_RESPONSE], RESUMABLE, reachable=False)
     assert len(client.sent) == 2
     assert took_s == pytest.approx(RESUMABLE.timeout_s, abs=0.01)
     assert reply.ended == "aborted"
--- a/tests/unit/serving/test_overload_refusals.py
+++ b/tests/unit/serving/test_overload_refusals.py
@@ -37,7 +37,7 @@
     return run_virtual(work())
 
 
-def test_a_new_generation_is_refused_at_once_with_a_time_to_retry():
+def test_a_new_generation_is_refused_at_once_with_a_retry_after():
     reply, client = serve(3 * SLOTS, make_generation())
     assert (reply.status, reply.error.outcome, client.sent) == (503, Outcome.NOT_RUN, [])
     assert reply.error.code == "WW3019"
@@ -54,13 +54,13 @@
         (3 * SLOTS, None),
     ],
 )
-def test_what_is_not_refused(peers_load, generation):
+def test_requests_that_are_not_refused_for_overload(peers_load, generation):
     reply, client = serve(peers_load, generation)
     assert reply.ended in ("answered", "finished")
     assert len(client.sent) == 1
 
 
-def test_a_generation_that_was_sent_is_not_refused_on_its_second_attempt():
+def test_a_generation_already_sent_is_not_refused_on_its_second_attempt():
     reply, client = serve(
         SLOTS, make_generation(), scripts=(Script(send_error=TransportEvent.RESET_AFTER_SEND), OK)
     )
--- a/tests/unit/serving/test_pipeline.py
+++ b/tests/unit/serving/test_pipeline.py
@@ -72,7 +72,7 @@
         assert (reply.body, len(client.sent)) == (b"ok", sends)
 
 
-def test_a_failed_answer_is_passed_on_as_it_is():
+def test_an_error_answer_is_forwarded_unchanged():
     reply, _, _ = serve_request([SERVER_ERROR], UNSAFE)
     assert (reply.body, reply.heads[0].headers) == (b"broken", (("X-Mark", "kept"),))
 
@@ -83,7 +83,7 @@
     assert took_s < 0.1
 
 
-def test_no_back_end_at_all():
+def test_a_request_is_refused_when_no_back_end_is_listed():
     reply, _, took_s = serve_request([OK], SAFE, backends=0)
     assert (reply.status, reply.error.outcome, took_s) == (503, Outcome.NOT_RUN, 0.0)
 
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize(
     ("caller_timeout_s", "timeout_s", "expected_s"), [(None, 2.0, 2.0), (1.0, 2.0, 1.0), (9.0, 2.0, 2.0)]
 )
-def test_the_answer_comes_when_the_shorter_time_is_over(caller_timeout_s, timeout_s, expected_s):
+def test_the_shorter_of_caller_and_route_timeout_applies(caller_timeout_s, timeout_s, expected_s):
     route = make_route(RouteKind.UNSAFE, attempts=1, timeout_s=timeout_s)
     silent = Script(head_delay_s=60.0)
     reply, client, took_s = serve_request([silent], route, lambda: make_request(caller_timeout_s=caller_timeout_s))
@@ -100,36 +100,36 @@
     assert client.cancelled == 1
 
 
-def test_each_attempt_is_handed_what_is_left():
+def test_each_attempt_gets_the_remaining_time():
     slow_overloaded = Script(send_error=TransportEvent.BACKEND_OVERLOADED, head_delay_s=0.5)
     _, client, _ = serve_request([slow_overloaded, OK], UNSAFE, lambda: make_request(caller_timeout_s=2.0))
     assert [round(each.remaining_s, 2) for each in client.sent] == [2.0, 1.5]
 
 
-def test_a_silent_back_end_is_given_up_in_time_for_another_and_its_work_cancelled():
+def test_a_silent_back_end_is_cancelled_in_time_for_another_attempt():
     reply, client, took_s = serve_request([Script(head_delay_s=60.0), OK], SAFE)
     assert (reply.status, client.cancelled) == (200, 1)
     assert took_s < SAFE.objective_s
 
 
-def test_a_silent_back_end_is_waited_for_when_nothing_may_be_retried():
+def test_a_silent_back_end_is_awaited_when_no_retry_is_allowed():
     reply, client, _ = serve_request([Script(chunks=(b"late",), head_delay_s=1.5)], UNSAFE)
     assert (reply.status, reply.body, len(client.sent)) == (200, b"late", 1)
 
 
-def test_a_late_answer_is_waited_for_when_the_budget_allows_no_retry():
+def test_a_late_answer_is_awaited_when_the_retry_budget_is_exhausted():
     """Attempts were once abandoned for retries that the budget then refused."""
 
-    def use_up_while_waiting(fleet):
+    def exhaust_budget_during_the_wait(fleet):
         budget = fleet.budget_of("svc")
         asyncio.get_running_loop().call_later(0.1, lambda: [budget.try_retry(boot_time_s(), 1) for _ in range(99)])
 
-    late = Script(chunks=(b"late",), head_delay_s=1.0)
-    reply, client, _ = serve_request([late], SAFE, prepare=use_up_while_waiting)
+    late_answer = Script(chunks=(b"late",), head_delay_s=1.0)
+    reply, client, _ = serve_request([late_answer], SAFE, prepare=exhaust_budget_during_the_wait)
     assert (reply.status, reply.body, len(client.sent), client.cancelled) == (200, b"late", 1, 0)
 
 
-def test_a_retry_after_a_silence_is_paid_once():
+def test_a_retry_after_a_response_timeout_draws_once_on_the_budget():
     async def work():
         fleet = make_state(SAFE)
         budget = fleet.budget_of("svc")
@@ -140,7 +140,7 @@
     assert 0.8 < run_virtual(work()) <= 1.0
 
 
-def test_a_busy_back_end_is_not_suspended_for_being_slow():
+def test_a_back_end_that_answers_other_requests_is_not_suspended_for_a_timeout():
     async def work():
         fleet = make_state(SAFE, backends=2)
         for each in fleet.backends.all():
@@ -152,7 +152,7 @@
     assert run_virtual(work()) == [0, 0]
 
 
-def test_the_fleets_budget_bounds_retries():
+def test_the_retry_budget_limits_retries():
     def serve_many(count):
         async def work():
             fleet = make_state(SAFE, retry_extra=0.0, retry_ratio=0.2)
@@ -175,38 +175,38 @@
     return serve_request(scripts, route, **options)[0].error.retry_after_ms / 1000
 
 
-def test_the_wait_follows_the_cause_of_the_refusal():
-    def know_calls(fleet):
+def test_retry_after_depends_on_the_cause_of_the_refusal():
+    def set_call_duration(fleet):
         fleet.call_time.seconds = 1.0
 
-    def hear_fleet(fleet):
+    def store_silent_with_peer_reports(fleet):
         fleet.freshness.confirmed_at_s = boot_time_s() - 5.0
         fleet.demand.peers_generations = 10
 
-    def hear_nobody(fleet):
+    def store_silent_without_peer_reports(fleet):
         fleet.freshness.confirmed_at_s = boot_time_s() - 5.0
 
     def start_without_configuration(fleet):
         fleet.config = None
         fleet.started_s = boot_time_s() - 0.5
 
-    assert retry_after_s([OVERLOADED], UNSAFE, prepare=know_calls) > 0.3
+    assert retry_after_s([OVERLOADED], UNSAFE, prepare=set_call_duration) > 0.3
     assert retry_after_s([OVERLOADED], UNSAFE) < 0.1
     assert retry_after_s([OK], backends=0) > 0.6
     assert 0.5 < retry_after_s([CONNECT_REFUSED], UNSAFE) < 0.7
     assert retry_after_s([CONNECT_REFUSED], UNSAFE, backends=9) < 0.1
     # Connections that time out make the whole zone suspected, for longer than this caller would wait.
     assert 0.6 < retry_after_s([CONNECT_TIMEOUT], UNSAFE, backends=9) < 1.4
-    assert retry_after_s([OK], prepare=hear_fleet) > 0.6
-    assert retry_after_s([OK], prepare=hear_nobody) < 0.1
+    assert retry_after_s([OK], prepare=store_silent_with_peer_reports) > 0.6
+    assert retry_after_s([OK], prepare=store_silent_without_peer_reports) < 0.1
     assert retry_after_s([OK], prepare=start_without_configuration) < 0.1
 
 
-def test_no_wait_is_sent_beyond_a_third_of_the_callers_time():
+def test_retry_after_is_at_most_a_third_of_the_callers_time():
     assert retry_after_s([OK], backends=0, request=lambda: make_request(caller_timeout_s=0.3)) <= 0.1
 
 
-def test_a_request_with_less_time_than_any_answer_took_is_refused_unsent():
+def test_a_request_with_less_time_than_the_shortest_answer_is_refused_unsent():
     """It would be late for certain, and its work a back end's time."""
 
     async def work():
@@ -240,16 +240,19 @@
     assert statuses[-30:] == [200] * 30
 
 
-def test_a_generation_that_its_caller_goes_on_with_needs_less_time_than_a_whole_one():
+def test_a_resumed_generation_may_have_less_time_than_the_shortest_answer():
     route = make_route(RouteKind.STREAM)
 
-    def learn(fleet):
+    def set_shortest_answer(fleet):
         fleet.shortest_answers[route.name] = ShortestAnswer(4.0)
 
     def refused(resume_after):
         generation = make_generation(resume_after=resume_after)
         _, client, _ = serve_request(
-            [OK], route, lambda: make_request(generation=generation, caller_timeout_s=1.0), prepare=learn
+            [OK],
+            route,
+            lambda: make_request(generation=generation, caller_timeout_s=1.0),
+            prepare=set_shortest_answer,
         )
         return len(client.sent) == 0
 
@@ -264,7 +267,7 @@
     ("credential", "host", "status"),
     [("key", "h.example", 200), ("wrong", "h.example", 401), ("", "h.example", 401), ("key", "other", 404)],
 )
-def test_credentials_and_routes(credential, host, status):
+def test_status_by_credential_and_route(credential, host, status):
     reply, client, _ = serve_request([OK], SAFE, lambda: make_request(credential=credential, host=host))
     assert reply.status == status
     assert len(client.sent) == (1 if status == 200 else 0)
@@ -276,24 +279,26 @@
 
 
 @pytest.mark.parametrize("credential", ["key", "wrong"])
-def test_nothing_is_decided_on_a_configuration_that_may_be_old(credential):
+def test_requests_are_refused_while_the_configuration_is_stale(credential):
     """A credential may have been taken away, and a missing one may have been added, since the last confirmation."""
 
-    def age(fleet):
+    def make_configuration_stale(fleet):
         fleet.freshness.confirmed_at_s = boot_time_s() - 4.7
 
-    reply, client, _ = serve_request([OK], SAFE, lambda: make_request(credential=credential), prepare=age)
+    reply, client, _ = serve_request(
+        [OK], SAFE, lambda: make_request(credential=credential), prepare=make_configuration_stale
+    )
     assert (reply.status, reply.error.outcome, client.sent) == (503, Outcome.NOT_RUN, [])
     assert reply.error.retry_after_ms > 0
 
 
-def test_the_tenants_rank_goes_before_the_routes():
+def test_the_rank_of_the_tenant_overrides_that_of_the_route():
     tenants = (TenantAccess("t", ("key",), rank=0),)
     _, client, _ = serve_request([OK], make_route(rank=4), tenants=tenants)
     assert client.sent[0].rank == 0
 
 
-def test_a_split_route_sends_to_its_services_by_weight():
+def test_a_split_route_chooses_its_service_by_weight():
     route = make_route(services=(WeightedService("svc", 1.0), WeightedService("none", 1.0)))
     replies = [
         serve_request([OK], route, prepare=lambda fleet, at=at: setattr(fleet, "split_offset", at))[0]
--- a/tests/unit/serving/test_pipeline_generations.py
+++ b/tests/unit/serving/test_pipeline_generations.py
@@ -36,25 +36,25 @@
 from wallwell.serving.pipeline import RequestPipeline
 
 RESUMABLE = make_route(RouteKind.STREAM, resumable=True, attempts=2)
-ONCE = make_route(RouteKind.STREAM, attempts=1)
+NOT_RESUMABLE = make_route(RouteKind.STREAM, attempts=1)
 
 
 def stream(*chunks, body_error=None, **options):
     return Script(chunks=chunks, stream=True, body_error=body_error, **options)
 
 
-def generate(**options):
+def generation_request(**options):
     return lambda: make_request(generation=make_generation(**options))
 
 
 @pytest.mark.parametrize(
     ("route", "scripts", "ended", "events", "sends"),
     [
-        (ONCE, [stream(event(1), event(2))], "finished", 2, 1),
-        (ONCE, [stream(event(1), body_error=TransportEvent.RESET_AFTER_SEND)], "aborted", 1, 1),
-        (ONCE, [stream(body_error=TransportEvent.RESET_AFTER_SEND)], "refused", 0, 1),
-        (ONCE, [stream(event(1), b"id: 2\nda")], "aborted", 1, 1),
-        (ONCE, [stream(event(1), event(1))], "aborted", 1, 1),
+        (NOT_RESUMABLE, [stream(event(1), event(2))], "finished", 2, 1),
+        (NOT_RESUMABLE, [stream(event(1), body_error=TransportEvent.RESET_AFTER_SEND)], "aborted", 1, 1),
+        (NOT_RESUMABLE, [stream(body_error=TransportEvent.RESET_AFTER_SEND)], "refused", 0, 1),
+        (NOT_RESUMABLE, [stream(event(1), b"id: 2\nda")], "aborted", 1, 1),
+        (NOT_RESUMABLE, [stream(event(1), event(1))], "aborted", 1, 1),
         (
             RESUMABLE,
             [stream(event(1), body_error=TransportEvent.RESET_AFTER_SEND), stream(event(2))],
@@ -82,7 +82,7 @@
     ],
 )
 def test_sequences_of_runs(route, scripts, ended, events, sends):
-    reply, client, _ = serve_request(scripts, route, generate(), versions={"m": 1})
+    reply, client, _ = serve_request(scripts, route, generation_request(), versions={"m": 1})
     assert reply.ended == ended
     assert reply.body == b"".join(event(number) for number in range(1, events + 1))
     assert len(client.sent) == sends
@@ -91,25 +91,29 @@
 
 def test_a_continued_stream_resumes_after_the_last_whole_event_on_another_engine():
     scripts = [stream(event(1), event(2), body_error=TransportEvent.RESET_AFTER_SEND), stream(event(3))]
-    _, client, _ = serve_request(scripts, RESUMABLE, generate(), versions={"m": 1})
+    _, client, _ = serve_request(scripts, RESUMABLE, generation_request(), versions={"m": 1})
     first, second = client.sent
     assert (first.resume_after, second.resume_after) == (None, 2)
     assert first.backend.incarnation != second.backend.incarnation
 
 
-def test_a_callers_own_resume_point_is_passed_on():
-    _, client, _ = serve_request([stream(event(13))], RESUMABLE, generate(resume_after=12), versions={"m": 1})
+def test_the_resume_point_of_the_caller_is_sent_to_the_engine():
+    _, client, _ = serve_request(
+        [stream(event(13))], RESUMABLE, generation_request(resume_after=12), versions={"m": 1}
+    )
     assert client.sent[0].resume_after == 12
 
 
-def test_a_silent_stream_that_may_not_be_retried_is_waited_for():
-    reply, _, _ = serve_request([stream(event(1), 3.0, event(2))], ONCE, generate(), versions={"m": 1})
+def test_a_stalled_stream_that_cannot_be_resumed_is_awaited():
+    reply, _, _ = serve_request(
+        [stream(event(1), 3.0, event(2))], NOT_RESUMABLE, generation_request(), versions={"m": 1}
+    )
     assert reply.ended == "finished"
 
 
-def test_a_callers_leaving_cancels_the_engines_work():
+def test_a_caller_disconnect_cancels_the_generation():
     async def work():
-        fleet = make_state(ONCE, versions={"m": 1})
+        fleet = make_state(NOT_RESUMABLE, versions={"m": 1})
         client = FakeClient(stream(event(1), 3.0, event(2)))
         request = make_request(generation=make_generation())
         serving = asyncio.create_task(RequestPipeline(fleet, client).serve(request, FakeReply()))
@@ -125,65 +129,80 @@
 
 
 def test_the_expected_version_and_the_cache_scope_name_the_same_weights():
-    _, client, _ = serve_request([stream(event(1))], ONCE, generate(), versions={"m": 3})
+    _, client, _ = serve_request([stream(event(1))], NOT_RESUMABLE, generation_request(), versions={"m": 3})
     sent = client.sent[0]
     assert (sent.expected_version, sent.cache.scope) == (3, "m:3")
 
 
-def test_an_isolated_tenant_has_a_cache_scope_of_its_own():
+def test_an_isolated_tenant_has_its_own_cache_scope():
     tenants = (TenantAccess("t", ("key",), isolated=True),)
-    _, client, _ = serve_request([stream(event(1))], ONCE, generate(), versions={"m": 3}, tenants=tenants)
+    _, client, _ = serve_request(
+        [stream(event(1))], NOT_RESUMABLE, generation_request(), versions={"m": 3}, tenants=tenants
+    )
     assert client.sent[0].cache.scope == "m:3:t"
 
 
 @pytest.mark.parametrize(("reported", "expected"), [(5, 5), (0, 4)], ids=["reported by the engine", "newest named"])
 def test_a_refused_version_is_corrected_for_the_next_attempt(reported, expected):
-    def name_newer(fleet):
+    def name_newer_version(fleet):
         fleet.weights.name("m", 4, boot_time_s())
 
     refused = Script(send_error=TransportEvent.PRECONDITION_REFUSED, refused_weights_version=reported)
     _, client, _ = serve_request(
-        [refused, stream(event(1))], ONCE, generate(), versions={"m": 3}, backends=1, prepare=name_newer
+        [refused, stream(event(1))],
+        NOT_RESUMABLE,
+        generation_request(),
+        versions={"m": 3},
+        backends=1,
+        prepare=name_newer_version,
     )
     assert [each.expected_version for each in client.sent] == [3, expected]
 
 
-def test_an_engine_on_overdue_weights_begins_nothing():
-    def name_long_ago(fleet):
+def test_an_engine_with_overdue_weights_gets_no_generation():
+    def name_version_before_the_limit(fleet):
         fleet.weights.name("m", 2, boot_time_s() - 7.9)
         fleet.backends.get("i-1").learn_version("m", 2)
 
-    _, client, _ = serve_request([stream(event(1))], ONCE, generate(), versions={"m": 1}, prepare=name_long_ago)
+    _, client, _ = serve_request(
+        [stream(event(1))],
+        NOT_RESUMABLE,
+        generation_request(),
+        versions={"m": 1},
+        prepare=name_version_before_the_limit,
+    )
     assert client.sent[0].backend.incarnation == "i-1"
 
 
-def test_a_request_that_waits_in_an_engine_is_withdrawn_before_its_weights_are_too_old():
+def test_a_queued_generation_is_cancelled_before_the_weights_are_too_old():
     """Found by a hunt: sent 6.1 s after a naming, a request began 2.1 s later, past the 8 s allowed."""
-    waiting = stream(event(1), head_delay_s=5.0)
+    slow_start = stream(event(1), head_delay_s=5.0)
 
-    def name_some_time_ago(fleet):
+    def name_version_6_1_s_ago(fleet):
         fleet.weights.name("m", 2, boot_time_s() - 6.1)
 
     reply, client, took_s = serve_request(
-        [waiting], ONCE, generate(), versions={"m": 1}, prepare=name_some_time_ago
+        [slow_start], NOT_RESUMABLE, generation_request(), versions={"m": 1}, prepare=name_version_6_1_s_ago
     )
     assert (reply.ended, client.cancelled) == ("refused", 1)
     assert 1.5 < took_s < 1.9
 
 
-def test_older_weights_serve_to_the_last_when_no_engine_has_newer_ones():
-    def name_a_while_ago(fleet):
+def test_older_weights_serve_until_the_limit_when_no_engine_has_newer_ones():
+    def name_version_7_s_ago(fleet):
         fleet.weights.name("m", 2, boot_time_s() - 7.0)
 
-    reply, _, _ = serve_request([stream(event(1))], ONCE, generate(), versions={"m": 1}, prepare=name_a_while_ago)
+    reply, _, _ = serve_request(
+        [stream(event(1))], NOT_RESUMABLE, generation_request(), versions={"m": 1}, prepare=name_version_7_s_ago
+    )
     assert reply.ended == "finished"
 
 
-def test_nothing_is_begun_when_every_engine_is_overdue():
+def test_a_generation_is_refused_when_every_engine_has_overdue_weights():
     reply, client, _ = serve_request(
         [stream(event(1))],
-        ONCE,
-        generate(),
+        NOT_RESUMABLE,
+        generation_request(),
         versions={"m": 1},
         prepare=lambda fleet: fleet.weights.name("m", 2, boot_time_s() - 7.9),
     )
@@ -192,7 +211,7 @@
 
 @pytest.mark.parametrize("first", [OVERLOADED, PRECONDITION_REFUSED, CONNECT_TIMEOUT])
 @pytest.mark.parametrize("route", [UNSAFE, make_route(RouteKind.STREAM, attempts=1)])
-def test_an_attempt_under_way_when_time_runs_out_may_have_run(first, route):
+def test_an_attempt_in_flight_at_the_deadline_has_unknown_outcome(first, route):
     """Found on a deployment of 69 nodes: a refused attempt, then one that the deadline cut, gave a 503."""
     silent = Script(head_delay_s=100.0)
     reply, client, took_s = serve_request([first, silent], route, lambda: make_request(caller_timeout_s=1.0))
@@ -202,49 +221,57 @@
 
 
 @pytest.mark.parametrize("age_s", [0.0, 3.0, 6.0])
-def test_an_engine_takes_generations_until_its_order_whatever_is_named(age_s):
+def test_naming_new_weights_does_not_move_generations_to_other_engines(age_s):
     """Streams go on while weights load, so emptying an engine ahead of its order would only cost places."""
 
-    def name_earlier(fleet):
+    def name_version_earlier(fleet):
         fleet.weights.name("m", 2, boot_time_s() - age_s)
 
     homes = set()
-    for prepare in (None, name_earlier):
+    for prepare in (None, name_version_earlier):
         _, client, _ = serve_request(
-            [stream(event(1))], ONCE, generate(), versions={"m": 1}, backends=9, prepare=prepare
+            [stream(event(1))], NOT_RESUMABLE, generation_request(), versions={"m": 1}, backends=9, prepare=prepare
         )
         homes.add(client.sent[0].backend.incarnation)
     assert len(homes) == 1
 
 
-def test_a_stream_goes_on_over_a_change_of_weights():
+def test_a_stream_continues_across_a_change_of_weights():
     """The engine reports in an event's first line that its weights have changed."""
     changed = b"x-weight-versions: 2\n" + event(2)
-    reply, _, _ = serve_request([stream(event(1), changed, event(3))], ONCE, generate(), versions={"m": 1})
+    reply, _, _ = serve_request(
+        [stream(event(1), changed, event(3))], NOT_RESUMABLE, generation_request(), versions={"m": 1}
+    )
     assert (reply.ended, reply.body) == ("finished", event(1) + changed + event(3))
 
 
-@pytest.mark.parametrize(("tokens", "learns"), [(9000, True), (500, False)], ids=["long prompt", "short prompt"])
-def test_the_prefill_rate_is_learned_from_first_tokens_of_long_prompts(tokens, learns):
+@pytest.mark.parametrize(
+    ("tokens", "is_updated"), [(9000, True), (500, False)], ids=["long prompt", "short prompt"]
+)
+def test_the_prefill_rate_is_updated_by_first_tokens_of_long_prompts_only(tokens, is_updated):
     states = []
     slow = stream(event(1), 1.0, event(2), head_delay_s=2.0)
-    serve_request([slow], ONCE, generate(tokens=tokens), versions={"m": 1}, prepare=states.append)
+    serve_request(
+        [slow], NOT_RESUMABLE, generation_request(tokens=tokens), versions={"m": 1}, prepare=states.append
+    )
     expected_s = DEFAULT_S + SMOOTHING * (2.0 / request_load(tokens + 10) - DEFAULT_S)
-    assert states[0].prefill_rate.seconds_per_unit == pytest.approx(expected_s if learns else DEFAULT_S, rel=0.01)
+    assert states[0].prefill_rate.seconds_per_unit == pytest.approx(
+        expected_s if is_updated else DEFAULT_S, rel=0.01
+    )
 
 
 # --- callers that have left ----------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    ("scripts", "leaves_after", "sends"),
+    ("scripts", "sends_before_disconnect", "sends"),
     [([OK], 0, 0), ([OVERLOADED, OK], 1, 1), ([RESET, OK], 1, 1), ([SERVER_ERROR, OK], 1, 1)],
     ids=["before the first attempt", "after a refusal", "after a break", "after a failed answer"],
 )
-def test_nothing_is_sent_for_a_caller_who_has_left(scripts, leaves_after, sends):
+def test_no_attempt_is_sent_after_the_caller_disconnected(scripts, sends_before_disconnect, sends):
     async def work():
         client, reply = FakeClient(*scripts), FakeReply()
-        reply.is_caller_gone = lambda: len(client.sent) >= leaves_after
+        reply.is_caller_gone = lambda: len(client.sent) >= sends_before_disconnect
         with pytest.raises(CallerGoneError):
             await RequestPipeline(make_state(SAFE), client).serve(make_request(), reply)
         return len(client.sent), reply.ended
--- a/tests/unit/serving/test_regions.py
+++ b/tests/unit/serving/test_regions.py
@@ -36,7 +36,7 @@
 from wallwell.serving.counters import RequestCounters
 from wallwell.serving.pipeline import RequestPipeline
 
-MAP = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
+REGION_OF_ZONE = {"a1": "a", "a2": "a", "b1": "b", "b2": "b"}
 STREAM = make_route(RouteKind.STREAM, attempts=1)
 STORE_ZONES = ("a1", "a2", "b1", "b2")
 STORES = {zone: f"10.9.0.{index}:1" for index, zone in enumerate(STORE_ZONES)}
@@ -46,7 +46,7 @@
 def fleet_state(node_zone, engine_zones, store_zones=STORE_ZONES):
     """Return a node's state with an engine in each listed zone."""
     state = make_state(STREAM, backends=0)
-    state.zone, state.topology = node_zone, Topology(node_zone, MAP)
+    state.zone, state.topology = node_zone, Topology(node_zone, REGION_OF_ZONE)
     services = tuple(Service(zone, kv_store_address=STORES[zone], zone=zone) for zone in store_zones)
     state.apply_config(dataclasses.replace(state.config, version=2, services=services))
     for index, zone in enumerate(engine_zones):
@@ -71,7 +71,7 @@
     return run_virtual(work())
 
 
-def holding(*parts, tokens=2000):
+def store_contents(*parts, tokens=2000):
     cache = KvStoreContents()
     entries = tuple(CacheEntry(1, "m:1", part, tokens) for part in parts)
     cache.take(CachePage(CachePosition(1, 1), entries, whole=True))
@@ -79,34 +79,36 @@
 
 
 @pytest.mark.parametrize(("engine_zone", "region"), [("a1", "a"), ("a2", "a"), ("b1", "b")])
-def test_parts_stay_in_the_region_of_the_engine_and_all_nodes_agree(engine_zone, region):
+def test_parts_are_fetched_within_the_region_of_the_engine_alike_on_all_nodes(engine_zone, region):
     """A move between regions takes ten times as long and holds the engine's other moves up."""
     from_a = [plan.fetch_from for plan in cache_plans("a1", engine_zone, PROMPTS)]
     from_b = [plan.fetch_from for plan in cache_plans("b2", engine_zone, PROMPTS)]
     assert from_a == from_b
-    assert set(from_a) == {STORES[zone] for zone in STORE_ZONES if MAP[zone] == region}
+    assert set(from_a) == {STORES[zone] for zone in STORE_ZONES if REGION_OF_ZONE[zone] == region}
 
 
-def test_engines_of_a_region_find_what_another_zone_saved():
+def test_engines_fetch_parts_that_another_zone_of_the_region_saved():
     saved = [plan.save_to for plan in cache_plans("a1", "a1", PROMPTS)]
     found = [plan.fetch_from for plan in cache_plans("a2", "a2", PROMPTS)]
     assert saved == found
 
 
 @pytest.mark.parametrize("engine_zone", ["a2", "b1"])
-def test_a_node_saves_in_both_regions_what_their_stores_lack(engine_zone):
+def test_a_node_saves_missing_parts_in_the_stores_of_both_regions(engine_zone):
     """Half of an engine's long prompts come from the other region; these alone were prefilled again."""
 
     def prepare(state):
         for address in STORES.values():
-            state.kv_store_contents[address] = holding("known")
+            state.kv_store_contents[address] = store_contents("known")
 
     known, lacking = cache_plans("a1", engine_zone, ["known", "lacking"], prepare)
     assert known.save_to == ""
-    assert lacking.save_to in {STORES[zone] for zone in STORE_ZONES if MAP[zone] == MAP[engine_zone]}
+    assert lacking.save_to in {
+        STORES[zone] for zone in STORE_ZONES if REGION_OF_ZONE[zone] == REGION_OF_ZONE[engine_zone]
+    }
 
 
-def test_an_engine_without_a_store_in_its_region_reads_by_itself():
+def test_an_engine_without_a_store_in_its_region_neither_fetches_nor_saves():
     (plan,) = cache_plans("b1", "b1", ["shared"], store_zones=("a1", "a2"))
     assert (plan.fetch_from, plan.save_to) == ("", "")
 
@@ -116,20 +118,20 @@
     [("a2", 2000, True), ("a2", 1950, True), ("a2", 1500, False), ("b1", 1100, True), ("b1", 900, False)],
     ids=["as much in the zone", "nearly as much", "less", "over half in the region", "under half"],
 )
-def test_what_is_fetched_is_weighed_by_the_distance(source_zone, tokens_near, from_near):
+def test_a_nearer_store_is_preferred_unless_it_holds_much_less(source_zone, tokens_near, from_near):
     """A prompt that has left its region takes its parts along, but not while most of them are near."""
 
     def prepare(state):
         for address in STORES.values():
-            state.kv_store_contents[address] = holding()
-        state.kv_store_contents[STORES["a1"]] = holding("shared", tokens=tokens_near)
-        state.kv_store_contents[STORES[source_zone]] = holding("shared")
+            state.kv_store_contents[address] = store_contents()
+        state.kv_store_contents[STORES["a1"]] = store_contents("shared", tokens=tokens_near)
+        state.kv_store_contents[STORES[source_zone]] = store_contents("shared")
 
     (plan,) = cache_plans("a1", "a1", ["shared"], prepare)
     assert plan.fetch_from == STORES["a1" if from_near else source_zone]
 
 
-def test_without_a_map_the_stores_of_all_zones_are_used():
+def test_without_a_region_map_the_stores_of_all_zones_are_used():
     def forget_regions(state):
         state.topology = Topology("a1")
 
@@ -141,10 +143,10 @@
     """Stores that hold nothing and say so; counts who is asked."""
 
     def __init__(self):
-        self.asked = set()
+        self.polled_addresses = set()
 
     async def events(self, address, position, wait_s):
-        self.asked.add(address)
+        self.polled_addresses.add(address)
         await asyncio.sleep(wait_s)
         return CachePage(CachePosition(1, 0), whole=True)
 
@@ -152,7 +154,7 @@
         return await self.events(address, CachePosition(), 0.0)
 
 
-def test_stores_of_all_regions_are_followed():
+def test_stores_of_all_regions_are_polled():
     """Nodes send long prompts to engines of both regions, and save there what is lacking only."""
 
     async def work():
@@ -164,12 +166,12 @@
         await asyncio.sleep(3.0)
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
-        return source.asked
+        return source.polled_addresses
 
     assert run_virtual(work()) == set(STORES.values())
 
 
-def exchange_of(prompt, tokens=100, own=9):
+def active_generation(prompt, tokens=100, own=9):
     """Return the active request of a generation with a shared part of this name."""
     parts = (PromptPart(prompt, tokens), PromptPart("own", own))
     request = make_request(generation=msgspec.structs.replace(make_generation(), parts=parts))
@@ -190,14 +192,16 @@
     async def work():
         state = fleet_state(node_zone, ENGINE_ZONES)
         for engine in state.backends.all():
-            engine.peers_load = loads[MAP[engine.record.zone]]
-        candidates = [each for each in state.backends.of_service("svc") if MAP[each.record.zone] not in without]
+            engine.peers_load = loads[REGION_OF_ZONE[engine.record.zone]]
+        candidates = [
+            each for each in state.backends.of_service("svc") if REGION_OF_ZONE[each.record.zone] not in without
+        ]
         state.prefill_rate.seconds_per_unit = 0.095
         choice = BackendSelector(state)
         chosen = Counter()
         for number in range(prompts):
-            active = exchange_of(f"p{number}", shared, tokens - shared)
-            chosen[MAP[choice.choose(active, candidates).record.zone]] += 1
+            active = active_generation(f"p{number}", shared, tokens - shared)
+            chosen[REGION_OF_ZONE[choice.choose(active, candidates).record.zone]] += 1
         return chosen
 
     return run_virtual(work())
@@ -233,12 +237,12 @@
     ],
     ids=["alike", "half as much again", "three times", "less"],
 )
-def test_a_part_of_the_prompts_leaves_a_region_that_is_further_behind(loads, least, most):
+def test_a_fraction_of_prompts_leaves_a_region_with_higher_load(loads, least, most):
     """On a day on which 7 of 15 engines of one region were away, its engines had 61 to 92 and the others 47."""
     assert least <= chosen_regions("a1", loads, prompts=1000)["b"] <= most
 
 
-def test_a_long_prompt_goes_where_it_begins_in_time_in_spite_of_the_way():
+def test_a_long_prompt_crosses_regions_if_only_that_meets_the_objective():
     """At 95 ms a unit an engine begins a prompt in 0.4 s up to a load of 4.2, with the way up to 3.8."""
     assert set(chosen_regions("a1", {"a": 4, "b": 3}, LONG)) == {"a"}
     assert set(chosen_regions("a1", {"a": 5, "b": 3}, LONG)) == {"b"}
@@ -251,12 +255,14 @@
     async def work():
         state = fleet_state("a1", ENGINE_ZONES)
         for engine in state.backends.all():
-            engine.peers_load = SLOTS if MAP[engine.record.zone] == "a" else 2
+            engine.peers_load = SLOTS if REGION_OF_ZONE[engine.record.zone] == "a" else 2
         state.backends.get("i-2").peers_load = 0
         choice = BackendSelector(state)
         chosen = Counter()
         for number in range(300):
-            chosen[choice.choose(exchange_of(f"p{number}"), state.backends.of_service("svc")).incarnation] += 1
+            chosen[
+                choice.choose(active_generation(f"p{number}"), state.backends.of_service("svc")).incarnation
+            ] += 1
         return chosen
 
     chosen = run_virtual(work())
@@ -265,61 +271,61 @@
 
 
 @pytest.mark.parametrize("tokens", [100, LONG])
-def test_without_engines_in_the_region_everything_goes_to_the_other(tokens):
+def test_without_engines_in_the_region_all_prompts_go_to_the_other_one(tokens):
     assert set(chosen_regions("a1", {"a": 0, "b": 3}, tokens, without=("a",))) == {"b"}
     assert set(chosen_regions("a1", {"a": 0, "b": 30}, tokens, without=("a",))) == {"b"}
 
 
-def homes(zone, tokens, loads=None):
+def engines_of_prompts(zone, tokens, loads=None):
     """Return the engine of each prompt; all tokens are shared but a few."""
 
     async def work():
         state = fleet_state(zone, ENGINE_ZONES)
         for engine in state.backends.all():
-            engine.peers_load = (loads or {}).get(MAP[engine.record.zone], 0)
+            engine.peers_load = (loads or {}).get(REGION_OF_ZONE[engine.record.zone], 0)
         choice = BackendSelector(state)
         candidates = state.backends.of_service("svc")
-        return [choice.choose(exchange_of(f"p{number}", tokens), candidates).record for number in range(50)]
+        return [choice.choose(active_generation(f"p{number}", tokens), candidates).record for number in range(50)]
 
     return run_virtual(work())
 
 
-def test_a_short_prefix_has_a_home_in_each_region():
-    first, second, other = (homes(zone, 100) for zone in ("a1", "a2", "b1"))
+def test_a_short_prefix_has_a_home_engine_in_each_region():
+    first, second, other = (engines_of_prompts(zone, 100) for zone in ("a1", "a2", "b1"))
     assert first == second
-    assert {MAP[each.zone] for each in first} == {"a"}
-    assert {MAP[each.zone] for each in other} == {"b"}
+    assert {REGION_OF_ZONE[each.zone] for each in first} == {"a"}
+    assert {REGION_OF_ZONE[each.zone] for each in other} == {"b"}
 
 
-def test_a_prefix_that_takes_long_to_read_has_one_home_for_all_nodes():
-    first, second, other = (homes(zone, LONG) for zone in ("a1", "a2", "b1"))
+def test_a_long_prefix_has_one_home_engine_for_all_nodes():
+    first, second, other = (engines_of_prompts(zone, LONG) for zone in ("a1", "a2", "b1"))
     assert first == second == other
-    by_region = Counter(MAP[each.zone] for each in first)
+    by_region = Counter(REGION_OF_ZONE[each.zone] for each in first)
     assert min(by_region.values()) >= 15
 
 
-def test_a_prefix_that_takes_long_to_read_leaves_its_home_region_while_that_is_full():
-    assert {MAP[each.zone] for each in homes("a1", LONG, {"a": 3 * SLOTS})} == {"b"}
+def test_a_long_prefix_leaves_its_home_region_while_that_is_full():
+    assert {REGION_OF_ZONE[each.zone] for each in engines_of_prompts("a1", LONG, {"a": 3 * SLOTS})} == {"b"}
 
 
-def test_each_region_has_engines_of_its_own_for_short_prompts():
-    state = run_virtual(async_state())
+def test_each_region_has_its_own_engines_for_short_prompts():
+    state = run_virtual(state_with_all_engines())
     listed = state.backends.of_service("svc")
     short, long = pools_by_prompt_length(listed, state.topology)
     for region in ("a", "b"):
-        assert sum(MAP[each.record.zone] == region for each in short) == 2
-        assert sum(MAP[each.record.zone] == region for each in long) == 4
+        assert sum(REGION_OF_ZONE[each.record.zone] == region for each in short) == 2
+        assert sum(REGION_OF_ZONE[each.record.zone] == region for each in long) == 4
 
 
-def test_half_of_a_pool_is_half_of_each_region():
+def test_the_first_half_of_a_pool_covers_both_regions():
     """Engines are reloaded half a pool at a time: never all of a region's at once."""
-    state = run_virtual(async_state())
+    state = run_virtual(state_with_all_engines())
     for pool in pools_by_prompt_length(state.backends.of_service("svc"), state.topology):
         first_half = pool[: len(pool) // 2]
-        assert len({MAP[each.record.zone] for each in first_half}) == 2
+        assert len({REGION_OF_ZONE[each.record.zone] for each in first_half}) == 2
 
 
-async def async_state():
+async def state_with_all_engines():
     return fleet_state("a1", ENGINE_ZONES)
 
 
@@ -353,7 +359,7 @@
     ],
     ids=["own zone", "own region", "none in the zone", "none in the region"],
 )
-def test_calls_go_to_the_own_zone_then_the_region_then_the_other(loads, zones):
+def test_calls_prefer_the_own_zone_then_the_own_region(loads, zones):
     assert set(call_shares("a1", loads)) == zones
 
 
@@ -363,7 +369,7 @@
 
 
 @pytest.mark.parametrize(("engine_zone", "crosses"), [("a2", False), ("b1", True)])
-def test_what_crosses_the_link_is_counted_by_cause(engine_zone, crosses):
+def test_traffic_between_regions_is_counted_by_cause(engine_zone, crosses):
     async def work():
         state = fleet_state("a1", [engine_zone])
         state.freshness.confirm(boot_time_s())
--- a/tests/unit/serving/test_response_wait.py
+++ b/tests/unit/serving/test_response_wait.py
@@ -23,7 +23,7 @@
 STREAMING = Script(chunks=(10.0, b"late"), head_delay_s=0.01)
 
 
-class LeavingCaller(FakeClient):
+class DisconnectingCallerClient(FakeClient):
     """Cancels the serving task in the very turn of the event loop in which the head arrives."""
 
     serving: asyncio.Task
@@ -34,9 +34,9 @@
         return answer
 
 
-def test_a_caller_who_leaves_as_the_head_arrives_ends_the_work_of_the_back_end():
+def test_an_answer_is_closed_if_its_caller_disconnects_as_the_head_arrives():
     async def work():
-        client = LeavingCaller(STREAMING)
+        client = DisconnectingCallerClient(STREAMING)
         pipeline = RequestPipeline(make_state(), client)
         client.serving = asyncio.ensure_future(pipeline.serve(make_request(), FakeReply()))
         await asyncio.gather(client.serving, return_exceptions=True)
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(("peers", "sent"), [(Delays(100, 20), 2), (Delays(100, 60), 1)], ids=["in time", "behind"])
-def test_a_silent_engine_is_left_only_if_the_others_are_not_behind_as_well(peers, sent):
+def test_a_silent_engine_is_abandoned_only_if_the_fleet_is_not_behind(peers, sent):
     """Found on a deployment of 195 nodes: 60 prompts a second were read again, and the fleet stayed behind."""
 
     async def work():
@@ -65,7 +65,7 @@
     assert run_virtual(work()) == (sent, "finished")
 
 
-def test_attempts_that_are_given_up_count_as_late():
+def test_abandoned_attempts_count_as_late_first_tokens():
     async def work():
         state = make_state(make_route(RouteKind.STREAM, resumable=True))
         client = FakeClient(
@@ -93,7 +93,7 @@
         return await super().send(dispatch)
 
 
-def test_attempts_given_up_while_connecting_have_not_run():
+def test_attempts_abandoned_while_connecting_do_not_count_as_runs():
     """With an objective of 0.16 s the response timeout ends before a connection's: no attempt was left then."""
 
     async def work():
@@ -105,7 +105,7 @@
     assert run_virtual(work()) == (200, 1, 2)
 
 
-class LoadedMeanwhile(FakeClient):
+class WeightsUpdatedDuringRequest(FakeClient):
     """Its engine gets the newest weights while it works on the request, before its answer begins."""
 
     def __init__(self, state):
@@ -118,14 +118,14 @@
         return await super().send(dispatch)
 
 
-def test_an_engine_whose_weights_are_the_newest_by_now_is_waited_for():
+def test_an_engine_that_gets_the_newest_weights_during_the_wait_is_not_abandoned():
     """Its weights would have been too old 1 s after the sending; a silence of 0.4 s is looked into before."""
 
     async def work():
         state = make_state(make_route(RouteKind.STREAM, resumable=True), versions={"m": 1})
         state.weights.name("m", 2, boot_time_s() - 6.75)
         state.first_token_delays.peers = Delays(100, 60)
-        client, reply = LoadedMeanwhile(state), FakeReply()
+        client, reply = WeightsUpdatedDuringRequest(state), FakeReply()
         await RequestPipeline(state, client).serve(make_request(generation=make_generation()), reply)
         return len(client.sent), reply.ended
 
--- a/tests/unit/serving/test_rollout_requests.py
+++ b/tests/unit/serving/test_rollout_requests.py
@@ -28,10 +28,10 @@
 from wallwell.serving.pipeline import RequestPipeline
 
 STREAM = make_route(RouteKind.STREAM, resumable=True, rank=0)
-PIECES = Script(chunks=(event(1), 0.2, event(2), 0.4, event(3)), stream=True, head_delay_s=0.3)
+STREAM_ANSWER = Script(chunks=(event(1), 0.2, event(2), 0.4, event(3)), stream=True, head_delay_s=0.3)
 
 
-def fleet(phase=Phase.CANARY, share=0.0, route=SAFE, old=6, new=4, new_weights=1, slow_for_s=0.0):
+def state_in_rollout(phase=Phase.CANARY, share=0.0, route=SAFE, old=6, new=4, new_weights=1, slow_for_s=0.0):
     """A state with a rollout from v1 to v2 in a phase, heard of just now."""
     state = make_state(route, backends=0)
     for software, count in (("v1", old), ("v2", new)):
@@ -46,11 +46,11 @@
     return state
 
 
-def serve(scripts, requests=1, prepare=None, generation=None, **rollout):
+def serve_requests(scripts, requests=1, prepare=None, generation=None, **rollout):
     """Serve requests and return the versions that were sent to, the last reply and the state."""
 
     async def work():
-        state = fleet(**rollout)
+        state = state_in_rollout(**rollout)
         if prepare is not None:
             prepare(state)
         client = FakeClient(*scripts)
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize("share", [0.02, 0.1])
 def test_the_target_version_gets_its_share_of_requests(share):
-    sent, _, state = serve([OK], requests=3000, share=share)
+    sent, _, state = serve_requests([OK], requests=3000, share=share)
     assert sent.count("v2") / len(sent) == pytest.approx(share, abs=0.015)
     assert counts_of(state).target_requests == sent.count("v2")
     assert counts_of(state).current_requests == sent.count("v1")
@@ -88,29 +88,29 @@
     ("phase", "expected"),
     [(Phase.CANARY, "v1"), (Phase.SWITCHING, "v2"), (Phase.COMPLETE, "v2"), (Phase.ROLLED_BACK, "v1")],
 )
-def test_the_side_of_new_requests_by_phase(phase, expected):
-    assert set(serve([OK], requests=50, phase=phase)[0]) == {expected}
+def test_the_version_of_new_requests_by_phase(phase, expected):
+    assert set(serve_requests([OK], requests=50, phase=phase)[0]) == {expected}
 
 
-def test_an_order_takes_requests_off_a_version_before_any_record():
+def test_a_rollout_order_moves_requests_off_a_version_before_any_record():
     def prepare(state):
         state.rollouts.on_order(RolloutOrder("svc", "v2", 30.0, 9), boot_time_s())
 
-    assert set(serve([OK], requests=50, phase=Phase.SWITCHING, prepare=prepare)[0]) == {"v1"}
+    assert set(serve_requests([OK], requests=50, phase=Phase.SWITCHING, prepare=prepare)[0]) == {"v1"}
 
 
-def test_a_repeat_after_a_failure_on_the_target_side_goes_to_the_current_one():
-    sent, reply, _ = serve([RESET, OK], phase=Phase.SWITCHING)
+def test_a_retry_after_a_reset_on_the_target_version_goes_to_the_current_one():
+    sent, reply, _ = serve_requests([RESET, OK], phase=Phase.SWITCHING)
     assert (sent, reply.status) == (["v2", "v1"], 200)
 
 
-def test_a_repeat_after_a_failed_answer_of_the_target_side_goes_to_the_current_one():
-    sent, reply, _ = serve([SERVER_ERROR, OK], phase=Phase.SWITCHING)
+def test_a_retry_after_an_error_answer_of_the_target_version_goes_to_the_current_one():
+    sent, reply, _ = serve_requests([SERVER_ERROR, OK], phase=Phase.SWITCHING)
     assert (sent, reply.status) == (["v2", "v1"], 200)
 
 
-def test_a_repeat_after_a_failure_on_the_current_side_stays_there():
-    assert serve([RESET, OK])[0] == ["v1", "v1"]
+def test_a_retry_after_a_reset_on_the_current_version_stays_there():
+    assert serve_requests([RESET, OK])[0] == ["v1", "v1"]
 
 
 @pytest.mark.parametrize(
@@ -123,38 +123,43 @@
         ("v2", Phase.COMPLETE, 1.0, "v2"),
     ],
 )
-def test_a_side_without_usable_back_ends_is_stood_in_for_where_that_is_allowed(suspended, phase, share, expected):
-    sent, _, _ = serve([OK], requests=20, phase=phase, share=share, prepare=suspend(suspended))
+def test_the_other_version_serves_where_allowed_if_one_has_no_usable_back_end(suspended, phase, share, expected):
+    sent, _, _ = serve_requests([OK], requests=20, phase=phase, share=share, prepare=suspend(suspended))
     assert set(sent) == {expected}
 
 
-def test_a_node_without_recent_word_of_a_rollout_uses_the_current_side():
+def test_a_node_with_a_stale_rollout_record_uses_the_current_version():
     def prepare(state):
         state.rollouts.active["svc"].record_written_s = boot_time_s() - state.bounds.rollout.rollback_s / 2
 
-    assert set(serve([OK], requests=50, phase=Phase.SWITCHING, prepare=prepare)[0]) == {"v1"}
+    assert set(serve_requests([OK], requests=50, phase=Phase.SWITCHING, prepare=prepare)[0]) == {"v1"}
 
 
-def test_a_rolled_back_version_gets_nothing_even_if_no_other_is_listed():
-    sent, reply, _ = serve([OK], phase=Phase.ROLLED_BACK, old=0)
+def test_a_rolled_back_version_gets_no_requests_even_if_no_other_is_listed():
+    sent, reply, _ = serve_requests([OK], phase=Phase.ROLLED_BACK, old=0)
     assert (sent, reply.error.code) == ([], "WW3008")
 
 
-def test_engines_without_due_weights_are_stood_in_for_by_the_current_side():
+def test_the_current_version_serves_if_target_engines_lack_due_weights():
     def prepare(state):
         state.weights.name("m", 1, boot_time_s() - 60)
 
-    sent, _, _ = serve(
-        [PIECES], phase=Phase.SWITCHING, route=STREAM, new_weights=0, generation=make_generation(), prepare=prepare
+    sent, _, _ = serve_requests(
+        [STREAM_ANSWER],
+        phase=Phase.SWITCHING,
+        route=STREAM,
+        new_weights=0,
+        generation=make_generation(),
+        prepare=prepare,
     )
     assert sent == ["v1"]
 
 
-def test_pools_of_engines_are_formed_inside_a_side():
+def test_engine_pools_are_formed_within_a_version():
     """Short prompts have one engine in three to themselves: of the target side, not of all engines together."""
 
     async def work():
-        state = fleet(Phase.SWITCHING, route=STREAM, old=90, new=9)
+        state = state_in_rollout(Phase.SWITCHING, route=STREAM, old=90, new=9)
         client = FakeClient(Script(chunks=(event(1),), stream=True))
         pipeline = RequestPipeline(state, client)
         for prefix in range(60):
@@ -169,7 +174,7 @@
     assert used == pool
 
 
-def test_a_request_drawn_for_the_target_version_goes_elsewhere_once_nobody_watches_it():
+def test_a_retry_does_not_use_the_target_version_once_its_record_is_stale():
     """Its first attempt was on the current side, since no target back end was usable then."""
 
     def prepare(state):
@@ -178,18 +183,20 @@
                 each.suspended_until_s = boot_time_s() + 1.0
         state.rollouts.active["svc"].record_written_s -= 1.0
 
-    slow = Script(send_error=TransportEvent.RESET_AFTER_SEND, head_delay_s=3.0)
+    slow_reset = Script(send_error=TransportEvent.RESET_AFTER_SEND, head_delay_s=3.0)
     route = msgspec.structs.replace(SAFE, objective_s=4.0)
-    assert serve([slow, OK], phase=Phase.SWITCHING, route=route, prepare=prepare)[0] == ["v1", "v1"]
+    assert serve_requests([slow_reset, OK], phase=Phase.SWITCHING, route=route, prepare=prepare)[0] == ["v1", "v1"]
 
 
 @pytest.mark.parametrize(("phase", "is_refused"), [(Phase.CANARY, True), (Phase.SWITCHING, False)])
-def test_overload_is_that_of_the_side_that_takes_requests(phase, is_refused):
+def test_overload_is_judged_by_the_version_that_gets_new_requests(phase, is_refused):
     def prepare(state):
         for each in state.backends.all():
             each.peers_load = 24 if each.record.software == "v1" else 0
 
-    _, reply, _ = serve([PIECES], phase=phase, route=STREAM, generation=make_generation(), prepare=prepare)
+    _, reply, _ = serve_requests(
+        [STREAM_ANSWER], phase=phase, route=STREAM, generation=make_generation(), prepare=prepare
+    )
     assert (reply.error is not None and reply.error.code == "WW3019") == is_refused
 
 
@@ -203,22 +210,22 @@
         (Script(chunks=(b"o",), body_error=TransportEvent.RESET_AFTER_SEND), (0, 0, 1)),
     ],
 )
-def test_each_attempt_ends_in_one_count(script, expected):
-    _, _, state = serve([script, OK], phase=Phase.SWITCHING)
+def test_each_attempt_is_counted_once_by_how_it_ended(script, expected):
+    _, _, state = serve_requests([script, OK], phase=Phase.SWITCHING)
     (target,) = [each for each in counts_of(state).answers if each.is_target]
     assert (target.answered, target.failed, target.broken) == expected
     assert target.backend.startswith("v2-")
 
 
-def test_a_streams_first_delay_and_mean_gap_are_counted():
-    _, _, state = serve([PIECES], phase=Phase.SWITCHING, route=STREAM, generation=make_generation())
+def test_the_first_delay_and_mean_gap_of_a_stream_are_counted():
+    _, _, state = serve_requests([STREAM_ANSWER], phase=Phase.SWITCHING, route=STREAM, generation=make_generation())
     (target,) = counts_of(state).answers
     assert target.first_delays == {delay_bucket(0.3): 1}
     assert target.piece_gaps == {delay_bucket(0.3): 1}
 
 
-def test_delays_of_a_back_end_slow_from_its_start_are_left_out():
-    _, _, state = serve([OK], phase=Phase.SWITCHING, slow_for_s=5.0)
+def test_delays_of_a_back_end_in_slow_start_are_not_counted():
+    _, _, state = serve_requests([OK], phase=Phase.SWITCHING, slow_for_s=5.0)
     (target,) = counts_of(state).answers
     assert (target.answered, target.first_delays) == (1, {})
 
@@ -226,13 +233,13 @@
 def test_a_silent_target_back_end_counts_as_late():
     silent = Script(head_delay_s=60.0)
     route = msgspec.structs.replace(SAFE, timeout_s=2.0, max_attempts=1)
-    _, reply, state = serve([silent], phase=Phase.SWITCHING, route=route)
+    _, reply, state = serve_requests([silent], phase=Phase.SWITCHING, route=route)
     (target,) = counts_of(state).answers
     assert (reply.status, target.broken, target.first_delays) == (504, 1, {delay_bucket(2.0): 1})
 
 
 def test_nothing_is_counted_without_a_rollout_or_after_its_end():
-    _, _, state = serve([OK], phase=Phase.COMPLETE)
+    _, _, state = serve_requests([OK], phase=Phase.COMPLETE)
     assert state.rollouts.tally.by_service == {}
 
 
@@ -242,7 +249,7 @@
     lines = []
     sink = logger.add(lambda message: lines.append(message.record["extra"]), level="INFO")
     try:
-        serve([RESET, OK], phase=Phase.SWITCHING)
+        serve_requests([RESET, OK], phase=Phase.SWITCHING)
     finally:
         logger.remove(sink)
     named = [(line["event"], line["software"]) for line in lines if "software" in line]
@@ -250,7 +257,7 @@
 
 
 @pytest.mark.parametrize("is_old_listed", [False, True])
-def test_without_a_rollout_the_only_back_ends_left_are_used_whatever_their_version(is_old_listed):
+def test_without_a_rollout_the_remaining_back_ends_are_used_whatever_their_version(is_old_listed):
     async def work():
         state = make_state(SAFE, backends=0)
         now_s = boot_time_s()
--- a/tests/unit/serving/test_split_shares.py
+++ b/tests/unit/serving/test_split_shares.py
@@ -15,29 +15,29 @@
 
 NODES = 64
 OK = Script(chunks=(b"ok",))
-ALLOWED_OFF = 0.2
+SHARE_TOLERANCE = 0.2
 
 
-class Services(FakeClient):
+class TwoServicesClient(FakeClient):
     """One service follows a script, the other answers well."""
 
-    def __init__(self, troubled, script):
+    def __init__(self, failing_service, script):
         super().__init__(OK)
-        self.troubled, self.script = troubled, script
+        self.failing_service, self.script = failing_service, script
 
     async def send(self, dispatch):
-        self.scripts = [self.script if dispatch.backend.service == self.troubled else OK]
+        self.scripts = [self.script if dispatch.backend.service == self.failing_service else OK]
         return await super().send(dispatch)
 
 
-def first_sends(weights, troubled, script, each, returns):
+def first_sends(weights, failing_service, script, requests_per_node, callers_retry):
     """Serve so many requests at each node; refused callers return at another. Return first sends by service."""
 
     async def work():
         rng = random.Random(11)
         services = tuple(WeightedService(name, weight) for name, weight in weights.items())
         route = make_route(RouteKind.SAFE, services=services)
-        client = Services(troubled, script)
+        client = TwoServicesClient(failing_service, script)
         nodes = []
         for _ in range(NODES):
             state = make_state(route, backends=0)
@@ -47,13 +47,13 @@
                     state.backends.upsert(BackendRecord(f"{name}{number}", name, f"{name}{number}:1", "z1", 8))
             nodes.append(RequestPipeline(state, client))
         counts = Counter()
-        for _ in range(each):
+        for _ in range(requests_per_node):
             for node in nodes:
                 for pipeline in (node, rng.choice(nodes)):
                     reply, sent = FakeReply(), len(client.sent)
                     await pipeline.serve(make_request(), reply)
                     counts[client.sent[sent].backend.service] += 1
-                    if reply.status == 200 or not returns:
+                    if reply.status == 200 or not callers_retry:
                         break
                 await asyncio.sleep(0.001)
         return counts
@@ -61,9 +61,9 @@
     return run_virtual(work())
 
 
-@pytest.mark.parametrize("each", [1, 2, 5, 20])
+@pytest.mark.parametrize("requests_per_node", [1, 2, 5, 20])
 @pytest.mark.parametrize(
-    ("troubled", "script"),
+    ("failing_service", "script"),
     [
         ("", OK),
         ("main", Script(send_error=TransportEvent.BACKEND_OVERLOADED)),
@@ -74,15 +74,17 @@
     ],
     ids=["all well", "main refuses", "part refuses", "part is away", "part breaks off", "part fails"],
 )
-@pytest.mark.parametrize("returns", [False, True], ids=["once", "callers return"])
-def test_a_part_of_ten_in_a_hundred_gets_its_share_of_requests(troubled, script, each, returns):
+@pytest.mark.parametrize("callers_retry", [False, True], ids=["once", "callers return"])
+def test_a_service_with_a_tenth_of_the_weight_gets_a_tenth_of_the_requests(
+    failing_service, script, requests_per_node, callers_retry
+):
     """The share of a part is at most a fifth of it off for many requests, and no more than chance for few."""
-    counts = first_sends({"main": 90, "part": 10}, troubled, script, each, returns)
-    allowed = ALLOWED_OFF * 0.1 if each >= 20 else 3 * (0.09 / counts.total()) ** 0.5
+    counts = first_sends({"main": 90, "part": 10}, failing_service, script, requests_per_node, callers_retry)
+    allowed = SHARE_TOLERANCE * 0.1 if requests_per_node >= 20 else 3 * (0.09 / counts.total()) ** 0.5
     assert abs(counts["part"] / counts.total() - 0.1) <= allowed
 
 
-def test_repeats_stay_at_the_service_that_was_chosen():
+def test_retries_stay_at_the_chosen_service():
     async def work():
         route = make_route(services=(WeightedService("svc", 1.0), WeightedService("other", 1.0)))
         state = make_state(route)
--- a/tests/unit/serving/test_stated_limits.py
+++ b/tests/unit/serving/test_stated_limits.py
@@ -11,11 +11,11 @@
 from wallwell.routing.health.request_limit import LimitStatement
 
 OBJECTIVE_S = make_route().objective_s
-SPENT = 20
+REQUESTS_SENT_BEFORE = 20
 """Requests that use up a limit for longer than any request is held."""
 
 
-def states_limits(per_s, *numbers, sent=SPENT):
+def state_limits(per_s, *numbers, sent=REQUESTS_SENT_BEFORE):
     """Return what makes back ends of a state say what they take, after ``sent`` requests to each."""
 
     def prepare(state):
@@ -30,27 +30,27 @@
     return prepare
 
 
-def test_requests_go_to_the_back_ends_that_have_room():
-    reply, client, took_s = serve_request([OK], prepare=states_limits(1.0, 0, 2))
+def test_requests_go_to_back_ends_whose_limit_has_headroom():
+    reply, client, took_s = serve_request([OK], prepare=state_limits(1.0, 0, 2))
     assert (reply.status, took_s) == (200, 0.0)
     assert [each.backend.incarnation for each in client.sent] == ["i-1"]
 
 
-def test_a_limit_that_is_not_used_up_sends_nothing_elsewhere():
-    reply, client, took_s = serve_request([OK], prepare=states_limits(100.0, 0, 1, 2, sent=0))
+def test_a_request_is_served_while_the_limits_are_not_used_up():
+    reply, client, took_s = serve_request([OK], prepare=state_limits(100.0, 0, 1, 2, sent=0))
     assert (reply.status, took_s, len(client.sent)) == (200, 0.0, 1)
 
 
 def test_a_request_is_refused_at_once_where_no_limit_allows_it_in_time():
-    reply, client, took_s = serve_request([OK], prepare=states_limits(1.0, 0, 1, 2))
+    reply, client, took_s = serve_request([OK], prepare=state_limits(1.0, 0, 1, 2))
     assert (reply.status, took_s, client.sent) == (503, 0.0, [])
     assert isinstance(reply.error, NoBackendError)
     assert reply.error.retry_after_ms > 1000 * HOLD_FRACTION * OBJECTIVE_S
 
 
-def test_a_back_end_that_has_failed_is_asked_before_a_request_is_refused():
+def test_a_suspended_back_end_is_tried_before_a_request_is_refused():
     def prepare(state):
-        states_limits(1.0, 0, 1)(state)
+        state_limits(1.0, 0, 1)(state)
         state.backends.get("i-2").suspend_at_least_until(boot_time_s() + 5.0)
 
     reply, client, _ = serve_request([OK], prepare=prepare)
@@ -61,8 +61,10 @@
 def test_a_request_is_held_while_it_can_still_be_in_time():
     """Sixty requests beyond what is saved up are worked off in 0.6 s: the fleet's size is not known, so this node
     has a hundredth of the limit."""
-    saved_up = round(10_000 * BURST_S)
-    patient = msgspec.structs.replace(make_route(), objective_s=2.0)
-    reply, _, took_s = serve_request([OK], patient, prepare=states_limits(10_000.0, 0, 1, 2, sent=saved_up + 60))
+    burst_size = round(10_000 * BURST_S)
+    long_objective = msgspec.structs.replace(make_route(), objective_s=2.0)
+    reply, _, took_s = serve_request(
+        [OK], long_objective, prepare=state_limits(10_000.0, 0, 1, 2, sent=burst_size + 60)
+    )
     assert reply.status == 200
     assert 0.6 <= took_s <= HOLD_FRACTION * 2.0
--- a/tests/unit/serving/test_zone_outage.py
+++ b/tests/unit/serving/test_zone_outage.py
@@ -18,7 +18,7 @@
 from wallwell.serving.pipeline import RequestPipeline
 
 CONNECT_S, CHECK_S, WORK_S = 0.25, 0.12, 0.02
-CUT_FROM_S, CUT_S = 2.0, 6.0
+OUTAGE_START_S, OUTAGE_DURATION_S = 2.0, 6.0
 REQUESTS_PER_S = 25
 ZONES, PER_ZONE = ("z1", "z2", "z3", "z4"), 7
 
@@ -28,11 +28,11 @@
 
     def __init__(self):
         super().__init__(Script(chunks=(b"ok",), head_delay_s=WORK_S))
-        self.cut = set()
+        self.unreachable_zones = set()
         self.timed_out = []
 
     async def send(self, dispatch):
-        if dispatch.backend.zone in self.cut:
+        if dispatch.backend.zone in self.unreachable_zones:
             self.timed_out.append(boot_time_s())
             dispatch.progress.connecting = True
             await asyncio.sleep(CONNECT_S)
@@ -40,11 +40,11 @@
         return await super().send(dispatch)
 
     async def is_reachable(self, backend):
-        await asyncio.sleep(CHECK_S if backend.zone in self.cut else 0.002)
-        return backend.zone not in self.cut
+        await asyncio.sleep(CHECK_S if backend.zone in self.unreachable_zones else 0.002)
+        return backend.zone not in self.unreachable_zones
 
 
-def play(cut, zone="z9"):
+def serve_through_outage(cut_zones, zone="z9"):
     """Serve for ten seconds with zones cut off for six; return times, replies, and what was sent where and when."""
 
     async def work():
@@ -64,7 +64,9 @@
         started_s = boot_time_s()
         for number in range(10 * REQUESTS_PER_S):
             at_s = number / REQUESTS_PER_S
-            network.cut = set(cut) if CUT_FROM_S <= at_s < CUT_FROM_S + CUT_S else set()
+            network.unreachable_zones = (
+                set(cut_zones) if OUTAGE_START_S <= at_s < OUTAGE_START_S + OUTAGE_DURATION_S else set()
+            )
             state.freshness.confirm(boot_time_s())
             reply = FakeReply()
             replies.append((at_s, reply))
@@ -72,44 +74,44 @@
             await asyncio.sleep(1 / REQUESTS_PER_S)
         await asyncio.gather(*serving)
         watching.cancel()
-        took = [(at_s, reply.status, reply.ended_at_s - started_s - at_s) for at_s, reply in replies]
+        latencies = [(at_s, reply.status, reply.ended_at_s - started_s - at_s) for at_s, reply in replies]
         sent = [
             (at_s - started_s, each.backend.zone)
             for at_s, each in zip(network.sent_at_s, network.sent, strict=True)
         ]
-        return took, sent, [at_s - started_s for at_s in network.timed_out]
+        return latencies, sent, [at_s - started_s for at_s in network.timed_out]
 
     return run_virtual(work())
 
 
 @pytest.mark.parametrize(
-    ("cut", "zone"),
+    ("cut_zones", "zone"),
     [(("z2",), "z9"), (("z2",), "z1"), (("z2", "z3", "z4"), "z1"), (("z2", "z3", "z4"), "z9")],
     ids=["one, no own back ends", "from outside", "from inside", "three, no own back ends"],
 )
-def test_requests_run_into_a_cut_zone_for_less_than_a_second_only(cut, zone):
+def test_requests_are_sent_to_a_cut_zone_for_less_than_a_second(cut_zones, zone):
     """Measured from the first; a request runs into each cut zone once at most, and none is given back."""
-    took, _, timed_out = play(cut, zone)
+    latencies, _, timed_out = serve_through_outage(cut_zones, zone)
     settled_s = min(timed_out) + 1.0
     assert max(timed_out) < settled_s
     assert len(timed_out) <= REQUESTS_PER_S
-    settled = [(status, seconds) for at_s, status, seconds in took if at_s >= settled_s]
+    settled = [(status, seconds) for at_s, status, seconds in latencies if at_s >= settled_s]
     assert {status for status, _ in settled} == {200}
     assert max(seconds for _, seconds in settled) < 2 * WORK_S
-    assert {status for _, status, _ in took} == {200}
-    assert max(seconds for _, _, seconds in took) < len(cut) * CONNECT_S + 2 * WORK_S
+    assert {status for _, status, _ in latencies} == {200}
+    assert max(seconds for _, _, seconds in latencies) < len(cut_zones) * CONNECT_S + 2 * WORK_S
 
 
-def test_a_cut_zone_serves_again_soon_after_its_end_without_a_herd():
-    _, sent, _ = play(("z2",))
-    end_s = CUT_FROM_S + CUT_S
+def test_a_zone_serves_again_soon_after_an_outage_without_a_surge():
+    _, sent, _ = serve_through_outage(("z2",))
+    end_s = OUTAGE_START_S + OUTAGE_DURATION_S
     back = [at_s for at_s, zone in sent if at_s >= end_s and zone == "z2"]
     assert min(back) < end_s + 1.0
     first_second = Counter(zone for at_s, zone in sent if min(back) <= at_s < min(back) + 1.0)
     assert first_second["z2"] < 2 * REQUESTS_PER_S / len(ZONES)
 
 
-def test_peers_of_a_zone_that_is_back_are_asked_at_once():
+def test_peers_in_a_returned_zone_are_polled_at_once():
     """Their pause doubles up to 16 s, and without their word the loads of their zone are not known."""
     order = UpstreamOrder("n1", "z1", {"n1": NodeRecord("z1", "n1:1"), "n2": NodeRecord("z2", "n2:1")})
     for now_s in (0.0, 3.0, 8.0):
