--- a/src/wallwell/serving/__init__.py
+++ b/src/wallwell/serving/__init__.py
@@ -1,3 +1,3 @@
-"""One request on its way: admitted, sent to a back end, tried again where that is safe, and answered. No wire
-format.
+"""The request pipeline: admits a request, sends it to a back end, retries it where that is safe, and answers the
+caller. Independent of any wire format.
 """
--- a/src/wallwell/serving/active_request.py
+++ b/src/wallwell/serving/active_request.py
@@ -1,9 +1,8 @@
-"""State of one request on its way through the pipeline.
+"""State of one request in the pipeline.
 
-Owned by the pipeline that serves the request, from its admission to its one answer, and shared with nobody
-else. What decides on further attempts is kept in
-:class:`~wallwell.routing.retry.attempt_history.AttemptHistory`, what is proved of all attempts in
-:class:`~wallwell.routing.retry.attempt_outcome.AttemptLog`.
+Owned by the pipeline that serves the request, from its admission to its single answer, and shared with no other
+component. :class:`~wallwell.routing.retry.attempt_history.AttemptHistory` holds what the retry policy needs,
+:class:`~wallwell.routing.retry.attempt_outcome.AttemptLog` the proven outcome of all attempts together.
 """
 
 from __future__ import annotations
@@ -24,33 +23,34 @@
 
 @dataclass
 class AnswerTiming:
-    """When the events of an answer came, for the log and for learning. Times in seconds on this node's clock."""
+    """When the events of an answer arrived, for logs and latency averages; in seconds on this node's clock."""
 
     first_event_s: float | None = None
-    """When the first event of the whole answer came."""
+    """When the first event of the answer was forwarded, in whichever attempt."""
     last_event_s: float = 0.0
+    """When the last event was forwarded."""
     max_gap_s: float = 0.0
-    """Longest pause between two events, over all runs."""
+    """Longest pause between two events in seconds, over all attempts."""
     unanswered_since_s: float | None = None
-    """When the current attempt was sent; None once its first event has come or it was given up."""
+    """When the current attempt was sent; None once its first event has arrived or the attempt was abandoned."""
     attempt_sent_s: float = 0.0
     """When the current attempt was sent."""
     load_when_sent: int = 0
-    """Load of its back end then, its own included."""
+    """Load of the back end when the current attempt was sent, including the attempt itself."""
     attempt_first_event_s: float | None = None
-    """When the first event of the current attempt came."""
+    """When the first event of the current attempt was forwarded."""
     attempt_event_reads: int = 0
-    """Reads of the current attempt that held whole events."""
+    """Number of reads of the current attempt that contained complete events."""
 
     def on_sent(self, now_s: float, load: int) -> None:
-        """Note that an attempt is sent."""
+        """Record that an attempt is sent to a back end with this load."""
         self.unanswered_since_s = self.attempt_sent_s = now_s
         self.load_when_sent = load
         self.attempt_first_event_s = None
         self.attempt_event_reads = 0
 
     def on_events_forwarded(self, now_s: float) -> None:
-        """Note that events are passed on."""
+        """Record that events are forwarded to the caller."""
         if self.first_event_s is None:
             self.first_event_s = now_s
         else:
@@ -63,7 +63,7 @@
 
 @dataclass
 class ActiveRequest:
-    """One caller's request on its way through the pipeline. Times are on this node's clock."""
+    """One caller's request while the pipeline serves it. Times are in seconds on this node's clock."""
 
     request: CallerRequest
     reply: CallerReply
@@ -73,25 +73,25 @@
     deadline_s: float
     attempt_log: AttemptLog
     limit_charge: Admitted | None = None
-    """What was taken of the tenant's limit; None if it has no limit."""
+    """Tokens charged to the tenant's limit; None if the tenant has no limit."""
     history: AttemptHistory = field(default_factory=AttemptHistory)
     stream_position: StreamPosition = field(default_factory=StreamPosition)
     timing: AnswerTiming = field(default_factory=AnswerTiming)
     prefers_target: bool | None = None
-    """Whether it goes to the target version of a rollout first; None before that is drawn."""
+    """Whether the target version of a rollout is tried first; None until the version has been drawn."""
 
     @property
     def rank(self) -> int:
-        """Urgency, 0 first."""
+        """Priority rank of the tenant, or of the route if the tenant has none; 0 is the most urgent."""
         if self.tenant is not None and self.tenant.rank is not None:
             return self.tenant.rank
         return self.route.rank
 
     @cached_property
     def prefix_key(self) -> int:
-        """The key that places a generation: its longest shared prefix.
+        """Key of the longest shared prefix of a generation, by which its engine and KV store are chosen.
 
-        Within the tenant only if the tenant shares no cache with others.
+        The key includes the tenant's name if the tenant shares no cache with others.
         """
         assert self.request.generation is not None
         scope = self.tenant.name if self.tenant is not None and self.tenant.isolated else ""
@@ -99,11 +99,11 @@
 
     @cached_property
     def request_digest(self) -> str:
-        """The digest of what the request holds; the same each time its caller sends it again."""
+        """Digest of the content of the request; unchanged when the caller sends the same request again."""
         request = self.request
         caller = self.tenant.name if self.tenant is not None else request.credential
         return content_digest(request.host, request.target, caller, request.body)
 
     def remaining_s(self) -> float:
-        """Time left before the caller or the route gives the request up."""
+        """Return the seconds left until the deadline, which is set by the caller's or the route's timeout."""
         return self.deadline_s - boot_time_s()
--- a/src/wallwell/serving/admission.py
+++ b/src/wallwell/serving/admission.py
@@ -1,8 +1,8 @@
-"""Admits a request: access, its tenant's limit, its service and deadline, before anything is sent. No I/O.
+"""Admits a request before it is sent: checks access and the tenant's limit, sets service and deadline. No I/O.
 
-This is the adapter between the node's state and the decisions in ``routing/admission/`` (``access``,
-``fleet_limits``): it raises the error that belongs to a denial, and counts the request for the retry budget and
-the demand of the fleet. Relies on the state's configuration and on how recently the store confirmed it.
+Adapter between the node's state and the decisions in ``routing/admission/`` (``access``, ``fleet_limits``): raises
+the error for a denial, and counts the request for the retry budget and the fleet's demand. Depends on the node's
+configuration and on how recently the store confirmed it.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 
 
 class Admission:
-    """Asks the decisions about one request at a time."""
+    """Admits or refuses the requests of one node."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
         self._retry_after = RetryAfterEstimator(state)
 
     def admit(self, request: CallerRequest, reply: CallerReply) -> ActiveRequest:
-        """Find route, tenant and service. Raises :class:`RequestError`."""
+        """Return the request with its route, tenant, service and deadline. Raises :class:`RequestError`."""
         state = self._state
         is_fresh = state.is_fresh(request.arrived_s)
         access_request = AccessRequest(request.host, request.path, request.credential, len(request.body))
@@ -64,7 +64,7 @@
         )
 
     def _denial_error(self, denial: Denial, request: CallerRequest) -> RequestError:
-        """Return the error of a denial; where newer knowledge may change the answer, with when to retry."""
+        """Return the error for a denial, with a Retry-After if a newer configuration may change the decision."""
         detail = denial.value
         match denial:
             case Denial.NO_CONFIGURATION:
@@ -81,7 +81,7 @@
                 return BodyTooLargeError(detail)
 
     def _charge_tenant_limit(self, request: CallerRequest, tenant: TenantAccess | None) -> Admitted | None:
-        """Take a request's tokens of its tenant's limit. Raises :class:`RateLimitedError`."""
+        """Return the charge to the tenant's limit, None without a limit. Raises :class:`RateLimitedError`."""
         if tenant is None or tenant.limit is None:
             return None
         cost = tenant.limit.cost(request.declared_tokens)
--- a/src/wallwell/serving/attempt.py
+++ b/src/wallwell/serving/attempt.py
@@ -1,10 +1,9 @@
-"""One attempt: a request sent once to one back end, and its answer passed to the caller.
+"""One attempt: sends a request once to one back end and forwards the answer to the caller.
 
-Owns what is counted while an attempt is in flight (the back end's load and requests, the rollout's counts) and
-undoes it when the attempt ends in any way, cancellation included. Relies on the retry policy for whether the
-attempt may be ended early or its error answer retried, on
-:class:`~wallwell.serving.response_wait.ResponseWaiter` for the waiting, and on
-:class:`~wallwell.serving.stream_forwarding.StreamForwarder` for streams.
+Counts the attempt while it is in flight (in the back end's load and request count, and in the rollout's counts),
+and settles these counts however the attempt ends, cancellation included. The retry policy decides whether the
+attempt may be interrupted or its error answer retried; :class:`~wallwell.serving.response_wait.ResponseWaiter`
+waits for the head of the answer, :class:`~wallwell.serving.stream_forwarding.StreamForwarder` forwards streams.
 """
 
 from __future__ import annotations
@@ -31,13 +30,13 @@
 from wallwell.serving.version_choice import count_attempt_end, count_attempt_start
 
 CALL_LOAD = 1
-"""What a call adds to the load of its back end; a generation's share follows from its prompt."""
+"""Load units that a call adds to its back end; those of a generation depend on its prompt."""
 FIRST_SERVER_ERROR_STATUS = 500
-"""Lowest HTTP status of answers by which a back end says that it failed."""
+"""Lowest HTTP status that reports a failure of the back end."""
 
 
 class AttemptRunner:
-    """Makes single attempts."""
+    """Runs single attempts for one node."""
 
     def __init__(
         self,
@@ -56,9 +55,9 @@
         self._cache_planner = CachePlanner(state)
 
     async def make_attempt(self, active: ActiveRequest, backend: Backend) -> bool:
-        """Send once and pass the answer on; returns False if an error answer is retried instead.
+        """Send the request once and forward the answer; return False if an error answer is to be retried instead.
 
-        Raises :class:`AttemptError`, or TimeoutError when the caller's time is over.
+        Raises :class:`AttemptError` if the attempt fails, TimeoutError at the request's deadline.
         """
         load = _load_units(active)
         sent_s = self._on_sent(active, backend, load)
@@ -82,7 +81,7 @@
                 answer.close()
 
     def _on_sent(self, active: ActiveRequest, backend: Backend, load: int) -> float:
-        """Count an attempt as in flight and return when it is sent."""
+        """Count an attempt as in flight and return the time of sending, in seconds on this node's clock."""
         if active.history.runs and active.limit_charge is not None:
             self._state.load.limits.charge_retry(active.limit_charge)
         sent_s = boot_time_s()
@@ -97,7 +96,7 @@
         return sent_s
 
     def _liveness_watch(self, active: ActiveRequest, backend: Backend) -> AbstractAsyncContextManager[None]:
-        """Return what ends the attempt early if its back end has stopped and another may be asked."""
+        """Return a context that interrupts the attempt if its back end stops, provided that a retry is allowed."""
         if self._liveness is None or not self._policy.may_interrupt(active.route, active.history):
             return nullcontext()
         return self._liveness.watch(backend)
@@ -146,7 +145,7 @@
             self._feedback.on_complete_answer(active, backend, answer.head)
             return True
         if active.reply.started:
-            raise AttemptError(TransportEvent.ERROR_ANSWER, "a run that was to continue the stream failed")
+            raise AttemptError(TransportEvent.ERROR_ANSWER, "the attempt to resume the stream got an error answer")
         body = b"".join([chunk async for chunk in answer.chunks()])
         if answer.head.status >= FIRST_SERVER_ERROR_STATUS and self._decide_retry(active):
             active.history.on_run_ended()
@@ -157,7 +156,7 @@
         return True
 
     def _decide_retry(self, active: ActiveRequest) -> bool:
-        """Whether an error answer leads to another attempt, which is then paid for."""
+        """Decide whether an error answer is retried; if so, the retry is charged to the retry budget."""
         now_s = boot_time_s()
         return self._policy.after_error_answer(
             active.route,
--- a/src/wallwell/serving/attempt_feedback.py
+++ b/src/wallwell/serving/attempt_feedback.py
@@ -1,7 +1,7 @@
-"""What a node learns from its attempts: signs of life, failures, versions of weights, crashes.
+"""Updates health and weights records by the results of attempts: responses, failures, weights versions, crashes.
 
-Owns no state: it carries what one attempt has shown to the back end, the node's state and the crash observer, which
-decide by it when a back end or a zone is left out. Called by the pipeline and by attempts while they go on.
+Holds no state of its own: each result is passed to the back end's record, the node's state and the crash observer,
+which decide by it when a back end or a zone gets no requests. Called by the pipeline, and by attempts in flight.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
     TransportEvent.RESET_BEFORE_SEND,
     TransportEvent.RESET_AFTER_SEND,
 )
-"""Ends that an attempt also comes to while all packets to its back end are dropped."""
+"""Events that also occur while all packets to the back end are dropped, so that they do not prove it reachable."""
 
 
 class AttemptFeedback:
-    """Learns from attempts of one node."""
+    """Records the results of one node's attempts."""
 
     def __init__(self, state: NodeState, selector: BackendSelector, crash_observer: CrashObserver | None) -> None:
         self._state = state
@@ -34,7 +34,7 @@
         self._crash_observer = crash_observer
 
     def on_head(self, active: ActiveRequest, backend: Backend, head: AnswerHead) -> None:
-        """The head of an answer came."""
+        """Record the arrival of an answer's head."""
         generation = active.request.generation
         if generation is not None and head.weights_version:
             backend.learn_version(generation.model, head.weights_version)
@@ -46,25 +46,25 @@
             backend.on_success(now_s)
 
     def _record_acceptance(self, backend: Backend, now_s: float) -> None:
-        """A request was taken: a back end that had asked for back-off wants requests again."""
+        """Record that the back end accepted a request, which ends a back-off whose time is over."""
         backoff_s = backend.on_accepted(now_s)
         if backoff_s is not None:
             emit(Event.BACKEND_BACKOFF_ENDED, backend=backend.incarnation, since_first_ms=round(backoff_s * 1000))
 
     def on_stream_data(self, active: ActiveRequest, backend: Backend, now_s: float) -> None:
-        """Bytes of a stream came."""
+        """Record the arrival of bytes of a stream."""
         backend.silence.on_heard(now_s)
         self._state.on_sign_of_life(backend, now_s)
         self._selector.record_first_token(active, now_s)
 
     def on_complete_answer(self, active: ActiveRequest, backend: Backend, head: AnswerHead) -> None:
-        """An answer came to its end."""
+        """Record that an answer is complete."""
         backend.on_success(boot_time_s())
         if self._crash_observer is not None and head.ok:
             self._crash_observer.on_answered(active.request_digest)
 
     def on_failure(self, active: ActiveRequest, backend: Backend, failure: AttemptError, now_s: float) -> None:
-        """An attempt ended without a whole answer."""
+        """Record an attempt that ended without a complete answer."""
         event = failure.event
         if event is TransportEvent.WITHDRAWN:
             return  # Nothing was sent.
@@ -73,13 +73,13 @@
             self._selector.record_no_first_token(active, now_s)
         if event in REFUSED_BY_BACKEND:
             self._record_refusal(active, backend, failure, now_s)
-            return  # A back end that answers works.
+            return  # A back end that refuses explicitly is healthy.
         if event is TransportEvent.ERROR_ANSWER:
             return
         if event is TransportEvent.RESET_AFTER_SEND and self._crash_observer is not None:
             self._crash_observer.on_broken_run(active.request_digest, backend)
         if event is TransportEvent.ANSWER_TIMEOUT and backend.is_answering(now_s):
-            return  # Busy, not broken.
+            return  # It has answered other requests recently, so it is busy, not faulty.
         self._count_failure(backend, event, now_s)
 
     def _record_reachability(
@@ -92,10 +92,10 @@
             self._state.on_sign_of_life(backend, now_s)
 
     def _record_refusal(self, active: ActiveRequest, backend: Backend, failure: AttemptError, now_s: float) -> None:
-        """Learn from a refusal that the back end is full, or that its weights are others than was expected."""
+        """Record from a refusal that the back end is full, or that it has another weights version than expected."""
         generation = active.request.generation
         if failure.event is TransportEvent.PRECONDITION_REFUSED and generation is not None:
-            self._record_acceptance(backend, now_s)  # It is not full, since it looked at what was expected of it.
+            self._record_acceptance(backend, now_s)  # It checked the expected version, so it is not full.
             self._state.on_version_refused(backend, generation.model, failure.weights_version)
         elif failure.event is TransportEvent.BACKEND_OVERLOADED:
             self._count_overload_refusal(backend, now_s)
--- a/src/wallwell/serving/backend_selector.py
+++ b/src/wallwell/serving/backend_selector.py
@@ -1,8 +1,8 @@
-"""Which back end gets the next attempt of a request, and what is learnt from how it went. No I/O.
+"""Selects the back end for the next attempt of a request, and updates the latency averages it uses. No I/O.
 
-This is the adapter between the node's state and the decisions in ``routing/selection/`` (``call_choice``,
-``engine_choice``) and ``routing/admission/overload.py``. It raises the refusals that they decide on. It changes the
-node's averages of how long answers take, which nothing else writes.
+Adapter between the node's state and the decisions in ``routing/selection/`` (``call_choice``, ``engine_choice``)
+and ``routing/admission/overload.py``. Raises the refusals that these decide on. No other module writes the
+node's averages of answer times.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class BackendSelector:
-    """Asks the decisions of ``routing/`` for one attempt at a time, and learns from how attempts went."""
+    """Selects back ends by the decisions of ``routing/`` and records the durations of attempts."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
@@ -31,9 +31,9 @@
     def choose(
         self, active: ActiveRequest, candidates: Sequence[Backend], listed: Sequence[Backend] | None = None
     ) -> Backend:
-        """Return one of the candidates, of which there is at least one.
+        """Return one of the candidates, which must not be empty.
 
-        Engines' pools are formed from ``listed``, by default all back ends of the service.
+        Engine pools are formed from ``listed``, by default all back ends of the service.
         """
         state = self._state
         generation = active.request.generation
@@ -51,25 +51,25 @@
         return choose_for_generation(prompt, candidates, listed, fleet)
 
     def refuse_if_overloaded(self, active: ActiveRequest, now_s: float) -> None:
-        """Refuse a fraction of new generations while engines have too much to do. Raises :class:`OverloadedError`.
+        """Refuse a fraction of new generations while engines are overloaded. Raises :class:`OverloadedError`.
 
-        A stream that a caller resumes and a request that was sent before are not new.
+        A stream that a caller resumes and a request that was already sent do not count as new.
         """
         generation = active.request.generation
         if generation is None or generation.resume_after is not None or active.history.tried:
             return
         state = self._state
         engines = eligible_backends(state, active.service, now_s)
-        # The free slots of one that states a limit cannot be used.
+        # Free slots of engines that state a limit cannot be used, so these engines count only if all state one.
         engines = [each for each in engines if not each.is_limited] or engines
         occupancy = overloaded_occupancy(engines, active.rank, now_s, state.rng)
         if occupancy is None:
             return
         wait_s = overload_retry_after_s(occupancy, active.rank, state.generation_time.seconds, state.rng)
-        raise OverloadedError(f"{occupancy.per_slot:.2f} under way by slot", retry_after_ms=round(wait_s * 1000))
+        raise OverloadedError(f"load per slot: {occupancy.per_slot:.2f}", retry_after_ms=round(wait_s * 1000))
 
     def record_duration(self, active: ActiveRequest, now_s: float) -> None:
-        """A request has ended well."""
+        """Update the average and the shortest duration with the final attempt of an answered request."""
         state = self._state
         duration_s = now_s - active.timing.attempt_sent_s
         average = state.call_time if active.request.generation is None else state.generation_time
@@ -78,7 +78,7 @@
             state.shortest_answers.setdefault(active.route.name, ShortestAnswer()).observe(duration_s)
 
     def record_first_token(self, active: ActiveRequest, now_s: float) -> None:
-        """A token of the current attempt came: learn from the first one."""
+        """Update the first-token delay and the prefill rate if this is the first token of the current attempt."""
         timing = active.timing
         generation = active.request.generation
         if timing.unanswered_since_s is None or generation is None:
@@ -90,7 +90,7 @@
         timing.unanswered_since_s = None
 
     def record_no_first_token(self, active: ActiveRequest, now_s: float) -> None:
-        """The current attempt was given up before its first token."""
+        """Record that the current attempt was abandoned before its first token."""
         timing = active.timing
         if timing.unanswered_since_s is not None and active.request.generation is not None:
             self._state.first_token_delays.on_given_up(now_s)
--- a/src/wallwell/serving/cache_planning.py
+++ b/src/wallwell/serving/cache_planning.py
@@ -1,7 +1,7 @@
-"""Where an engine fetches KV cache for a generation from, and whether it saves any. No I/O.
+"""Plans from which KV store an engine fetches cache for a generation, and whether it saves any. No I/O.
 
-This is the adapter between the node's state and ``routing/selection/kv_store_choice.py``, which decides. A plan
-goes to the engine with the request; ``node/kv_store_watch.py`` keeps what is known of the stores.
+Adapter between the node's state and the decisions in ``routing/selection/kv_store_choice.py``. The plan is sent to
+the engine with the request; ``node/kv_store_watch.py`` tracks the contents of the stores.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 
 class CachePlanner:
-    """Plans one attempt at a time."""
+    """Plans the KV cache transfers of single attempts."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
 
     def plan(self, active: ActiveRequest, backend: Backend, now_s: float) -> CachePlan:
-        """Return the plan of an attempt at an engine. A save that it contains counts as under way from now on."""
+        """Return the cache plan of an attempt at an engine. A planned save is recorded as in progress."""
         state = self._state
         generation = active.request.generation
         assert generation is not None
@@ -35,7 +35,7 @@
         version = backend.believed_version(generation.model)
         scope = _cache_scope(active, generation.model, version)
         stores = state.kv_stores
-        # Without a known weights version nothing can be named that is certainly made by the same weights.
+        # Without a known weights version, no cache entry is certain to come from the same weights.
         home = home_store(stores, active.prefix_key, zone) if version else ""
         if not home or is_unreachable(stores, home):
             return CachePlan(scope)
@@ -48,7 +48,7 @@
 
 
 def _cache_scope(active: ActiveRequest, model: str, version: int) -> str:
-    """Return the name under which a store keeps parts: by weights, and by tenant for tenants that share none."""
+    """Return the cache scope: model, weights version and, for a tenant that shares no cache, the tenant's name."""
     scope = f"{model}:{version}"
     if active.tenant is not None and active.tenant.isolated:
         scope += f":{active.tenant.name}"
--- a/src/wallwell/serving/counted_answer.py
+++ b/src/wallwell/serving/counted_answer.py
@@ -1,6 +1,6 @@
-"""Answers that come over the link between regions, counted as they pass.
+"""Counts the bytes of answers that cross the link between regions.
 
-Owns nothing: the bytes go into the node's :class:`RegionTraffic`, which reports what the link carries and why.
+The bytes are added to the node's :class:`RegionTraffic`, which reports the traffic on the link by cause.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class TrafficCountedAnswer:
-    """A back end's answer whose bytes are added to the traffic between regions; see :class:`BackendAnswer`."""
+    """A :class:`BackendAnswer` whose bytes are added to the traffic between regions."""
 
     def __init__(self, answer: BackendAnswer, traffic: RegionTraffic, cause: str) -> None:
         self.head = answer.head
@@ -22,12 +22,12 @@
         self._cause = cause
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body. Raises :class:`AttemptError` if it ends early."""
+        """Yield the body and count its bytes. Raises :class:`AttemptError` if the body ends early."""
         async with aclosing(self._answer.chunks()) as chunks:  # type: ignore[type-var]
             async for chunk in chunks:
                 self._traffic.add_bytes(self._cause, len(chunk))
                 yield chunk
 
     def close(self) -> None:
-        """Abort the request if it has not ended."""
+        """Abort the request if its answer is not complete."""
         self._answer.close()
--- a/src/wallwell/serving/event_stream.py
+++ b/src/wallwell/serving/event_stream.py
@@ -1,7 +1,7 @@
-"""Framing and order of event streams: whole events only, each number once, in order. Pure.
+"""Framing and ordering of event streams: forwards complete events only, each number once and in order. Pure.
 
-An event ends with an empty line. Its ``id:`` line numbers it. A stream that breaks off in the middle of an event
-leaves a remainder that is never passed on; the next run continues after the last whole event.
+An event ends with an empty line and carries its number in an ``id:`` line. If a stream breaks off within an event,
+the partial event is discarded; the next attempt resumes after the last complete event.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from wallwell.errors import StreamOrderError
 
 MAX_EVENT_BYTES = 256 * 1024
-"""Bytes of one unfinished event beyond which the stream counts as broken, so that a back end that never ends an
-event cannot fill this node's memory."""
+"""Largest size of an unfinished event in bytes. A larger one ends the attempt, so that a back end that never ends
+an event cannot fill this node's memory."""
 _EVENT_END = re.compile(rb"\r?\n\r?\n")
 _ID_FIELD = b"id:"
 
 
 def split_events(buffer: bytes) -> tuple[list[bytes], bytes]:
-    """Return the whole events at the start of ``buffer`` and the remainder."""
+    """Return the complete events at the start of ``buffer`` and the remaining bytes."""
     events: list[bytes] = []
     start = 0
     for match in _EVENT_END.finditer(buffer):
@@ -29,7 +29,7 @@
 
 
 def event_number(event: bytes) -> int | None:
-    """Return the number on the event's ``id:`` line, None if it has none."""
+    """Return the number in the event's ``id:`` line; None if there is no such line or number."""
     for line in event.split(b"\n"):
         if line.startswith(_ID_FIELD):
             text = line[len(_ID_FIELD) :].strip()
@@ -39,26 +39,26 @@
 
 @dataclass
 class StreamPosition:
-    """How far an answer has come, over all of its runs."""
+    """Position in a streamed answer, over all attempts of the request."""
 
     last_event_number: int | None = None
-    """Number of the last event passed on; the next run resumes after it."""
+    """Number of the last event forwarded, None if no numbered event was; the next attempt resumes after it."""
     events_forwarded: int = 0
     _partial_event: bytes = field(default=b"")
 
     def discard_partial_event(self) -> None:
-        """A run starts; whatever was left of the one before is dropped."""
+        """Discard the partial event of the previous attempt; called when a new attempt's stream starts."""
         self._partial_event = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes of the current run and return the events to pass on.
+        """Add bytes of the current attempt and return the events to forward.
 
-        Raises :class:`StreamOrderError` if numbers do not rise or an event grows out of bounds. Nothing of ``data``
-        is then passed on, and the position stays where it was, so that the next run sends it again.
+        Raises :class:`StreamOrderError` if event numbers do not increase or an event exceeds ``MAX_EVENT_BYTES``.
+        No event of ``data`` is forwarded then and the position is unchanged, so the next attempt sends them again.
         """
         events, self._partial_event = split_events(self._partial_event + data)
         if len(self._partial_event) > MAX_EVENT_BYTES:
-            raise StreamOrderError("an event exceeds its bound")
+            raise StreamOrderError("an event exceeds the size limit")
         last_event_number = self.last_event_number
         for event in events:
             number = event_number(event)
@@ -72,5 +72,5 @@
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether the run stands in the middle of an event."""
+        """Whether the bytes received so far end within an event."""
         return bool(self._partial_event.strip())
--- a/src/wallwell/serving/liveness.py
+++ b/src/wallwell/serving/liveness.py
@@ -1,10 +1,9 @@
-"""Finds back ends that stopped without closing their connections, and ends the attempts there that may go
-elsewhere.
+"""Detects back ends that stopped without closing their connections, and interrupts attempts that may be retried.
 
-A machine without power sends nothing: its connections stay open and its streams stop. Back ends that are silent
-for long while requests are in flight are probed with a new connection, and one of each zone that may be cut
-off. Owns the probes and the attempts that may be ended; when a silence is long is decided by the back end's
-silence record, which zone is probed by the zones' record, and which attempts may be ended by the retry policy.
+A machine that loses power sends nothing: its connections stay open and its streams stall. A back end that is silent
+for long while requests are in flight is probed with a new connection, and so is one back end of each zone that may
+be cut off. This module runs the probes and keeps the interruptible attempts. The back end's silence record decides
+when a silence is long, the zones' record which zone is probed, the retry policy which attempts are interruptible.
 """
 
 from __future__ import annotations
@@ -24,38 +23,38 @@
 from wallwell.serving.messages import AttemptError
 
 PROBE_CHECK_INTERVAL_S = 0.04
-"""Seconds between two looks at which back ends are to be probed: a fraction of the shortest silence that counts as
-long."""
+"""Interval in seconds at which back ends are checked for due probes: a fraction of the shortest silence that counts
+as long."""
 
 
 class ReachabilityCheck(Protocol):
-    """Finds out whether a back end's machine answers."""
+    """Checks whether a back end's machine answers."""
 
     async def is_reachable(self, backend: BackendRecord) -> bool:
-        """Make a new connection; returns False if there is no answer to that, not even a refusal."""
+        """Open a new connection; return False if there is no response to it, not even a refusal."""
         ...
 
 
 class LivenessMonitor:
-    """Probes back ends that are silent for long while requests are in flight there."""
+    """Probes back ends that are silent for long while requests are in flight, and interrupts their attempts."""
 
     def __init__(self, state: NodeState, reachability_check: ReachabilityCheck) -> None:
         self._state = state
-        self._reachability_check = reachability_check
+        self._reachability = reachability_check
         self._interruptible_attempts: dict[Backend, set[asyncio.Timeout]] = {}
-        """Attempts in flight that may be ended for another back end, by theirs."""
+        """Attempts in flight that may be interrupted for a retry elsewhere, by back end."""
         self._probes = BackgroundTasks()
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Probe back ends periodically until cancelled."""
         while True:
             await asyncio.sleep(PROBE_CHECK_INTERVAL_S)
             self.probe_due_backends()
 
     def probe_due_backends(self) -> None:
-        """Probe every back end that has been silent for long, and one of each zone that may be cut off.
+        """Start probes of back ends that have been silent for long, and of one in each zone that may be cut off.
 
-        Attempts on back ends that others have replaced are ended.
+        Attempts on back ends that have been replaced are interrupted without a probe.
         """
         now_s = boot_time_s()
         for backend in list(self._interruptible_attempts):
@@ -67,18 +66,15 @@
             self._probes.begin(self._probe_zone(backend))
 
     async def _probe_zone(self, backend: Backend) -> None:
-        """Probe one back end on behalf of its whole zone."""
-        if await self._reachability_check.is_reachable(backend.record):
+        """Probe one back end to find out whether its zone is reachable."""
+        if await self._reachability.is_reachable(backend.record):
             self._state.on_sign_of_life(backend, boot_time_s())
         else:
             self._state.on_connect_timeout(backend, boot_time_s())
 
     async def _probe(self, backend: Backend) -> None:
         probe_started_s = boot_time_s()
-        if (
-            await self._reachability_check.is_reachable(backend.record)
-            or backend.silence.heard_s >= probe_started_s
-        ):
+        if await self._reachability.is_reachable(backend.record) or backend.silence.heard_s >= probe_started_s:
             return
         now_s = boot_time_s()
         backend.on_failure(now_s, unreachable=True)
@@ -98,9 +94,9 @@
 
     @asynccontextmanager
     async def watch(self, backend: Backend) -> AsyncIterator[None]:
-        """Watch one attempt, and end it with :class:`AttemptError` if its back end turns out to have stopped.
+        """Run one attempt and interrupt it with :class:`AttemptError` if its back end is found to have stopped.
 
-        Only for attempts that may be interrupted; the retry policy says which.
+        Only for attempts that the retry policy allows to interrupt.
         """
         attempt = asyncio.timeout(None)
         watched = self._interruptible_attempts.setdefault(backend, set())
--- a/src/wallwell/serving/messages.py
+++ b/src/wallwell/serving/messages.py
@@ -1,7 +1,7 @@
-"""Typed messages between a callers' interface, the request pipeline and the clients of back ends.
+"""Typed messages between the interface to callers, the request pipeline and the clients of back ends.
 
-No wire format appears here: an interface parses its own protocol into :class:`CallerRequest` and renders
-:class:`AnswerHead` and bytes; a client of back ends does the reverse. The pipeline between them decides.
+Independent of any wire format: an interface parses its own protocol into :class:`CallerRequest` and renders
+:class:`AnswerHead` and body bytes; a client of back ends does the reverse. All decisions are made in the pipeline.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 
 
 class Generation(msgspec.Struct, frozen=True):
-    """What a caller says of a generation: its model, its prompt's parts and where to resume."""
+    """The parameters of a generation request: model, prompt parts and resume position."""
 
     model: str
     parts: tuple[PromptPart, ...]
     resume_after: int | None = None
-    """Number of the last event the caller already has."""
+    """Number of the last event that the caller has received; None to start from the beginning."""
 
     @property
     def prompt_tokens(self) -> int:
-        """Tokens of the whole prompt."""
+        """Number of tokens of the whole prompt."""
         return sum(part.tokens for part in self.parts)
 
 
 class CallerRequest(msgspec.Struct, frozen=True):
-    """One request as a caller sent it. ``arrived_s`` is on this node's clock."""
+    """One request as its caller sent it. ``arrived_s`` is the time of arrival in seconds on this node's clock."""
 
     request_id: str
     host: str
@@ -44,24 +44,24 @@
     target: str
     """Path and query exactly as sent."""
     headers: Headers
-    """End-to-end headers that are the caller's to set."""
+    """End-to-end headers that callers may set."""
     body: bytes
     credential: str
     caller_timeout_s: float | None
-    """How long the caller waits, from its arrival here."""
+    """How long the caller waits, in seconds from the arrival of the request; None if the caller does not say."""
     arrived_s: float
     generation: Generation | None = None
     declared_tokens: int | None = None
-    """Tokens of the prompt and of the largest output together, None if the caller does not say."""
+    """Prompt tokens plus the largest number of output tokens; None if the caller does not say."""
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """The request target without its query."""
         return self.target.partition("?")[0]
 
 
 class CachePlan(msgspec.Struct, frozen=True):
-    """Where an engine may take and leave cached parts. ``scope`` separates caches that must not mix."""
+    """KV stores to fetch prompt parts from and to save them to; ``scope`` separates caches that must not mix."""
 
     scope: str
     fetch_from: str = ""
@@ -70,10 +70,10 @@
 
 @dataclass
 class SendProgress:
-    """How far the sending of an attempt has come, for whoever abandons it."""
+    """Progress of sending an attempt, by which an abandoned attempt is classified."""
 
     connecting: bool = False
-    """Whether a connection is being made, so that nothing can have reached the back end."""
+    """Whether the connection is still being opened, so that nothing can have reached the back end."""
 
 
 def _always_true() -> bool:
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True)
 class Dispatch:
-    """One attempt at one back end. ``remaining_s`` is what is left of the caller's time."""
+    """One attempt to be sent to a back end. ``remaining_s`` is the time in seconds until the request's deadline."""
 
     backend: BackendRecord
     request: CallerRequest
@@ -94,11 +94,11 @@
     cache: CachePlan | None = None
     progress: SendProgress = field(default_factory=SendProgress)
     may_send: Callable[[], bool] = _always_true
-    """Whether the back end still wants the request, to be asked right before it is sent: connecting takes time."""
+    """Whether the back end still accepts requests; called right before sending, since connecting takes time."""
 
 
 class AnswerHead(msgspec.Struct, frozen=True):
-    """Status and headers of a back end's answer, to be passed on unchanged."""
+    """Status and headers of a back end's answer, forwarded to the caller unchanged."""
 
     status: int
     headers: Headers
@@ -107,12 +107,12 @@
 
     @property
     def ok(self) -> bool:
-        """Whether the back end calls it a success."""
+        """Whether the status reports success (2xx)."""
         return 200 <= self.status < 300
 
 
 class AttemptError(Exception):
-    """An attempt ended without a whole answer; ``event`` says how, which decides what may follow."""
+    """An attempt ended without a complete answer; ``event`` says how, and decides whether a retry is allowed."""
 
     def __init__(self, event: TransportEvent, detail: str = "", weights_version: int = 0) -> None:
         super().__init__(f"{event.value} {detail}")
@@ -122,7 +122,7 @@
 
 
 class CallerGoneError(ConnectionError):
-    """The caller has closed its connection, so nobody waits for an answer any more."""
+    """The caller has closed its connection and waits for no answer."""
 
 
 class BackendAnswer(Protocol):
@@ -131,11 +131,11 @@
     head: AnswerHead
 
     def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body. Raises :class:`AttemptError` if it ends early."""
+        """Yield the body. Raises :class:`AttemptError` if the body ends early."""
         ...
 
     def close(self) -> None:
-        """Abort the request if it has not ended; the back end then stops working on it."""
+        """Abort the request if its answer is not complete, so that the back end stops working on it."""
         ...
 
 
@@ -143,24 +143,24 @@
     """Sends requests to back ends."""
 
     async def send(self, dispatch: Dispatch) -> BackendAnswer:
-        """Send once, if the request is still wanted, and wait for the head. Raises :class:`AttemptError`."""
+        """Send once, if ``may_send`` allows, and return the answer at its head. Raises :class:`AttemptError`."""
         ...
 
 
 class CrashObserver(Protocol):
-    """Receives what attempts show of crashed back ends."""
+    """Receives the results of attempts that show whether a request crashes back ends."""
 
     def on_broken_run(self, content: str, backend: Backend) -> None:
-        """The connection of a run of this content ended before its answer was whole."""
+        """Called when a connection ends before the answer to the request with this digest is complete."""
         ...
 
     def on_answered(self, content: str) -> None:
-        """A request of this content was answered with success."""
+        """Called when the request with this digest is answered with success."""
         ...
 
 
 class CallerReply(Protocol):
-    """The answer to one caller. Exactly one of the ways to end it is used."""
+    """The reply to one caller. Exactly one of ``answer``, ``refuse``, ``finish`` and ``abort`` ends it."""
 
     @property
     def started(self) -> bool:
@@ -168,15 +168,15 @@
         ...
 
     def is_caller_gone(self) -> bool:
-        """Whether the caller has closed its connection; asks the system, which knows before the event loop does."""
+        """Whether the caller has closed its connection; checks the socket, as the event loop is told later."""
         ...
 
     async def answer(self, head: AnswerHead, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         ...
 
     async def refuse(self, error: RequestError) -> None:
-        """Send a typed error."""
+        """Send an error of the router itself."""
         ...
 
     async def start(self, head: AnswerHead) -> None:
@@ -184,13 +184,13 @@
         ...
 
     async def write(self, data: bytes) -> None:
-        """Send whole events of a streamed answer; waits while the caller is slow."""
+        """Send complete events of a streamed answer; waits while the caller reads slowly."""
         ...
 
     async def finish(self) -> None:
-        """End a streamed answer as complete."""
+        """End a streamed answer that is complete."""
         ...
 
     def abort(self) -> None:
-        """Break a streamed answer off so that it cannot look complete."""
+        """Break off a streamed answer so that the caller cannot mistake it for a complete one."""
         ...
--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -1,15 +1,14 @@
-"""The request pipeline: admit, choose a back end, attempt, and again where that is safe, until the request has
-ended.
-
-This module owns the loop over the attempts of one request and the answer that its caller gets: exactly one, sent as
-soon as it is decided, and none once the caller has left. A refusal that proves that the request never ran says when
-to retry. The pipeline knows no wire format and decides nothing itself: it asks
-
-- :class:`~wallwell.serving.admission.Admission` who may send what, and for how long;
-- :class:`~wallwell.serving.backend_selector.BackendSelector` which back end is next;
-- :class:`~wallwell.serving.attempt.AttemptRunner` to make one attempt there;
-- :class:`~wallwell.routing.retry.retry_policy.RetryPolicy` what follows an attempt that failed;
-- :class:`~wallwell.serving.request_errors.RequestErrorFactory` what is proved when no attempt follows.
+"""The request pipeline: admits a request, selects a back end, sends the request, and retries where that is safe.
+
+This module owns the loop over the attempts of one request and the caller's answer: exactly one, sent as soon as it
+is decided, and none once the caller has disconnected. A refusal that proves that the request never ran carries a
+Retry-After. The pipeline is independent of any wire format and delegates each decision:
+
+- :class:`~wallwell.serving.admission.Admission` checks access and limits and sets the deadline;
+- :class:`~wallwell.serving.backend_selector.BackendSelector` selects the next back end;
+- :class:`~wallwell.serving.attempt.AttemptRunner` makes one attempt;
+- :class:`~wallwell.routing.retry.retry_policy.RetryPolicy` decides what follows a failed attempt;
+- :class:`~wallwell.serving.request_errors.RequestErrorFactory` builds the error when no attempt follows.
 """
 
 from __future__ import annotations
@@ -51,13 +50,13 @@
 
 
 class Hold(msgspec.Struct, frozen=True):
-    """A request waits before its next back end is chosen."""
+    """The request is held for ``seconds`` before its next back end is chosen."""
 
     seconds: float
 
 
 class RequestPipeline:
-    """Serves requests of any callers' interface from any kind of back end."""
+    """Serves requests from any interface to callers on any kind of back end."""
 
     def __init__(
         self,
@@ -78,7 +77,7 @@
         self._reporter = RequestReporter(state, self.counters)
 
     async def serve(self, request: CallerRequest, reply: CallerReply) -> None:
-        """Answer one request."""
+        """Serve one request through ``reply``. Raises :class:`CallerGoneError` if the caller has disconnected."""
         try:
             active = self._admission.admit(request, reply)
             await self._run_admitted(active)
@@ -90,7 +89,7 @@
                 await reply.refuse(error)
 
     async def _run_admitted(self, active: ActiveRequest) -> None:
-        """Run a request; what it took of its tenant's limit is refunded if it is proved not to have run."""
+        """Run a request, and refund the charge to its tenant's limit if the request is proved not to have run."""
         try:
             await self._run(active)
         except RequestError as error:
@@ -107,14 +106,14 @@
             self._state.load.limits.refund(active.limit_charge)
 
     async def _run(self, active: ActiveRequest) -> None:
-        """Make attempts until one ends the request. Raises :class:`RequestError` or :class:`CallerGoneError`."""
+        """Make attempts until one is answered. Raises :class:`RequestError` or :class:`CallerGoneError`."""
         while True:
             backend = await self._next_backend(active)
             try:
                 if await self._attempt_runner.make_attempt(active, backend):
                     self._on_answered(active, backend)
                     return
-                server_error = AttemptError(TransportEvent.ERROR_ANSWER, "server error, not passed on")
+                server_error = AttemptError(TransportEvent.ERROR_ANSWER, "server error, retried")
                 self._reporter.on_attempt_failed(active, backend, server_error)
             except AttemptError as failure:
                 self._after_failure(active, backend, failure)
@@ -127,9 +126,9 @@
         self._reporter.on_answered(active, backend, now_s)
 
     def _deadline_error(self, active: ActiveRequest) -> RequestError:
-        """Return the error of a request whose time ended during an attempt."""
+        """Return the error of a request that reached its deadline during an attempt."""
         self._selector.record_no_first_token(active, boot_time_s())
-        # The attempt was in flight: it may have reached its back end, whatever became of earlier ones.
+        # The attempt in flight may have reached its back end, whatever the outcome of earlier attempts.
         active.attempt_log.record(TransportEvent.ANSWER_TIMEOUT)
         active.history.on_run_ended()
         return self._error_factory.deadline_error(active)
@@ -137,7 +136,7 @@
     # --- before an attempt -----------------------------------------------------------------------------
 
     async def _next_backend(self, active: ActiveRequest) -> Backend:
-        """Return the back end of the next attempt, waiting for the end of a back-off where that is soon enough.
+        """Return the back end of the next attempt, after a hold if a back-off or a limit ends soon enough.
 
         Raises :class:`RequestError` or :class:`CallerGoneError`.
         """
@@ -148,22 +147,22 @@
             await asyncio.sleep(chosen.seconds)
 
     def _choose_or_hold(self, active: ActiveRequest) -> Backend | Hold:
-        """Return the back end of the next attempt, or for how long the request is held.
+        """Return the back end of the next attempt, or the hold to wait for before choosing again.
 
         Raises :class:`RequestError` or :class:`CallerGoneError`.
         """
         if active.reply.is_caller_gone():
-            # On a node that is short of processor time a request can be read after its caller has left.
-            raise CallerGoneError("closed before its request was sent on")
+            # A node that is short of CPU time may read a request after its caller has disconnected.
+            raise CallerGoneError("the caller disconnected before the next attempt")
         if self._is_too_late(active):
             raise self._error_factory.deadline_error(active)
         now_s = boot_time_s()
-        # Before each attempt, since other nodes may have seen crashes under the request meanwhile.
+        # Checked before each attempt, since other nodes may have observed crashes caused by this request meanwhile.
         refusal = self._error_factory.quarantine_error(active, now_s)
         if refusal is not None:
             raise refusal
         limit_waits_s: dict[Backend, float] = {}
-        """Back ends that would have been chosen, and the seconds until their limits probably allow the request."""
+        """Back ends passed over for their stated limit, with the seconds until it probably allows the request."""
         while True:
             listed, candidates = self._candidates(active, now_s, limit_waits_s)
             if not candidates:
@@ -183,7 +182,7 @@
     def _candidates(
         self, active: ActiveRequest, now_s: float, excluded: Collection[Backend]
     ) -> tuple[Sequence[Backend], Sequence[Backend]]:
-        """Return the listed back ends and those of them that may get the next attempt, but for some."""
+        """Return the listed back ends, and those that may get the next attempt apart from the excluded ones."""
         listed, usable = candidates_for(self._state, active, now_s, excluded)
         tried = active.history.tried
         untried = [each for each in usable if each.incarnation not in tried]
@@ -220,7 +219,7 @@
     # --- after an attempt ------------------------------------------------------------------------------
 
     def _after_failure(self, active: ActiveRequest, backend: Backend, failure: AttemptError) -> None:
-        """Record a failed attempt; returns if another one follows. Raises :class:`RequestError` if none does."""
+        """Record a failed attempt. Raises :class:`RequestError` unless another attempt follows."""
         now_s = boot_time_s()
         event = failure.event
         active.attempt_log.record(event)
@@ -235,6 +234,6 @@
             active.route, active.history, active.attempt_log.attempts, event, budget, now_s
         )
         if isinstance(decision, GiveUp):
-            raise self._error_factory.attempts_exhausted_error(
+            raise self._error_factory.exhausted_error(
                 active, decision.detail or failure.detail or event.value, decision.cause
             )
--- a/src/wallwell/serving/request_reports.py
+++ b/src/wallwell/serving/request_reports.py
@@ -1,4 +1,4 @@
-"""Log events and counts of requests: refused, answered, and each failed attempt. Decides nothing."""
+"""Logs and counts refused requests, answered requests and failed attempts. Makes no decisions."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from wallwell.serving.messages import AttemptError, CallerRequest
 
 NEVER_CONFIRMED_AGE_MS = -1
-"""Logged as the store's age while the store was never heard."""
+"""Logged as the age of the store's data until the store has confirmed it for the first time."""
 
 
 class RequestReporter:
-    """Reports requests of one node."""
+    """Logs and counts the requests of one node."""
 
     def __init__(self, state: NodeState, counters: RequestCounters) -> None:
         self._state = state
         self._counters = counters
 
     def on_refused(self, request: CallerRequest, error: RequestError) -> None:
-        """A request ends with an error of the router's own."""
+        """Report a request that ends with an error of the router itself."""
         kind = "generation" if request.generation is not None else "call"
         self._counters.on_refused(kind, error.outcome.value, error.code)
         emit(
@@ -38,7 +38,7 @@
         )
 
     def on_attempt_failed(self, active: ActiveRequest, backend: Backend, failure: AttemptError) -> None:
-        """An attempt ended without a whole answer."""
+        """Report an attempt that ended without a complete answer."""
         reason = failure.event.value
         self._counters.attempts[reason] += 1
         emit(
@@ -54,7 +54,7 @@
         )
 
     def on_answered(self, active: ActiveRequest, backend: Backend, now_s: float) -> None:
-        """A request got a back end's whole answer."""
+        """Report a request that got a complete answer."""
         request, timing = active.request, active.timing
         first_event_s = timing.first_event_s or now_s
         gap_s = timing.max_gap_s if timing.first_event_s is not None else None
@@ -76,7 +76,7 @@
         )
 
     def _store_age_ms(self) -> int:
-        """Return how long ago the store confirmed what this node knows."""
+        """Return the milliseconds since the store last confirmed this node's data."""
         confirmed_s = self._state.freshness.confirmed_at_s
         if confirmed_s == float("-inf"):
             return NEVER_CONFIRMED_AGE_MS
--- a/src/wallwell/serving/response_wait.py
+++ b/src/wallwell/serving/response_wait.py
@@ -1,7 +1,7 @@
-"""Waits for the head of an answer, and abandons a silent back end where another one may be asked.
+"""Waits for the head of an answer, and abandons a silent back end where a retry on another one is allowed.
 
-Owns the waiting only: how long it lasts is decided in :mod:`wallwell.routing.retry.response_timeout`, whether the
-attempt may be abandoned in :mod:`wallwell.routing.retry.retry_policy`.
+Implements only the wait: :mod:`wallwell.routing.retry.response_timeout` decides how long it lasts,
+:mod:`wallwell.routing.retry.retry_policy` whether the attempt may be abandoned.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class ResponseWaiter:
-    """Waits for the heads of answers."""
+    """Waits for the heads of answers to one node's attempts."""
 
     def __init__(self, state: NodeState, client: BackendClient, policy: RetryPolicy) -> None:
         self._state = state
@@ -30,9 +30,9 @@
         self._policy = policy
 
     async def await_response(self, active: ActiveRequest, backend: Backend, dispatch: Dispatch) -> BackendAnswer:
-        """Wait for the head as long as that is better than asking another back end.
+        """Send the request and return the answer once its head has arrived.
 
-        Raises :class:`AttemptError`, also if the engine does not begin before its weights are too old.
+        Raises :class:`AttemptError`, also if the attempt is abandoned or an engine's weights get too old to start.
         """
         head_timeout_s = self._response_timeout_s(active)
         start_timeout_s = self._start_timeout_s(active, backend)
@@ -44,7 +44,7 @@
                     await _cancel_and_close(sending)
                     raise _response_timed_out(dispatch)
             if start_timeout_s is not None and not await self._starts_in_time(active, backend, sending):
-                raise AttemptError(TransportEvent.ANSWER_TIMEOUT, "its weights are too old to begin")
+                raise AttemptError(TransportEvent.ANSWER_TIMEOUT, "weights too old before the engine started")
             return await sending
         except BaseException:
             await _cancel_and_close(sending)
@@ -53,10 +53,10 @@
     async def _starts_in_time(
         self, active: ActiveRequest, backend: Backend, sending: asyncio.Task[BackendAnswer]
     ) -> bool:
-        """Wait for an engine until its weights are too old to begin; returns whether it has begun by then."""
+        """Wait until the engine starts or its weights are too old; return whether it started in time."""
         if sending.done():
             return True
-        # Asked anew: an earlier wait took of this time, and the engine may have got the newest weights meanwhile.
+        # Computed again: the first wait used up part of this time, and the engine may have loaded newer weights.
         start_timeout_s = self._start_timeout_s(active, backend)
         return start_timeout_s is None or await is_done_within(sending, start_timeout_s)
 
@@ -64,7 +64,7 @@
         return await self._client.send(dispatch)
 
     def _response_timeout_s(self, active: ActiveRequest) -> float | None:
-        """Return after how long a silence another back end is asked, None if none may be."""
+        """Return the seconds after which a silent back end is abandoned for another one; None if not allowed."""
         now_s = boot_time_s()
         budget = self._state.budget_of(active.service)
         may_abandon = self._policy.may_abandon_silent(
@@ -77,7 +77,7 @@
         return response_timeout_s(active.route.objective_s, active.remaining_s(), prompt_tokens)
 
     def _decide_to_abandon(self, active: ActiveRequest) -> bool:
-        """Decide whether to leave a silent back end now; the retry that follows is then paid for."""
+        """Decide whether to abandon a silent back end now; if so, the retry is charged to the retry budget."""
         now_s = boot_time_s()
         is_generation = active.request.generation is not None
         fleet_is_behind = is_generation and self._state.first_token_delays.is_fleet_behind(now_s)
@@ -85,7 +85,7 @@
         return self._policy.abandon_silent(active.history, fleet_is_behind, budget, now_s)
 
     def _start_timeout_s(self, active: ActiveRequest, backend: Backend) -> float | None:
-        """Return within what time the engine must begin, since its weights are too old after it; None for calls."""
+        """Return the seconds until an engine's weights are too old to start; None for calls and for no bound."""
         generation = active.request.generation
         if generation is None:
             return None
@@ -94,14 +94,14 @@
 
 
 def _response_timed_out(dispatch: Dispatch) -> AttemptError:
-    """Return how an abandoned attempt ended: one that was still connecting cannot have run."""
+    """Return the error of an abandoned attempt; an attempt that was still connecting cannot have run."""
     if dispatch.progress.connecting:
-        return AttemptError(TransportEvent.CONNECT_TIMEOUT, "no connection in time")
-    return AttemptError(TransportEvent.ANSWER_TIMEOUT, "no answer in time")
+        return AttemptError(TransportEvent.CONNECT_TIMEOUT, "no connection within the response timeout")
+    return AttemptError(TransportEvent.ANSWER_TIMEOUT, "no answer within the response timeout")
 
 
 async def _cancel_and_close(sending: asyncio.Task[BackendAnswer]) -> None:
-    """Cancel a dispatch; an answer whose head has come all the same is closed, so that its back end stops."""
+    """Cancel a dispatch. If the head arrives nevertheless, close the answer so that the back end stops working."""
     sending.cancel()
     (result,) = await asyncio.gather(sending, return_exceptions=True)
     if not isinstance(result, BaseException):
--- a/src/wallwell/serving/retry_after.py
+++ b/src/wallwell/serving/retry_after.py
@@ -1,7 +1,7 @@
-"""Gathers what this node knows when it refuses a request, and asks for the wait that goes into Retry-After.
+"""Computes the Retry-After of a refused request from this node's state.
 
-The wait itself is decided in :mod:`wallwell.routing.retry.retry_after`. Each call but those for too little time
-left draws from the node's random generator.
+:mod:`wallwell.routing.retry.retry_after` decides the wait; this module collects its inputs. Each call draws from
+the node's random generator, except for requests refused because too little time is left.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from wallwell.serving.messages import CallerRequest
 
 DEFAULT_CALLER_TIMEOUT_S = 3.0
-"""Time in seconds allowed by a caller who states none, where no route is known that would: a short one of those in
-use."""
+"""Timeout in seconds assumed for a caller that states none, where no route with a timeout is known: one of the
+shorter timeouts in use."""
 
 
 class RetryAfterEstimator:
-    """Waits by cause, from one node's state."""
+    """Returns the Retry-After of a refusal by its cause and the state of one node."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
 
     def for_unrouted_request_ms(self, cause: RefusalCause, request: CallerRequest) -> int:
-        """Return the wait of a request that has no route yet, in milliseconds."""
+        """Return the Retry-After of a request without a route, in milliseconds."""
         now_s = boot_time_s()
         timeout_s = DEFAULT_CALLER_TIMEOUT_S if request.caller_timeout_s is None else request.caller_timeout_s
         circumstances = RefusalCircumstances(
@@ -36,9 +36,9 @@
         return self._retry_after_ms(cause, circumstances)
 
     def for_admitted_request_ms(self, cause: RefusalCause, active: ActiveRequest, limit_wait_s: float = 0.0) -> int:
-        """Return the wait of an admitted request, in milliseconds; 0 if a retry within its time is no use.
+        """Return the Retry-After of an admitted request in milliseconds; 0 if a retry would miss its deadline.
 
-        ``limit_wait_s`` as in :class:`RefusalCircumstances`.
+        ``limit_wait_s`` is described in :class:`RefusalCircumstances`.
         """
         state = self._state
         now_s = boot_time_s()
@@ -58,21 +58,21 @@
         return round(retry_after_s(cause, circumstances, self._state.rng) * 1000)
 
     def _store_silence_s(self, now_s: float) -> float:
-        """Return for how long the store has been silent; the node's whole life if it was never heard."""
+        """Return the seconds since the store's last confirmation, or since the node's start if there was none."""
         return now_s - max(self._state.freshness.confirmed_at_s, self._state.started_s)
 
     def _receives_peer_loads(self) -> bool:
         return self._state.demand.peers_generations is not None
 
     def _backoff_ends_in_s(self, cause: RefusalCause, service: str, now_s: float) -> float:
-        """Return when the first back-off of a service ends, 0 for refusals of another cause."""
+        """Return the seconds until the first back-off of a service ends; 0 for refusals of another cause."""
         if cause is not RefusalCause.ALL_BACKING_OFF:
             return 0.0
         ends_s = backoff_ends_s(self._state.backends.of_service(service), now_s)
         return 0.0 if ends_s is None else ends_s - now_s
 
     def _suspension_ends_in_s(self, service: str, now_s: float) -> float:
-        """Return when the first back end of a service may be tried again, 0 if one may be now."""
+        """Return the seconds until the first suspended back end of a service may be tried; 0 if one may be now."""
         listed = self._state.backends.of_service(service)
         waits = [each.suspended_until_s - now_s for each in listed if not each.is_leaving(now_s)]
         return max(0.0, min(waits, default=0.0))
--- a/src/wallwell/serving/stream_forwarding.py
+++ b/src/wallwell/serving/stream_forwarding.py
@@ -1,8 +1,8 @@
-"""Passes the events of a streamed answer to the caller as they come.
+"""Forwards the events of a streamed answer to the caller as they arrive.
 
-Only whole events are passed on, each number once and in order, also when the stream is continued by another
-run: the position of the request (:class:`~wallwell.serving.event_stream.StreamPosition`) covers all of its
-runs. Owns when a stream counts as stalled or broken off; by how long a pause, the retry policy says.
+Only complete events are forwarded, each number once and in order, also when another attempt resumes the stream:
+:class:`~wallwell.serving.event_stream.StreamPosition` covers all attempts of the request. This module detects
+stalled and broken streams; the retry policy sets the stall timeout.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 class StreamForwarder:
-    """Passes streams on."""
+    """Forwards streamed answers of one node."""
 
     def __init__(self, policy: RetryPolicy, feedback: AttemptFeedback) -> None:
         self._policy = policy
         self._feedback = feedback
 
     async def forward(self, active: ActiveRequest, backend: Backend, answer: BackendAnswer) -> None:
-        """Pass events on until the stream ends. Raises :class:`AttemptError` if the run breaks off."""
+        """Forward events until the stream ends. Raises :class:`AttemptError` if the stream stalls or breaks off."""
         position = active.stream_position
         position.discard_partial_event()
         stall_s = self._policy.stall_timeout_s(active.route, active.history)
@@ -43,7 +43,7 @@
                 self._feedback.on_stream_data(active, backend, boot_time_s())
                 await self._write_events(active, answer, data)
         if position.has_partial_event or not position.events_forwarded:
-            raise AttemptError(TransportEvent.RESET_AFTER_SEND, "the stream ended inside an event")
+            raise AttemptError(TransportEvent.RESET_AFTER_SEND, "the stream ended empty or within an event")
         await active.reply.finish()
 
     async def _write_events(self, active: ActiveRequest, answer: BackendAnswer, data: bytes) -> None:
--- a/src/wallwell/serving/untried_backends.py
+++ b/src/wallwell/serving/untried_backends.py
@@ -1,4 +1,4 @@
-"""Whether another back end is left for a request: what the retry policy asks of this node's state. No I/O."""
+"""Tells the retry policy, from this node's state, whether a request has a back end left to retry on. No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def has_untried_backend(state: NodeState, active: ActiveRequest, now_s: float) -> bool:
-    """Whether a usable back end is left to which the request was not sent yet and whose stated limit allows it."""
+    """Whether the request has not been sent yet to some usable back end whose stated limit has headroom."""
     tried = active.history.tried
     limits = state.load.stated_limits
     usable = candidates_for(state, active, now_s).usable
--- a/src/wallwell/serving/version_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -1,9 +1,9 @@
-"""Which back ends may get a request, by what this node knows, and what is counted of its attempts. No I/O.
+"""Returns the back ends that may get a request during a rollout, and counts attempts by version. No I/O.
 
-This is the adapter between the node's state and the decisions: ``routing/selection/candidates.py`` says which back
-ends may get a request, ``rollout/service_rollout.py`` which version of a rollout a request is drawn for, once for
-all its attempts (``ActiveRequest.prefers_target``). Attempts are counted for the node that holds the rollout's
-lease, which compares the versions by them. For a service without a rollout that is one lookup.
+Adapter between the node's state and the decisions: ``routing/selection/candidates.py`` decides which back ends may
+get a request, ``rollout/service_rollout.py`` which version of a rollout a request is drawn for, once for all its
+attempts (``ActiveRequest.prefers_target``). The node that holds the rollout's lease compares the versions by the
+counts of attempts. For a service without a rollout, counting costs one lookup.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 def candidates_for(
     state: NodeState, active: ActiveRequest, now_s: float, excluded: Collection[Backend] = ()
 ) -> Candidates:
-    """Return the back ends among which the next attempt's is chosen; those ``excluded`` are listed, not usable."""
+    """Return the candidates for the next attempt. Back ends in ``excluded`` are listed but not usable."""
     listed = state.backends.of_service(active.service)
     generation = active.request.generation
     requirement = None if generation is None else _weights_requirement(state, generation.model)
@@ -43,7 +43,7 @@
 
 
 def generation_start_deadline_s(state: NodeState, backend: Backend, model: str) -> float:
-    """Return until when a generation may begin at a back end on the weights it is believed to have."""
+    """Return until when, on this node's clock, a generation may start with the weights a back end probably has."""
     return candidates.begin_by_s(backend, _weights_requirement(state, model))
 
 
@@ -52,13 +52,13 @@
 
 
 def _may_prefer_target(rollout: ServiceRollout, now_s: float) -> bool:
-    """Whether a request that was drawn for the target version may still go there at its next attempt."""
+    """Whether a request drawn for the target version may still prefer that version at its next attempt."""
     record = rollout.record
     return record is not None and (record.phase.is_final or rollout.has_fresh_record(now_s))
 
 
 def eligible_backends(state: NodeState, service: str, now_s: float) -> Sequence[Backend]:
-    """Return the back ends that new requests of a service are meant for."""
+    """Return the back ends eligible for new requests of a service, by the rollout's current state."""
     listed = state.backends.of_service(service)
     rollout = state.rollouts.active.get(service)
     return listed if rollout is None else rollout.eligible_backends(listed, now_s)
@@ -67,7 +67,10 @@
 def count_attempt_start(
     state: NodeState, active: ActiveRequest, backend: Backend, now_s: float
 ) -> CountedAttempt | None:
-    """Count an attempt that is sent during a rollout; a retry after it goes to the current version."""
+    """Return the counted attempt, None if no rollout is counted.
+
+    Retries of an attempt on the target version prefer the current version.
+    """
     rollout = state.rollouts.active.get(active.service)
     if rollout is None:
         return None
@@ -85,7 +88,7 @@
 def count_attempt_end(
     attempt: CountedAttempt, active: ActiveRequest, status: int, failure: BaseException | None, now_s: float
 ) -> None:
-    """Count how an attempt ended."""
+    """Count the result of an attempt: complete, timed out or broken off."""
     timing = active.timing
     if failure is None:
         first_s = timing.attempt_first_event_s
