--- a/tests/unit/serving/single_request.py
+++ b/tests/unit/serving/single_request.py
@@ -28,17 +28,17 @@
 def serve_request(scripts, route=None, request=None, prepare=None, **state):
     """Serve one request and return the reply, the client and the seconds it took."""
 
-    async def work():
-        fleet = make_state(route, **state)
+    async def scenario():
+        node_state = make_state(route, **state)
         if prepare is not None:
-            prepare(fleet)
+            prepare(node_state)
         client, reply = FakeClient(*scripts), FakeReply()
         started_s = boot_time_s()
         arguments = request() if request is not None else make_request()
-        await RequestPipeline(fleet, client).serve(arguments, reply)
+        await RequestPipeline(node_state, client).serve(arguments, reply)
         return reply, client, reply.ended_at_s - started_s
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
 SAFE = make_route(RouteKind.SAFE)
--- a/tests/unit/serving/test_backoff_holds.py
+++ b/tests/unit/serving/test_backoff_holds.py
@@ -48,7 +48,7 @@
 
 def test_a_request_refused_after_a_hold_is_held_again_only_within_its_objective():
 
-    async def work():
+    async def scenario():
         state = make_state(backends=1)
         backend = state.backends.get("i-0")
         backend.backoff.on_requested(0.1, boot_time_s())
@@ -64,7 +64,7 @@
         await RequestPipeline(state, client).serve(make_request(), held)
         return held.status, held.ended_at_s - started_s, len(client.sent)
 
-    status, took_s, sent = run_virtual(work())
+    status, took_s, sent = run_virtual(scenario())
     assert status == 503
     assert 0.1 <= took_s <= OBJECTIVE_S
     assert sent >= 2
@@ -73,7 +73,7 @@
 def test_back_ends_that_refuse_without_a_backoff_time_get_few_requests():
     """Two of three refuse everything: the retry budget is not used up on them."""
 
-    async def work():
+    async def scenario():
         state = make_state(route=make_route(attempts=3))
         sent = []
 
@@ -92,7 +92,7 @@
             await asyncio.sleep(0.02)
         return statuses, [each for each in sent if each != "i-2"]
 
-    statuses, refused = run_virtual(work())
+    statuses, refused = run_virtual(scenario())
     assert set(statuses) == {200}
     assert len(refused) < 20
 
--- a/tests/unit/serving/test_cache_planning.py
+++ b/tests/unit/serving/test_cache_planning.py
@@ -39,39 +39,41 @@
 def cache_plan_for(prepare, tokens=2000):
     """Return where the one engine that gets a generation fetches from and saves to."""
 
-    async def work():
-        fleet = make_state(ROUTE, versions={"m": 1}, backends=1)
+    async def scenario():
+        node_state = make_state(ROUTE, versions={"m": 1}, backends=1)
         services = (Service("kv", kv_store_address=STORE),)
-        fleet.apply_config(dataclasses.replace(fleet.config, version=2, services=services))
-        prepare(fleet)
+        node_state.apply_config(dataclasses.replace(node_state.config, version=2, services=services))
+        prepare(node_state)
         client = FakeClient(Script(chunks=(event(1),), stream=True))
-        await RequestPipeline(fleet, client).serve(make_request(generation=make_generation(tokens)), FakeReply())
+        await RequestPipeline(node_state, client).serve(
+            make_request(generation=make_generation(tokens)), FakeReply()
+        )
         cache = client.sent[0].cache
         return cache.fetch_from, cache.save_to
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
 def store_holding(*parts, reachable=True):
-    def prepare(fleet):
-        fleet.kv_store_contents[STORE] = store_contents(*parts)
-        fleet.kv_store_contents[STORE].reachable = reachable
+    def prepare(node_state):
+        node_state.kv_store_contents[STORE] = store_contents(*parts)
+        node_state.kv_store_contents[STORE].reachable = reachable
 
     return prepare
 
 
-def engine_loading_weights(fleet):
-    fleet.backends.get("i-0").loading = LoadInProgress("m", 2, boot_time_s() + 1.0)
+def engine_loading_weights(node_state):
+    node_state.backends.get("i-0").loading = LoadInProgress("m", 2, boot_time_s() + 1.0)
 
 
-def stale_confirmation(fleet):
-    fleet.freshness.confirmed_at_s = boot_time_s() - 2.5
+def stale_confirmation(node_state):
+    node_state.freshness.confirmed_at_s = boot_time_s() - 2.5
 
 
 @pytest.mark.parametrize(
     ("prepare", "fetches", "saves"),
     [
-        (lambda fleet: None, True, True),
+        (lambda node_state: None, True, True),
         (store_holding(), True, True),
         (store_holding("shared"), True, False),
         (store_holding("shared", reachable=False), False, False),
@@ -85,22 +87,22 @@
 
 
 def test_concurrent_requests_save_a_prefix_once():
-    async def work():
-        fleet = make_state(ROUTE, versions={"m": 1})
+    async def scenario():
+        node_state = make_state(ROUTE, versions={"m": 1})
         services = (Service("kv", kv_store_address=STORE),)
-        fleet.apply_config(dataclasses.replace(fleet.config, version=2, services=services))
-        fleet.kv_store_contents[STORE] = store_contents()
+        node_state.apply_config(dataclasses.replace(node_state.config, version=2, services=services))
+        node_state.kv_store_contents[STORE] = store_contents()
         client = FakeClient(Script(chunks=(event(1),), stream=True))
         for _ in range(3):
-            await RequestPipeline(fleet, client).serve(make_request(generation=make_generation()), FakeReply())
+            await RequestPipeline(node_state, client).serve(make_request(generation=make_generation()), FakeReply())
         return [bool(sent.cache.save_to) for sent in client.sent]
 
-    assert run_virtual(work()) == [True, False, False]
+    assert run_virtual(scenario()) == [True, False, False]
 
 
-def store_holding_and_fleet_behind(fleet):
-    store_holding("shared")(fleet)
-    fleet.first_token_delays.peers = Delays(100, 60)
+def store_holding_and_fleet_behind(node_state):
+    store_holding("shared")(node_state)
+    node_state.first_token_delays.peers = Delays(100, 60)
 
 
 @pytest.mark.parametrize(
@@ -123,18 +125,18 @@
 def two_stores(home_parts, other_parts, other_reachable=True):
     """Return a preparation with two stores, the prompt's home and another one, and what each keeps."""
 
-    def prepare(fleet):
+    def prepare(node_state):
         services = tuple(Service(each, kv_store_address=each) for each in (STORE, OTHER_STORE))
-        fleet.apply_config(dataclasses.replace(fleet.config, version=3, services=services))
+        node_state.apply_config(dataclasses.replace(node_state.config, version=3, services=services))
         placement = placement_key(make_generation(2000).parts, "")
-        home = home_store(fleet.kv_stores, placement, "z1")
+        home = home_store(node_state.kv_stores, placement, "z1")
         other = OTHER_STORE if home == STORE else STORE
-        fleet.kv_store_contents[home], fleet.kv_store_contents[other] = (
+        node_state.kv_store_contents[home], node_state.kv_store_contents[other] = (
             store_contents(*home_parts),
             store_contents(*other_parts),
         )
-        fleet.kv_store_contents[other].reachable = other_reachable
-        fleet.home = home
+        node_state.kv_store_contents[other].reachable = other_reachable
+        node_state.home = home
 
     return prepare
 
@@ -156,9 +158,9 @@
     """After a change of weights, engines prefilled a part again that another store already held."""
     homes = []
 
-    def prepare(fleet):
-        two_stores(home_parts, other_parts, other_reachable)(fleet)
-        homes.append(fleet.home)
+    def prepare(node_state):
+        two_stores(home_parts, other_parts, other_reachable)(node_state)
+        homes.append(node_state.home)
 
     fetch_from, save_to = cache_plan_for(prepare)
     assert (fetch_from == homes[0]) == from_home
--- a/tests/unit/serving/test_call_placement.py
+++ b/tests/unit/serving/test_call_placement.py
@@ -16,7 +16,7 @@
 def calls_by_backend(loads, zones=("z2", "z2", "z2"), own_loads=None):
     """Return how many of many calls each back end gets; ``loads`` are of the other nodes."""
 
-    async def work():
+    async def scenario():
         state = make_state(backends=0)
         for index, (load, zone) in enumerate(zip(loads, zones, strict=True)):
             record = BackendRecord(f"b{index}", "svc", f"10.0.0.{index}:1", zone, SLOTS)
@@ -29,7 +29,7 @@
             for _ in range(CALLS)
         )
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
 def test_nodes_with_identical_stale_load_reports_spread_their_calls():
@@ -61,11 +61,11 @@
 
 
 def test_without_peer_reports_the_other_nodes_are_assumed_to_send_as_much():
-    async def work():
+    async def scenario():
         state = make_state(backends=0)
         state.members = {f"n{index}" for index in range(4)}
         backend = state.backends.upsert(BackendRecord("b", "svc", "10.0.0.1:1", "z1", SLOTS))
         backend.load = 2
         return backend.fleet_load(state.node_count)
 
-    assert run_virtual(work()) == 8
+    assert run_virtual(scenario()) == 8
--- a/tests/unit/serving/test_limited_requests.py
+++ b/tests/unit/serving/test_limited_requests.py
@@ -20,7 +20,7 @@
 def serve_requests(scripts, declared_tokens=None, requests=1, route=None):
     """Serve requests of a lone node with a full bucket; return the replies and what is left of the limit."""
 
-    async def work():
+    async def scenario():
         state = make_state(route, tenants=(TenantAccess("t", ("key",), limit=LIMIT),))
         now_s = boot_time_s()
         state.load.limits.learn_fleet({}, 0, 1)
@@ -32,7 +32,7 @@
             await pipeline.serve(msgspec.structs.replace(make_request(), declared_tokens=declared_tokens), reply)
         return replies, state.load.limits.levels(now_s).get("t", LIMIT.burst)
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/serving/test_liveness.py
+++ b/tests/unit/serving/test_liveness.py
@@ -48,7 +48,7 @@
 def serve_one(scripts, route, reachable, generation=True):
     """Serve one request; return the reply, the client, the check and the seconds it took."""
 
-    async def work():
+    async def scenario():
         state = make_state(route, versions={"m": 1}, backends=2)
         check = FakeReachabilityCheck(reachable)
         liveness = LivenessMonitor(state, check)
@@ -62,7 +62,7 @@
         assert not liveness._interruptible_attempts
         return reply, client, check, reply.ended_at_s - started_s, suspended
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
 def test_a_stream_of_a_stopped_engine_is_resumed_elsewhere_within_the_allowed_gap():
--- a/tests/unit/serving/test_overload_refusals.py
+++ b/tests/unit/serving/test_overload_refusals.py
@@ -26,7 +26,7 @@
 def serve(peers_load, generation=None, scripts=(OK,)):
     """Serve one request while each engine has so much of other nodes under way; return reply and client."""
 
-    async def work():
+    async def scenario():
         state = make_state(STREAM, versions={"m": 1})
         for backend in state.backends.all():
             backend.peers_load = peers_load
@@ -34,7 +34,7 @@
         await RequestPipeline(state, client).serve(make_request(generation=generation), reply)
         return reply, client
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
 def test_a_new_generation_is_refused_at_once_with_a_retry_after():
--- a/tests/unit/serving/test_pipeline.py
+++ b/tests/unit/serving/test_pipeline.py
@@ -120,8 +120,8 @@
 def test_a_late_answer_is_awaited_when_the_retry_budget_is_exhausted():
     """Attempts were once abandoned for retries that the budget then refused."""
 
-    def exhaust_budget_during_the_wait(fleet):
-        budget = fleet.budget_of("svc")
+    def exhaust_budget_during_the_wait(node_state):
+        budget = node_state.budget_of("svc")
         asyncio.get_running_loop().call_later(0.1, lambda: [budget.try_retry(boot_time_s(), 1) for _ in range(99)])
 
     late_answer = Script(chunks=(b"late",), head_delay_s=1.0)
@@ -130,40 +130,42 @@
 
 
 def test_a_retry_after_a_response_timeout_draws_once_on_the_budget():
-    async def work():
-        fleet = make_state(SAFE)
-        budget = fleet.budget_of("svc")
+    async def scenario():
+        node_state = make_state(SAFE)
+        budget = node_state.budget_of("svc")
         before = budget.left(boot_time_s(), 1)
-        await RequestPipeline(fleet, FakeClient(Script(head_delay_s=60.0), OK)).serve(make_request(), FakeReply())
+        await RequestPipeline(node_state, FakeClient(Script(head_delay_s=60.0), OK)).serve(
+            make_request(), FakeReply()
+        )
         return before - budget.left(boot_time_s(), 1)
 
-    assert 0.8 < run_virtual(work()) <= 1.0
+    assert 0.8 < run_virtual(scenario()) <= 1.0
 
 
 def test_a_back_end_that_answers_other_requests_is_not_suspended_for_a_timeout():
-    async def work():
-        fleet = make_state(SAFE, backends=2)
-        for each in fleet.backends.all():
+    async def scenario():
+        node_state = make_state(SAFE, backends=2)
+        for each in node_state.backends.all():
             each.on_success(boot_time_s())
         client = FakeClient(Script(head_delay_s=60.0), OK)
-        await RequestPipeline(fleet, client).serve(make_request(), FakeReply())
-        return [each.consecutive_failures for each in fleet.backends.all()]
+        await RequestPipeline(node_state, client).serve(make_request(), FakeReply())
+        return [each.consecutive_failures for each in node_state.backends.all()]
 
-    assert run_virtual(work()) == [0, 0]
+    assert run_virtual(scenario()) == [0, 0]
 
 
 def test_the_retry_budget_limits_retries():
     def serve_many(count):
-        async def work():
-            fleet = make_state(SAFE, retry_extra=0.0, retry_ratio=0.2)
+        async def scenario():
+            node_state = make_state(SAFE, retry_extra=0.0, retry_ratio=0.2)
             client = FakeClient(RESET)
-            pipeline = RequestPipeline(fleet, client)
+            pipeline = RequestPipeline(node_state, client)
             for _ in range(count):
                 await pipeline.serve(make_request(), FakeReply())
                 await asyncio.sleep(0.001)
             return len(client.sent) - count
 
-        return run_virtual(work())
+        return run_virtual(scenario())
 
     assert 1 <= serve_many(100) <= 20
 
@@ -176,19 +178,19 @@
 
 
 def test_retry_after_depends_on_the_cause_of_the_refusal():
-    def set_call_duration(fleet):
-        fleet.call_time.seconds = 1.0
+    def set_call_duration(node_state):
+        node_state.call_time.seconds = 1.0
 
-    def store_silent_with_peer_reports(fleet):
-        fleet.freshness.confirmed_at_s = boot_time_s() - 5.0
-        fleet.demand.peers_generations = 10
+    def store_silent_with_peer_reports(node_state):
+        node_state.freshness.confirmed_at_s = boot_time_s() - 5.0
+        node_state.demand.peers_generations = 10
 
-    def store_silent_without_peer_reports(fleet):
-        fleet.freshness.confirmed_at_s = boot_time_s() - 5.0
+    def store_silent_without_peer_reports(node_state):
+        node_state.freshness.confirmed_at_s = boot_time_s() - 5.0
 
-    def start_without_configuration(fleet):
-        fleet.config = None
-        fleet.started_s = boot_time_s() - 0.5
+    def start_without_configuration(node_state):
+        node_state.config = None
+        node_state.started_s = boot_time_s() - 0.5
 
     assert retry_after_s([OVERLOADED], UNSAFE, prepare=set_call_duration) > 0.3
     assert retry_after_s([OVERLOADED], UNSAFE) < 0.1
@@ -209,7 +211,7 @@
 def test_a_request_with_less_time_than_the_shortest_answer_is_refused_unsent():
     """It would be late for certain, and its work a back end's time."""
 
-    async def work():
+    async def scenario():
         client = FakeClient(Script(chunks=(b"ok",), head_delay_s=0.4))
         pipeline = RequestPipeline(make_state(UNSAFE), client)
         replies = [FakeReply() for _ in range(3)]
@@ -217,7 +219,7 @@
             await pipeline.serve(make_request(caller_timeout_s=caller_timeout_s), reply)
         return client, replies
 
-    client, (served, refused, tried) = run_virtual(work())
+    client, (served, refused, tried) = run_virtual(scenario())
     assert (served.status, len(client.sent)) == (200, 2)
     assert (refused.status, refused.error.outcome, refused.error.code) == (503, Outcome.NOT_RUN, "WW3007")
     assert refused.error.retry_after_ms == 0
@@ -225,17 +227,17 @@
 
 
 def test_short_requests_are_served_again_after_one_slow_answer():
-    async def work():
+    async def scenario():
         client = FakeClient(Script(chunks=(b"ok",), head_delay_s=2.5), Script(chunks=(b"ok",), head_delay_s=0.05))
-        fleet = make_state(UNSAFE)
-        pipeline = RequestPipeline(fleet, client)
+        node_state = make_state(UNSAFE)
+        pipeline = RequestPipeline(node_state, client)
         replies = [FakeReply() for _ in range(60)]
         for number, reply in enumerate(replies):
-            fleet.freshness.confirm(boot_time_s())
+            node_state.freshness.confirm(boot_time_s())
             await pipeline.serve(make_request(caller_timeout_s=1.0 if number else 9.0), reply)
         return [reply.status for reply in replies]
 
-    statuses = run_virtual(work())
+    statuses = run_virtual(scenario())
     assert statuses.count(503) <= 20
     assert statuses[-30:] == [200] * 30
 
@@ -243,8 +245,8 @@
 def test_a_resumed_generation_may_have_less_time_than_the_shortest_answer():
     route = make_route(RouteKind.STREAM)
 
-    def set_shortest_answer(fleet):
-        fleet.shortest_answers[route.name] = ShortestAnswer(4.0)
+    def set_shortest_answer(node_state):
+        node_state.shortest_answers[route.name] = ShortestAnswer(4.0)
 
     def refused(resume_after):
         generation = make_generation(resume_after=resume_after)
@@ -282,8 +284,8 @@
 def test_requests_are_refused_while_the_configuration_is_stale(credential):
     """A credential may have been taken away, and a missing one may have been added, since the last confirmation."""
 
-    def make_configuration_stale(fleet):
-        fleet.freshness.confirmed_at_s = boot_time_s() - 4.7
+    def make_configuration_stale(node_state):
+        node_state.freshness.confirmed_at_s = boot_time_s() - 4.7
 
     reply, client, _ = serve_request(
         [OK], SAFE, lambda: make_request(credential=credential), prepare=make_configuration_stale
@@ -301,7 +303,7 @@
 def test_a_split_route_chooses_its_service_by_weight():
     route = make_route(services=(WeightedService("svc", 1.0), WeightedService("none", 1.0)))
     replies = [
-        serve_request([OK], route, prepare=lambda fleet, at=at: setattr(fleet, "split_offset", at))[0]
+        serve_request([OK], route, prepare=lambda node_state, at=at: setattr(node_state, "split_offset", at))[0]
         for at in (0, 0.99)
     ]
     assert {reply.status for reply in replies} == {200, 503}
--- a/tests/unit/serving/test_pipeline_generations.py
+++ b/tests/unit/serving/test_pipeline_generations.py
@@ -112,17 +112,17 @@
 
 
 def test_a_caller_disconnect_cancels_the_generation():
-    async def work():
-        fleet = make_state(NOT_RESUMABLE, versions={"m": 1})
+    async def scenario():
+        node_state = make_state(NOT_RESUMABLE, versions={"m": 1})
         client = FakeClient(stream(event(1), 3.0, event(2)))
         request = make_request(generation=make_generation())
-        serving = asyncio.create_task(RequestPipeline(fleet, client).serve(request, FakeReply()))
+        serving = asyncio.create_task(RequestPipeline(node_state, client).serve(request, FakeReply()))
         await asyncio.sleep(1.0)
         serving.cancel()
         await asyncio.gather(serving, return_exceptions=True)
-        return client.cancelled, [each.in_flight for each in fleet.backends.all()]
+        return client.cancelled, [each.in_flight for each in node_state.backends.all()]
 
-    assert run_virtual(work()) == (1, [0, 0, 0])
+    assert run_virtual(scenario()) == (1, [0, 0, 0])
 
 
 # --- weights and caches --------------------------------------------------------------------------------
@@ -144,8 +144,8 @@
 
 @pytest.mark.parametrize(("reported", "expected"), [(5, 5), (0, 4)], ids=["reported by the engine", "newest named"])
 def test_a_refused_version_is_corrected_for_the_next_attempt(reported, expected):
-    def name_newer_version(fleet):
-        fleet.weights.name("m", 4, boot_time_s())
+    def name_newer_version(node_state):
+        node_state.weights.name("m", 4, boot_time_s())
 
     refused = Script(send_error=TransportEvent.PRECONDITION_REFUSED, refused_weights_version=reported)
     _, client, _ = serve_request(
@@ -160,16 +160,16 @@
 
 
 def test_an_engine_with_overdue_weights_gets_no_generation():
-    def name_version_before_the_limit(fleet):
-        fleet.weights.name("m", 2, boot_time_s() - 7.9)
-        fleet.backends.get("i-1").learn_version("m", 2)
+    def name_version_7_9_s_ago(node_state):
+        node_state.weights.name("m", 2, boot_time_s() - 7.9)
+        node_state.backends.get("i-1").learn_version("m", 2)
 
     _, client, _ = serve_request(
         [stream(event(1))],
         NOT_RESUMABLE,
         generation_request(),
         versions={"m": 1},
-        prepare=name_version_before_the_limit,
+        prepare=name_version_7_9_s_ago,
     )
     assert client.sent[0].backend.incarnation == "i-1"
 
@@ -178,8 +178,8 @@
     """Found by a hunt: sent 6.1 s after a naming, a request began 2.1 s later, past the 8 s allowed."""
     slow_start = stream(event(1), head_delay_s=5.0)
 
-    def name_version_6_1_s_ago(fleet):
-        fleet.weights.name("m", 2, boot_time_s() - 6.1)
+    def name_version_6_1_s_ago(node_state):
+        node_state.weights.name("m", 2, boot_time_s() - 6.1)
 
     reply, client, took_s = serve_request(
         [slow_start], NOT_RESUMABLE, generation_request(), versions={"m": 1}, prepare=name_version_6_1_s_ago
@@ -189,8 +189,8 @@
 
 
 def test_older_weights_serve_until_the_limit_when_no_engine_has_newer_ones():
-    def name_version_7_s_ago(fleet):
-        fleet.weights.name("m", 2, boot_time_s() - 7.0)
+    def name_version_7_s_ago(node_state):
+        node_state.weights.name("m", 2, boot_time_s() - 7.0)
 
     reply, _, _ = serve_request(
         [stream(event(1))], NOT_RESUMABLE, generation_request(), versions={"m": 1}, prepare=name_version_7_s_ago
@@ -204,7 +204,7 @@
         NOT_RESUMABLE,
         generation_request(),
         versions={"m": 1},
-        prepare=lambda fleet: fleet.weights.name("m", 2, boot_time_s() - 7.9),
+        prepare=lambda node_state: node_state.weights.name("m", 2, boot_time_s() - 7.9),
     )
     assert (reply.status, client.sent) == (503, [])
 
@@ -224,8 +224,8 @@
 def test_naming_new_weights_does_not_move_generations_to_other_engines(age_s):
     """Streams go on while weights load, so emptying an engine ahead of its order would only cost places."""
 
-    def name_version_earlier(fleet):
-        fleet.weights.name("m", 2, boot_time_s() - age_s)
+    def name_version_earlier(node_state):
+        node_state.weights.name("m", 2, boot_time_s() - age_s)
 
     homes = set()
     for prepare in (None, name_version_earlier):
@@ -269,11 +269,11 @@
     ids=["before the first attempt", "after a refusal", "after a break", "after a failed answer"],
 )
 def test_no_attempt_is_sent_after_the_caller_disconnected(scripts, sends_before_disconnect, sends):
-    async def work():
+    async def scenario():
         client, reply = FakeClient(*scripts), FakeReply()
         reply.is_caller_gone = lambda: len(client.sent) >= sends_before_disconnect
         with pytest.raises(CallerGoneError):
             await RequestPipeline(make_state(SAFE), client).serve(make_request(), reply)
         return len(client.sent), reply.ended
 
-    assert run_virtual(work()) == (sends, "")
+    assert run_virtual(scenario()) == (sends, "")
--- a/tests/unit/serving/test_regions.py
+++ b/tests/unit/serving/test_regions.py
@@ -57,7 +57,7 @@
 def cache_plans(node_zone, engine_zone, prompts, prepare=lambda state: None, store_zones=STORE_ZONES):
     """Return the plan of each prompt at the one engine."""
 
-    async def work():
+    async def scenario():
         state = fleet_state(node_zone, [engine_zone], store_zones)
         state.freshness.confirm(boot_time_s())
         prepare(state)
@@ -68,7 +68,7 @@
             await RequestPipeline(state, client).serve(make_request(generation=generation), FakeReply())
         return [sent.cache for sent in client.sent]
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
 def store_contents(*parts, tokens=2000):
@@ -157,7 +157,7 @@
 def test_stores_of_all_regions_are_polled():
     """Nodes send long prompts to engines of both regions, and save there what is lacking only."""
 
-    async def work():
+    async def scenario():
         source = CountingSource()
         state = fleet_state("b1", [])
         state.rng = random.Random(1)
@@ -168,7 +168,7 @@
         await asyncio.gather(running, return_exceptions=True)
         return source.polled_addresses
 
-    assert run_virtual(work()) == set(STORES.values())
+    assert run_virtual(scenario()) == set(STORES.values())
 
 
 def active_generation(prompt, tokens=100, own=9):
@@ -189,7 +189,7 @@
     ``shared`` of a prompt's ``tokens`` are shared; the rest is its own.
     """
 
-    async def work():
+    async def scenario():
         state = fleet_state(node_zone, ENGINE_ZONES)
         for engine in state.backends.all():
             engine.peers_load = loads[REGION_OF_ZONE[engine.record.zone]]
@@ -204,7 +204,7 @@
             chosen[REGION_OF_ZONE[choice.choose(active, candidates).record.zone]] += 1
         return chosen
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
 @pytest.mark.parametrize("tokens", [100, LONG])
@@ -252,7 +252,7 @@
 def test_prompts_that_leave_the_region_spread_over_the_other_one():
     """All nodes know of the other region's loads alike and late; they must not all take the idlest engine there."""
 
-    async def work():
+    async def scenario():
         state = fleet_state("a1", ENGINE_ZONES)
         for engine in state.backends.all():
             engine.peers_load = SLOTS if REGION_OF_ZONE[engine.record.zone] == "a" else 2
@@ -265,7 +265,7 @@
             ] += 1
         return chosen
 
-    chosen = run_virtual(work())
+    chosen = run_virtual(scenario())
     assert len(chosen) == 2  # The other region's pool for short prompts.
     assert max(chosen.values()) < 0.65 * 300
 
@@ -279,7 +279,7 @@
 def engines_of_prompts(zone, tokens, loads=None):
     """Return the engine of each prompt; all tokens are shared but a few."""
 
-    async def work():
+    async def scenario():
         state = fleet_state(zone, ENGINE_ZONES)
         for engine in state.backends.all():
             engine.peers_load = (loads or {}).get(REGION_OF_ZONE[engine.record.zone], 0)
@@ -287,7 +287,7 @@
         candidates = state.backends.of_service("svc")
         return [choice.choose(active_generation(f"p{number}", tokens), candidates).record for number in range(50)]
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
 def test_a_short_prefix_has_a_home_engine_in_each_region():
@@ -335,7 +335,7 @@
 def call_shares(node_zone, loads):
     """Return how many of many calls each zone's back end gets; ``loads`` are of the other nodes, by zone."""
 
-    async def work():
+    async def scenario():
         state = fleet_state(node_zone, ())
         for index, (zone, load) in enumerate(loads.items()):
             record = BackendRecord(f"b{index}", "calls", f"10.0.1.{index}:1", zone, CALL_SLOTS)
@@ -346,7 +346,7 @@
             for _ in range(400)
         )
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
 @pytest.mark.parametrize(
@@ -370,7 +370,7 @@
 
 @pytest.mark.parametrize(("engine_zone", "crosses"), [("a2", False), ("b1", True)])
 def test_traffic_between_regions_is_counted_by_cause(engine_zone, crosses):
-    async def work():
+    async def scenario():
         state = fleet_state("a1", [engine_zone])
         state.freshness.confirm(boot_time_s())
         client = FakeClient(Script(chunks=(event(1), event(2)), stream=True))
@@ -378,7 +378,7 @@
         await RequestPipeline(state, client).serve(request, FakeReply())
         return state, metrics_text(RequestCounters(), state, is_ready=True).decode()
 
-    state, text = run_virtual(work())
+    state, text = run_virtual(scenario())
     size = 100 + len(event(1)) + len(event(2))
     assert state.region_traffic.exchanges == ({"stream": 1} if crosses else {})
     assert state.region_traffic.bytes == ({"stream": size} if crosses else {})
--- a/tests/unit/serving/test_response_wait.py
+++ b/tests/unit/serving/test_response_wait.py
@@ -35,14 +35,14 @@
 
 
 def test_an_answer_is_closed_if_its_caller_disconnects_as_the_head_arrives():
-    async def work():
+    async def scenario():
         client = DisconnectingCallerClient(STREAMING)
         pipeline = RequestPipeline(make_state(), client)
         client.serving = asyncio.ensure_future(pipeline.serve(make_request(), FakeReply()))
         await asyncio.gather(client.serving, return_exceptions=True)
         return client
 
-    client = run_virtual(work())
+    client = run_virtual(scenario())
     assert client.serving.cancelled()
     assert len(client.sent) == 1
     assert client.cancelled == 1
@@ -52,7 +52,7 @@
 def test_a_silent_engine_is_abandoned_only_if_the_fleet_is_not_behind(peers, sent):
     """Found on a deployment of 195 nodes: 60 prompts a second were read again, and the fleet stayed behind."""
 
-    async def work():
+    async def scenario():
         state = make_state(make_route(RouteKind.STREAM, resumable=True))
         state.first_token_delays.peers = peers
         client = FakeClient(
@@ -62,11 +62,11 @@
         await RequestPipeline(state, client).serve(make_request(generation=make_generation()), reply)
         return len(client.sent), reply.ended
 
-    assert run_virtual(work()) == (sent, "finished")
+    assert run_virtual(scenario()) == (sent, "finished")
 
 
 def test_abandoned_attempts_count_as_late_first_tokens():
-    async def work():
+    async def scenario():
         state = make_state(make_route(RouteKind.STREAM, resumable=True))
         client = FakeClient(
             Script(chunks=(event(1),), head_delay_s=1.5, stream=True), Script(chunks=(event(1),), stream=True)
@@ -74,7 +74,7 @@
         await RequestPipeline(state, client).serve(make_request(generation=make_generation()), FakeReply())
         return state.first_token_delays.own(boot_time_s())
 
-    delays = run_virtual(work())
+    delays = run_virtual(scenario())
     assert delays == Delays(2, 1)
 
 
@@ -96,13 +96,13 @@
 def test_attempts_abandoned_while_connecting_do_not_count_as_runs():
     """With an objective of 0.16 s the response timeout ends before a connection's: no attempt was left then."""
 
-    async def work():
+    async def scenario():
         state, reply = make_state(make_route(attempts=2)), FakeReply()
         client = UnresponsiveNetwork(unresponsive=2)
         await RequestPipeline(state, client).serve(make_request(), reply)
         return reply.status, len(client.sent), sum(each.suspended_until_s > 0 for each in state.backends.all())
 
-    assert run_virtual(work()) == (200, 1, 2)
+    assert run_virtual(scenario()) == (200, 1, 2)
 
 
 class WeightsUpdatedDuringRequest(FakeClient):
@@ -121,7 +121,7 @@
 def test_an_engine_that_gets_the_newest_weights_during_the_wait_is_not_abandoned():
     """Its weights would have been too old 1 s after the sending; a silence of 0.4 s is looked into before."""
 
-    async def work():
+    async def scenario():
         state = make_state(make_route(RouteKind.STREAM, resumable=True), versions={"m": 1})
         state.weights.name("m", 2, boot_time_s() - 6.75)
         state.first_token_delays.peers = Delays(100, 60)
@@ -129,4 +129,4 @@
         await RequestPipeline(state, client).serve(make_request(generation=make_generation()), reply)
         return len(client.sent), reply.ended
 
-    assert run_virtual(work()) == (1, "finished")
+    assert run_virtual(scenario()) == (1, "finished")
--- a/tests/unit/serving/test_rollout_requests.py
+++ b/tests/unit/serving/test_rollout_requests.py
@@ -49,7 +49,7 @@
 def serve_requests(scripts, requests=1, prepare=None, generation=None, **rollout):
     """Serve requests and return the versions that were sent to, the last reply and the state."""
 
-    async def work():
+    async def scenario():
         state = state_in_rollout(**rollout)
         if prepare is not None:
             prepare(state)
@@ -60,7 +60,7 @@
             await pipeline.serve(make_request(generation=generation), reply)
         return [each.backend.software for each in client.sent], reply, state
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
 def suspend(software):
@@ -158,7 +158,7 @@
 def test_engine_pools_are_formed_within_a_version():
     """Short prompts have one engine in three to themselves: of the target side, not of all engines together."""
 
-    async def work():
+    async def scenario():
         state = state_in_rollout(Phase.SWITCHING, route=STREAM, old=90, new=9)
         client = FakeClient(Script(chunks=(event(1),), stream=True))
         pipeline = RequestPipeline(state, client)
@@ -169,7 +169,7 @@
         pool = {each.incarnation for each in engine_pool(target, 110)}
         return pool, {each.backend.incarnation for each in client.sent}
 
-    pool, used = run_virtual(work())
+    pool, used = run_virtual(scenario())
     assert len(pool) == 3
     assert used == pool
 
@@ -258,7 +258,7 @@
 
 @pytest.mark.parametrize("is_old_listed", [False, True])
 def test_without_a_rollout_the_remaining_back_ends_are_used_whatever_their_version(is_old_listed):
-    async def work():
+    async def scenario():
         state = make_state(SAFE, backends=0)
         now_s = boot_time_s()
         old = BackendRecord("old", "svc", "old:80", "z1", 8, software="v1")
@@ -274,5 +274,5 @@
         await RequestPipeline(state, client).serve(make_request(), reply)
         return reply, client
 
-    reply, client = run_virtual(work())
+    reply, client = run_virtual(scenario())
     assert (reply.status, [each.backend.incarnation for each in client.sent]) == (200, ["new"])
--- a/tests/unit/serving/test_split_shares.py
+++ b/tests/unit/serving/test_split_shares.py
@@ -33,7 +33,7 @@
 def first_sends(weights, failing_service, script, requests_per_node, callers_retry):
     """Serve so many requests at each node; refused callers return at another. Return first sends by service."""
 
-    async def work():
+    async def scenario():
         rng = random.Random(11)
         services = tuple(WeightedService(name, weight) for name, weight in weights.items())
         route = make_route(RouteKind.SAFE, services=services)
@@ -58,7 +58,7 @@
                 await asyncio.sleep(0.001)
         return counts
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
 @pytest.mark.parametrize("requests_per_node", [1, 2, 5, 20])
@@ -85,7 +85,7 @@
 
 
 def test_retries_stay_at_the_chosen_service():
-    async def work():
+    async def scenario():
         route = make_route(services=(WeightedService("svc", 1.0), WeightedService("other", 1.0)))
         state = make_state(route)
         state.backends.upsert(BackendRecord("o-0", "other", "o:1", "z1", 8))
@@ -93,6 +93,6 @@
         await RequestPipeline(state, client).serve(make_request(), FakeReply())
         return {each.backend.service for each in client.sent}, len(client.sent)
 
-    services, sends = run_virtual(work())
+    services, sends = run_virtual(scenario())
     assert len(services) == 1
     assert sends > 1
--- a/tests/unit/serving/test_zone_outage.py
+++ b/tests/unit/serving/test_zone_outage.py
@@ -47,7 +47,7 @@
 def serve_through_outage(cut_zones, zone="z9"):
     """Serve for ten seconds with zones cut off for six; return times, replies, and what was sent where and when."""
 
-    async def work():
+    async def scenario():
         state = make_state(make_route(RouteKind.SAFE, attempts=2), backends=0)
         state.zone, state.rng = zone, random.Random(3)
         for name in ZONES:
@@ -81,7 +81,7 @@
         ]
         return latencies, sent, [at_s - started_s for at_s in network.timed_out]
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
 @pytest.mark.parametrize(
