--- a/src/wallwell/serving/backend_selector.py
+++ b/src/wallwell/serving/backend_selector.py
@@ -66,7 +66,7 @@
         if occupancy is None:
             return
         wait_s = overload_retry_after_s(occupancy, active.rank, state.generation_time.seconds, state.rng)
-        raise OverloadedError(f"load per slot: {occupancy.per_slot:.2f}", retry_after_ms=round(wait_s * 1000))
+        raise OverloadedError(f"{occupancy.per_slot:.2f} load per slot", retry_after_ms=round(wait_s * 1000))
 
     def record_duration(self, active: ActiveRequest, now_s: float) -> None:
         """Update the average and the shortest duration with the final attempt of an answered request."""
--- a/tests/unit/serving/fakes.py
+++ b/tests/unit/serving/fakes.py
@@ -1,4 +1,4 @@
-"""A scripted client of back ends, a recording reply, and a state to run the pipeline on."""
+"""Test doubles for the pipeline: a scripted back end client, a recording reply, and a node state."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass
 class Script:
-    """What a back end does with one request: chunks and pauses, then an end."""
+    """Scripted answer of a back end: body chunks, pauses in seconds between them, and how the attempt ends."""
 
     status: int = 200
     chunks: tuple = ()
@@ -59,7 +59,7 @@
 
 
 class FakeClient:
-    """Plays scripts in order; the last one is played again and again."""
+    """Answers requests by the scripts in order; the last script is repeated."""
 
     def __init__(self, *scripts):
         self.scripts = list(scripts)
@@ -83,7 +83,7 @@
 
 @dataclass
 class FakeReply:
-    """Records what a caller gets."""
+    """Records the reply that a caller receives."""
 
     status: int = 0
     body: bytes = b""
--- a/tests/unit/serving/single_request.py
+++ b/tests/unit/serving/single_request.py
@@ -1,4 +1,4 @@
-"""Requests on the pipeline in virtual time, and what back ends do with them."""
+"""Serves one request in virtual time by scripted back ends; common scripts and routes."""
 
 from tests.unit.serving.fakes import (
     FakeClient,
--- a/tests/unit/serving/test_backoff_holds.py
+++ b/tests/unit/serving/test_backoff_holds.py
@@ -1,4 +1,4 @@
-"""Requests while back ends of their service have asked for back-off: served elsewhere, held, or refused at once."""
+"""Requests while back ends have asked for back-off are served by others, held, or refused at once."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 def request_backoff(*seconds):
-    """Return what makes the first back ends of a state ask for back-off, each for its time."""
+    """Return a preparation that puts the first back ends of a state in back-off for the given seconds each."""
 
     def prepare(state):
         for index, each in enumerate(seconds):
@@ -71,7 +71,7 @@
 
 
 def test_back_ends_that_refuse_without_a_backoff_time_get_few_requests():
-    """Two of three refuse everything: the retry budget is not used up on them."""
+    """Two of three back ends refuse all requests; retries on them must not use up the retry budget."""
 
     async def scenario():
         state = make_state(route=make_route(attempts=3))
--- a/tests/unit/serving/test_cache_planning.py
+++ b/tests/unit/serving/test_cache_planning.py
@@ -1,4 +1,4 @@
-"""What an engine fetches from a KV store and saves there, beside changes of weights."""
+"""Which prompt parts an engine fetches from a KV store and saves there, also around changes of weights."""
 
 import dataclasses
 
@@ -37,7 +37,7 @@
 
 
 def cache_plan_for(prepare, tokens=2000):
-    """Return where the one engine that gets a generation fetches from and saves to."""
+    """Serve a generation on the only engine and return the store it fetches from and the store it saves to."""
 
     async def scenario():
         node_state = make_state(ROUTE, versions={"m": 1}, backends=1)
@@ -80,7 +80,7 @@
         (engine_loading_weights, True, False),
         (stale_confirmation, True, False),
     ],
-    ids=["unknown", "lacking", "held", "unreachable", "about to load", "old confirmation"],
+    ids=["unknown", "missing", "held", "unreachable", "about to load", "stale confirmation"],
 )
 def test_fetch_and_save_by_store_contents_and_engine_state(prepare, fetches, saves):
     assert cache_plan_for(prepare) == (STORE if fetches else "", STORE if saves else "")
@@ -115,7 +115,7 @@
     ids=["short, in time", "short, behind", "long, behind"],
 )
 def test_short_shared_parts_are_not_fetched_while_the_fleet_is_behind(prepare, tokens, fetches):
-    """Before, in a deployment of 195 nodes, prompts of 800 tokens waited 2 s for their turn to move 200 of them."""
+    """In a deployment of 195 nodes, prompts of 800 tokens had waited 2 s in the queue to transfer 200 tokens."""
     assert cache_plan_for(prepare, tokens)[0] == (STORE if fetches else "")
 
 
@@ -123,7 +123,7 @@
 
 
 def two_stores(home_parts, other_parts, other_reachable=True):
-    """Return a preparation with two stores, the prompt's home and another one, and what each keeps."""
+    """Return a preparation with two stores that hold these parts: the prompt's home store and another one."""
 
     def prepare(node_state):
         services = tuple(Service(each, kv_store_address=each) for each in (STORE, OTHER_STORE))
@@ -155,7 +155,7 @@
 def test_parts_are_fetched_from_any_store_that_holds_them_and_saved_at_their_home_store(
     home_parts, other_parts, other_reachable, from_home
 ):
-    """After a change of weights, engines prefilled a part again that another store already held."""
+    """After a change of weights, engines had prefilled parts again that a store other than the home store held."""
     homes = []
 
     def prepare(node_state):
--- a/tests/unit/serving/test_call_placement.py
+++ b/tests/unit/serving/test_call_placement.py
@@ -1,4 +1,4 @@
-"""Which back end a call goes to, by what all nodes have under way."""
+"""Choice of a call's back end by the load of all nodes."""
 
 from collections import Counter
 
@@ -14,7 +14,7 @@
 
 
 def calls_by_backend(loads, zones=("z2", "z2", "z2"), own_loads=None):
-    """Return how many of many calls each back end gets; ``loads`` are of the other nodes."""
+    """Return the number of calls that each back end gets; ``loads`` are those reported by the other nodes."""
 
     async def scenario():
         state = make_state(backends=0)
--- a/tests/unit/serving/test_event_stream.py
+++ b/tests/unit/serving/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Event streams: whole events only, in order, once, over any number of runs."""
+"""Event streams forward complete events only, in order and once each, over any number of attempts."""
 
 import itertools
 
@@ -35,7 +35,7 @@
 
 
 def test_events_dropped_because_of_a_wrong_number_are_forwarded_from_the_next_run():
-    """One read may hold good events before the wrong one; the next run resumes after what the caller really has."""
+    """One read may hold valid events before the wrong one; the next attempt resumes after what was forwarded."""
     position = StreamPosition()
     assert position.feed(event(4)) == [event(4)]
     with pytest.raises(StreamOrderError):
--- a/tests/unit/serving/test_limited_requests.py
+++ b/tests/unit/serving/test_limited_requests.py
@@ -1,4 +1,4 @@
-"""What a request takes of its tenant's limit, what is refunded, and when a refused caller may retry."""
+"""What a request is charged to its tenant's limit, what is refunded, and the Retry-After over the limit."""
 
 import msgspec
 import pytest
@@ -18,7 +18,7 @@
 
 
 def serve_requests(scripts, declared_tokens=None, requests=1, route=None):
-    """Serve requests of a lone node with a full bucket; return the replies and what is left of the limit."""
+    """Serve requests on a single node with a full bucket; return the replies and what is left of the limit."""
 
     async def scenario():
         state = make_state(route, tenants=(TenantAccess("t", ("key",), limit=LIMIT),))
@@ -41,11 +41,11 @@
         ((OK,), 700, 300),
         ((OK,), None, 800),
         ((OK,), 0, 1_000),
-        # Not run: refunded. May have run once, runs once more: counts twice. Refused first, then run: once.
+        # Not run: refunded. Reset, then answered: charged twice. Refused, then answered: charged once.
         ((OVERLOADED,), 700, 1_000),
         ((RESET, OK), 300, 400),
         ((OVERLOADED, OK), 300, 700),
-        # Nobody knows whether it ran.
+        # Unknown outcome: both attempts stay charged.
         ((RESET, RESET), 300, 400),
     ],
 )
--- a/tests/unit/serving/test_liveness.py
+++ b/tests/unit/serving/test_liveness.py
@@ -1,4 +1,4 @@
-"""Back ends that stop without a word, in virtual time: attempts there go elsewhere soon, where that is safe."""
+"""Attempts on back ends that stop without closing connections are retried elsewhere soon, where that is safe."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
 
 
 class FakeReachabilityCheck:
-    """A machine that answers a new connection, or does not."""
+    """Simulates a machine that does or does not answer new connections, and counts the probes."""
 
     def __init__(self, reachable):
         self.reachable = reachable
@@ -46,7 +46,7 @@
 
 
 def serve_one(scripts, route, reachable, generation=True):
-    """Serve one request; return the reply, the client, the check and the seconds it took."""
+    """Serve one request; return reply, client, check, duration in seconds, and which back ends are suspended."""
 
     async def scenario():
         state = make_state(route, versions={"m": 1}, backends=2)
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("route", [NOT_RESUMABLE, UNSAFE], ids=["stream", "call"])
 def test_a_request_that_may_run_only_once_is_neither_abandoned_nor_retried(route):
-    """A back end's silence alone is no reason to end such an answer sooner."""
+    """Such a request is awaited until its timeout however long its back end is silent."""
     reply, client, check, took_s, _ = serve_one(
         [NO_RESPONSE], route, reachable=False, generation=route is NOT_RESUMABLE
     )
--- a/tests/unit/serving/test_overload_refusals.py
+++ b/tests/unit/serving/test_overload_refusals.py
@@ -1,4 +1,4 @@
-"""What the pipeline refuses while engines are overloaded, and what it does not."""
+"""Which requests the pipeline refuses while engines are overloaded."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 def serve(peers_load, generation=None, scripts=(OK,)):
-    """Serve one request while each engine has so much of other nodes under way; return reply and client."""
+    """Serve one request while each engine has this load from other nodes; return reply and client."""
 
     async def scenario():
         state = make_state(STREAM, versions={"m": 1})
@@ -48,7 +48,7 @@
     ("peers_load", "generation"),
     [
         (SLOTS, make_generation()),
-        # A caller that goes on with its stream, a node that hears nobody, a call.
+        # A resumed stream, a node without load reports from peers, a call.
         (3 * SLOTS, make_generation(resume_after=3)),
         (None, make_generation()),
         (3 * SLOTS, None),
--- a/tests/unit/serving/test_pipeline.py
+++ b/tests/unit/serving/test_pipeline.py
@@ -1,6 +1,6 @@
-"""The pipeline in virtual time: what is retried, what is proved, and when the caller is answered.
+"""The pipeline in virtual time: which attempts are retried, which outcome is reported, and when.
 
-The tables list the sequence of what back ends do and what the caller must get.
+The tables list how the back ends answer in sequence, and the answer that the caller must get.
 """
 
 import asyncio
@@ -118,7 +118,7 @@
 
 
 def test_a_late_answer_is_awaited_when_the_retry_budget_is_exhausted():
-    """Attempts were once abandoned for retries that the budget then refused."""
+    """Attempts had been abandoned for retries that the retry budget then refused."""
 
     def exhaust_budget_during_the_wait(node_state):
         budget = node_state.budget_of("svc")
@@ -197,7 +197,7 @@
     assert retry_after_s([OK], backends=0) > 0.6
     assert 0.5 < retry_after_s([CONNECT_REFUSED], UNSAFE) < 0.7
     assert retry_after_s([CONNECT_REFUSED], UNSAFE, backends=9) < 0.1
-    # Connections that time out make the whole zone suspected, for longer than this caller would wait.
+    # Connect timeouts make the whole zone suspected, for longer than this caller waits.
     assert 0.6 < retry_after_s([CONNECT_TIMEOUT], UNSAFE, backends=9) < 1.4
     assert retry_after_s([OK], prepare=store_silent_with_peer_reports) > 0.6
     assert retry_after_s([OK], prepare=store_silent_without_peer_reports) < 0.1
@@ -209,7 +209,7 @@
 
 
 def test_a_request_with_less_time_than_the_shortest_answer_is_refused_unsent():
-    """It would be late for certain, and its work a back end's time."""
+    """Its answer would certainly be late, and would waste the back end's time."""
 
     async def scenario():
         client = FakeClient(Script(chunks=(b"ok",), head_delay_s=0.4))
@@ -262,7 +262,7 @@
     assert not refused(2)
 
 
-# --- who may ask ---------------------------------------------------------------------------------------
+# --- access --------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -282,7 +282,7 @@
 
 @pytest.mark.parametrize("credential", ["key", "wrong"])
 def test_requests_are_refused_while_the_configuration_is_stale(credential):
-    """A credential may have been taken away, and a missing one may have been added, since the last confirmation."""
+    """Since the store's last confirmation, a credential may have been revoked or an unknown one added."""
 
     def make_configuration_stale(node_state):
         node_state.freshness.confirmed_at_s = boot_time_s() - 4.7
--- a/tests/unit/serving/test_pipeline_generations.py
+++ b/tests/unit/serving/test_pipeline_generations.py
@@ -1,4 +1,4 @@
-"""Generations on the pipeline in virtual time: streams and their resumption, weights, and callers who leave."""
+"""Generations in the pipeline in virtual time: resumed streams, weights versions, and caller disconnects."""
 
 import asyncio
 
@@ -175,7 +175,8 @@
 
 
 def test_a_queued_generation_is_cancelled_before_the_weights_are_too_old():
-    """Found by a hunt: sent 6.1 s after a naming, a request began 2.1 s later, past the 8 s allowed."""
+    """A request sent 6.1 s after a new version was named had started 2.1 s later, past the 8 s limit (found by a
+    randomized fault test)."""
     slow_start = stream(event(1), head_delay_s=5.0)
 
     def name_version_6_1_s_ago(node_state):
@@ -212,7 +213,7 @@
 @pytest.mark.parametrize("first", [OVERLOADED, PRECONDITION_REFUSED, CONNECT_TIMEOUT])
 @pytest.mark.parametrize("route", [UNSAFE, make_route(RouteKind.STREAM, attempts=1)])
 def test_an_attempt_in_flight_at_the_deadline_has_unknown_outcome(first, route):
-    """Found on a deployment of 69 nodes: a refused attempt, then one that the deadline cut, gave a 503."""
+    """In a deployment of 69 nodes, a refused attempt and then one cut off by the deadline had given a 503."""
     silent = Script(head_delay_s=100.0)
     reply, client, took_s = serve_request([first, silent], route, lambda: make_request(caller_timeout_s=1.0))
     assert len(client.sent) == 2
@@ -222,7 +223,7 @@
 
 @pytest.mark.parametrize("age_s", [0.0, 3.0, 6.0])
 def test_naming_new_weights_does_not_move_generations_to_other_engines(age_s):
-    """Streams go on while weights load, so emptying an engine ahead of its order would only cost places."""
+    """Streams continue while weights load, so draining an engine before its load order would only waste slots."""
 
     def name_version_earlier(node_state):
         node_state.weights.name("m", 2, boot_time_s() - age_s)
@@ -237,7 +238,7 @@
 
 
 def test_a_stream_continues_across_a_change_of_weights():
-    """The engine reports in an event's first line that its weights have changed."""
+    """The engine reports the change of its weights in the first line of an event."""
     changed = b"x-weight-versions: 2\n" + event(2)
     reply, _, _ = serve_request(
         [stream(event(1), changed, event(3))], NOT_RESUMABLE, generation_request(), versions={"m": 1}
@@ -260,13 +261,13 @@
     )
 
 
-# --- callers that have left ----------------------------------------------------------------------------
+# --- disconnected callers ------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
     ("scripts", "sends_before_disconnect", "sends"),
     [([OK], 0, 0), ([OVERLOADED, OK], 1, 1), ([RESET, OK], 1, 1), ([SERVER_ERROR, OK], 1, 1)],
-    ids=["before the first attempt", "after a refusal", "after a break", "after a failed answer"],
+    ids=["before the first attempt", "after a refusal", "after a reset", "after an error answer"],
 )
 def test_no_attempt_is_sent_after_the_caller_disconnected(scripts, sends_before_disconnect, sends):
     async def scenario():
--- a/tests/unit/serving/test_regions.py
+++ b/tests/unit/serving/test_regions.py
@@ -1,4 +1,4 @@
-"""Requests and KV cache stay within a region, unless the other one is better by more than the way."""
+"""Requests and KV cache stay within a region, unless the gain outweighs the cost of crossing to the other one."""
 
 import asyncio
 import dataclasses
@@ -44,7 +44,7 @@
 
 
 def fleet_state(node_zone, engine_zones, store_zones=STORE_ZONES):
-    """Return a node's state with an engine in each listed zone."""
+    """Return the state of a node with an engine in each listed zone."""
     state = make_state(STREAM, backends=0)
     state.zone, state.topology = node_zone, Topology(node_zone, REGION_OF_ZONE)
     services = tuple(Service(zone, kv_store_address=STORES[zone], zone=zone) for zone in store_zones)
@@ -55,7 +55,7 @@
 
 
 def cache_plans(node_zone, engine_zone, prompts, prepare=lambda state: None, store_zones=STORE_ZONES):
-    """Return the plan of each prompt at the one engine."""
+    """Return the cache plan of each prompt on the only engine."""
 
     async def scenario():
         state = fleet_state(node_zone, [engine_zone], store_zones)
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize(("engine_zone", "region"), [("a1", "a"), ("a2", "a"), ("b1", "b")])
 def test_parts_are_fetched_within_the_region_of_the_engine_alike_on_all_nodes(engine_zone, region):
-    """A move between regions takes ten times as long and holds the engine's other moves up."""
+    """A transfer between regions takes ten times as long and delays the engine's other transfers."""
     from_a = [plan.fetch_from for plan in cache_plans("a1", engine_zone, PROMPTS)]
     from_b = [plan.fetch_from for plan in cache_plans("b2", engine_zone, PROMPTS)]
     assert from_a == from_b
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize("engine_zone", ["a2", "b1"])
 def test_a_node_saves_missing_parts_in_the_stores_of_both_regions(engine_zone):
-    """Half of an engine's long prompts come from the other region; these alone were prefilled again."""
+    """Half of an engine's long prompts come from the other region; only those had been prefilled again."""
 
     def prepare(state):
         for address in STORES.values():
@@ -119,7 +119,7 @@
     ids=["as much in the zone", "nearly as much", "less", "over half in the region", "under half"],
 )
 def test_a_nearer_store_is_preferred_unless_it_holds_much_less(source_zone, tokens_near, from_near):
-    """A prompt that has left its region takes its parts along, but not while most of them are near."""
+    """A prompt in the other region fetches its parts from its own region, but not while most of them are nearer."""
 
     def prepare(state):
         for address in STORES.values():
@@ -140,7 +140,7 @@
 
 
 class CountingSource:
-    """Stores that hold nothing and say so; counts who is asked."""
+    """Simulates empty stores and records which addresses are polled."""
 
     def __init__(self):
         self.polled_addresses = set()
@@ -155,7 +155,7 @@
 
 
 def test_stores_of_all_regions_are_polled():
-    """Nodes send long prompts to engines of both regions, and save there what is lacking only."""
+    """Nodes send long prompts to engines of both regions, and have them save only the parts their stores lack."""
 
     async def scenario():
         source = CountingSource()
@@ -172,7 +172,7 @@
 
 
 def active_generation(prompt, tokens=100, own=9):
-    """Return the active request of a generation with a shared part of this name."""
+    """Return an active generation request whose shared prompt part has this name."""
     parts = (PromptPart(prompt, tokens), PromptPart("own", own))
     request = make_request(generation=msgspec.structs.replace(make_generation(), parts=parts))
     return ActiveRequest(request, None, STREAM, None, "svc", 1e9, AttemptLog(repeatable=True))
@@ -184,7 +184,7 @@
 
 
 def chosen_regions(node_zone, loads, tokens=100, prompts=100, without=(), shared=100):
-    """Return the regions of the engines that prompts go to; ``loads`` are of all nodes, by region.
+    """Return how many prompts go to engines of each region; ``loads`` are the engines' loads by region.
 
     ``shared`` of a prompt's ``tokens`` are shared; the rest is its own.
     """
@@ -235,22 +235,22 @@
         ({"a": 90, "b": 30}, 350, 550),
         ({"a": 40, "b": 60}, 0, 0),
     ],
-    ids=["alike", "half as much again", "three times", "less"],
+    ids=["similar", "one and a half times", "three times", "less"],
 )
 def test_a_fraction_of_prompts_leaves_a_region_with_higher_load(loads, least, most):
-    """On a day on which 7 of 15 engines of one region were away, its engines had 61 to 92 and the others 47."""
+    """With 7 of 15 engines of a region missing, its engines had loads of 61 to 92 and the other region's 47."""
     assert least <= chosen_regions("a1", loads, prompts=1000)["b"] <= most
 
 
 def test_a_long_prompt_crosses_regions_if_only_that_meets_the_objective():
-    """At 95 ms a unit an engine begins a prompt in 0.4 s up to a load of 4.2, with the way up to 3.8."""
+    """At 95 ms per load unit, an engine starts a prompt in 0.4 s up to load 4.2; in the other region up to 3.8."""
     assert set(chosen_regions("a1", {"a": 4, "b": 3}, LONG)) == {"a"}
     assert set(chosen_regions("a1", {"a": 5, "b": 3}, LONG)) == {"b"}
     assert set(chosen_regions("a1", {"a": 5, "b": 4}, LONG)) == {"a"}
 
 
 def test_prompts_that_leave_the_region_spread_over_the_other_one():
-    """All nodes know of the other region's loads alike and late; they must not all take the idlest engine there."""
+    """All nodes see the same delayed loads of the other region, and must not all choose its least loaded engine."""
 
     async def scenario():
         state = fleet_state("a1", ENGINE_ZONES)
@@ -266,7 +266,7 @@
         return chosen
 
     chosen = run_virtual(scenario())
-    assert len(chosen) == 2  # The other region's pool for short prompts.
+    assert len(chosen) == 2  # The pool for short prompts in the other region.
     assert max(chosen.values()) < 0.65 * 300
 
 
@@ -277,7 +277,7 @@
 
 
 def engines_of_prompts(zone, tokens, loads=None):
-    """Return the engine of each prompt; all tokens are shared but a few."""
+    """Return the record of each prompt's engine; all but a few of a prompt's tokens are shared."""
 
     async def scenario():
         state = fleet_state(zone, ENGINE_ZONES)
@@ -318,7 +318,7 @@
 
 
 def test_the_first_half_of_a_pool_covers_both_regions():
-    """Engines are reloaded half a pool at a time: never all of a region's at once."""
+    """Weights are loaded on half a pool at a time, which must never be all engines of a region."""
     state = run_virtual(state_with_all_engines())
     for pool in pools_by_prompt_length(state.backends.of_service("svc"), state.topology):
         first_half = pool[: len(pool) // 2]
@@ -333,7 +333,7 @@
 
 
 def call_shares(node_zone, loads):
-    """Return how many of many calls each zone's back end gets; ``loads`` are of the other nodes, by zone."""
+    """Return the number of calls that each zone's back end gets; ``loads`` are those of the other nodes by zone."""
 
     async def scenario():
         state = fleet_state(node_zone, ())
--- a/tests/unit/serving/test_response_wait.py
+++ b/tests/unit/serving/test_response_wait.py
@@ -1,4 +1,4 @@
-"""Waiting for heads: an answer that nobody waits for any more is closed, so that its back end stops."""
+"""Waiting for the head of an answer: abandoned answers are closed, so that their back ends stop working."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 
 class DisconnectingCallerClient(FakeClient):
-    """Cancels the serving task in the very turn of the event loop in which the head arrives."""
+    """Cancels the serving task in the same iteration of the event loop in which the head arrives."""
 
     serving: asyncio.Task
 
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize(("peers", "sent"), [(Delays(100, 20), 2), (Delays(100, 60), 1)], ids=["in time", "behind"])
 def test_a_silent_engine_is_abandoned_only_if_the_fleet_is_not_behind(peers, sent):
-    """Found on a deployment of 195 nodes: 60 prompts a second were read again, and the fleet stayed behind."""
+    """In a deployment of 195 nodes, 60 prompts per second had been prefilled again, and the fleet stayed behind."""
 
     async def scenario():
         state = make_state(make_route(RouteKind.STREAM, resumable=True))
@@ -79,7 +79,7 @@
 
 
 class UnresponsiveNetwork(FakeClient):
-    """The first connections are unresponsive beyond the response timeout; the others come up."""
+    """The first connections take longer than the response timeout; later ones succeed."""
 
     def __init__(self, unresponsive):
         super().__init__(Script(chunks=(b"ok",)))
@@ -94,7 +94,8 @@
 
 
 def test_attempts_abandoned_while_connecting_do_not_count_as_runs():
-    """With an objective of 0.16 s the response timeout ends before a connection's: no attempt was left then."""
+    """With an objective of 0.16 s, the response timeout is shorter than the connect timeout; the attempts had been
+    used up by connections."""
 
     async def scenario():
         state, reply = make_state(make_route(attempts=2)), FakeReply()
@@ -106,7 +107,7 @@
 
 
 class WeightsUpdatedDuringRequest(FakeClient):
-    """Its engine gets the newest weights while it works on the request, before its answer begins."""
+    """The engine gets the newest weights while it processes the request, before its answer starts."""
 
     def __init__(self, state):
         super().__init__(Script(chunks=(event(1),), head_delay_s=1.5, stream=True))
@@ -119,7 +120,7 @@
 
 
 def test_an_engine_that_gets_the_newest_weights_during_the_wait_is_not_abandoned():
-    """Its weights would have been too old 1 s after the sending; a silence of 0.4 s is looked into before."""
+    """The old weights expire 1 s after sending; the response timeout of 0.4 s is checked before that."""
 
     async def scenario():
         state = make_state(make_route(RouteKind.STREAM, resumable=True), versions={"m": 1})
--- a/tests/unit/serving/test_rollout_requests.py
+++ b/tests/unit/serving/test_rollout_requests.py
@@ -1,4 +1,4 @@
-"""Requests while a service's software is rolled out: which side runs them, and what is counted."""
+"""Requests during a rollout of a service's software: which version serves them, and how attempts are counted."""
 
 from dataclasses import replace
 
@@ -32,7 +32,7 @@
 
 
 def state_in_rollout(phase=Phase.CANARY, share=0.0, route=SAFE, old=6, new=4, new_weights=1, slow_for_s=0.0):
-    """A state with a rollout from v1 to v2 in a phase, heard of just now."""
+    """Return a state with a rollout from v1 to v2 in this phase, whose record was received just now."""
     state = make_state(route, backends=0)
     for software, count in (("v1", old), ("v2", new)):
         versions = {"m": 1 if software == "v1" else new_weights}
@@ -47,7 +47,7 @@
 
 
 def serve_requests(scripts, requests=1, prepare=None, generation=None, **rollout):
-    """Serve requests and return the versions that were sent to, the last reply and the state."""
+    """Serve requests; return the version of each attempt, the last reply and the state."""
 
     async def scenario():
         state = state_in_rollout(**rollout)
@@ -156,7 +156,7 @@
 
 
 def test_engine_pools_are_formed_within_a_version():
-    """Short prompts have one engine in three to themselves: of the target side, not of all engines together."""
+    """One engine in three is reserved for short prompts: of those of the target version, not of all engines."""
 
     async def scenario():
         state = state_in_rollout(Phase.SWITCHING, route=STREAM, old=90, new=9)
@@ -175,7 +175,7 @@
 
 
 def test_a_retry_does_not_use_the_target_version_once_its_record_is_stale():
-    """Its first attempt was on the current side, since no target back end was usable then."""
+    """The first attempt is on the current version, since no target back end is usable at that time."""
 
     def prepare(state):
         for each in state.backends.all():
--- a/tests/unit/serving/test_split_shares.py
+++ b/tests/unit/serving/test_split_shares.py
@@ -1,4 +1,4 @@
-"""A route over two services keeps their shares while one refuses, attempts are retried and callers return."""
+"""A route split over two services keeps their shares while one fails, attempts are retried and callers retry."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 class TwoServicesClient(FakeClient):
-    """One service follows a script, the other answers well."""
+    """One service follows a script, the other one answers successfully."""
 
     def __init__(self, failing_service, script):
         super().__init__(OK)
@@ -31,7 +31,10 @@
 
 
 def first_sends(weights, failing_service, script, requests_per_node, callers_retry):
-    """Serve so many requests at each node; refused callers return at another. Return first sends by service."""
+    """Serve requests on each node, with refused callers retrying on another node if ``callers_retry``.
+
+    Return the number of first attempts by service.
+    """
 
     async def scenario():
         rng = random.Random(11)
@@ -72,13 +75,13 @@
         ("part", Script(send_error=TransportEvent.RESET_AFTER_SEND)),
         ("part", Script(status=500, chunks=(b"bad",))),
     ],
-    ids=["all well", "main refuses", "part refuses", "part is away", "part breaks off", "part fails"],
+    ids=["no failure", "main refuses", "part refuses", "part unreachable", "part resets", "part fails"],
 )
-@pytest.mark.parametrize("callers_retry", [False, True], ids=["once", "callers return"])
+@pytest.mark.parametrize("callers_retry", [False, True], ids=["no caller retry", "caller retry"])
 def test_a_service_with_a_tenth_of_the_weight_gets_a_tenth_of_the_requests(
     failing_service, script, requests_per_node, callers_retry
 ):
-    """The share of a part is at most a fifth of it off for many requests, and no more than chance for few."""
+    """The share may deviate by a fifth for many requests, and by three standard deviations for few."""
     counts = first_sends({"main": 90, "part": 10}, failing_service, script, requests_per_node, callers_retry)
     allowed = SHARE_TOLERANCE * 0.1 if requests_per_node >= 20 else 3 * (0.09 / counts.total()) ** 0.5
     assert abs(counts["part"] / counts.total() - 0.1) <= allowed
--- a/tests/unit/serving/test_stated_limits.py
+++ b/tests/unit/serving/test_stated_limits.py
@@ -1,4 +1,4 @@
-"""Requests while back ends state how many a second they take: sent elsewhere, held, or refused at once."""
+"""Requests while back ends state a limit per second are sent to other back ends, held, or refused at once."""
 
 import msgspec
 
@@ -12,11 +12,11 @@
 
 OBJECTIVE_S = make_route().objective_s
 REQUESTS_SENT_BEFORE = 20
-"""Requests that use up a limit for longer than any request is held."""
+"""Number of requests that use up a limit for longer than any request is held."""
 
 
 def state_limits(per_s, *numbers, sent=REQUESTS_SENT_BEFORE):
-    """Return what makes back ends of a state say what they take, after ``sent`` requests to each."""
+    """Return a preparation in which back ends state a limit of ``per_s`` after ``sent`` requests to each."""
 
     def prepare(state):
         now_s = boot_time_s()
@@ -59,8 +59,8 @@
 
 
 def test_a_request_is_held_while_it_can_still_be_in_time():
-    """Sixty requests beyond what is saved up are worked off in 0.6 s: the fleet's size is not known, so this node
-    has a hundredth of the limit."""
+    """Sixty requests over the burst take 0.6 s: the fleet's size is unknown, so this node may use a
+    hundredth of the limit."""
     burst_size = round(10_000 * BURST_S)
     long_objective = msgspec.structs.replace(make_route(), objective_s=2.0)
     reply, _, took_s = serve_request(
--- a/tests/unit/serving/test_zone_outage.py
+++ b/tests/unit/serving/test_zone_outage.py
@@ -1,4 +1,4 @@
-"""A zone that is cut off, in virtual time: what its back ends cost callers meanwhile, and how they return."""
+"""Requests during and after the outage of a zone, in virtual time: latency, connect timeouts and recovery."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 
 class Network(FakeClient):
-    """Back ends that answer soon, behind zones that can be cut off: connections into them time out."""
+    """Back ends that answer quickly, in zones that can be cut off: connections to a cut zone time out."""
 
     def __init__(self):
         super().__init__(Script(chunks=(b"ok",), head_delay_s=WORK_S))
@@ -45,7 +45,10 @@
 
 
 def serve_through_outage(cut_zones, zone="z9"):
-    """Serve for ten seconds with zones cut off for six; return times, replies, and what was sent where and when."""
+    """Serve requests for ten seconds with zones cut off for six.
+
+    Return arrival, status and duration of each request, time and zone of each attempt, and the connect timeouts.
+    """
 
     async def scenario():
         state = make_state(make_route(RouteKind.SAFE, attempts=2), backends=0)
@@ -54,7 +57,7 @@
             for number in range(PER_ZONE):
                 address = f"{name}-{number}"
                 backend = state.backends.upsert(BackendRecord(address, "svc", f"{address}:1", name, 6))
-                # Calls leave their zone only while its back ends are busy.
+                # Calls go to other zones only while the back ends of the own zone are busy.
                 backend.peers_load = 4 if name == zone else 0
         network = Network()
         liveness = LivenessMonitor(state, network)
@@ -90,7 +93,7 @@
     ids=["one, no own back ends", "from outside", "from inside", "three, no own back ends"],
 )
 def test_requests_are_sent_to_a_cut_zone_for_less_than_a_second(cut_zones, zone):
-    """Measured from the first; a request runs into each cut zone once at most, and none is given back."""
+    """The second counts from the first timeout; a request hits each cut zone at most once, and none is refused."""
     latencies, _, timed_out = serve_through_outage(cut_zones, zone)
     settled_s = min(timed_out) + 1.0
     assert max(timed_out) < settled_s
@@ -112,7 +115,7 @@
 
 
 def test_peers_in_a_returned_zone_are_polled_at_once():
-    """Their pause doubles up to 16 s, and without their word the loads of their zone are not known."""
+    """The pause between polls doubles up to 16 s, and the loads of a zone are unknown until its nodes report."""
     order = UpstreamOrder("n1", "z1", {"n1": NodeRecord("z1", "n1:1"), "n2": NodeRecord("z2", "n2:1")})
     for now_s in (0.0, 3.0, 8.0):
         order.on_failure("n2", now_s)
