--- a/src/wallwell/serving/active_request.py
+++ b/src/wallwell/serving/active_request.py
@@ -88,7 +88,7 @@
         return self.route.rank
 
     @cached_property
-    def prefix_key(self) -> int:
+    def placement_key(self) -> int:
         """Key of the longest shared prefix of a generation, by which its engine and KV store are chosen.
 
         The key includes the tenant's name if the tenant shares no cache with others.
@@ -98,7 +98,7 @@
         return placement_key(self.request.generation.parts, scope)
 
     @cached_property
-    def request_digest(self) -> str:
+    def content_digest(self) -> str:
         """Digest of the content of the request; unchanged when the caller sends the same request again."""
         request = self.request
         caller = self.tenant.name if self.tenant is not None else request.credential
--- a/src/wallwell/serving/attempt_feedback.py
+++ b/src/wallwell/serving/attempt_feedback.py
@@ -61,7 +61,7 @@
         """Record that an answer is complete."""
         backend.on_success(boot_time_s())
         if self._crash_observer is not None and head.ok:
-            self._crash_observer.on_answered(active.request_digest)
+            self._crash_observer.on_answered(active.content_digest)
 
     def on_failure(self, active: ActiveRequest, backend: Backend, failure: AttemptError, now_s: float) -> None:
         """Record an attempt that ended without a complete answer."""
@@ -77,7 +77,7 @@
         if event is TransportEvent.ERROR_ANSWER:
             return
         if event is TransportEvent.RESET_AFTER_SEND and self._crash_observer is not None:
-            self._crash_observer.on_broken_run(active.request_digest, backend)
+            self._crash_observer.on_broken_run(active.content_digest, backend)
         if event is TransportEvent.ANSWER_TIMEOUT and backend.is_answering(now_s):
             return  # It has answered other requests recently, so it is busy, not faulty.
         self._count_failure(backend, event, now_s)
--- a/src/wallwell/serving/backend_selector.py
+++ b/src/wallwell/serving/backend_selector.py
@@ -42,7 +42,7 @@
         if listed is None:
             listed = state.backends.of_service(active.service)
         prompt = Prompt(
-            key=active.prefix_key,
+            key=active.placement_key,
             tokens=generation.prompt_tokens,
             shared_tokens=sum(part.tokens for part in shared_parts(generation.parts)),
             objective_s=active.route.objective_s,
--- a/src/wallwell/serving/cache_planning.py
+++ b/src/wallwell/serving/cache_planning.py
@@ -36,7 +36,7 @@
         scope = _cache_scope(active, generation.model, version)
         stores = state.kv_stores
         # Without a known weights version, no cache entry is certain to come from the same weights.
-        home = home_store(stores, active.prefix_key, zone) if version else ""
+        home = home_store(stores, active.placement_key, zone) if version else ""
         if not home or is_unreachable(stores, home):
             return CachePlan(scope)
         fetch_from = ""
--- a/src/wallwell/serving/messages.py
+++ b/src/wallwell/serving/messages.py
@@ -150,11 +150,11 @@
 class CrashObserver(Protocol):
     """Receives the results of attempts that show whether a request crashes back ends."""
 
-    def on_broken_run(self, content: str, backend: Backend) -> None:
-        """Called when a connection ends before the answer to the request with this digest is complete."""
+    def on_broken_run(self, content_digest: str, backend: Backend) -> None:
+        """Called when a connection ends before the answer to the request with this content digest is complete."""
         ...
 
-    def on_answered(self, content: str) -> None:
+    def on_answered(self, content_digest: str) -> None:
         """Called when the request with this digest is answered with success."""
         ...
 
--- a/src/wallwell/serving/request_errors.py
+++ b/src/wallwell/serving/request_errors.py
@@ -88,10 +88,10 @@
         Each further attempt could crash another back end, with all requests in flight there.
         """
         quarantine = self._state.quarantine
-        remaining_quarantine_s = quarantine.left_s(active.request_digest, now_s) if quarantine.quarantined else 0.0
+        remaining_quarantine_s = quarantine.left_s(active.content_digest, now_s) if quarantine.quarantined else 0.0
         if not remaining_quarantine_s:
             return None
-        detail = f"back ends crashed while running the request with digest {active.request_digest}"
+        detail = f"back ends crashed while running the request with content digest {active.content_digest}"
         if active.attempt_log.outcome is Outcome.NOT_RUN:
             return RequestQuarantinedError(detail, retry_after_ms=round(remaining_quarantine_s * 1000))
         return self.exhausted_error(active, detail, RefusalCause.REFUSED_BY_BACKENDS)
--- a/src/wallwell/serving/request_reports.py
+++ b/src/wallwell/serving/request_reports.py
@@ -50,7 +50,7 @@
             detail=failure.detail,
             attempts=active.attempt_log.attempts,
             events=active.stream_position.events_forwarded,
-            content=active.request_digest,
+            content=active.content_digest,
         )
 
     def on_answered(self, active: ActiveRequest, backend: Backend, now_s: float) -> None:
--- a/tests/unit/routing/admission/test_request_content.py
+++ b/tests/unit/routing/admission/test_request_content.py
@@ -28,7 +28,7 @@
         tenant = TenantAccess("t", ("key", "key2"))
         return ActiveRequest(
             request, FakeReply(), make_route(), tenant, "svc", 0.0, AttemptLog(True)
-        ).request_digest
+        ).content_digest
 
     again = {
         "request_id": "r-2",
