--- a/src/wallwell/serving/messages.py
+++ b/src/wallwell/serving/messages.py
@@ -143,7 +143,7 @@
     """Sends requests to back ends."""
 
     async def send(self, dispatch: Dispatch) -> BackendAnswer:
-        """Send once, if ``may_send`` allows, and return the answer at its head. Raises :class:`AttemptError`."""
+        """Send once if ``may_send`` allows; return when the head has arrived. Raises :class:`AttemptError`."""
         ...
 
 
@@ -155,7 +155,7 @@
         ...
 
     def on_answered(self, content_digest: str) -> None:
-        """Called when the request with this digest is answered with success."""
+        """Called when the request with this content digest is answered with success."""
         ...
 
 
--- a/src/wallwell/serving/retry_after.py
+++ b/src/wallwell/serving/retry_after.py
@@ -72,7 +72,7 @@
         return 0.0 if ends_s is None else ends_s - now_s
 
     def _suspension_ends_in_s(self, service: str, now_s: float) -> float:
-        """Return the seconds until the first suspended back end of a service may be tried; 0 if one may be now."""
+        """Return the seconds until the first suspended back end of a service may be tried; 0 if one already may."""
         listed = self._state.backends.of_service(service)
         waits = [each.suspended_until_s - now_s for each in listed if not each.is_leaving(now_s)]
         return max(0.0, min(waits, default=0.0))
