--- a/src/wallwell/routing/retry/response_timeout.py
+++ b/src/wallwell/routing/retry/response_timeout.py
@@ -3,7 +3,7 @@
 There are three waits: for the head of an answer (:func:`response_timeout_s`), for an engine to begin before its
 weights are too old (:func:`begin_timeout_s`), and between two events of a stream (:func:`stall_timeout_s`).
 :mod:`wallwell.routing.retry.retry_policy` decides whether another back end may be tried at all.
-:mod:`wallwell.serving.response_timeout` and the code that forwards streams do the waiting.
+:mod:`wallwell.serving.response_wait` and the code that forwards streams do the waiting.
 """
 
 from __future__ import annotations
--- a/src/wallwell/routing/selection/prefill_rate.py
+++ b/src/wallwell/routing/selection/prefill_rate.py
@@ -1,7 +1,7 @@
 """Estimates how the time to the first token of long prompts grows with an engine's load. Pure.
 
-Each node has one instance. ``BackendChoice`` passes in the first token of each long prompt; ``engine_choice`` reads
-the load up to which an engine still begins a prompt within its objective.
+Each node has one instance. ``BackendSelector`` passes in the first token of each long prompt; ``engine_choice``
+reads the load up to which an engine still begins a prompt within its objective.
 """
 
 from __future__ import annotations
--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -1,15 +1,14 @@
-"""The request pipeline: admit, choose a back end, attempt, and again where that is safe, until the request has
-ended.
-
-This module owns the loop over the attempts of one request and the answer that its caller gets: exactly one, sent as
-soon as it is decided, and none once the caller has left. A refusal that proves that the request never ran says when
-to retry. The pipeline knows no wire format and decides nothing itself: it asks
-
-- :class:`~wallwell.serving.admission.Admission` who may send what, and for how long;
-- :class:`~wallwell.serving.backend_choice.BackendChoice` which back end is next;
-- :class:`~wallwell.serving.attempt.Attempts` to make one attempt there;
-- :class:`~wallwell.routing.retry.retry_policy.RetryPolicy` what follows an attempt that failed;
-- :class:`~wallwell.serving.request_errors.RequestErrors` what is proved when no attempt follows.
+"""The request pipeline: admits a request, selects a back end, sends the request, and retries where that is safe.
+
+This module owns the loop over the attempts of one request and the caller's answer: exactly one, sent as soon as it
+is decided, and none once the caller has disconnected. A refusal that proves that the request never ran carries a
+Retry-After. The pipeline is independent of any wire format and delegates each decision:
+
+- :class:`~wallwell.serving.admission.Admission` checks access and limits and sets the deadline;
+- :class:`~wallwell.serving.backend_selector.BackendSelector` selects the next back end;
+- :class:`~wallwell.serving.attempt.AttemptRunner` makes one attempt;
+- :class:`~wallwell.routing.retry.retry_policy.RetryPolicy` decides what follows a failed attempt;
+- :class:`~wallwell.serving.request_errors.RequestErrorFactory` builds the error when no attempt follows.
 """
 
 from __future__ import annotations
@@ -32,11 +31,11 @@
 from wallwell.routing.selection.candidates import earliest_backoff_end_s, exclude_unresponsive_zones
 from wallwell.serving.active_request import ActiveRequest
 from wallwell.serving.admission import Admission
-from wallwell.serving.attempt import Attempts
-from wallwell.serving.attempt_learning import AttemptLearning
-from wallwell.serving.backend_choice import BackendChoice
-from wallwell.serving.counters import FleetCounters
-from wallwell.serving.liveness import Liveness
+from wallwell.serving.attempt import AttemptRunner
+from wallwell.serving.attempt_feedback import AttemptFeedback
+from wallwell.serving.backend_selector import BackendSelector
+from wallwell.serving.counters import RequestCounters
+from wallwell.serving.liveness import LivenessMonitor
 from wallwell.serving.messages import (
     AttemptError,
     BackendClient,
@@ -45,52 +44,52 @@
     CallerRequest,
     CrashObserver,
 )
-from wallwell.serving.request_errors import RequestErrors
-from wallwell.serving.request_reports import RequestReports
+from wallwell.serving.request_errors import RequestErrorFactory
+from wallwell.serving.request_reports import RequestReporter
 from wallwell.serving.version_choice import candidates_for
 
 
 class Hold(msgspec.Struct, frozen=True):
-    """A request waits before its next back end is chosen."""
+    """The request is held for ``seconds`` before its next back end is chosen."""
 
     seconds: float
 
 
 class RequestPipeline:
-    """Serves requests of any callers' interface from any kind of back end."""
+    """Serves requests from any interface to callers on any kind of back end."""
 
     def __init__(
         self,
         state: NodeState,
         client: BackendClient,
-        counters: FleetCounters | None = None,
-        liveness: Liveness | None = None,
-        crashes: CrashObserver | None = None,
+        counters: RequestCounters | None = None,
+        liveness: LivenessMonitor | None = None,
+        crash_observer: CrashObserver | None = None,
     ) -> None:
         self._state = state
         self._admission = Admission(state)
-        self._choice = BackendChoice(state)
-        self._errors = RequestErrors(state)
+        self._selector = BackendSelector(state)
+        self._error_factory = RequestErrorFactory(state)
         self._policy = RetryPolicy(lambda: state.node_count)
-        self._learning = AttemptLearning(state, self._choice, crashes)
-        self._attempts = Attempts(state, client, self._policy, self._learning, liveness)
-        self.counters = counters or FleetCounters()
-        self._reports = RequestReports(state, self.counters)
+        self._feedback = AttemptFeedback(state, self._selector, crash_observer)
+        self._attempt_runner = AttemptRunner(state, client, self._policy, self._feedback, liveness)
+        self.counters = counters or RequestCounters()
+        self._reporter = RequestReporter(state, self.counters)
 
     async def serve(self, request: CallerRequest, reply: CallerReply) -> None:
-        """Answer one request."""
+        """Serve one request through ``reply``. Raises :class:`CallerGoneError` if the caller has disconnected."""
         try:
             active = self._admission.admit(request, reply)
             await self._run_admitted(active)
         except RequestError as error:
-            self._reports.on_refused(request, error)
+            self._reporter.on_refused(request, error)
             if reply.started:
                 reply.abort()
             else:
                 await reply.refuse(error)
 
     async def _run_admitted(self, active: ActiveRequest) -> None:
-        """Run a request; what it took of its tenant's limit is refunded if it is proved not to have run."""
+        """Run a request, and refund the charge to its tenant's limit if the request is proved not to have run."""
         try:
             await self._run(active)
         except RequestError as error:
@@ -98,100 +97,100 @@
                 self._refund(active)
             raise
         except CallerGoneError:
-            if self._is_proved_unrun(active):
+            if self._is_proved_not_run(active):
                 self._refund(active)
             raise
 
     def _refund(self, active: ActiveRequest) -> None:
-        if active.admitted is not None:
-            self._state.load.limits.refund(active.admitted)
+        if active.limit_charge is not None:
+            self._state.load.limits.refund(active.limit_charge)
 
     async def _run(self, active: ActiveRequest) -> None:
-        """Make attempts until one ends the request. Raises :class:`RequestError` or :class:`CallerGoneError`."""
+        """Make attempts until one is answered. Raises :class:`RequestError` or :class:`CallerGoneError`."""
         while True:
             backend = await self._next_backend(active)
             try:
-                if await self._attempts.make(active, backend):
+                if await self._attempt_runner.make_attempt(active, backend):
                     self._on_answered(active, backend)
                     return
-                retried = AttemptError(TransportEvent.ERROR_ANSWER, "server error, not passed on")
-                self._reports.on_attempt_failed(active, backend, retried)
+                server_error = AttemptError(TransportEvent.ERROR_ANSWER, "server error, retried")
+                self._reporter.on_attempt_failed(active, backend, server_error)
             except AttemptError as failure:
                 self._after_failure(active, backend, failure)
             except TimeoutError:
-                raise self._out_of_time(active) from None
+                raise self._deadline_error(active) from None
 
     def _on_answered(self, active: ActiveRequest, backend: Backend) -> None:
         now_s = boot_time_s()
-        self._choice.learn_time(active, now_s)
-        self._reports.on_ended(active, backend, now_s)
-
-    def _out_of_time(self, active: ActiveRequest) -> RequestError:
-        """Return the error of a request whose time ended during an attempt."""
-        self._choice.learn_silence(active, boot_time_s())
-        # The attempt was in flight: it may have reached its back end, whatever became of earlier ones.
-        active.log.record(TransportEvent.ANSWER_TIMEOUT)
+        self._selector.record_duration(active, now_s)
+        self._reporter.on_answered(active, backend, now_s)
+
+    def _deadline_error(self, active: ActiveRequest) -> RequestError:
+        """Return the error of a request that reached its deadline during an attempt."""
+        self._selector.record_no_first_token(active, boot_time_s())
+        # The attempt in flight may have reached its back end, whatever the outcome of earlier attempts.
+        active.attempt_log.record(TransportEvent.ANSWER_TIMEOUT)
         active.history.on_run_ended()
-        return self._errors.out_of_time(active)
+        return self._error_factory.deadline_error(active)
 
     # --- before an attempt -----------------------------------------------------------------------------
 
     async def _next_backend(self, active: ActiveRequest) -> Backend:
-        """Return the back end of the next attempt, waiting for the end of a back-off where that is soon enough.
+        """Return the back end of the next attempt, after a hold if a back-off or a limit ends soon enough.
 
         Raises :class:`RequestError` or :class:`CallerGoneError`.
         """
         while True:
-            chosen = self._choose(active)
+            chosen = self._choose_or_hold(active)
             if isinstance(chosen, Backend):
                 return chosen
             await asyncio.sleep(chosen.seconds)
 
-    def _choose(self, active: ActiveRequest) -> Backend | Hold:
-        """Return the back end of the next attempt, or for how long the request is held.
+    def _choose_or_hold(self, active: ActiveRequest) -> Backend | Hold:
+        """Return the back end of the next attempt, or the hold to wait for before choosing again.
 
         Raises :class:`RequestError` or :class:`CallerGoneError`.
         """
         if active.reply.is_caller_gone():
-            # On a node that is short of processor time a request can be read after its caller has left.
-            raise CallerGoneError("closed before its request was sent on")
+            # A node that is short of CPU time may read a request after its caller has disconnected.
+            raise CallerGoneError("the caller disconnected before the next attempt")
         if self._is_too_late(active):
-            raise self._errors.out_of_time(active)
+            raise self._error_factory.deadline_error(active)
         now_s = boot_time_s()
-        # Before each attempt, since other nodes may have seen crashes under the request meanwhile.
-        refusal = self._errors.quarantined(active, now_s)
+        # Checked before each attempt, since other nodes may have observed crashes caused by this request meanwhile.
+        refusal = self._error_factory.quarantine_error(active, now_s)
         if refusal is not None:
             raise refusal
         limit_waits_s: dict[Backend, float] = {}
-        """Back ends that would have been chosen, and the seconds until their limits probably allow the request."""
+        """Back ends passed over for their stated limit, with the seconds until it probably allows the request."""
         while True:
             listed, candidates = self._candidates(active, now_s, limit_waits_s)
             if not candidates:
                 break
             if not limit_waits_s:
-                self._choice.refuse_if_overloaded(active, now_s)
-            backend = self._choice.choose(active, candidates, listed)
+                self._selector.refuse_if_overloaded(active, now_s)
+            backend = self._selector.choose(active, candidates, listed)
             wait_s = self._state.load.stated_limits.admit(backend, now_s)
             if wait_s is None:
                 return backend
             limit_waits_s[backend] = wait_s
-        hold = self._hold(active, listed, limit_waits_s, now_s)
+        hold = self._decide_hold(active, listed, limit_waits_s, now_s)
         if hold is None:
-            raise self._errors.none_usable(active, now_s, limit_waits_s.values())
+            raise self._error_factory.no_usable_backend_error(active, now_s, limit_waits_s.values())
         return hold
 
     def _candidates(
-        self, active: ActiveRequest, now_s: float, without: Collection[Backend]
+        self, active: ActiveRequest, now_s: float, excluded: Collection[Backend]
     ) -> tuple[Sequence[Backend], Sequence[Backend]]:
-        """Return the listed back ends and those of them that may get the next attempt, but for some."""
-        listed, usable = candidates_for(self._state, active, now_s, without)
+        """Return the listed back ends, and those that may get the next attempt apart from the excluded ones."""
+        listed, usable = candidates_for(self._state, active, now_s, excluded)
         tried = active.history.tried_incarnations
         untried = [each for each in usable if each.incarnation not in tried]
-        candidates = untried or (usable if self._is_proved_unrun(active) else [])
+        candidates = untried or (usable if self._is_proved_not_run(active) else [])
         unresponsive = active.history.unresponsive_zones
         return listed, exclude_unresponsive_zones(candidates, unresponsive, self._state.zone)
 
-    def _hold(
+    def _decide_hold(
         self,
         active: ActiveRequest,
         listed: Sequence[Backend],
@@ -216,25 +215,27 @@
             shortest, active.remaining_s(), continues_run=bool(active.history.runs) or is_resumed
         )
 
-    def _is_proved_unrun(self, active: ActiveRequest) -> bool:
-        return active.log.outcome is Outcome.NOT_RUN
+    def _is_proved_not_run(self, active: ActiveRequest) -> bool:
+        return active.attempt_log.outcome is Outcome.NOT_RUN
 
     # --- after an attempt ------------------------------------------------------------------------------
 
     def _after_failure(self, active: ActiveRequest, backend: Backend, failure: AttemptError) -> None:
-        """Record a failed attempt; returns if another one follows. Raises :class:`RequestError` if none does."""
+        """Record a failed attempt. Raises :class:`RequestError` unless another attempt follows."""
         now_s = boot_time_s()
         event = failure.event
-        active.log.record(event)
+        active.attempt_log.record(event)
         active.history.record_failure(event)
         active.history.failure_details.append(f"{backend.incarnation} {event.value} {failure.detail}")
-        self._learning.on_failure(active, backend, failure, now_s)
-        self._reports.on_attempt_failed(active, backend, failure)
+        self._feedback.on_failure(active, backend, failure, now_s)
+        self._reporter.on_attempt_failed(active, backend, failure)
         if event in NOT_ARRIVED:
             self._state.load.stated_limits.refund(backend)
         budget = self._state.budget_of(active.service)
         decision = self._policy.decide_after_failure(
-            active.route, active.history, active.log.attempts, event, budget, now_s
+            active.route, active.history, active.attempt_log.attempts, event, budget, now_s
         )
         if isinstance(decision, GiveUp):
-            raise self._errors.exhausted(active, decision.detail or failure.detail or event.value, decision.cause)
+            raise self._error_factory.exhausted_error(
+                active, decision.detail or failure.detail or event.value, decision.cause
+            )
--- a/src/wallwell/serving/request_errors.py
+++ b/src/wallwell/serving/request_errors.py
@@ -1,8 +1,8 @@
-"""The error of a request for which no further attempt is made.
+"""Builds the error of a request for which no further attempt is made.
 
-The error's class states what is proved of all attempts together: that the request never ran (then it says when to
-retry), that it failed, or that its outcome is unknown. Owns the choice of the class and the text; what is proved is
-kept in :class:`~wallwell.routing.retry.attempt_outcome.AttemptLog`, the wait follows from the cause.
+The class of the error states what is proved of all attempts together: the request never ran (the error then carries
+a Retry-After), it failed, or its outcome is unknown. This module chooses class and text; the proven outcome is kept
+in :class:`~wallwell.routing.retry.attempt_outcome.AttemptLog`, and the Retry-After follows from the cause.
 """
 
 from __future__ import annotations
@@ -24,74 +24,76 @@
 from wallwell.routing.retry.retry_after import RefusalCause
 from wallwell.routing.selection.candidates import earliest_backoff_end_s
 from wallwell.serving.active_request import ActiveRequest
-from wallwell.serving.retry_after import RetryAfter
+from wallwell.serving.retry_after import RetryAfterEstimator
 
 
-class RequestErrors:
-    """Builds errors from what one node knows. Nothing is raised here."""
+class RequestErrorFactory:
+    """Builds errors from the state of one node. Returns them and never raises them."""
 
     def __init__(self, state: NodeState) -> None:
         self._state = state
-        self._retry_after = RetryAfter(state)
+        self._retry_after = RetryAfterEstimator(state)
 
-    def out_of_time(self, active: ActiveRequest) -> RequestError:
-        """Return the error of a request whose time is over, or too short for any answer."""
+    def deadline_error(self, active: ActiveRequest) -> RequestError:
+        """Return the error of a request that reached its deadline, or has too little time left for any answer."""
         text = "; ".join(active.history.failure_details)
-        if active.log.outcome is Outcome.NOT_RUN and not active.history.runs:
-            wait_ms = self._retry_after.of_request(RefusalCause.TOO_LITTLE_TIME, active)
-            if active.log.attempts:
+        if active.attempt_log.outcome is Outcome.NOT_RUN and not active.history.runs:
+            wait_ms = self._retry_after.for_admitted_request_ms(RefusalCause.TOO_LITTLE_TIME, active)
+            if active.attempt_log.attempts:
                 return RetriesExhaustedError(text, retry_after_ms=wait_ms)
-            detail = f"{active.remaining_s() * 1000:.0f} ms left are too few for any answer"
+            detail = f"{active.remaining_s() * 1000:.0f} ms left, less than any answer takes"
             return DeadlineUnreachableError(detail, retry_after_ms=wait_ms)
-        return DeadlineExceededError(text or "the time allowed ran out")
+        return DeadlineExceededError(text or "the deadline passed")
 
-    def exhausted(
+    def exhausted_error(
         self, active: ActiveRequest, detail: str, cause: RefusalCause, limit_wait_s: float = 0.0
     ) -> RequestError:
         """Return the error that states what is proved of all attempts together.
 
-        ``limit_wait_s`` is the time until a limit allows the request, where that is the cause.
+        ``limit_wait_s`` is the time in seconds until a limit allows the request, if a limit is the cause.
         """
         text = "; ".join((detail, *active.history.failure_details))
-        if active.log.outcome is Outcome.NOT_RUN:
-            wait_ms = self._retry_after.of_request(cause, active, limit_wait_s)
-            if active.log.attempts:
+        if active.attempt_log.outcome is Outcome.NOT_RUN:
+            wait_ms = self._retry_after.for_admitted_request_ms(cause, active, limit_wait_s)
+            if active.attempt_log.attempts:
                 return RetriesExhaustedError(text, retry_after_ms=wait_ms)
             return NoBackendError(text, retry_after_ms=wait_ms)
         if active.remaining_s() <= 0:
             return DeadlineExceededError(text)
-        if active.log.outcome is Outcome.FAILED:
+        if active.attempt_log.outcome is Outcome.FAILED:
             return BackendFailedError(text)
         return OutcomeUnknownError(text)
 
-    def none_usable(
+    def no_usable_backend_error(
         self, active: ActiveRequest, now_s: float, limit_waits_s: Collection[float] = ()
     ) -> RequestError:
-        """Return the error where no back end may be asked: none stays, wants requests, or has weights new
-        enough.
+        """Return the error for a request without a usable back end: all are leaving, in back-off, over their limit,
+        or without weights that are new enough.
 
-        ``limit_waits_s`` are the times until the limits that are used up probably allow the request.
+        ``limit_waits_s`` are the seconds until each limit that is used up probably allows the request.
         """
         if limit_waits_s:
-            detail = "limits of the back ends are used up"
-            return self.exhausted(active, detail, RefusalCause.ALL_LIMITED, min(limit_waits_s))
+            detail = "the stated limits of the usable back ends are used up"
+            return self.exhausted_error(active, detail, RefusalCause.ALL_LIMITED, min(limit_waits_s))
         listed = self._state.backends.backends_of_service(active.service)
         if earliest_backoff_end_s(listed, now_s) is not None:
-            return self.exhausted(active, "every back end asked for back-off", RefusalCause.ALL_BACKING_OFF)
+            return self.exhausted_error(active, "every back end asked for back-off", RefusalCause.ALL_BACKING_OFF)
         is_any_present = any(not each.is_leaving(now_s) for each in listed)
         cause = RefusalCause.WEIGHTS_TOO_OLD if is_any_present else RefusalCause.NO_BACKEND_LISTED
-        return self.exhausted(active, "no back end can take the request", cause)
+        return self.exhausted_error(active, "no back end can take the request", cause)
 
-    def quarantined(self, active: ActiveRequest, now_s: float) -> RequestError | None:
-        """Return the error of a request that crashes the back ends that run it, None for any other one.
+    def quarantine_error(self, active: ActiveRequest, now_s: float) -> RequestError | None:
+        """Return the error of a request in quarantine for crashing back ends; None if it is not quarantined.
 
-        Each further try would end one more of them, with all its runs.
+        Each further attempt could crash another back end, with all requests in flight there.
         """
         quarantine = self._state.quarantine
-        left_s = quarantine.remaining_s(active.content, now_s) if quarantine.quarantined_count else 0.0
-        if not left_s:
+        remaining_quarantine_s = (
+            quarantine.remaining_s(active.content_digest, now_s) if quarantine.quarantined_count else 0.0
+        )
+        if not remaining_quarantine_s:
             return None
-        detail = f"back ends crashed under content {active.content}"
-        if active.log.outcome is Outcome.NOT_RUN:
-            return RequestQuarantinedError(detail, retry_after_ms=round(left_s * 1000))
-        return self.exhausted(active, detail, RefusalCause.REFUSED_BY_BACKENDS)
+        detail = f"back ends crashed while running the request with content digest {active.content_digest}"
+        if active.attempt_log.outcome is Outcome.NOT_RUN:
+            return RequestQuarantinedError(detail, retry_after_ms=round(remaining_quarantine_s * 1000))
+        return self.exhausted_error(active, detail, RefusalCause.REFUSED_BY_BACKENDS)
--- a/src/wallwell/serving/request_reports.py
+++ b/src/wallwell/serving/request_reports.py
@@ -1,4 +1,4 @@
-"""Log events and counts of requests: refused, answered, and each failed attempt. Decides nothing."""
+"""Logs and counts refused requests, answered requests and failed attempts. Makes no decisions."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 from wallwell.node.state import NodeState
 from wallwell.routing.health.backend import Backend
 from wallwell.serving.active_request import ActiveRequest
-from wallwell.serving.counters import FleetCounters
+from wallwell.serving.counters import RequestCounters
 from wallwell.serving.messages import AttemptError, CallerRequest
 
-NEVER_CONFIRMED_MS = -1
-"""Logged as the store's age while the store was never heard."""
+NEVER_CONFIRMED_AGE_MS = -1
+"""Logged as the age of the store's data until the store has confirmed it for the first time."""
 
 
-class RequestReports:
-    """Reports requests of one node."""
+class RequestReporter:
+    """Logs and counts the requests of one node."""
 
-    def __init__(self, state: NodeState, counters: FleetCounters) -> None:
+    def __init__(self, state: NodeState, counters: RequestCounters) -> None:
         self._state = state
         self._counters = counters
 
     def on_refused(self, request: CallerRequest, error: RequestError) -> None:
-        """A request ends with an error of the router's own."""
+        """Report a request that ends with an error of the router itself."""
         kind = "generation" if request.generation is not None else "call"
         self._counters.on_refused(kind, error.outcome.value, error.code)
         emit(
@@ -38,7 +38,7 @@
         )
 
     def on_attempt_failed(self, active: ActiveRequest, backend: Backend, failure: AttemptError) -> None:
-        """An attempt ended without a whole answer."""
+        """Report an attempt that ended without a complete answer."""
         reason = failure.event.value
         self._counters.attempts[reason] += 1
         emit(
@@ -48,18 +48,18 @@
             software=backend.record.software,
             reason=reason,
             detail=failure.detail,
-            attempts=active.log.attempts,
-            events=active.position.events_passed,
-            content=active.content,
+            attempts=active.attempt_log.attempts,
+            events=active.stream_position.events_forwarded,
+            content=active.content_digest,
         )
 
-    def on_ended(self, active: ActiveRequest, backend: Backend, now_s: float) -> None:
-        """A request got a back end's whole answer."""
+    def on_answered(self, active: ActiveRequest, backend: Backend, now_s: float) -> None:
+        """Report a request that got a complete answer."""
         request, timing = active.request, active.timing
-        first_s = timing.first_s or now_s
-        gap_s = timing.max_gap_s if timing.first_s is not None else None
+        first_event_s = timing.first_event_s or now_s
+        gap_s = timing.max_gap_s if timing.first_event_s is not None else None
         kind = active.route.kind.value
-        self._counters.on_answered(kind, first_s - request.arrived_s, now_s - request.arrived_s, gap_s)
+        self._counters.on_answered(kind, first_event_s - request.arrived_s, now_s - request.arrived_s, gap_s)
         emit(
             Event.REQUEST_ENDED,
             request_id=request.request_id,
@@ -68,16 +68,16 @@
             backend=backend.incarnation,
             software=backend.record.software,
             backend_in_flight=backend.in_flight,
-            attempts=active.log.attempts + 1,
+            attempts=active.attempt_log.attempts + 1,
             prompt_tokens=request.generation.prompt_tokens if request.generation is not None else 0,
-            first_ms=round((first_s - request.arrived_s) * 1000),
+            first_ms=round((first_event_s - request.arrived_s) * 1000),
             max_gap_ms=round(timing.max_gap_s * 1000),
             total_ms=round((now_s - request.arrived_s) * 1000),
         )
 
     def _store_age_ms(self) -> int:
-        """Return how long ago the store confirmed what this node knows."""
+        """Return the milliseconds since the store last confirmed this node's data."""
         confirmed_s = self._state.freshness.confirmed_at_s
         if confirmed_s == float("-inf"):
-            return NEVER_CONFIRMED_MS
+            return NEVER_CONFIRMED_AGE_MS
         return round((boot_time_s() - confirmed_s) * 1000)
--- a/src/wallwell/serving/version_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -1,9 +1,9 @@
-"""Which back ends may get a request, by what this node knows, and what is counted of its attempts. No I/O.
+"""Returns the back ends that may get a request during a rollout, and counts attempts by version. No I/O.
 
-This is the adapter between the node's state and the decisions: ``routing/selection/candidates.py`` says which back
-ends may get a request, ``rollout/service_rollout.py`` which version of a rollout a request is drawn for, once for
-all its attempts (``ActiveRequest.prefers_target``). Attempts are counted for the node that holds the rollout's
-lease, which compares the versions by them. For a service without a rollout that is one lookup.
+Adapter between the node's state and the decisions: ``routing/selection/candidates.py`` decides which back ends may
+get a request, ``rollout/service_rollout.py`` which version of a rollout a request is drawn for, once for all its
+attempts (``ActiveRequest.prefers_target``). The node that holds the rollout's lease compares the versions by the
+counts of attempts. For a service without a rollout, counting costs one lookup.
 """
 
 from __future__ import annotations
@@ -27,23 +27,23 @@
 
 
 def candidates_for(
-    state: NodeState, active: ActiveRequest, now_s: float, without: Collection[Backend] = ()
+    state: NodeState, active: ActiveRequest, now_s: float, excluded: Collection[Backend] = ()
 ) -> Candidates:
-    """Return the back ends among which the next attempt's is chosen; those ``without`` are listed, not usable."""
+    """Return the candidates for the next attempt. Back ends in ``excluded`` are listed but not usable."""
     listed = state.backends.backends_of_service(active.service)
     generation = active.request.generation
     requirement = None if generation is None else _weights_requirement(state, generation.model)
     rollout = state.rollouts.active.get(active.service)
     if rollout is None:
-        return Candidates(listed, usable_backends(listed, requirement, now_s, without))
+        return Candidates(listed, usable_backends(listed, requirement, now_s, excluded))
     if active.prefers_target is None:
         active.prefers_target = rollout.draws_target(state.rng, now_s)
     prefers_target = active.prefers_target and _may_prefer_target(rollout, now_s)
-    return candidates_from_tiers(rollout.tiers(listed, prefers_target, now_s), requirement, now_s, without)
+    return candidates_from_tiers(rollout.tiers(listed, prefers_target, now_s), requirement, now_s, excluded)
 
 
-def generation_begins_by_s(state: NodeState, backend: Backend, model: str) -> float:
-    """Return until when a generation may begin at a back end on the weights it is believed to have."""
+def generation_start_deadline_s(state: NodeState, backend: Backend, model: str) -> float:
+    """Return until when, on this node's clock, a generation may start with the weights a back end probably has."""
     return candidates.begin_by_s(backend, _weights_requirement(state, model))
 
 
@@ -52,20 +52,25 @@
 
 
 def _may_prefer_target(rollout: ServiceRollout, now_s: float) -> bool:
-    """Whether a request that was drawn for the target version may still go there at its next attempt."""
+    """Whether a request drawn for the target version may still prefer that version at its next attempt."""
     record = rollout.record
     return record is not None and (record.phase.is_final or rollout.has_fresh_record(now_s))
 
 
 def eligible_backends(state: NodeState, service: str, now_s: float) -> Sequence[Backend]:
-    """Return the back ends that new requests of a service are meant for."""
+    """Return the back ends eligible for new requests of a service, by the rollout's current state."""
     listed = state.backends.backends_of_service(service)
     rollout = state.rollouts.active.get(service)
     return listed if rollout is None else rollout.eligible_backends(listed, now_s)
 
 
-def begin_attempt(state: NodeState, active: ActiveRequest, backend: Backend, now_s: float) -> CountedAttempt | None:
-    """Count an attempt that is sent during a rollout; a retry after it goes to the current version."""
+def count_attempt_start(
+    state: NodeState, active: ActiveRequest, backend: Backend, now_s: float
+) -> CountedAttempt | None:
+    """Return the counted attempt, None if no rollout is counted.
+
+    Retries of an attempt on the target version prefer the current version.
+    """
     rollout = state.rollouts.active.get(active.service)
     if rollout is None:
         return None
@@ -80,19 +85,21 @@
     return CountedAttempt(counts, now_s, now_s >= backend.slow_until_s)
 
 
-def end_attempt(
+def count_attempt_end(
     attempt: CountedAttempt, active: ActiveRequest, status: int, failure: BaseException | None, now_s: float
 ) -> None:
-    """Count how an attempt ended."""
+    """Count the result of an attempt: complete, timed out or broken off."""
     timing = active.timing
     if failure is None:
-        first_s = timing.run_first_s
-        attempt.on_answered(status, now_s if first_s is None else first_s, timing.last_s, timing.run_events)
-    elif isinstance(failure, TimeoutError) or _is_silence(failure):
-        attempt.on_timed_out(timing.run_first_s, now_s)
+        first_s = timing.attempt_first_event_s
+        attempt.on_answered(
+            status, now_s if first_s is None else first_s, timing.last_event_s, timing.attempt_event_reads
+        )
+    elif isinstance(failure, TimeoutError) or _is_answer_timeout(failure):
+        attempt.on_timed_out(timing.attempt_first_event_s, now_s)
     else:
         attempt.on_broken()
 
 
-def _is_silence(failure: BaseException) -> bool:
+def _is_answer_timeout(failure: BaseException) -> bool:
     return isinstance(failure, AttemptError) and failure.event is TransportEvent.ANSWER_TIMEOUT
--- a/tests/unit/serving/test_limited_requests.py
+++ b/tests/unit/serving/test_limited_requests.py
@@ -1,4 +1,4 @@
-"""What a request takes of its tenant's limit, what is refunded, and when a refused caller may retry."""
+"""What a request is charged to its tenant's limit, what is refunded, and the Retry-After over the limit."""
 
 import msgspec
 import pytest
@@ -8,19 +8,19 @@
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind, TenantAccess, TenantLimit
 from wallwell.outcomes import Outcome
-from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.pipeline import RequestPipeline
 
 LIMIT = TenantLimit(rate_per_s=1_000, burst=1_000, counts_tokens=True, plain_tokens=200)
 OK = Script(chunks=(b"ok",))
-SHED = Script(fails=T.BACKEND_OVERLOADED)
-RESET = Script(fails=T.RESET_AFTER_SEND)
+OVERLOADED = Script(send_error=TransportEvent.BACKEND_OVERLOADED)
+RESET = Script(send_error=TransportEvent.RESET_AFTER_SEND)
 
 
-def play(scripts, declared_tokens=None, requests=1, route=None):
-    """Serve requests of a lone node with a full bucket; return the replies and what is left of the limit."""
+def serve_requests(scripts, declared_tokens=None, requests=1, route=None):
+    """Serve requests on a single node with a full bucket; return the replies and what is left of the limit."""
 
-    async def work():
+    async def scenario():
         state = make_state(route, tenants=(TenantAccess("t", ("key",), limit=LIMIT),))
         now_s = boot_time_s()
         state.load.limits.on_fleet_report({}, 0, 1)
@@ -32,7 +32,7 @@
             await pipeline.serve(msgspec.structs.replace(make_request(), declared_tokens=declared_tokens), reply)
         return replies, state.load.limits.levels(now_s).get("t", LIMIT.burst)
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
 @pytest.mark.parametrize(
@@ -41,26 +41,26 @@
         ((OK,), 700, 300),
         ((OK,), None, 800),
         ((OK,), 0, 1_000),
-        # Not run: refunded. May have run once, runs once more: counts twice. Refused first, then run: once.
-        ((SHED,), 700, 1_000),
+        # Not run: refunded. Reset, then answered: charged twice. Refused, then answered: charged once.
+        ((OVERLOADED,), 700, 1_000),
         ((RESET, OK), 300, 400),
-        ((SHED, OK), 300, 700),
-        # Nobody knows whether it ran.
+        ((OVERLOADED, OK), 300, 700),
+        # Unknown outcome: both attempts stay charged.
         ((RESET, RESET), 300, 400),
     ],
 )
-def test_what_a_request_takes_of_the_limit(scripts, declared_tokens, left):
-    _, level = play(scripts, declared_tokens)
+def test_limit_left_after_a_request(scripts, declared_tokens, left):
+    _, level = serve_requests(scripts, declared_tokens)
     assert level == left
 
 
-def test_an_unsafe_request_of_unknown_outcome_stays_counted():
-    _, level = play((RESET,), 300, route=make_route(RouteKind.UNSAFE, attempts=1))
+def test_an_unsafe_request_of_unknown_outcome_is_not_refunded():
+    _, level = serve_requests((RESET,), 300, route=make_route(RouteKind.UNSAFE, attempts=1))
     assert level == 700
 
 
-def test_what_is_beyond_the_limit_is_refused_at_once_with_a_time_to_retry():
-    replies, _ = play((OK,), 900, requests=6)
+def test_requests_over_the_limit_are_refused_at_once_with_a_retry_after():
+    replies, _ = serve_requests((OK,), 900, requests=6)
     refused = [reply for reply in replies if reply.error is not None]
     assert replies[0].ended == "answered"
     assert refused and all(reply.status == 429 for reply in refused)
--- a/tests/unit/serving/test_response_timeout.py
+++ b/tests/unit/serving/test_response_wait.py
@@ -1,4 +1,4 @@
-"""Waiting for heads: an answer that nobody waits for any more is closed, so that its back end stops."""
+"""Waiting for the head of an answer: abandoned answers are closed, so that their back ends stop working."""
 
 import asyncio
 
@@ -20,11 +20,11 @@
 from wallwell.routing.retry.first_token import DelayCounts
 from wallwell.serving.pipeline import RequestPipeline
 
-STREAMING = Script(chunks=(10.0, b"late"), head_after_s=0.01)
+STREAMING = Script(chunks=(10.0, b"late"), head_delay_s=0.01)
 
 
-class LeavingCaller(FakeClient):
-    """Cancels the serving task in the very turn of the event loop in which the head arrives."""
+class DisconnectingCallerClient(FakeClient):
+    """Cancels the serving task in the same iteration of the event loop in which the head arrives."""
 
     serving: asyncio.Task
 
@@ -34,15 +34,15 @@
         return answer
 
 
-def test_a_caller_who_leaves_as_the_head_arrives_ends_the_work_of_the_back_end():
-    async def work():
-        client = LeavingCaller(STREAMING)
+def test_an_answer_is_closed_if_its_caller_disconnects_as_the_head_arrives():
+    async def scenario():
+        client = DisconnectingCallerClient(STREAMING)
         pipeline = RequestPipeline(make_state(), client)
         client.serving = asyncio.ensure_future(pipeline.serve(make_request(), FakeReply()))
         await asyncio.gather(client.serving, return_exceptions=True)
         return client
 
-    client = run_virtual(work())
+    client = run_virtual(scenario())
     assert client.serving.cancelled()
     assert len(client.sent) == 1
     assert client.cancelled == 1
@@ -51,37 +51,37 @@
 @pytest.mark.parametrize(
     ("peers", "sent"), [(DelayCounts(100, 20), 2), (DelayCounts(100, 60), 1)], ids=["in time", "behind"]
 )
-def test_a_silent_engine_is_left_only_if_the_others_are_not_behind_as_well(peers, sent):
-    """Found on a deployment of 195 nodes: 60 prompts a second were read again, and the fleet stayed behind."""
+def test_a_silent_engine_is_abandoned_only_if_the_fleet_is_not_behind(peers, sent):
+    """In a deployment of 195 nodes, 60 prompts per second had been prefilled again, and the fleet stayed behind."""
 
-    async def work():
+    async def scenario():
         state = make_state(make_route(RouteKind.STREAM, resumable=True))
         state.first_token_delays.peer_counts = peers
         client = FakeClient(
-            Script(chunks=(event(1),), head_after_s=1.5, stream=True), Script(chunks=(event(1),), stream=True)
+            Script(chunks=(event(1),), head_delay_s=1.5, stream=True), Script(chunks=(event(1),), stream=True)
         )
         reply = FakeReply()
         await RequestPipeline(state, client).serve(make_request(generation=make_generation()), reply)
         return len(client.sent), reply.ended
 
-    assert run_virtual(work()) == (sent, "finished")
+    assert run_virtual(scenario()) == (sent, "finished")
 
 
-def test_attempts_that_are_given_up_count_as_late():
-    async def work():
+def test_abandoned_attempts_count_as_late_first_tokens():
+    async def scenario():
         state = make_state(make_route(RouteKind.STREAM, resumable=True))
         client = FakeClient(
-            Script(chunks=(event(1),), head_after_s=1.5, stream=True), Script(chunks=(event(1),), stream=True)
+            Script(chunks=(event(1),), head_delay_s=1.5, stream=True), Script(chunks=(event(1),), stream=True)
         )
         await RequestPipeline(state, client).serve(make_request(generation=make_generation()), FakeReply())
         return state.first_token_delays.own_counts(boot_time_s())
 
-    delays = run_virtual(work())
+    delays = run_virtual(scenario())
     assert delays == DelayCounts(2, 1)
 
 
 class UnresponsiveNetwork(FakeClient):
-    """The first connections are unresponsive beyond the response timeout; the others come up."""
+    """The first connections take longer than the response timeout; later ones succeed."""
 
     def __init__(self, unresponsive):
         super().__init__(Script(chunks=(b"ok",)))
@@ -95,10 +95,11 @@
         return await super().send(dispatch)
 
 
-def test_attempts_given_up_while_connecting_have_not_run():
-    """With an objective of 0.16 s the response timeout ends before a connection's: no attempt was left then."""
+def test_attempts_abandoned_while_connecting_do_not_count_as_runs():
+    """With an objective of 0.16 s, the response timeout is shorter than the connect timeout; the attempts had been
+    used up by connections."""
 
-    async def work():
+    async def scenario():
         state, reply = make_state(make_route(attempts=2)), FakeReply()
         client = UnresponsiveNetwork(unresponsive=2)
         await RequestPipeline(state, client).serve(make_request(), reply)
@@ -108,14 +109,14 @@
             sum(each.suspended_until_s > 0 for each in state.backends.all_backends()),
         )
 
-    assert run_virtual(work()) == (200, 1, 2)
+    assert run_virtual(scenario()) == (200, 1, 2)
 
 
-class LoadedMeanwhile(FakeClient):
-    """Its engine gets the newest weights while it works on the request, before its answer begins."""
+class WeightsUpdatedDuringRequest(FakeClient):
+    """The engine gets the newest weights while it processes the request, before its answer starts."""
 
     def __init__(self, state):
-        super().__init__(Script(chunks=(event(1),), head_after_s=1.5, stream=True))
+        super().__init__(Script(chunks=(event(1),), head_delay_s=1.5, stream=True))
         self.state = state
 
     async def send(self, dispatch):
@@ -124,15 +125,15 @@
         return await super().send(dispatch)
 
 
-def test_an_engine_whose_weights_are_the_newest_by_now_is_waited_for():
-    """Its weights would have been too old 1 s after the sending; a silence of 0.4 s is looked into before."""
+def test_an_engine_that_gets_the_newest_weights_during_the_wait_is_not_abandoned():
+    """The old weights expire 1 s after sending; the response timeout of 0.4 s is checked before that."""
 
-    async def work():
+    async def scenario():
         state = make_state(make_route(RouteKind.STREAM, resumable=True), versions={"m": 1})
         state.weights.name("m", 2, boot_time_s() - 6.75)
         state.first_token_delays.peer_counts = DelayCounts(100, 60)
-        client, reply = LoadedMeanwhile(state), FakeReply()
+        client, reply = WeightsUpdatedDuringRequest(state), FakeReply()
         await RequestPipeline(state, client).serve(make_request(generation=make_generation()), reply)
         return len(client.sent), reply.ended
 
-    assert run_virtual(work()) == (1, "finished")
+    assert run_virtual(scenario()) == (1, "finished")
--- a/tests/unit/serving/test_split_shares.py
+++ b/tests/unit/serving/test_split_shares.py
@@ -1,4 +1,4 @@
-"""A route over two services keeps their shares while one refuses, attempts are retried and callers return."""
+"""A route split over two services keeps their shares while one fails, attempts are retried and callers retry."""
 
 import asyncio
 import random
@@ -10,34 +10,37 @@
 from tests.virtual_time import run_virtual
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import RouteKind, WeightedService
-from wallwell.routing.retry.attempt_outcome import TransportEvent as T
+from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.pipeline import RequestPipeline
 
 NODES = 64
 OK = Script(chunks=(b"ok",))
-ALLOWED_OFF = 0.2
+SHARE_TOLERANCE = 0.2
 
 
-class Services(FakeClient):
-    """One service follows a script, the other answers well."""
+class TwoServicesClient(FakeClient):
+    """One service follows a script, the other one answers successfully."""
 
-    def __init__(self, troubled, script):
+    def __init__(self, failing_service, script):
         super().__init__(OK)
-        self.troubled, self.script = troubled, script
+        self.failing_service, self.script = failing_service, script
 
     async def send(self, dispatch):
-        self.scripts = [self.script if dispatch.backend.service == self.troubled else OK]
+        self.scripts = [self.script if dispatch.backend.service == self.failing_service else OK]
         return await super().send(dispatch)
 
 
-def first_sends(weights, troubled, script, each, returns):
-    """Serve so many requests at each node; refused callers return at another. Return first sends by service."""
+def first_sends(weights, failing_service, script, requests_per_node, callers_retry):
+    """Serve requests on each node, with refused callers retrying on another node if ``callers_retry``.
 
-    async def work():
+    Return the number of first attempts by service.
+    """
+
+    async def scenario():
         rng = random.Random(11)
         services = tuple(WeightedService(name, weight) for name, weight in weights.items())
         route = make_route(RouteKind.SAFE, services=services)
-        client = Services(troubled, script)
+        client = TwoServicesClient(failing_service, script)
         nodes = []
         for _ in range(NODES):
             state = make_state(route, backends=0)
@@ -47,50 +50,52 @@
                     state.backends.upsert(BackendRecord(f"{name}{number}", name, f"{name}{number}:1", "z1", 8))
             nodes.append(RequestPipeline(state, client))
         counts = Counter()
-        for _ in range(each):
+        for _ in range(requests_per_node):
             for node in nodes:
                 for pipeline in (node, rng.choice(nodes)):
                     reply, sent = FakeReply(), len(client.sent)
                     await pipeline.serve(make_request(), reply)
                     counts[client.sent[sent].backend.service] += 1
-                    if reply.status == 200 or not returns:
+                    if reply.status == 200 or not callers_retry:
                         break
                 await asyncio.sleep(0.001)
         return counts
 
-    return run_virtual(work())
+    return run_virtual(scenario())
 
 
-@pytest.mark.parametrize("each", [1, 2, 5, 20])
+@pytest.mark.parametrize("requests_per_node", [1, 2, 5, 20])
 @pytest.mark.parametrize(
-    ("troubled", "script"),
+    ("failing_service", "script"),
     [
         ("", OK),
-        ("main", Script(fails=T.BACKEND_OVERLOADED)),
-        ("part", Script(fails=T.BACKEND_OVERLOADED)),
-        ("part", Script(fails=T.CONNECT_REFUSED)),
-        ("part", Script(fails=T.RESET_AFTER_SEND)),
+        ("main", Script(send_error=TransportEvent.BACKEND_OVERLOADED)),
+        ("part", Script(send_error=TransportEvent.BACKEND_OVERLOADED)),
+        ("part", Script(send_error=TransportEvent.CONNECT_REFUSED)),
+        ("part", Script(send_error=TransportEvent.RESET_AFTER_SEND)),
         ("part", Script(status=500, chunks=(b"bad",))),
     ],
-    ids=["all well", "main refuses", "part refuses", "part is away", "part breaks off", "part fails"],
+    ids=["no failure", "main refuses", "part refuses", "part unreachable", "part resets", "part fails"],
 )
-@pytest.mark.parametrize("returns", [False, True], ids=["once", "callers return"])
-def test_a_part_of_ten_in_a_hundred_gets_its_share_of_requests(troubled, script, each, returns):
-    """The share of a part is at most a fifth of it off for many requests, and no more than chance for few."""
-    counts = first_sends({"main": 90, "part": 10}, troubled, script, each, returns)
-    allowed = ALLOWED_OFF * 0.1 if each >= 20 else 3 * (0.09 / counts.total()) ** 0.5
+@pytest.mark.parametrize("callers_retry", [False, True], ids=["no caller retry", "caller retry"])
+def test_a_service_with_a_tenth_of_the_weight_gets_a_tenth_of_the_requests(
+    failing_service, script, requests_per_node, callers_retry
+):
+    """The share may deviate by a fifth for many requests, and by three standard deviations for few."""
+    counts = first_sends({"main": 90, "part": 10}, failing_service, script, requests_per_node, callers_retry)
+    allowed = SHARE_TOLERANCE * 0.1 if requests_per_node >= 20 else 3 * (0.09 / counts.total()) ** 0.5
     assert abs(counts["part"] / counts.total() - 0.1) <= allowed
 
 
-def test_repeats_stay_at_the_service_that_was_chosen():
-    async def work():
+def test_retries_stay_at_the_chosen_service():
+    async def scenario():
         route = make_route(services=(WeightedService("svc", 1.0), WeightedService("other", 1.0)))
         state = make_state(route)
         state.backends.upsert(BackendRecord("o-0", "other", "o:1", "z1", 8))
-        client = FakeClient(Script(fails=T.BACKEND_OVERLOADED))
+        client = FakeClient(Script(send_error=TransportEvent.BACKEND_OVERLOADED))
         await RequestPipeline(state, client).serve(make_request(), FakeReply())
         return {each.backend.service for each in client.sent}, len(client.sent)
 
-    services, sends = run_virtual(work())
+    services, sends = run_virtual(scenario())
     assert len(services) == 1
     assert sends > 1
