--- a/tests/platform/test_crashing_request.py
+++ b/tests/platform/test_crashing_request.py
@@ -147,7 +147,7 @@
 
 def most_crashes(node):
     """Return how many crashes the worst suspect of a node has."""
-    return max((len(each.crashed) for each in node.state.quarantine._suspects.values()), default=0)
+    return max((len(each.crashed_incarnations) for each in node.state.quarantine._suspects.values()), default=0)
 
 
 def play(run_async, scenario, kind):
