--- a/src/wallwell/cluster/leases.py
+++ b/src/wallwell/cluster/leases.py
@@ -174,7 +174,7 @@
         """
         if self._era.current == UNKNOWN_ERA:
             return float("-inf")
-        return self._era.since_s + self._ttl_s + self._guard_s
+        return self._era.observed_since_s + self._ttl_s + self._guard_s
 
     async def _write(self, row: Row | None, body: LeaseBody, now_s: float) -> HeldLease | None:
         condition = Condition(self._key, row.version if row else 0)
--- a/src/wallwell/cluster/relay.py
+++ b/src/wallwell/cluster/relay.py
@@ -81,7 +81,11 @@
         The first reading of an era is the store's own, since only that says something of its clock then.
         """
         page = await self._from_peer(None, 0.0)
-        if page is None or page.position < self.replica.position or self._clock.is_of_another_era(page.era):
+        if (
+            page is None
+            or page.position < self.replica.position
+            or self._clock.is_calibrated_for_other_era(page.era)
+        ):
             page = await self._store.read_all()
         return self._take(page, whole=True)
 
@@ -135,7 +139,7 @@
     def _take(self, page: FeedPage, whole: bool) -> FeedPage:
         self._era.observe(page.era, boot_time_s())
         held = self.replica.version
-        refused = self.replica.take(page, whole)
+        refused = self.replica.apply_page(page, whole)
         if refused:
             emit(Event.ROWS_WENT_BACK, rows=self.table, version=page.version, held=held, refused=refused)
         self._advanced.set()
@@ -150,7 +154,7 @@
             return RowsReply(stale=True)
         try:
             if request.after is None:
-                return reply_with_rows(self.replica.everything())
+                return reply_with_rows(self.replica.all_rows())
             return await self._answer_with_changes(request, request.after)
         except HistoryLostError:
             return RowsReply(history_lost=True)  # The peer reads every row again, and logs it (FEED_RESTARTED).
@@ -171,7 +175,7 @@
             return RowsReply(stale=True)
         if self.replica.era != era:
             raise HistoryLostError("the store has come back from a copy meanwhile")
-        return reply_with_rows(self.replica.after(after))
+        return reply_with_rows(self.replica.changes_since(after))
 
     async def _wait_for_change(self, after: int, wait_s: float) -> None:
         give_up_s = boot_time_s() + wait_s
@@ -181,7 +185,7 @@
                 return
 
     def _has_nothing_after(self, era: int, version: int) -> bool:
-        return self.replica.era == era and self.replica.changed_version <= version
+        return self.replica.era == era and self.replica.last_change_version <= version
 
     def _age_s(self) -> float:
         """Return how long ago the copy was certainly current, by the store's own clock."""
--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from wallwell.cluster.peer_health import PeersHealth
-from wallwell.deployment.topology import ONE_REGION, Topology
+from wallwell.deployment.topology import SINGLE_REGION, Topology
 from wallwell.routing.rendezvous import key_of, rendezvous_score
 
 MEMBERS_PER_RELAY = 40
@@ -61,7 +61,7 @@
     node: str
     zone: str
     members: Mapping[str, NodeRecord] = field(default_factory=dict)
-    topology: Topology = ONE_REGION
+    topology: Topology = SINGLE_REGION
     health: PeersHealth = field(default_factory=PeersHealth)
 
     def candidates(self, now_s: float) -> list[Peer]:
@@ -79,7 +79,7 @@
     def _of_earlier_zones(self, now_s: float) -> list[Peer]:
         """Return the relays that this node follows for its zone."""
         earlier = [zone for zone in self._zones()[:FOLLOWING_ZONES] if _zone_rank(zone) < _zone_rank(self.zone)]
-        has_regions = self.topology.has_regions
+        has_regions = self.topology.has_other_regions
         if len(earlier) < (FOLLOWING_ZONES_OF_REGION if has_regions else FOLLOWING_ZONES):
             return []
         relays = [peer for zone in earlier for peer in self._relays_of(zone, now_s)]
--- a/src/wallwell/deployment/freshness.py
+++ b/src/wallwell/deployment/freshness.py
@@ -14,7 +14,7 @@
 
 from wallwell.deployment.store_era import UNKNOWN_ERA
 
-DRIFT_PER_S = 200e-6
+MAX_CLOCK_DRIFT_PER_S = 200e-6
 """Seconds by which two steady clocks drift apart in a second, at most; the bounds are relaxed by it."""
 
 
@@ -25,13 +25,13 @@
     A store that has come back from a copy may run on another machine, with another clock.
     """
 
-    _lower_s: float | None = None
-    _observed_s: float = 0.0
+    _min_offset_s: float | None = None
+    _min_offset_observed_at_s: float = 0.0
     _era: int = UNKNOWN_ERA
 
-    def is_of_another_era(self, era: int) -> bool:
+    def is_calibrated_for_other_era(self, era: int) -> bool:
         """Whether the calls observed so far say nothing of the store's clock in ``era``."""
-        return self._lower_s is not None and era != self._era
+        return self._min_offset_s is not None and era != self._era
 
     def confirmed_s(self, sent_s: float, store_s: float, era: int = UNKNOWN_ERA) -> float:
         """Return the local time at which an answer was certainly current; minus infinity for an earlier era.
@@ -42,11 +42,11 @@
             return float("-inf")
         if era > self._era:
             self._era = era
-            self._lower_s = None
-        lower_s = max(sent_s - store_s, self._relaxed_lower_s(sent_s))
-        self._lower_s = lower_s
-        self._observed_s = sent_s
-        return max(sent_s, store_s + lower_s)
+            self._min_offset_s = None
+        min_offset_s = max(sent_s - store_s, self._min_offset_with_drift_s(sent_s))
+        self._min_offset_s = min_offset_s
+        self._min_offset_observed_at_s = sent_s
+        return max(sent_s, store_s + min_offset_s)
 
     def confirmed_by_relay_s(self, now_s: float, store_s: float, era: int = UNKNOWN_ERA) -> float:
         """Return the local time at which an answer that a peer passed on was certainly current.
@@ -56,24 +56,24 @@
         """
         if era != self._era:
             return float("-inf")
-        return store_s + self._relaxed_lower_s(now_s)
+        return store_s + self._min_offset_with_drift_s(now_s)
 
-    def _relaxed_lower_s(self, now_s: float) -> float:
-        if self._lower_s is None:
+    def _min_offset_with_drift_s(self, now_s: float) -> float:
+        if self._min_offset_s is None:
             return float("-inf")
-        return self._lower_s - DRIFT_PER_S * max(0.0, now_s - self._observed_s)
+        return self._min_offset_s - MAX_CLOCK_DRIFT_PER_S * max(0.0, now_s - self._min_offset_observed_at_s)
 
     def to_store_s(self, local_s: float) -> float:
         """Return the store's time at a local time, at most a call's duration off."""
-        return local_s - (self._lower_s or 0.0)
+        return local_s - (self._min_offset_s or 0.0)
 
     def to_local_s(self, store_s: float) -> float:
         """Return the local time at a store's time, never later than it was."""
-        return store_s + (self._lower_s or 0.0)
+        return store_s + (self._min_offset_s or 0.0)
 
 
 @dataclass
-class Freshness:
+class ConfigurationFreshness:
     """The latest time at which the node's configuration was the newest in the store."""
 
     confirmed_at_s: float = float("-inf")
@@ -82,7 +82,7 @@
         """Note a confirmation; an older one changes nothing."""
         self.confirmed_at_s = max(self.confirmed_at_s, at_s)
 
-    def covers(self, arrival_s: float, bound_s: float) -> bool:
+    def is_within_bound(self, arrival_s: float, bound_s: float) -> bool:
         """Whether a request that arrived at ``arrival_s`` may rely on credentials known here.
 
         A credential taken away after the last confirmation may be accepted for ``bound_s``; a request that came
--- a/src/wallwell/deployment/routes.py
+++ b/src/wallwell/deployment/routes.py
@@ -89,14 +89,14 @@
 
     counts_tokens: bool = False
     """Whether the amounts are tokens; requests otherwise."""
-    plain_tokens: int = 1
+    default_request_tokens: int = 1
     """What a request without a token count of its own costs."""
 
-    def cost(self, declared_tokens: int | None) -> int:
+    def request_cost(self, declared_tokens: int | None) -> int:
         """Return what a request costs; ``declared_tokens`` is its prompt and its largest output."""
         if not self.counts_tokens:
             return 1
-        return self.plain_tokens if declared_tokens is None else declared_tokens
+        return self.default_request_tokens if declared_tokens is None else declared_tokens
 
 
 class TenantAccess(msgspec.Struct, frozen=True):
@@ -156,6 +156,6 @@
                 return route
         return None
 
-    def tenant_of(self, credential: str) -> TenantAccess | None:
+    def find_tenant(self, credential: str) -> TenantAccess | None:
         """Return the tenant that holds ``credential``."""
         return self._tenant_by_credential.get(credential)
--- a/src/wallwell/deployment/store_era.py
+++ b/src/wallwell/deployment/store_era.py
@@ -43,25 +43,25 @@
     def __init__(self, on_restored: Callable[[int, int], None] | None = None) -> None:
         """``on_restored`` is called with each further era and the one before it."""
         self._on_restored = on_restored
-        self.number: int | None = None
+        self.observed_era: int | None = None
         """None before the first answer."""
-        self.since_s = float("-inf")
+        self.observed_since_s = float("-inf")
         """When it was met first, on this node's clock; the store has been in it for longer."""
 
     @property
     def current(self) -> int:
         """The newest era, also before the first answer."""
-        return UNKNOWN_ERA if self.number is None else self.number
+        return UNKNOWN_ERA if self.observed_era is None else self.observed_era
 
-    def is_after(self, number: int) -> bool:
+    def is_after(self, era: int) -> bool:
         """Whether the store has come back from a copy since an era."""
-        return self.number is not None and self.number > number
+        return self.observed_era is not None and self.observed_era > era
 
-    def observe(self, number: int, now_s: float) -> None:
+    def observe(self, era: int, now_s: float) -> None:
         """Take the era of an answer; that of a late answer from before changes nothing."""
-        if self.number is not None and number <= self.number:
+        if self.observed_era is not None and era <= self.observed_era:
             return
-        if self.number is not None and self._on_restored is not None:
-            self._on_restored(number, self.number)
-        self.number = number
-        self.since_s = now_s
+        if self.observed_era is not None and self._on_restored is not None:
+            self._on_restored(era, self.observed_era)
+        self.observed_era = era
+        self.observed_since_s = now_s
--- a/src/wallwell/deployment/topology.py
+++ b/src/wallwell/deployment/topology.py
@@ -29,42 +29,46 @@
     """
 
     zone: str
-    region_of_zone: Mapping[str, str] = field(default_factory=dict)
+    region_by_zone: Mapping[str, str] = field(default_factory=dict)
     region: str = ""
 
     @cached_property
     def own_region(self) -> str:
         """The region of this node; empty if none is known."""
-        return self.region or self.region_of_zone.get(self.zone, "")
+        return self.region or self.region_by_zone.get(self.zone, "")
 
     @cached_property
-    def has_regions(self) -> bool:
+    def has_other_regions(self) -> bool:
         """Whether there is a region besides the own one."""
-        return any(region != self.own_region for region in self.region_of_zone.values())
+        return any(region != self.own_region for region in self.region_by_zone.values())
 
     def region_of(self, zone: str) -> str:
         """Return a zone's region."""
-        return self.own_region if zone == self.zone else self.region_of_zone.get(zone, self.own_region)
+        return self.own_region if zone == self.zone else self.region_by_zone.get(zone, self.own_region)
 
-    def is_own_region(self, zone: str) -> bool:
+    def is_in_own_region(self, zone: str) -> bool:
         """Whether a zone is in the node's region."""
         return self.region_of(zone) == self.own_region
 
-    def distance(self, zone: str) -> Distance:
+    def distance_to(self, zone: str) -> Distance:
         """Return how far a zone is from this node."""
-        return self.between(self.zone, zone)
+        return self.distance_between(self.zone, zone)
 
-    def between(self, one: str, other: str) -> Distance:
+    def distance_between(self, first_zone: str, second_zone: str) -> Distance:
         """Return how far two zones are from each other."""
-        if one == other:
+        if first_zone == second_zone:
             return Distance.SAME_ZONE
-        if not (self._is_known(one) and self._is_known(other)):
+        if not (self._is_mapped(first_zone) and self._is_mapped(second_zone)):
             return Distance.SAME_REGION
-        return Distance.SAME_REGION if self.region_of(one) == self.region_of(other) else Distance.OTHER_REGION
+        return (
+            Distance.SAME_REGION
+            if self.region_of(first_zone) == self.region_of(second_zone)
+            else Distance.OTHER_REGION
+        )
 
-    def _is_known(self, zone: str) -> bool:
-        return zone == self.zone or zone in self.region_of_zone
+    def _is_mapped(self, zone: str) -> bool:
+        return zone == self.zone or zone in self.region_by_zone
 
 
-ONE_REGION = Topology("")
+SINGLE_REGION = Topology("")
 """No map: every zone is near."""
--- a/src/wallwell/deployment/weights.py
+++ b/src/wallwell/deployment/weights.py
@@ -23,7 +23,7 @@
     """
 
     version: int
-    known_since_s: float
+    named_at_s: float
     estimated: bool = False
 
 
@@ -31,58 +31,70 @@
 class WeightsTargets:
     """Per model, every version named and not yet superseded everywhere, oldest first."""
 
-    _named: dict[str, list[NamedVersion]] = field(default_factory=dict)
+    _versions_by_model: dict[str, list[NamedVersion]] = field(default_factory=dict)
 
-    def name(self, model: str, version: int, since_s: float, estimated: bool = False) -> bool:
+    def add_version(self, model: str, version: int, named_at_s: float, estimated: bool = False) -> bool:
         """Take a version; returns True if it is newer than those known."""
-        named = self._named.setdefault(model, [])
+        named = self._versions_by_model.setdefault(model, [])
         if named and version <= named[-1].version:
             return False
-        named.append(NamedVersion(version, since_s, estimated))
+        named.append(NamedVersion(version, named_at_s, estimated))
         return True
 
-    def recall(self, model: str, version: int, since_s: float) -> None:
+    def set_recorded_naming_time(self, model: str, version: int, named_at_s: float) -> None:
         """Take a version's age as another node recorded it, instead of a guess; what was seen here takes
         precedence."""
-        named = self._named.setdefault(model, [])
-        known = next((each for each in named if each.version == version), None)
-        if known is not None and not known.estimated:
+        named = self._versions_by_model.setdefault(model, [])
+        existing = next((each for each in named if each.version == version), None)
+        if existing is not None and not existing.estimated:
             return
         others = [each for each in named if each.version != version]
-        self._named[model] = sorted((*others, NamedVersion(version, since_s)), key=lambda each: each.version)
+        self._versions_by_model[model] = sorted(
+            (*others, NamedVersion(version, named_at_s)), key=lambda each: each.version
+        )
 
-    def certain(self, model: str) -> list[NamedVersion]:
+    def versions_of_known_age(self, model: str) -> list[NamedVersion]:
         """Return the versions whose age is known."""
-        return [named for named in self._named.get(model, ()) if not named.estimated]
+        return [named for named in self._versions_by_model.get(model, ()) if not named.estimated]
 
-    def named(self, model: str) -> list[NamedVersion]:
+    def named_versions(self, model: str) -> list[NamedVersion]:
         """Return every version named, oldest first."""
-        return self._named.get(model, [])
+        return self._versions_by_model.get(model, [])
 
-    def newest(self, model: str) -> int:
+    def newest_version(self, model: str) -> int:
         """Return the newest version named, 0 if none."""
-        named = self._named.get(model)
+        named = self._versions_by_model.get(model)
         return named[-1].version if named else 0
 
     def models(self) -> list[str]:
         """Models with a named version."""
-        return list(self._named)
+        return list(self._versions_by_model)
 
-    def oldest_missing(self, model: str, in_place: int) -> NamedVersion | None:
-        """Return the first version named above ``in_place``."""
-        return next((named for named in self._named.get(model, ()) if named.version > in_place), None)
+    def oldest_missing(self, model: str, loaded_version: int) -> NamedVersion | None:
+        """Return the first version named above ``loaded_version``."""
+        return next(
+            (named for named in self._versions_by_model.get(model, ()) if named.version > loaded_version), None
+        )
 
-    def minimum_version(self, model: str, now_s: float, allowance_s: float, in_place: int) -> int:
-        """Return the lowest version that may still begin requests: each named one is due after ``allowance_s``.
+    def min_allowed_version(
+        self, model: str, now_s: float, max_staleness_s: float, newest_loaded_version: int
+    ) -> int:
+        """Return the lowest version that may still begin requests: each named one is due after ``max_staleness_s``.
 
-        ``in_place`` is the newest version on any engine. A version of estimated age does not rule every engine out.
+        ``newest_loaded_version`` is the newest version on any engine. A version of estimated age does not rule
+        every engine out.
         """
-        due = [named for named in self._named.get(model, ()) if now_s - named.known_since_s >= allowance_s]
-        return max((named.version for named in due if named.version <= in_place or not named.estimated), default=0)
-
-    def begin_by_s(self, model: str, believed: int, allowance_s: float) -> float:
+        due = [
+            named for named in self._versions_by_model.get(model, ()) if now_s - named.named_at_s >= max_staleness_s
+        ]
+        return max(
+            (named.version for named in due if named.version <= newest_loaded_version or not named.estimated),
+            default=0,
+        )
+
+    def requests_allowed_until_s(self, model: str, loaded_version: int, max_staleness_s: float) -> float:
         """Return until when an engine with a version may begin requests; infinity if it is the newest."""
-        missing = self.oldest_missing(model, believed)
+        missing = self.oldest_missing(model, loaded_version)
         if missing is None or missing.estimated:
             return float("inf")
-        return missing.known_since_s + allowance_s
+        return missing.named_at_s + max_staleness_s
--- a/src/wallwell/node/backend_rows.py
+++ b/src/wallwell/node/backend_rows.py
@@ -50,14 +50,14 @@
     def apply(self, followed: FollowedPage) -> None:
         """Apply a page. A row that cannot be decoded names no back end: one known under its key counts as gone."""
         now_s = boot_time_s()
-        is_outage = now_s - followed.unconfirmed_since_s > STORE_OUTAGE_S and self._state.backends_known
-        if is_outage or followed.restored:
+        is_outage = now_s - followed.previous_confirmed_at_s > STORE_OUTAGE_S and self._state.backends_known
+        if is_outage or followed.is_store_restored:
             self._store_returned_s = now_s
-        if followed.whole:
+        if followed.is_snapshot:
             self._held_back.clear()
             for backend in self._state.backends.unnamed({row.key for row in followed.page.rows}):
                 self._on_missing(backend, now_s)
-        may_be_old = followed.whole and now_s < self._copy_settles_at_s()
+        may_be_old = followed.is_snapshot and now_s < self._copy_settles_at_s()
         unreadable: list[tuple[str, str]] = []
         # Of two incarnations at one address the one that was written last is the one that lives.
         for row in sorted(followed.page.rows, key=lambda row: row.version):
@@ -95,7 +95,7 @@
             self._pool.forget(backend.record.address)
 
     def _copy_settles_at_s(self) -> float:
-        return self._state.store_era.since_s + RESTORED_ENTRIES_S
+        return self._state.store_era.observed_since_s + RESTORED_ENTRIES_S
 
     def _on_row(self, incarnation: str, value: bytes, may_be_old: bool) -> None:
         record = self._decode(incarnation, value)
--- a/src/wallwell/node/member_rows.py
+++ b/src/wallwell/node/member_rows.py
@@ -69,9 +69,9 @@
         if followed.page.era != self._era:
             self._era = followed.page.era
             for listener in self._listeners:
-                listener.on_era(self._era, followed.restored)
-        members = {} if followed.whole else dict(self._order.members)
-        if followed.whole:
+                listener.on_era(self._era, followed.is_store_restored)
+        members = {} if followed.is_snapshot else dict(self._order.members)
+        if followed.is_snapshot:
             self._own_version = 0
             self._on_missing_rows(followed, now_s)
         for row in followed.page.rows:
@@ -89,7 +89,7 @@
         """
         missing = self._listened - {row.key for row in followed.page.rows}
         self._listened -= missing
-        if not followed.restored:
+        if not followed.is_store_restored:
             for key in sorted(missing):
                 self._on_other_row(FeedRow(key, None, followed.page.version), now_s)
 
--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -181,7 +181,7 @@
         loops: list[Loop] = [each.run for each in self._tables.followers]
         loops += [self._weights_roll.run, self._load_reporter.run, self._kv_store_watch.run, self._liveness.run]
         loops += [self._housekeeping.run, self.readiness.watch_event_loop, self._crashes.run]
-        if self._profile.topology.has_regions:
+        if self._profile.topology.has_other_regions:
             loops.append(self._load_reporter.between_regions.run)
         loops += [self._rollouts.run, self._reporter.run]
         self._tasks = [asyncio.create_task(run_for_life(loop)) for loop in loops]
--- a/src/wallwell/node/operator_rows.py
+++ b/src/wallwell/node/operator_rows.py
@@ -46,7 +46,7 @@
                 if row.key.startswith(self._sources.rollout_prefix):
                     self._on_rollout(row, followed)
                 else:
-                    self._on_row(row.key, row.value, followed.unconfirmed_since_s)
+                    self._on_row(row.key, row.value, followed.previous_confirmed_at_s)
             except msgspec.MsgspecError as error:
                 self._is_config_unreadable |= row.key == self._sources.config_key
                 emit(Event.CONFIG_REFUSED, row=row.key, error=str(error))
@@ -60,7 +60,7 @@
         # The store may have come back from a copy that lacks the newest configuration.
         self._state.load.own_configuration = config.version
         now_s = boot_time_s()
-        if not self._is_behind(config.version, now_s) and now_s >= era.since_s + UNCONFIRMED_S:
+        if not self._is_behind(config.version, now_s) and now_s >= era.observed_since_s + UNCONFIRMED_S:
             self._state.freshness.confirm(followed.confirmed_at_s)
 
     def _is_behind(self, version: int, now_s: float) -> bool:
@@ -89,7 +89,7 @@
         elif key.startswith(self._sources.version_prefix):
             model, version = self._sources.decode_version(value)
             since_s, estimated = self._named_since_s(unconfirmed_since_s)
-            if self._state.weights.name(model, version, since_s, estimated):
+            if self._state.weights.add_version(model, version, since_s, estimated):
                 emit(Event.WEIGHTS_NAMED, model=model, version=version, estimated=estimated)
 
     def _on_rollout(self, row: FeedRow, followed: FollowedPage) -> None:
@@ -103,8 +103,8 @@
         if not self._state.knows_service(order.service):
             emit(Event.ROLLOUT_REFUSED, row=row.key, error="no such service is configured or listed")
         effective_from_s = float("-inf")
-        if followed.whole:
-            effective_from_s = self._state.store_era.since_s + WRITTEN_AGAIN_S
+        if followed.is_snapshot:
+            effective_from_s = self._state.store_era.observed_since_s + WRITTEN_AGAIN_S
         if self._state.rollouts.on_order(order, boot_time_s(), effective_from_s):
             emit(
                 Event.ROLLOUT_ORDERED,
--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -32,10 +32,10 @@
 from wallwell.cluster.demand import FleetDemand
 from wallwell.cluster.fleet_load import FleetLoad
 from wallwell.cluster.region_traffic import RegionTraffic
-from wallwell.deployment.freshness import Freshness
+from wallwell.deployment.freshness import ConfigurationFreshness
 from wallwell.deployment.routes import DeploymentConfig
 from wallwell.deployment.store_era import StoreEra
-from wallwell.deployment.topology import ONE_REGION, Topology
+from wallwell.deployment.topology import SINGLE_REGION, Topology
 from wallwell.deployment.weights import OVERDUE_FRACTION, WeightsTargets
 from wallwell.events import Event, emit
 from wallwell.rollout.model import RolloutBounds
@@ -106,7 +106,7 @@
     """Weights versions that operators have named."""
     store_era: StoreEra = field(default_factory=StoreEra)
     """The era that the store is in."""
-    freshness: Freshness = field(default_factory=Freshness)
+    freshness: ConfigurationFreshness = field(default_factory=ConfigurationFreshness)
     """When the store last confirmed the configuration."""
     split: WeightedSplit = field(default_factory=WeightedSplit)
     """Where each route over several services stands in its round."""
@@ -132,7 +132,7 @@
     """Where in [0, 1) this node begins in the round of a split, drawn at its start."""
     started_s: float = float("-inf")
     """When this node started."""
-    topology: Topology = ONE_REGION
+    topology: Topology = SINGLE_REGION
     """Which zones are near; without a map of regions all of them are of one."""
     region_traffic: RegionTraffic = field(default_factory=RegionTraffic)
     """What has crossed the link to other regions."""
@@ -238,7 +238,7 @@
         if reported:
             backend.learn_version(model, reported)
             return
-        newest = self.weights.newest(model)
+        newest = self.weights.newest_version(model)
         listed = backend.record.versions.get(model, 0)
         believed = backend.believed_version(model)
         backend.learn_version(model, listed if believed == newest else max(newest, listed))
--- a/src/wallwell/placement/weights_roll.py
+++ b/src/wallwell/placement/weights_roll.py
@@ -18,20 +18,20 @@
 
 import msgspec
 
-from wallwell.deployment.topology import ONE_REGION, Topology
+from wallwell.deployment.topology import SINGLE_REGION, Topology
 from wallwell.deployment.weights import OVERDUE_FRACTION, NamedVersion, WeightsTargets
-from wallwell.placement.weights_roll_timing import RollCircumstances, start_delay_s
+from wallwell.placement.weights_roll_timing import FleetConditions, start_delay_s
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.selection.prefix_home import CHUNK_TOKENS, regional_pools
 
-LONGEST_DELAY_FRACTION = 0.52
+MAX_START_DELAY_FRACTION = 0.52
 """Fraction of the time allowed for a version (``version_s``) after which a weights roll begins at the latest, so
 that the rest of that time covers the loads."""
-CONCURRENT_LOADS_FRACTION = 0.4
+MAX_CONCURRENT_LOADS_FRACTION = 0.4
 """Fraction of a pool's engines that load at the same time: more would finish sooner and leave fewer to serve."""
-SERVING_FRACTION = 0.5
+MIN_SERVING_FRACTION = 0.5
 """Fraction of all engines that must go on serving during a weights roll; crashed ones do not count as serving."""
-RETRY_S = 0.8
+FAILED_LOAD_RETRY_S = 0.8
 """Seconds after a load that failed until its engine is tried again."""
 
 
@@ -39,7 +39,7 @@
     """An engine's answer to an order."""
 
     ACCEPTED = "accepted"
-    IN_PLACE = "in_place"
+    ALREADY_LOADED = "in_place"
     BUSY = "busy"
     FENCED = "fenced"
     REFUSED = "refused"
@@ -54,7 +54,7 @@
     """Weights versions by model."""
     busy: bool
     """Whether it is carrying out an order."""
-    orders_taken: int
+    accepted_orders: int
     """Number of orders accepted so far: the precondition of the next one."""
 
 
@@ -83,7 +83,7 @@
 
 
 def pools_by_prompt_length(
-    engines: Sequence[Backend], topology: Topology = ONE_REGION
+    engines: Sequence[Backend], topology: Topology = SINGLE_REGION
 ) -> tuple[list[Backend], list[Backend]]:
     """Return the pools for short and long prompts, each in the order in which its engines load."""
     short = regional_pools(engines, 0, topology)
@@ -91,9 +91,9 @@
     return short, long
 
 
-def concurrent_loads(pool: Sequence[Backend]) -> int:
+def max_concurrent_loads(pool: Sequence[Backend]) -> int:
     """Return how many engines of a pool may load at the same time."""
-    return max(1, round(len(pool) * CONCURRENT_LOADS_FRACTION))
+    return max(1, round(len(pool) * MAX_CONCURRENT_LOADS_FRACTION))
 
 
 @dataclass
@@ -101,96 +101,100 @@
     """Brings engines towards the newest named versions."""
 
     targets: WeightsTargets
-    allowance_s: float
+    max_staleness_s: float
     """Seconds from a version's naming for which generations on older weights are allowed."""
     generations_per_s: Callable[[float], float] = lambda now_s: 0.0
     """Returns the generations a second of all nodes at a time."""
-    topology: Topology = ONE_REGION
-    _in_progress: set[str] = field(default_factory=set)
+    topology: Topology = SINGLE_REGION
+    _loading_incarnations: set[str] = field(default_factory=set)
     """Incarnations of the engines that load."""
-    _delays: dict[tuple[str, int], float] = field(default_factory=dict)
-    """Start delays worked out at ``_delays_at_s``, by model and missing version; engines that lack the same version
-    share one."""
-    _delays_at_s: float = float("-inf")
+    _start_delays_s: dict[tuple[str, int], float] = field(default_factory=dict)
+    """Start delays worked out at ``_start_delays_computed_at_s``, by model and missing version; engines that
+    lack the same version share one."""
+    _start_delays_computed_at_s: float = float("-inf")
     _retry_at_s: dict[str, float] = field(default_factory=dict)
 
-    def is_due(self, engines: Sequence[Backend], now_s: float) -> bool:
+    def is_any_load_due(self, engines: Sequence[Backend], now_s: float) -> bool:
         """Whether an engine lacks a version that has been named long enough ago."""
-        return any(self._due_model(engine, engines, now_s) is not None for engine in engines)
+        return any(self._model_due_for_load(engine, engines, now_s) is not None for engine in engines)
 
-    def _due_model(self, engine: Backend, engines: Sequence[Backend], now_s: float) -> str | None:
+    def _model_due_for_load(self, engine: Backend, engines: Sequence[Backend], now_s: float) -> str | None:
         if engine.is_leaving(now_s):
             return None
         for model in engine.record.versions:
             missing = self.targets.oldest_missing(model, engine.believed_version(model))
             if missing is None:
                 continue
-            if now_s - missing.known_since_s >= self._start_delay_s(model, missing, engines, now_s):
+            if now_s - missing.named_at_s >= self._cached_start_delay_s(model, missing, engines, now_s):
                 return model
         return None
 
-    def _start_delay_s(self, model: str, missing: NamedVersion, engines: Sequence[Backend], now_s: float) -> float:
-        if now_s != self._delays_at_s:
-            self._delays.clear()
-            self._delays_at_s = now_s
+    def _cached_start_delay_s(
+        self, model: str, missing: NamedVersion, engines: Sequence[Backend], now_s: float
+    ) -> float:
+        if now_s != self._start_delays_computed_at_s:
+            self._start_delays_s.clear()
+            self._start_delays_computed_at_s = now_s
         key = (model, missing.version)
-        if key not in self._delays:
-            self._delays[key] = self._decide_start_delay_s(model, missing, engines, now_s)
-        return self._delays[key]
+        if key not in self._start_delays_s:
+            self._start_delays_s[key] = self._compute_start_delay_s(model, missing, engines, now_s)
+        return self._start_delays_s[key]
 
-    def _decide_start_delay_s(
+    def _compute_start_delay_s(
         self, model: str, missing: NamedVersion, engines: Sequence[Backend], now_s: float
     ) -> float:
-        newest = self.targets.newest(model)
-        lacking = [each for each in engines if each.believed_version(model) < newest]
-        serving = all(each.is_serving(now_s) for each in engines if not each.is_leaving(now_s))
-        circumstances = RollCircumstances(self.generations_per_s(now_s), len(lacking), serving)
-        longest_s = self.allowance_s * LONGEST_DELAY_FRACTION
-        return start_delay_s(self.targets.named(model), missing, circumstances, longest_s, now_s)
-
-    def next_tasks(self, engines: Sequence[Backend], now_s: float) -> list[LoadTask]:
+        newest = self.targets.newest_version(model)
+        outdated = [engine for engine in engines if engine.believed_version(model) < newest]
+        serving = all(engine.is_serving(now_s) for engine in engines if not engine.is_leaving(now_s))
+        conditions = FleetConditions(self.generations_per_s(now_s), len(outdated), serving)
+        max_delay_s = self.max_staleness_s * MAX_START_DELAY_FRACTION
+        return start_delay_s(self.targets.named_versions(model), missing, conditions, max_delay_s, now_s)
+
+    def begin_due_loads(self, engines: Sequence[Backend], now_s: float) -> list[LoadTask]:
         """Return the loads to start now; the caller ends each with :meth:`finish`."""
         tasks: list[LoadTask] = []
         for pool in pools_by_prompt_length(engines, self.topology):
-            spare = self._count_serving(engines, now_s) - math.ceil(len(engines) * SERVING_FRACTION)
-            if not self._in_progress:
+            spare_engines = self._count_serving(engines, now_s) - math.ceil(len(engines) * MIN_SERVING_FRACTION)
+            if not self._loading_incarnations:
                 # With half of the engines gone the roll still goes on, one engine at a time.
-                spare = max(1, spare)
-            tasks += self._next_of_pool(pool, engines, spare, now_s)
+                spare_engines = max(1, spare_engines)
+            tasks += self._begin_loads_in_pool(pool, engines, spare_engines, now_s)
         return tasks
 
     def _count_serving(self, engines: Sequence[Backend], now_s: float) -> int:
-        return sum(each.is_serving(now_s) and each.incarnation not in self._in_progress for each in engines)
+        return sum(
+            engine.is_serving(now_s) and engine.incarnation not in self._loading_incarnations for engine in engines
+        )
 
-    def _next_of_pool(
-        self, pool: Sequence[Backend], engines: Sequence[Backend], spare: int, now_s: float
+    def _begin_loads_in_pool(
+        self, pool: Sequence[Backend], engines: Sequence[Backend], spare_engines: int, now_s: float
     ) -> list[LoadTask]:
-        """Return the loads to start in one pool; ``spare`` more of all engines can stop serving now."""
-        loading = sum(engine.incarnation in self._in_progress for engine in pool)
-        free = min(spare, concurrent_loads(pool) - loading)
+        """Return the loads to start in one pool; ``spare_engines`` more of all engines can stop serving now."""
+        loading_count = sum(engine.incarnation in self._loading_incarnations for engine in pool)
+        max_new_loads = min(spare_engines, max_concurrent_loads(pool) - loading_count)
         tasks: list[LoadTask] = []
         for engine in pool:
-            identity = engine.incarnation
-            if identity in self._in_progress or now_s < self._retry_at_s.get(identity, 0.0):
+            incarnation = engine.incarnation
+            if incarnation in self._loading_incarnations or now_s < self._retry_at_s.get(incarnation, 0.0):
                 continue
-            model = self._due_model(engine, engines, now_s)
-            if model is None or (len(tasks) >= free and not self._is_overdue(engine, model, now_s)):
+            model = self._model_due_for_load(engine, engines, now_s)
+            if model is None or (len(tasks) >= max_new_loads and not self._is_overdue(engine, model, now_s)):
                 continue
-            tasks.append(LoadTask(engine, model, self.targets.newest(model)))
-            self._in_progress.add(identity)
+            tasks.append(LoadTask(engine, model, self.targets.newest_version(model)))
+            self._loading_incarnations.add(incarnation)
         return tasks
 
     def _is_overdue(self, engine: Backend, model: str, now_s: float) -> bool:
         """Whether the engine gets no generations any more, so that its load costs no capacity."""
         missing = self.targets.oldest_missing(model, engine.believed_version(model))
-        return missing is not None and now_s - missing.known_since_s >= self.allowance_s * OVERDUE_FRACTION
+        return missing is not None and now_s - missing.named_at_s >= self.max_staleness_s * OVERDUE_FRACTION
 
-    def finish(self, task: LoadTask, done: bool, now_s: float) -> None:
+    def end_load(self, task: LoadTask, succeeded: bool, now_s: float) -> None:
         """A load has ended (``done``), or its order could not be carried out and is tried again later."""
-        identity = task.backend.incarnation
-        self._in_progress.discard(identity)
-        if done:
+        incarnation = task.backend.incarnation
+        self._loading_incarnations.discard(incarnation)
+        if succeeded:
             task.backend.learn_version(task.model, task.version)
-            self._retry_at_s.pop(identity, None)
+            self._retry_at_s.pop(incarnation, None)
         else:
-            self._retry_at_s[identity] = now_s + RETRY_S
+            self._retry_at_s[incarnation] = now_s + FAILED_LOAD_RETRY_S
--- a/src/wallwell/platform/worker_orders.py
+++ b/src/wallwell/platform/worker_orders.py
@@ -66,7 +66,7 @@
 
 
 _ORDER_REPLIES: dict[int, OrderReply] = {
-    HTTPStatus.OK: OrderReply.IN_PLACE,
+    HTTPStatus.OK: OrderReply.ALREADY_LOADED,
     HTTPStatus.ACCEPTED: OrderReply.ACCEPTED,
     HTTPStatus.CONFLICT: OrderReply.BUSY,
     HTTPStatus.PRECONDITION_FAILED: OrderReply.FENCED,
@@ -85,7 +85,7 @@
         self._failing: dict[str, None] = {}
         """Incarnations whose last call failed, the longest known first."""
 
-    async def report(self, backend: BackendRecord) -> EngineReport | None:
+    async def fetch_report(self, backend: BackendRecord) -> EngineReport | None:
         """Return a worker's report, None without a usable answer, which is logged."""
         answer = await self._call("GET", names.REPORT_PATH, backend, b"")
         if answer is None:
@@ -103,7 +103,7 @@
         versions = {model.name: model.version for model in row.models}
         return EngineReport(versions, row.busy, row.seq)
 
-    async def order(self, backend: BackendRecord, order: WeightsOrder) -> OrderReply:
+    async def send_order(self, backend: BackendRecord, order: WeightsOrder) -> OrderReply:
         """Order new weights; ``UNKNOWN`` if the order may have been taken or may take effect later."""
         body = OrderBody(
             op=LOAD_WEIGHTS,
--- a/src/wallwell/platform/worker_probes.py
+++ b/src/wallwell/platform/worker_probes.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from wallwell.deployment.backends import BackendRecord
-from wallwell.deployment.topology import ONE_REGION, Distance, Topology
+from wallwell.deployment.topology import SINGLE_REGION, Distance, Topology
 from wallwell.http_connection import ConnectFailedError, ConnectionPool
 
 REACHABLE_TIMEOUT_S = 0.12
@@ -18,7 +18,7 @@
 class WorkerProbes:
     """Finds out by new connections whether workers are reachable and whether their processes have ended."""
 
-    def __init__(self, pool: ConnectionPool, topology: Topology = ONE_REGION) -> None:
+    def __init__(self, pool: ConnectionPool, topology: Topology = SINGLE_REGION) -> None:
         self._pool = pool
         self._topology = topology
 
@@ -36,7 +36,7 @@
 
     async def _open_connection(self, backend: BackendRecord) -> ConnectFailedError | None:
         """Make a connection for the next request; returns why there is none."""
-        is_far = self._topology.distance(backend.zone) is Distance.OTHER_REGION
+        is_far = self._topology.distance_to(backend.zone) is Distance.OTHER_REGION
         timeout_s = FAR_REACHABLE_TIMEOUT_S if is_far else REACHABLE_TIMEOUT_S
         try:
             await self._pool.open_idle(backend.address, timeout_s)
--- a/src/wallwell/rollout/driver.py
+++ b/src/wallwell/rollout/driver.py
@@ -102,7 +102,7 @@
 
     def _check_store_era(self) -> None:
         """Mark all records as unconfirmed if the store's era has changed: it was restored from a copy."""
-        era = self._state.store_era.number
+        era = self._state.store_era.observed_era
         if self._last_era is not None and era != self._last_era:
             self._registry.on_store_restored()
         self._last_era = era
--- a/src/wallwell/routing/admission/access.py
+++ b/src/wallwell/routing/admission/access.py
@@ -13,7 +13,7 @@
 import enum
 from typing import NamedTuple
 
-from wallwell.deployment.freshness import Freshness
+from wallwell.deployment.freshness import ConfigurationFreshness
 from wallwell.deployment.routes import DeploymentConfig, Route, TenantAccess
 
 
@@ -57,9 +57,9 @@
     """How much earlier the node stops relying on a confirmation, for what is not measured on its way."""
 
 
-def is_fresh_enough(freshness: Freshness, bound: RevocationBound, arrival_s: float) -> bool:
+def is_fresh_enough(freshness: ConfigurationFreshness, bound: RevocationBound, arrival_s: float) -> bool:
     """Whether a request that arrived then may rely on the configuration known here."""
-    return not bound.is_strict or freshness.covers(arrival_s, bound.revocation_s - bound.margin_s)
+    return not bound.is_strict or freshness.is_within_bound(arrival_s, bound.revocation_s - bound.margin_s)
 
 
 def decide_access(config: DeploymentConfig | None, is_fresh: bool, request: AccessRequest) -> Granted | Denial:
@@ -72,7 +72,7 @@
     needs_tenant = bool(config.tenants) and not route.public
     if needs_tenant and not is_fresh:
         return Denial.STALE_CREDENTIAL
-    tenant = config.tenant_of(request.credential) if needs_tenant or request.credential else None
+    tenant = config.find_tenant(request.credential) if needs_tenant or request.credential else None
     if needs_tenant and tenant is None:
         return Denial.UNKNOWN_CREDENTIAL
     if request.body_bytes > config.bounds.max_body_bytes:
--- a/src/wallwell/routing/selection/call_choice.py
+++ b/src/wallwell/routing/selection/call_choice.py
@@ -49,9 +49,9 @@
 
 def _of_own_region_if_free(candidates: Sequence[Backend], node_count: int, topology: Topology) -> Sequence[Backend]:
     """Return the candidates of the own region if enough of its slots are free, else all."""
-    if not topology.has_regions:
+    if not topology.has_other_regions:
         return candidates
-    own = [each for each in candidates if topology.is_own_region(each.record.zone)]
+    own = [each for each in candidates if topology.is_in_own_region(each.record.zone)]
     free = sum(max(0, each.record.slots - each.fleet_load(node_count)) for each in own)
     is_enough = bool(own) and free >= FREE_FRACTION_OF_REGION * sum(each.record.slots for each in own)
     return own if is_enough else candidates
--- a/src/wallwell/routing/selection/candidates.py
+++ b/src/wallwell/routing/selection/candidates.py
@@ -125,7 +125,7 @@
     """
     allowance_s = requirement.allowance_s - BEGIN_MARGIN_S
     believed = backend.believed_version(requirement.model)
-    return requirement.targets.begin_by_s(requirement.model, believed, allowance_s)
+    return requirement.targets.requests_allowed_until_s(requirement.model, believed, allowance_s)
 
 
 def without_unresponsive_zones(
@@ -150,5 +150,5 @@
     model = requirement.model
     newest_in_place = max((each.believed_version(model) for each in usable), default=0)
     due_after_s = requirement.allowance_s * fraction
-    minimum = requirement.targets.minimum_version(model, now_s, due_after_s, newest_in_place)
+    minimum = requirement.targets.min_allowed_version(model, now_s, due_after_s, newest_in_place)
     return [each for each in usable if each.believed_version(model) >= minimum]
--- a/src/wallwell/routing/selection/engine_choice.py
+++ b/src/wallwell/routing/selection/engine_choice.py
@@ -80,7 +80,7 @@
     pool = regional_pools(listed, prompt.tokens, topology)
     near: Sequence[Backend] = candidates
     far: Sequence[Backend] = ()
-    if topology.has_regions:
+    if topology.has_other_regions:
         near, far = _by_region(candidates, home_region(key, prompt.shared_tokens, pool, topology), topology)
     near_limit, far_limit = _load_limits(prompt, fleet.prefill_rate)
     if not (near and far):
--- a/src/wallwell/routing/selection/kv_store_choice.py
+++ b/src/wallwell/routing/selection/kv_store_choice.py
@@ -52,7 +52,7 @@
 
     It stands in the region of the engine, whichever node sends the prompt there.
     """
-    between = stores.topology.between
+    between = stores.topology.distance_between
     addresses = [
         store.kv_store_address
         for store in stores.listed
@@ -118,6 +118,6 @@
 
 def _weight(stores: KvStores, engine_zone: str, store: Service) -> float:
     """Return what a token in a store counts for; 1 without regions."""
-    if not stores.topology.has_regions:
+    if not stores.topology.has_other_regions:
         return DISTANCE_WEIGHTS[Distance.SAME_ZONE]
-    return DISTANCE_WEIGHTS[stores.topology.between(engine_zone, store.zone)]
+    return DISTANCE_WEIGHTS[stores.topology.distance_between(engine_zone, store.zone)]
--- a/src/wallwell/routing/selection/prefix_home.py
+++ b/src/wallwell/routing/selection/prefix_home.py
@@ -68,7 +68,7 @@
 
     Regions alternate in the list, so that any leading part of it is spread over them.
     """
-    if not topology.has_regions:
+    if not topology.has_other_regions:
         return engine_pool(engines, prompt_tokens)
     by_region: dict[str, list[Backend]] = {}
     for engine in engines:
--- a/src/wallwell/serving/admission.py
+++ b/src/wallwell/serving/admission.py
@@ -84,7 +84,7 @@
         """Take a request's tokens of its tenant's limit. Raises :class:`RateLimitedError`."""
         if tenant is None or tenant.limit is None:
             return None
-        cost = tenant.limit.cost(request.declared_tokens)
+        cost = tenant.limit.request_cost(request.declared_tokens)
         taken = self._state.load.limits.admit(tenant.name, cost, boot_time_s())
         if isinstance(taken, OverLimit):
             detail = f"the limit of {tenant.name} is used up"
--- a/src/wallwell/serving/attempt.py
+++ b/src/wallwell/serving/attempt.py
@@ -107,7 +107,7 @@
     async def _send(self, active: ActiveRequest, backend: Backend) -> BackendAnswer:
         dispatch = self._dispatch(active, backend)
         answer = await self._wait.await_response(active, backend, dispatch)
-        if self._state.topology.distance(backend.record.zone) is Distance.OTHER_REGION:
+        if self._state.topology.distance_to(backend.record.zone) is Distance.OTHER_REGION:
             cause = active.route.kind.value
             self._state.region_traffic.add(cause, len(active.request.body))
             answer = CountedAnswer(answer, self._state.region_traffic, cause)
--- a/src/wallwell/storage/feed.py
+++ b/src/wallwell/storage/feed.py
@@ -22,9 +22,9 @@
 from wallwell.errors import HistoryLostError, PlatformUnavailableError
 from wallwell.events import Event, emit
 
-MIN_RETRY_S = 0.08
+MIN_RETRY_DELAY_S = 0.08
 """Seconds that the pauses between failed calls start from; they double with each failure."""
-MAX_RETRY_S = 0.6
+MAX_RETRY_DELAY_S = 0.6
 """Bound of these pauses in seconds: how late the return of the store is noticed."""
 MAX_DOUBLINGS = 5
 """Bound of the exponent, so that it stays small however long failures go on; three pass ``MAX_RETRY_S``."""
@@ -60,13 +60,13 @@
     """A page as a follower hands it on. Times are on this node's clock."""
 
     page: FeedPage
-    whole: bool
+    is_snapshot: bool
     """Whether the page holds every row."""
     confirmed_at_s: float
     """When the rows were certainly current."""
-    unconfirmed_since_s: float
+    previous_confirmed_at_s: float
     """When they were before this page; -inf for the first one."""
-    restored: bool = False
+    is_store_restored: bool = False
     """Whether the store has come back from an older copy since the page before. Rows may then be older than those
     applied here, and what was written since the copy was made is missing until it is written again."""
 
@@ -109,13 +109,13 @@
         self._position: StorePosition | None = None
         """What was reached; None if every row is to be read."""
         self._applied_era: int | None = None
-        self._failures = 0
+        self._consecutive_failures = 0
 
     async def run(self) -> None:
         """Follow until cancelled."""
         while True:
             try:
-                await self.step()
+                await self.read_once()
             except HistoryLostError as error:
                 version = None if self._position is None else self._position.version
                 emit(Event.FEED_RESTARTED, rows=self.name, version=version, reason=error.detail)
@@ -124,24 +124,26 @@
                 self._on_failure(error)
                 await asyncio.sleep(self._retry_delay_s())
 
-    async def step(self) -> None:
+    async def read_once(self) -> None:
         """One reading. Raises :class:`HistoryLostError` or :class:`PlatformUnavailableError`."""
         sent_s = boot_time_s()
-        whole = self._position is None
+        is_snapshot = self._position is None
         if self._position is None:
             page = await self._source.read_all()
             self._position = page.position
         else:
             page = await self._source.changes(self._position, self._wait_s)
             self._position = max(self._position, page.position)
-        unconfirmed_since_s = self.confirmed_at_s
+        previous_confirmed_at_s = self.confirmed_at_s
         self.confirmed_at_s = max(self.confirmed_at_s, self._confirmed_s(page, sent_s))
-        if self._failures:
-            emit(Event.STORE_REGAINED, rows=self.name, failures=self._failures)
-            self._failures = 0
-        restored = self._applied_era is not None and page.era > self._applied_era
+        if self._consecutive_failures:
+            emit(Event.STORE_REGAINED, rows=self.name, failures=self._consecutive_failures)
+            self._consecutive_failures = 0
+        is_store_restored = self._applied_era is not None and page.era > self._applied_era
         self._applied_era = page.era
-        self._apply(FollowedPage(page, whole, self.confirmed_at_s, unconfirmed_since_s, restored))
+        self._apply(
+            FollowedPage(page, is_snapshot, self.confirmed_at_s, previous_confirmed_at_s, is_store_restored)
+        )
 
     def _confirmed_s(self, page: FeedPage, sent_s: float) -> float:
         if page.relayed:
@@ -149,11 +151,13 @@
         return self._clock.confirmed_s(sent_s, page.store_s, page.era)
 
     def _on_failure(self, error: PlatformUnavailableError) -> None:
-        self._failures += 1
-        if self._failures == 1:
+        self._consecutive_failures += 1
+        if self._consecutive_failures == 1:
             emit(Event.STORE_LOST, rows=self.name, reason=error.detail)
 
     def _retry_delay_s(self) -> float:
         """Return a random pause, so that nodes that lost the store together do not all call it at once."""
-        cap_s = min(MAX_RETRY_S, MIN_RETRY_S * (1 << min(self._failures, MAX_DOUBLINGS)))
-        return self._rng.uniform(cap_s / 2, cap_s)
+        max_delay_s = min(
+            MAX_RETRY_DELAY_S, MIN_RETRY_DELAY_S * (1 << min(self._consecutive_failures, MAX_DOUBLINGS))
+        )
+        return self._rng.uniform(max_delay_s / 2, max_delay_s)
--- a/src/wallwell/storage/replica.py
+++ b/src/wallwell/storage/replica.py
@@ -14,7 +14,7 @@
 from wallwell.errors import HistoryLostError
 from wallwell.storage.feed import FeedPage, FeedRow
 
-MAX_DELETIONS = 1000
+MAX_REMEMBERED_DELETIONS = 1000
 """Deletions remembered: a follower asks every second or so, and a peer that has missed more reads every row again,
 which costs one large answer."""
 
@@ -22,34 +22,34 @@
 class RowReplica:
     """Rows by key with their versions, as of ``version`` at the store's time ``store_s``."""
 
-    def __init__(self, max_deletions: int = MAX_DELETIONS) -> None:
+    def __init__(self, max_deletions: int = MAX_REMEMBERED_DELETIONS) -> None:
         self.era = UNKNOWN_ERA
         """The era of the store in which every row and version here was given out."""
         self.version = -1
         """The newest version that the copy holds; -1 before the first reading."""
         self.store_s = float("-inf")
-        self.changed_version = -1
+        self.last_change_version = -1
         """Version up to which the last page that brought rows goes."""
         self._rows: dict[str, FeedRow] = {}
         self._deletions: OrderedDict[str, FeedRow] = OrderedDict()
-        self._floor = -1
+        self._history_start_version = -1
         """Changes after this version are complete; older ones are not."""
         self._max_deletions = max_deletions
 
-    def take(self, page: FeedPage, whole: bool) -> int:
-        """Apply a page; ``whole``: it holds every row. An older whole page than the copy is refused.
+    def apply_page(self, page: FeedPage, is_snapshot: bool) -> int:
+        """Apply a page; ``is_snapshot``: it holds every row. An older whole page than the copy is refused.
 
         Returns how many rows were refused since the copy holds newer ones.
         """
-        if whole:
+        if is_snapshot:
             if page.position < self.position:
                 return len(page.rows)
-            self._begin_again(page)
+            self._reset(page)
         elif page.era != self.era:
             return len(page.rows)
-        refused = sum(not self._take_row(row) for row in page.rows)
-        if page.rows or whole:
-            self.changed_version = max(self.changed_version, page.version)
+        refused = sum(not self._apply_row(row) for row in page.rows)
+        if page.rows or is_snapshot:
+            self.last_change_version = max(self.last_change_version, page.version)
         self.version = max(self.version, page.version)
         self.store_s = max(self.store_s, page.store_s)
         return refused
@@ -59,20 +59,20 @@
         """The moment of the store's history that the copy goes up to."""
         return StorePosition(self.era, self.version)
 
-    def _begin_again(self, page: FeedPage) -> None:
+    def _reset(self, page: FeedPage) -> None:
         """Drop every row for those of a whole page; in another era all versions begin anew."""
         if page.era != self.era:
             self.era = page.era
-            self.version = self.changed_version = -1
+            self.version = self.last_change_version = -1
             self.store_s = float("-inf")
         self._rows = {}
         self._deletions.clear()
-        self._floor = page.version
+        self._history_start_version = page.version
 
-    def _take_row(self, row: FeedRow) -> bool:
+    def _apply_row(self, row: FeedRow) -> bool:
         """Apply a row; returns False if the copy holds a newer one."""
-        known = self._rows.get(row.key) or self._deletions.get(row.key)
-        if known is not None and known.version > row.version:
+        held_row = self._rows.get(row.key) or self._deletions.get(row.key)
+        if held_row is not None and held_row.version > row.version:
             return False
         self._deletions.pop(row.key, None)
         if row.value is not None:
@@ -81,17 +81,17 @@
         self._rows.pop(row.key, None)
         self._deletions[row.key] = row
         if len(self._deletions) > self._max_deletions:
-            _, forgotten = self._deletions.popitem(last=False)
-            self._floor = max(self._floor, forgotten.version)
+            _, oldest_deletion = self._deletions.popitem(last=False)
+            self._history_start_version = max(self._history_start_version, oldest_deletion.version)
         return True
 
-    def everything(self) -> FeedPage:
+    def all_rows(self) -> FeedPage:
         """Return every row as of the copy's version."""
         return self._page(self._rows.values())
 
-    def after(self, version: int) -> FeedPage:
+    def changes_since(self, version: int) -> FeedPage:
         """Return what changed after ``version``. Raises :class:`HistoryLostError` if that is not all known here."""
-        if version < self._floor:
+        if version < self._history_start_version:
             raise HistoryLostError("changes from before the last whole reading")
         changed = [row for row in (*self._rows.values(), *self._deletions.values()) if row.version > version]
         changed.sort(key=lambda row: row.version)
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -139,7 +139,7 @@
         await store.get("k")
         stand_in.era = "three"
         values = [(await store.get("k")).value for _ in range(3)]
-        return values, store.era.number, events
+        return values, store.era.observed_era, events
 
     assert with_store(run_async, scenario) == (["v"] * 3, 3, [(Event.STORE_ERA_UNREADABLE, "three")])
 
--- a/tests/unit/cluster/relay_network.py
+++ b/tests/unit/cluster/relay_network.py
@@ -160,7 +160,7 @@
         await self.follower.run()
 
     def _apply(self, followed):
-        if followed.whole:
+        if followed.is_snapshot:
             self.known = {}
         assert followed.page.era >= self.era, "an earlier era came after a later one"
         self.era = followed.page.era
--- a/tests/unit/cluster/test_relay.py
+++ b/tests/unit/cluster/test_relay.py
@@ -172,7 +172,7 @@
     async def scenario(store, nodes):
         store.write("big", value)
         await until(lambda: all(node.mirror.rows.get("big") == value for node in nodes))
-        page = nodes[0].rows.replica.after(store.version - 1)
+        page = nodes[0].rows.replica.changes_since(store.version - 1)
         return len(msgspec.json.encode(reply_with_rows(page)))
 
     assert with_nodes(scenario) < len(value) / 3
--- a/tests/unit/deployment/test_freshness.py
+++ b/tests/unit/deployment/test_freshness.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from wallwell.deployment.freshness import Freshness, StoreClock
+from wallwell.deployment.freshness import ConfigurationFreshness, StoreClock
 
 CALLS = st.lists(
     st.tuples(st.floats(0.0, 5.0), st.floats(0.0, 40.0), st.floats(0.0, 40.0)), min_size=1, max_size=30
@@ -31,12 +31,12 @@
 
 
 def test_requests_are_covered_by_their_arrival_and_not_by_when_they_are_handled():
-    freshness = Freshness()
-    assert not freshness.covers(10.0, 4.6)
+    freshness = ConfigurationFreshness()
+    assert not freshness.is_within_bound(10.0, 4.6)
     freshness.confirm(10.0)
     freshness.confirm(8.0)
-    assert freshness.covers(14.6, 4.6)
-    assert not freshness.covers(14.7, 4.6)
+    assert freshness.is_within_bound(14.6, 4.6)
+    assert not freshness.is_within_bound(14.7, 4.6)
 
 
 @given(calls=CALLS, offset_s=st.floats(-1000.0, 1000.0), age_s=st.floats(0.0, 100.0))
@@ -58,7 +58,7 @@
     """An offset of before would make an answer of a clock that is ahead look newer than now."""
     clock = StoreClock()
     clock.confirmed_s(100.0, 50.0, 1)
-    assert clock.is_of_another_era(2)
+    assert clock.is_calibrated_for_other_era(2)
     assert clock.confirmed_by_relay_s(100.5, 90.0, 2) == float("-inf")
     assert clock.confirmed_s(101.0, 90.0, 2) == 101.0
     assert clock.confirmed_by_relay_s(101.5, 90.4, 2) <= 101.4
--- a/tests/unit/deployment/test_routes.py
+++ b/tests/unit/deployment/test_routes.py
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize(("key", "tenant"), [("k1", "t1"), ("k2", "t1"), ("k3", "t2"), ("k4", None), ("", None)])
 def test_credential_belongs_to_one_tenant(key, tenant):
-    found = CONFIG.tenant_of(key)
+    found = CONFIG.find_tenant(key)
     assert (found.name if found else None) == tenant
 
 
--- a/tests/unit/node/test_backend_rows.py
+++ b/tests/unit/node/test_backend_rows.py
@@ -76,7 +76,7 @@
     def take_copy(self, **rows):
         """Take the whole listing of a store that has come back from a copy a moment ago."""
         era = self.state.store_era
-        era.observe((era.number or 0) + 1, boot_time_s())
+        era.observe((era.observed_era or 0) + 1, boot_time_s())
         self.take(whole=True, restored=True, **rows)
 
     def open(self):
--- a/tests/unit/node/test_fleet_recovery.py
+++ b/tests/unit/node/test_fleet_recovery.py
@@ -184,7 +184,7 @@
             self._begin(sent, load_when_sent, now_s, at_s)
 
         topology = state.topology
-        is_far = topology.distance(backend.record.zone) is Distance.OTHER_REGION
+        is_far = topology.distance_to(backend.record.zone) is Distance.OTHER_REGION
         self.to_region.append((sent.parts[:-1], topology.region_of(backend.record.zone)))
         engine = self.engines[backend.incarnation]
         if is_far:
--- a/tests/unit/placement/test_weights_roll_driver.py
+++ b/tests/unit/placement/test_weights_roll_driver.py
@@ -36,12 +36,12 @@
     def __init__(self, engines, node):
         self.engines, self.node = engines, node
 
-    async def report(self, backend):
+    async def fetch_report(self, backend):
         engine = self.engines[backend.incarnation]
         await asyncio.sleep(0.002)
         return EngineReport({"m": engine.version}, boot_time_s() < engine.busy_until_s, engine.orders)
 
-    async def order(self, backend, order):
+    async def send_order(self, backend, order):
         engine = self.engines[backend.incarnation]
         engine.given.append((boot_time_s(), order.holder, order.fence))
         if engine.late_s:
@@ -102,7 +102,7 @@
 
     def name(self, version):
         for state in self.states:
-            state.weights.name("m", version, boot_time_s())
+            state.weights.add_version("m", version, boot_time_s())
 
     def kill(self, index):
         self.tasks[index].cancel()
@@ -247,13 +247,16 @@
         fleet.name(3)
         await asyncio.sleep(4.0)
         late = NodeState("late", "z", FleetBounds(lease_s=LEASE_S), random.Random(9))
-        late.weights.name("m", 4, boot_time_s(), estimated=True)
+        late.weights.add_version("m", 4, boot_time_s(), estimated=True)
         driver = WeightsRollDriver(late, fleet.table, Control(fleet.engines, "late"), StoreClock())
         for row in (await fleet.table.scan("", 0)).rows:
             driver.on_row(FeedRow(row.key, row.value.encode(), row.version), boot_time_s())
-        ages = [(each.version, round(each.known_since_s - started_s, 1)) for each in late.weights.certain("m")]
+        ages = [
+            (each.version, round(each.named_at_s - started_s, 1))
+            for each in late.weights.versions_of_known_age("m")
+        ]
         assert ages == [(2, 0.0), (3, 3.0)]
-        assert late.weights.minimum_version("m", started_s + 7.0, 6.4, in_place=3) == 2
+        assert late.weights.min_allowed_version("m", started_s + 7.0, 6.4, newest_loaded_version=3) == 2
 
     play(scenario)
 
--- a/tests/unit/placement/test_weights_roll_timing.py
+++ b/tests/unit/placement/test_weights_roll_timing.py
@@ -4,11 +4,11 @@
 
 from wallwell.deployment.weights import NamedVersion
 from wallwell.placement.weights_roll_timing import (
+    MIN_START_DELAY_S,
     NAMING_TOLERANCE_S,
-    SOONEST_S,
-    RollCircumstances,
+    FleetConditions,
+    median_naming_interval_s,
     start_delay_s,
-    usual_interval_s,
 )
 
 LONGEST_S = 5.2
@@ -31,7 +31,7 @@
     ids=["none", "one", "two", "one pause", "age of the first guessed", "pace that has changed"],
 )
 def test_the_usual_gap(versions, expected):
-    assert usual_interval_s(versions) == expected
+    assert median_naming_interval_s(versions) == expected
 
 
 @pytest.mark.parametrize(
@@ -60,10 +60,10 @@
     ],
 )
 def test_a_weights_roll_begins_at_once_or_waits(versions, now_s, demand_per_s, lacking, serving, begins_at_once):
-    circumstances = RollCircumstances(demand_per_s, lacking, serving)
+    circumstances = FleetConditions(demand_per_s, lacking, serving)
     delay_s = start_delay_s(versions, versions[-1], circumstances, LONGEST_S, now_s)
-    assert delay_s == (SOONEST_S if begins_at_once else LONGEST_S)
+    assert delay_s == (MIN_START_DELAY_S if begins_at_once else LONGEST_S)
 
 
 def test_a_short_allowance_bounds_the_soonest():
-    assert start_delay_s(named(0.0), named(0.0)[0], RollCircumstances(9.0, 5, True), 0.2, 0.1) == 0.2
+    assert start_delay_s(named(0.0), named(0.0)[0], FleetConditions(9.0, 5, True), 0.2, 0.1) == 0.2
--- a/tests/unit/platform/test_rows.py
+++ b/tests/unit/platform/test_rows.py
@@ -23,7 +23,7 @@
         ({"rate_per_s": 0, "burst": 10, "unit": "tokens"}, None),
         (
             {"rate_per_s": 300, "burst": 400, "unit": "tokens", "plain_tokens": 200},
-            TenantLimit(300, 400, counts_tokens=True, plain_tokens=200),
+            TenantLimit(300, 400, counts_tokens=True, default_request_tokens=200),
         ),
         ({"rate_per_s": 3, "burst": 4, "unit": "requests"}, TenantLimit(3, 4)),
         ({"rate_per_s": 3, "burst": 4}, TenantLimit(3, 4)),
--- a/tests/unit/platform/test_settings.py
+++ b/tests/unit/platform/test_settings.py
@@ -36,4 +36,4 @@
     path = tmp_path / "settings.toml"
     path.write_text(text)
     places = load_platform_settings(str(path)).topology()
-    assert (places.distance("a2"), places.distance("b1")) == distances
+    assert (places.distance_to("a2"), places.distance_to("b1")) == distances
--- a/tests/unit/platform/test_worker_orders.py
+++ b/tests/unit/platform/test_worker_orders.py
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("failure", FAILURES, ids=str)
 def test_a_failed_report_is_none_and_logged_with_its_reason(run_async, failures, failure):
-    assert run_async(WorkerControl(ScriptedPool(failure), BackendNotices()).report(record())) is None
+    assert run_async(WorkerControl(ScriptedPool(failure), BackendNotices()).fetch_report(record())) is None
     ((backend, call, error),) = failures
     assert (backend, call) == ("i-1", "/api/report")
     assert error
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("failure", [*FAILURES[:4], (299, b"")], ids=str)
 def test_an_order_without_a_known_answer_may_have_been_taken(run_async, failures, failure):
     assert (
-        run_async(WorkerControl(ScriptedPool(failure), BackendNotices()).order(record(), ORDER))
+        run_async(WorkerControl(ScriptedPool(failure), BackendNotices()).send_order(record(), ORDER))
         is OrderReply.UNKNOWN
     )
     assert [line[:2] for line in failures] == [("i-1", "/api/order")]
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize(
     ("status", "reply"),
     [
-        (200, OrderReply.IN_PLACE),
+        (200, OrderReply.ALREADY_LOADED),
         (202, OrderReply.ACCEPTED),
         (400, OrderReply.REFUSED),
         (409, OrderReply.BUSY),
@@ -91,7 +91,9 @@
     ],
 )
 def test_an_answer_to_an_order_is_no_failure(run_async, failures, status, reply):
-    assert run_async(WorkerControl(ScriptedPool((status, b"")), BackendNotices()).order(record(), ORDER)) is reply
+    assert (
+        run_async(WorkerControl(ScriptedPool((status, b"")), BackendNotices()).send_order(record(), ORDER)) is reply
+    )
     assert failures == []
 
 
@@ -99,11 +101,11 @@
     control = WorkerControl(ScriptedPool(TimeoutError(), TimeoutError(), REPORT, TimeoutError()), BackendNotices())
 
     async def work():
-        return [await control.report(record()) for _ in range(4)]
+        return [await control.fetch_report(record()) for _ in range(4)]
 
     found = run_async(work())
     assert [report is not None for report in found] == [False, False, True, False]
-    assert (found[2].versions, found[2].busy, found[2].orders_taken) == ({"m": 3}, True, 2)
+    assert (found[2].versions, found[2].busy, found[2].accepted_orders) == ({"m": 3}, True, 2)
     assert len(failures) == 2
 
 
@@ -113,7 +115,7 @@
 
     async def work():
         for name in ("a", "b", "c", "c"):
-            await control.report(record(name))
+            await control.fetch_report(record(name))
 
     run_async(work())
     assert [line[0] for line in failures] == ["a", "b", "c"]
@@ -133,5 +135,5 @@
     notices, stated = BackendNotices(), []
     notices.on_notice = lambda incarnation, notice: stated.append((incarnation, notice))
     control = WorkerControl(StatingPool(), notices)
-    run_async(control.report(record()) if call == "report" else control.order(record(), ORDER))
+    run_async(control.fetch_report(record()) if call == "report" else control.send_order(record(), ORDER))
     assert stated == [("i-1", BackendNotice(leaving=True, backoff_s=2.0))]
--- a/tests/unit/routing/admission/test_access.py
+++ b/tests/unit/routing/admission/test_access.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wallwell.deployment.freshness import Freshness
+from wallwell.deployment.freshness import ConfigurationFreshness
 from wallwell.deployment.routes import (
     CallerBounds,
     DeploymentConfig,
@@ -72,4 +72,4 @@
 )
 def test_knowledge_is_fresh_until_the_bound_less_its_margin(is_strict, age_s, is_fresh):
     bound = RevocationBound(is_strict, revocation_s=5.0, margin_s=0.5)
-    assert is_fresh_enough(Freshness(100.0), bound, 100.0 + age_s) is is_fresh
+    assert is_fresh_enough(ConfigurationFreshness(100.0), bound, 100.0 + age_s) is is_fresh
--- a/tests/unit/routing/selection/drawn_fleet.py
+++ b/tests/unit/routing/selection/drawn_fleet.py
@@ -57,7 +57,7 @@
     """Draw which versions were named when, some of them found at the node's start."""
     targets = WeightsTargets()
     for version in sorted(draw(st.sets(st.integers(1, 4)))):
-        targets.name(MODEL, version, draw(TIMES_S), estimated=draw(RARELY))
+        targets.add_version(MODEL, version, draw(TIMES_S), estimated=draw(RARELY))
     return targets
 
 
--- a/tests/unit/routing/selection/test_candidates.py
+++ b/tests/unit/routing/selection/test_candidates.py
@@ -35,7 +35,7 @@
     """Return what generations need ``named_s`` seconds after a version's naming."""
     targets = WeightsTargets()
     if named_s is not None:
-        targets.name(MODEL, version, NOW_S - named_s)
+        targets.add_version(MODEL, version, NOW_S - named_s)
     return WeightsRequirement(targets, MODEL, ALLOWANCE_S)
 
 
--- a/tests/unit/routing/selection/test_kv_store_choice.py
+++ b/tests/unit/routing/selection/test_kv_store_choice.py
@@ -3,7 +3,7 @@
 import pytest
 
 from wallwell.deployment.routes import Service
-from wallwell.deployment.topology import ONE_REGION, Topology
+from wallwell.deployment.topology import SINGLE_REGION, Topology
 from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition, KvStoreContents
 from wallwell.routing.selection.kv_store_choice import (
     SAVE_FRESHNESS_S,
@@ -40,8 +40,8 @@
 def test_homes_are_stores_of_the_engines_region():
     assert homes(REGIONS, "z1") == homes(REGIONS, "z2") == {"s1", "s2"}
     assert homes(REGIONS, "z3") == {"s3"}
-    assert homes(ONE_REGION, "z1") == set(ZONES)
-    assert home_store(KvStores((), {}, ONE_REGION), 1, "z1") == ""
+    assert homes(SINGLE_REGION, "z1") == set(ZONES)
+    assert home_store(KvStores((), {}, SINGLE_REGION), 1, "z1") == ""
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/serving/test_limited_requests.py
+++ b/tests/unit/serving/test_limited_requests.py
@@ -11,7 +11,7 @@
 from wallwell.routing.retry.attempt_outcome import TransportEvent as T
 from wallwell.serving.pipeline import RequestPipeline
 
-LIMIT = TenantLimit(rate_per_s=1_000, burst=1_000, counts_tokens=True, plain_tokens=200)
+LIMIT = TenantLimit(rate_per_s=1_000, burst=1_000, counts_tokens=True, default_request_tokens=200)
 OK = Script(chunks=(b"ok",))
 SHED = Script(fails=T.BACKEND_OVERLOADED)
 RESET = Script(fails=T.RESET_AFTER_SEND)
@@ -73,4 +73,4 @@
     [(LIMIT, 1_540, 1_540), (LIMIT, None, 200), (TenantLimit(5, 5), 1_540, 1), (TenantLimit(5, 5), None, 1)],
 )
 def test_cost_of_a_request(limit, declared_tokens, cost):
-    assert limit.cost(declared_tokens) == cost
+    assert limit.request_cost(declared_tokens) == cost
--- a/tests/unit/serving/test_pipeline_generations.py
+++ b/tests/unit/serving/test_pipeline_generations.py
@@ -121,7 +121,7 @@
 @pytest.mark.parametrize(("reported", "expected"), [(5, 5), (0, 4)], ids=["reported by the engine", "newest named"])
 def test_a_refused_version_is_corrected_for_the_next_attempt(reported, expected):
     def name_newer(fleet):
-        fleet.weights.name("m", 4, boot_time_s())
+        fleet.weights.add_version("m", 4, boot_time_s())
 
     refused = Script(fails=T.PRECONDITION_REFUSED, refused_version=reported)
     _, client, _ = play(
@@ -132,7 +132,7 @@
 
 def test_an_engine_on_overdue_weights_begins_nothing():
     def name_long_ago(fleet):
-        fleet.weights.name("m", 2, boot_time_s() - 7.9)
+        fleet.weights.add_version("m", 2, boot_time_s() - 7.9)
         fleet.backends.get("i-1").learn_version("m", 2)
 
     _, client, _ = play([stream(event(1))], ONCE, generate(), versions={"m": 1}, prepare=name_long_ago)
@@ -144,7 +144,7 @@
     waiting = stream(event(1), head_after_s=5.0)
 
     def name_some_time_ago(fleet):
-        fleet.weights.name("m", 2, boot_time_s() - 6.1)
+        fleet.weights.add_version("m", 2, boot_time_s() - 6.1)
 
     reply, client, took_s = play([waiting], ONCE, generate(), versions={"m": 1}, prepare=name_some_time_ago)
     assert (reply.ended, client.cancelled) == ("refused", 1)
@@ -153,7 +153,7 @@
 
 def test_older_weights_serve_to_the_last_when_no_engine_has_newer_ones():
     def name_a_while_ago(fleet):
-        fleet.weights.name("m", 2, boot_time_s() - 7.0)
+        fleet.weights.add_version("m", 2, boot_time_s() - 7.0)
 
     reply, _, _ = play([stream(event(1))], ONCE, generate(), versions={"m": 1}, prepare=name_a_while_ago)
     assert reply.ended == "finished"
@@ -165,7 +165,7 @@
         ONCE,
         generate(),
         versions={"m": 1},
-        prepare=lambda fleet: fleet.weights.name("m", 2, boot_time_s() - 7.9),
+        prepare=lambda fleet: fleet.weights.add_version("m", 2, boot_time_s() - 7.9),
     )
     assert (reply.status, client.sent) == (503, [])
 
@@ -186,7 +186,7 @@
     """Streams go on while weights load, so emptying an engine ahead of its order would only cost places."""
 
     def name_earlier(fleet):
-        fleet.weights.name("m", 2, boot_time_s() - age_s)
+        fleet.weights.add_version("m", 2, boot_time_s() - age_s)
 
     homes = set()
     for prepare in (None, name_earlier):
--- a/tests/unit/serving/test_response_timeout.py
+++ b/tests/unit/serving/test_response_timeout.py
@@ -123,7 +123,7 @@
 
     async def work():
         state = make_state(make_route(RouteKind.STREAM, resumable=True), versions={"m": 1})
-        state.weights.name("m", 2, boot_time_s() - 6.75)
+        state.weights.add_version("m", 2, boot_time_s() - 6.75)
         state.first_token_delays.peers = Delays(100, 60)
         client, reply = LoadedMeanwhile(state), FakeReply()
         await RequestPipeline(state, client).serve(make_request(generation=make_generation()), reply)
--- a/tests/unit/serving/test_rollout_requests.py
+++ b/tests/unit/serving/test_rollout_requests.py
@@ -142,7 +142,7 @@
 
 def test_engines_without_due_weights_are_stood_in_for_by_the_current_side():
     def prepare(state):
-        state.weights.name("m", 1, boot_time_s() - 60)
+        state.weights.add_version("m", 1, boot_time_s() - 60)
 
     sent, _, _ = serve(
         [PIECES], phase=Phase.SWITCHING, route=STREAM, new_weights=0, generation=make_generation(), prepare=prepare
--- a/tests/unit/storage/memory_rows.py
+++ b/tests/unit/storage/memory_rows.py
@@ -70,7 +70,7 @@
         self.rows = {}
 
     def apply(self, followed):
-        if followed.whole:
+        if followed.is_snapshot:
             self.rows = {}
         for row in followed.page.rows:
             if row.value is None:
--- a/tests/unit/storage/test_replica.py
+++ b/tests/unit/storage/test_replica.py
@@ -23,17 +23,17 @@
             rows[key] = row
         states.append(rows)
         if version == read_whole_at:
-            replica.take(FeedPage(tuple(rows.values()), version, float(version)), whole=True)
+            replica.apply_page(FeedPage(tuple(rows.values()), version, float(version)), is_snapshot=True)
         elif version > read_whole_at:
-            replica.take(FeedPage((row,), version, float(version)), whole=False)
+            replica.apply_page(FeedPage((row,), version, float(version)), is_snapshot=False)
     if read_whole_at > len(writes):
         return
     known = dict(states[min(asked_from, len(writes))])
     try:
-        changes = replica.after(min(asked_from, len(writes)))
+        changes = replica.changes_since(min(asked_from, len(writes)))
     except HistoryLostError:
         known = {}
-        changes = replica.everything()
+        changes = replica.all_rows()
     for row in changes.rows:
         known.pop(row.key, None)
         if row.value is not None:
@@ -43,39 +43,39 @@
 
 def test_changes_from_before_the_whole_reading_are_not_known():
     replica = RowReplica()
-    replica.take(FeedPage((FeedRow("a", b"1", 3),), 7, 1.0), whole=True)
-    assert replica.after(7).rows == ()
+    replica.apply_page(FeedPage((FeedRow("a", b"1", 3),), 7, 1.0), is_snapshot=True)
+    assert replica.changes_since(7).rows == ()
     with pytest.raises(HistoryLostError):
-        replica.after(6)
+        replica.changes_since(6)
 
 
 def test_an_older_whole_page_changes_nothing():
     replica = RowReplica()
-    replica.take(FeedPage((FeedRow("a", b"2", 5),), 5, 2.0), whole=True)
-    replica.take(FeedPage((FeedRow("a", b"1", 3),), 4, 1.0), whole=True)
-    assert replica.everything().rows == (FeedRow("a", b"2", 5),)
+    replica.apply_page(FeedPage((FeedRow("a", b"2", 5),), 5, 2.0), is_snapshot=True)
+    replica.apply_page(FeedPage((FeedRow("a", b"1", 3),), 4, 1.0), is_snapshot=True)
+    assert replica.all_rows().rows == (FeedRow("a", b"2", 5),)
     assert (replica.version, replica.store_s) == (5, 2.0)
 
 
 def test_a_whole_page_of_a_later_era_replaces_newer_versions_and_begins_history_anew():
     replica = RowReplica()
-    replica.take(FeedPage((FeedRow("a", b"2", 5), FeedRow("b", b"1", 9)), 9, 2.0, era=1), whole=True)
-    replica.take(FeedPage((FeedRow("a", b"1", 3),), 4, 1.0, era=2), whole=True)
-    assert replica.everything() == FeedPage((FeedRow("a", b"1", 3),), 4, 1.0, relayed=True, era=2)
+    replica.apply_page(FeedPage((FeedRow("a", b"2", 5), FeedRow("b", b"1", 9)), 9, 2.0, era=1), is_snapshot=True)
+    replica.apply_page(FeedPage((FeedRow("a", b"1", 3),), 4, 1.0, era=2), is_snapshot=True)
+    assert replica.all_rows() == FeedPage((FeedRow("a", b"1", 3),), 4, 1.0, relayed=True, era=2)
     with pytest.raises(HistoryLostError):
-        replica.after(3)
+        replica.changes_since(3)
 
 
 @pytest.mark.parametrize("whole", [False, True])
 def test_a_late_page_of_an_earlier_era_changes_nothing(whole):
     replica = RowReplica()
-    replica.take(FeedPage((FeedRow("a", b"2", 5),), 5, 2.0, era=2), whole=True)
-    refused = replica.take(FeedPage((FeedRow("a", b"1", 50),), 60, 9.0, era=1), whole)
-    assert (refused, replica.version, replica.everything().rows) == (1, 5, (FeedRow("a", b"2", 5),))
+    replica.apply_page(FeedPage((FeedRow("a", b"2", 5),), 5, 2.0, era=2), is_snapshot=True)
+    refused = replica.apply_page(FeedPage((FeedRow("a", b"1", 50),), 60, 9.0, era=1), whole)
+    assert (refused, replica.version, replica.all_rows().rows) == (1, 5, (FeedRow("a", b"2", 5),))
 
 
 def test_a_change_of_a_later_era_is_not_joined_to_the_rows_of_an_earlier_one():
     replica = RowReplica()
-    replica.take(FeedPage((FeedRow("a", b"2", 5),), 5, 2.0, era=1), whole=True)
-    replica.take(FeedPage((FeedRow("b", b"1", 6),), 6, 9.0, era=2), whole=False)
-    assert (replica.era, replica.version, len(replica.everything().rows)) == (1, 5, 1)
+    replica.apply_page(FeedPage((FeedRow("a", b"2", 5),), 5, 2.0, era=1), is_snapshot=True)
+    replica.apply_page(FeedPage((FeedRow("b", b"1", 6),), 6, 9.0, era=2), is_snapshot=False)
+    assert (replica.era, replica.version, len(replica.all_rows().rows)) == (1, 5, 1)
--- a/tests/unit/test_suspended_machine.py
+++ b/tests/unit/test_suspended_machine.py
@@ -30,7 +30,7 @@
 from wallwell.clock import TICK_S, SuspensionWatch, boot_time_s, bounded
 from wallwell.cluster.lease_turn import LeaseTurn
 from wallwell.cluster.leases import LeaseKeeper
-from wallwell.deployment.freshness import Freshness, StoreClock
+from wallwell.deployment.freshness import ConfigurationFreshness, StoreClock
 from wallwell.deployment.routes import RouteKind
 from wallwell.http_connection import ConnectionPool
 from wallwell.late_loop import is_done_within
@@ -153,7 +153,7 @@
     """The store's clock goes on, so that the offset to it must not be taken to have grown."""
 
     async def work():
-        clock, freshness = StoreClock(), Freshness()
+        clock, freshness = StoreClock(), ConfigurationFreshness()
         store_is_ahead_s = 700.0
         clock.confirmed_s(boot_time_s(), outside_s() + store_is_ahead_s)
         suspend_machine(AWAY_S)
@@ -164,7 +164,7 @@
         else:
             confirmed_s = clock.confirmed_s(sent_s, store_s)
         freshness.confirm(confirmed_s)
-        return boot_time_s() - confirmed_s, freshness.covers(boot_time_s() + 4.0, 4.9)
+        return boot_time_s() - confirmed_s, freshness.is_within_bound(boot_time_s() + 4.0, 4.9)
 
     age_s, is_covered = run_virtual(work())
     assert age_s == pytest.approx(1.0, abs=0.01)
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -45,7 +45,7 @@
 from wallwell.node.metrics import FleetCollector
 from wallwell.outcomes import Outcome
 from wallwell.placement.weights_roll import EngineReport, LoadTask, WeightsOrder
-from wallwell.placement.weights_roll_driver import Progress
+from wallwell.placement.weights_roll_driver import LoadProgress
 from wallwell.platform import rows
 from wallwell.platform.cache_events import CacheEventsClient, EventsBody, ListingBody
 from wallwell.platform.callers import CallersListener
@@ -98,7 +98,7 @@
     "configuration head row": HeadBody,
     "configuration revision row": FileRevision,
     "member row": NodeRecord,
-    "weights progress row": Progress,
+    "weights progress row": LoadProgress,
     "rollout record row": RolloutRecord,
     "rollout status row": rows.RolloutStatusRow,
     "rollout order row": rows.RolloutOrderRow,
@@ -244,7 +244,7 @@
         "document": _plain(settings),
         "peer_ports": list(settings.peer_ports()),
         "own_region": places.own_region,
-        "has_regions": places.has_regions,
+        "has_regions": places.has_other_regions,
         "meaning": {
             "revoke_s": bounds.revocation_s,
             "strict_revoke": bounds.strict_revocation,
@@ -557,9 +557,9 @@
 async def _write_progress(node: Any, store: Any) -> None:
     for name in ("w1", "w2"):
         node.state.backends.upsert(BackendRecord(name, "svc", f"127.0.0.1:{name[1]}", "z1", 1))
-    node._weights_roll._loading["w1"] = LoadTask(node.state.backends.get("w1"), "m", 3)
-    node._weights_roll._finished["w2"] = ("m", 3)
-    await node._weights_roll._publish("m")
+    node._weights_roll._running_loads["w1"] = LoadTask(node.state.backends.get("w1"), "m", 3)
+    node._weights_roll._finished_loads["w2"] = ("m", 3)
+    await node._weights_roll._publish_progress("m")
 
 
 async def _write_rollout(node: Any, store: Any) -> None:
@@ -638,7 +638,7 @@
             "services": [_service(each) for each in config.services],
             "tenants": [_tenant(each) for each in config.tenants],
             "bounds": [config.bounds.max_body_bytes, config.bounds.idle_timeout_s],
-            "weights": state.weights.newest("m"),
+            "weights": state.weights.newest_version("m"),
             "orders": orders,
         }
     if table == "servers":
@@ -647,13 +647,13 @@
     node._members.apply(followed)
     return {
         "members": {name: [each.zone, each.relay, each.link_mbps] for name, each in node._order.members.items()},
-        "lease holders": [node._weights_roll._turn.holder, node._rollouts._turn.holder],
+        "lease holders": [node._weights_roll._lease_candidate.holder, node._rollouts._turn.holder],
         "rollouts": {
             name: [each.target_version, each.phase.value, each.share, list(each.barred)]
             for name in ("svc",)
             if (each := state.rollouts.record(name)) is not None
         },
-        "weights": state.weights.newest("m"),
+        "weights": state.weights.newest_version("m"),
         "suspects": state.quarantine.suspects,
         "quarantined": state.quarantine.quarantined,
     }
@@ -685,7 +685,11 @@
 
 def _tenant(tenant: Any) -> list[Any]:
     limit = tenant.limit
-    bound = None if limit is None else [limit.rate_per_s, limit.burst, limit.counts_tokens, limit.plain_tokens]
+    bound = (
+        None
+        if limit is None
+        else [limit.rate_per_s, limit.burst, limit.counts_tokens, limit.default_request_tokens]
+    )
     return [tenant.name, list(tenant.credentials), tenant.rank, tenant.isolated, bound]
 
 
@@ -834,13 +838,13 @@
     backend = BackendRecord("inc-1", "svc", "127.0.0.1:5", "z1", 1)
 
     async def act() -> tuple[EngineReport | None, str]:
-        found = await workers.report(backend)
-        reply = await workers.order(backend, WeightsOrder("m", 3, "n1", 8, 2))
+        found = await workers.fetch_report(backend)
+        reply = await workers.send_order(backend, WeightsOrder("m", 3, "n1", 8, 2))
         return found, reply.value
 
     found, reply = asyncio.run(act())
     assert found is not None
-    understood = [dict(found.versions), found.busy, found.orders_taken]
+    understood = [dict(found.versions), found.busy, found.accepted_orders]
     return {"sent": pool.sent, "report": understood, "reply": reply}
 
 
@@ -856,7 +860,7 @@
         pool.fetch = fetch  # type: ignore[method-assign]
         workers = WorkerControl(pool, BackendNotices())  # type: ignore[arg-type]
         backend = BackendRecord("inc-1", "svc", "127.0.0.1:5", "z1", 1)
-        return (await workers.order(backend, WeightsOrder("m", 3, "n1", 8, 2))).value
+        return (await workers.send_order(backend, WeightsOrder("m", 3, "n1", 8, 2))).value
 
     return {status: asyncio.run(act(status)) for status in statuses}
 
