--- a/src/wallwell/cluster/relay.py
+++ b/src/wallwell/cluster/relay.py
@@ -81,11 +81,7 @@
         The first reading of an era is the store's own, since only that says something of its clock then.
         """
         page = await self._from_peer(None, 0.0)
-        if (
-            page is None
-            or page.position < self.replica.position
-            or self._clock.is_calibrated_for_other_era(page.era)
-        ):
+        if page is None or page.position < self.replica.position or self._clock.is_for_other_era(page.era):
             page = await self._store.read_all()
         return self._take(page, whole=True)
 
--- a/src/wallwell/deployment/__init__.py
+++ b/src/wallwell/deployment/__init__.py
@@ -1,5 +1,5 @@
-"""What operators and the store's listing declare: routes, tenants, services, back ends, weights versions, regions.
+"""Declarations of operators and of the store's list: routes, tenants, services, back ends, weights versions, zones.
 
-Types and look-ups without decisions. Decoded from the store's rows in ``platform/``, kept current in ``node/``,
-read by every decision. This package imports no other.
+Types and look-ups without decisions. ``platform/`` decodes them from the store's rows, ``node/`` keeps them
+current, and all decisions read them. This package imports no other package of wallwell.
 """
--- a/src/wallwell/deployment/backends.py
+++ b/src/wallwell/deployment/backends.py
@@ -1,6 +1,6 @@
-"""What the store's listing says of a back end. Pure.
+"""Back ends as the store lists them. Pure.
 
-Decoded from the store's rows in ``platform/``; what a node observes of the same back end is in
+Decoded from the store's rows in ``platform/``; a node's own observations of a back end are in
 :mod:`wallwell.routing.health.backend`.
 """
 
@@ -11,7 +11,7 @@
 
 
 def is_later_start(started_unix_ms: int | None, other_unix_ms: int | None) -> bool:
-    """Whether the first of two starts of a back end is the later one; False where one of them is not known."""
+    """Whether the first of two start times of a back end is later; False if either is unknown."""
     return started_unix_ms is not None and other_unix_ms is not None and started_unix_ms > other_unix_ms
 
 
@@ -19,8 +19,8 @@
 class BackendRecord:
     """One incarnation of a back end as the store lists it. ``versions`` maps models to weights versions.
 
-    ``software`` is the version of the service that it runs. ``slow_for_s`` is how much longer it stays slow after
-    its start, as of the entry's writing.
+    ``software`` is the version of the service that the back end runs. ``slow_for_s`` is the remaining time for
+    which it is slow after its start, as of the time when the entry was written.
     """
 
     incarnation: str
@@ -32,11 +32,10 @@
     versions: Mapping[str, int] = field(default_factory=dict)
     software: str = ""
     slow_for_s: float = field(default=0.0, compare=False)
-    """Seconds. Falls with each heartbeat, and so is left out when entries are compared to log a change."""
+    """Seconds. Decreases with each heartbeat, so it is excluded when entries are compared to log changes."""
     started_unix_ms: int | None = None
-    """When it started, by its own clock, as it may start again under its identity; None if its entry does not
-    say."""
+    """Start time on the back end's clock, as it may restart as the same incarnation; None if not in its entry."""
 
     def is_later_start_than(self, other: BackendRecord) -> bool:
-        """Whether it speaks of a later start of the same back end; False where one of them does not say when."""
+        """Whether this record is of a later start than ``other``; False if either has no start time."""
         return is_later_start(self.started_unix_ms, other.started_unix_ms)
--- a/src/wallwell/deployment/routes.py
+++ b/src/wallwell/deployment/routes.py
@@ -1,7 +1,7 @@
-"""Routes, services and tenants in force: typed, immutable, looked up by host, path and credential. Pure.
+"""Routes, services and tenants: typed, immutable, looked up by host, path and credential. Pure.
 
-Owns one whole version of the operators' configuration. Relies on ``platform/`` to have decoded and checked the
-rows; a new version replaces the old one as a whole. Times are seconds.
+Holds one complete version of the operators' configuration; a new version replaces it as a whole. Relies on
+``platform/`` to have decoded and validated the rows. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 
 
 class RouteKind(enum.Enum):
-    """Whether requests of a route may be retried, and the form of its answers."""
+    """Kind of a route: whether its requests may be retried, and the form of its answers."""
 
     SAFE = "safe"
     """Calls that may run more than once."""
     UNSAFE = "unsafe"
-    """Calls that run at most once."""
+    """Calls that must run at most once."""
     STREAM = "stream"
-    """Generations answered as a series of events."""
+    """Generations, answered as a stream of events."""
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """A service that gets a share of a route's requests: ``weight`` by the sum of the weights."""
+    """A service that receives a share of a route's requests: ``weight`` divided by the sum of all weights."""
 
     service: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Requests of one host under one path prefix. Times are in seconds."""
+    """Settings for the requests to one host under one path prefix. Times are in seconds."""
 
     name: str
     host: str
@@ -43,22 +43,22 @@
     objective_s: float
     max_attempts: int = 1
     rank: int = 5
-    """Urgency, 0 first; a tenant's own rank goes before it."""
+    """Priority, 0 is the highest; a tenant's own rank overrides it."""
     public: bool = False
-    """Whether requests need no credential."""
+    """Whether requests are admitted without a credential."""
     resumable: bool = False
-    """Whether a stream that ended early may be continued by another run."""
+    """Whether a stream that broke off may be continued by another attempt."""
     max_gap_s: float = 0.5
-    """Longest gap between two events of a stream that its objective allows; a stall is a multiple of it."""
+    """Objective for the longest gap between two events of a stream; a multiple of this gap counts as a stall."""
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request that may have run can be sent again."""
+        """Whether a request that may already have run can be sent again."""
         return self.kind is RouteKind.SAFE or (self.kind is RouteKind.STREAM and self.resumable)
 
 
 class EngineTraits(msgspec.Struct, frozen=True):
-    """What the operator says of a service's engines. ``kv_tokens`` is the memory of one engine."""
+    """Properties of a service's engines; ``kv_tokens`` is the size of one engine's KV cache in tokens."""
 
     slots: int
     kv_tokens: int
@@ -66,41 +66,41 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A group of back ends that run the same requests."""
+    """A group of back ends that can serve the same requests."""
 
     name: str
     max_connections: int = 0
-    """Connections that one back end takes from all callers together; decoded for operators, used by no decision."""
+    """Connections that one back end accepts from all callers together; informational, used by no decision."""
     engines: EngineTraits | None = None
     kv_store_address: str = ""
-    """Set for a store of kept KV cache, which takes no requests."""
+    """Address of a KV store; set only for KV stores, which take no requests."""
     zone: str = ""
 
 
 class FleetRate(msgspec.Struct, frozen=True):
-    """What all nodes together may do: ``rate_per_s``, and ``burst`` saved up from quieter times."""
+    """Rate limit of all nodes together: ``rate_per_s`` on average, and up to ``burst`` unused units at once."""
 
     rate_per_s: float
     burst: float
 
 
 class TenantLimit(FleetRate, frozen=True):
-    """What all nodes together may serve of a tenant."""
+    """Rate limit of one tenant on all nodes together."""
 
     counts_tokens: bool = False
-    """Whether the amounts are tokens; requests otherwise."""
+    """Whether the limit counts tokens rather than requests."""
     default_request_tokens: int = 1
-    """What a request without a token count of its own costs."""
+    """Cost in tokens of a request that declares no token count."""
 
     def request_cost(self, declared_tokens: int | None) -> int:
-        """Return what a request costs; ``declared_tokens`` is its prompt and its largest output."""
+        """Return a request's cost in tokens or requests; ``declared_tokens`` is its prompt and maximum output."""
         if not self.counts_tokens:
             return 1
         return self.default_request_tokens if declared_tokens is None else declared_tokens
 
 
 class TenantAccess(msgspec.Struct, frozen=True):
-    """A tenant, its credentials, its limit, and whether its cache is shared with no other tenant."""
+    """A tenant's credentials, rank and limit, and whether its cache is ``isolated`` from all other tenants."""
 
     name: str
     credentials: tuple[str, ...]
@@ -110,7 +110,7 @@
 
 
 class CallerBounds(msgspec.Struct, frozen=True):
-    """What a caller may send and how long a connection may rest."""
+    """Maximum size of a request body, and how long a caller's connection may be idle."""
 
     max_body_bytes: int = 4 * 1024 * 1024
     idle_timeout_s: float = 60.0
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True)
 class DeploymentConfig:
-    """One whole version of the operators' configuration."""
+    """One complete version of the operators' configuration."""
 
     version: int
     routes: tuple[Route, ...]
@@ -141,21 +141,21 @@
 
     @cached_property
     def limits_by_tenant(self) -> dict[str, TenantLimit]:
-        """Limits of the tenants that have one."""
+        """Limits by tenant name, of the tenants that have a limit."""
         return {tenant.name: tenant.limit for tenant in self.tenants if tenant.limit is not None}
 
     @cached_property
     def kv_stores(self) -> tuple[Service, ...]:
-        """Stores of kept KV cache."""
+        """The services that are KV stores."""
         return tuple(service for service in self.services if service.kv_store_address)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of ``host`` with the longest prefix that begins ``path``."""
+        """Return the route of ``host`` with the longest prefix that matches ``path``, None if no prefix does."""
         for route in self._routes_by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
     def find_tenant(self, credential: str) -> TenantAccess | None:
-        """Return the tenant that holds ``credential``."""
+        """Return the tenant that holds ``credential``, None if no tenant does."""
         return self._tenant_by_credential.get(credential)
--- a/src/wallwell/deployment/topology.py
+++ b/src/wallwell/deployment/topology.py
@@ -1,7 +1,7 @@
-"""How far zones are from each other: in the same region, or in another one behind a thin and long link. Pure.
+"""Distance between zones: links to zones of other regions have low bandwidth and high latency. Pure.
 
-Owns the map of zones to regions from the node's settings; without one everything is one region. Read by the choice
-of back ends, the order of peers, and the choice of KV stores.
+Holds the map of zones to regions from the node's settings; without a map, all zones form one region. Used to choose
+back ends and KV stores and to order peers.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 @dataclass(frozen=True)
 class Topology:
-    """Where a node is, and which region each zone belongs to.
+    """A node's own zone, and the region of each zone.
 
-    ``region`` is the node's own, empty if it follows from the map. A zone that the map does not name counts
-    as being in the same region as any other.
+    ``region`` is the node's own region; if it is empty, the map gives the region. A zone missing from the map
+    counts as being in the same region as any other zone.
     """
 
     zone: str
@@ -34,16 +34,16 @@
 
     @cached_property
     def own_region(self) -> str:
-        """The region of this node; empty if none is known."""
+        """The region of this node; empty if unknown."""
         return self.region or self.region_by_zone.get(self.zone, "")
 
     @cached_property
     def has_other_regions(self) -> bool:
-        """Whether there is a region besides the own one."""
+        """Whether the map contains a region other than the node's own."""
         return any(region != self.own_region for region in self.region_by_zone.values())
 
     def region_of(self, zone: str) -> str:
-        """Return a zone's region."""
+        """Return a zone's region; the node's own region if the map does not contain the zone."""
         return self.own_region if zone == self.zone else self.region_by_zone.get(zone, self.own_region)
 
     def is_in_own_region(self, zone: str) -> bool:
@@ -51,24 +51,20 @@
         return self.region_of(zone) == self.own_region
 
     def distance_to(self, zone: str) -> Distance:
-        """Return how far a zone is from this node."""
+        """Return the distance between this node's zone and another."""
         return self.distance_between(self.zone, zone)
 
-    def distance_between(self, first_zone: str, second_zone: str) -> Distance:
-        """Return how far two zones are from each other."""
-        if first_zone == second_zone:
+    def distance_between(self, zone_a: str, zone_b: str) -> Distance:
+        """Return the distance between two zones."""
+        if zone_a == zone_b:
             return Distance.SAME_ZONE
-        if not (self._is_mapped(first_zone) and self._is_mapped(second_zone)):
+        if not (self._is_mapped(zone_a) and self._is_mapped(zone_b)):
             return Distance.SAME_REGION
-        return (
-            Distance.SAME_REGION
-            if self.region_of(first_zone) == self.region_of(second_zone)
-            else Distance.OTHER_REGION
-        )
+        return Distance.SAME_REGION if self.region_of(zone_a) == self.region_of(zone_b) else Distance.OTHER_REGION
 
     def _is_mapped(self, zone: str) -> bool:
         return zone == self.zone or zone in self.region_by_zone
 
 
 SINGLE_REGION = Topology("")
-"""No map: every zone is near."""
+"""Topology without a map: all zones are in the same region."""
--- a/src/wallwell/placement/__init__.py
+++ b/src/wallwell/placement/__init__.py
@@ -1,5 +1,5 @@
-"""Brings engines to newly named weights versions: a weights roll.
+"""Weights rolls: engines load the weights versions that operators have named.
 
-``weights_roll`` plans which engines load when, ``weights_roll_timing`` when a roll begins (both pure), and
-``weights_roll_driver`` carries a roll out under a lease.
+``weights_roll`` plans which engines load and when, ``weights_roll_timing`` decides when a roll begins (both pure),
+and ``weights_roll_driver`` carries a roll out while it holds a lease.
 """
--- a/src/wallwell/placement/weights_roll_driver.py
+++ b/src/wallwell/placement/weights_roll_driver.py
@@ -1,9 +1,9 @@
-"""Carries out weights rolls: takes the lease, publishes what loads, sends fenced orders, waits for their effect.
+"""Carries out weights rolls: acquires the lease, publishes loads, sends fenced orders, and waits for their effect.
 
-Owns this node's attempts at the lease ``weights``, the loads it has started and what it has published of them. What
-to load and when is decided by :mod:`wallwell.placement.weights_roll`. Relies on the followed rows of this product's
-table (:meth:`WeightsRollDriver.on_row`) and on engines refusing an order with an old fence or another
-precondition, so that two holders cannot both change an engine.
+Owns this node's candidacy for the lease ``weights``, the loads that it has started, and their published progress.
+:mod:`wallwell.placement.weights_roll` decides what to load and when. Relies on the rows of wallwell's own table
+(:meth:`WeightsRollDriver.on_row`) and on engines refusing an order with an old fence or a precondition that does
+not hold, so that two lease holders cannot both change an engine.
 """
 
 from __future__ import annotations
@@ -30,47 +30,46 @@
 LEASE_NAME = "weights"
 PROGRESS_PREFIX = "weights/"
 STEP_INTERVAL_S = 0.15
-"""Seconds between two steps: a load starts at most this much late."""
+"""Seconds between two steps, and so the longest delay of a load that is due."""
 LEASE_VALID_FRACTION = 0.4
-"""Fraction of the lease's time for which a holder trusts one renewal. Others wait for that and the whole lease's
-time again, so that the last order of one holder and the first of the next are a lease apart."""
+"""Fraction of the lease time for which one renewal is valid to its holder. Other nodes wait for that time plus a
+whole lease time, so that the last order of one holder and the first of the next are at least a lease time apart."""
 REPORT_INTERVAL_S = 0.3
-"""Seconds between two reports that a loading engine is asked for."""
+"""Seconds between two requests for the report of a loading engine."""
 LOAD_TIMEOUT_S = 6.0
-"""Seconds from an order's settle time to the load's end, after which the load counts as failed."""
+"""Seconds after the order delay (:data:`ORDER_DELAY_S`) within which a load must end; otherwise it has failed."""
 MAX_UNANSWERED_REPORTS = 2
-"""Unanswered reports in a row after which the load counts as failed and another engine may load."""
+"""Consecutive unanswered report requests after which the load counts as failed and another engine may load."""
 MAX_RECORDED_VERSIONS = 16
-"""Versions whose time of naming is recorded; older ones are long due: it bounds the row."""
-LOAD_ANNOUNCEMENT_LIFETIME_S = 4.0
-"""Seconds from an announcement for which nodes take an engine to be loading, unless they learn of its end before: a
-lost announcement of the end keeps an engine out no longer."""
+"""Versions per row whose naming time is recorded; limits the size of the row. Older versions are long overdue."""
+LOADING_ASSUMED_S = 4.0
+"""Seconds after an announcement for which nodes assume that the engine is loading, unless its end is announced
+earlier: if that announcement is lost, the engine is out of use no longer than this."""
 ORDER_DELAY_S = 0.25
-"""Seconds between the announcement that an engine will load and its order. KV cache that an engine computes while
-it changes weights must not be saved: nothing sent to it after the announcement is saved, and by the end of this
-time it has prefilled what was sent before."""
+"""Seconds between the announcement of a load and its order. KV cache that an engine computes while it changes
+weights must not be saved: no cache of requests sent after the announcement is saved, and requests sent before it
+have been prefilled by the end of this time."""
 REQUEST_STOP_LEAD_S = 0.03
-"""Seconds before its order from which an engine gets no new requests; one that has not begun by the order would be
-refused."""
+"""Seconds before the order at which the engine stops getting new requests: the engine would refuse a request that
+has not begun by the order."""
 PUBLISH_TIMEOUT_FRACTION = 0.25
-"""Fraction of a renewal's time for which a write of progress is waited for, so that a silent store uses up little
-of the lease."""
+"""Timeout of a progress write as a fraction of a renewal's validity: a silent store uses up little of the lease."""
 
 
 class EngineControl(Protocol):
-    """Sends orders to engines and asks for their reports."""
+    """Sends orders to engines and requests their reports."""
 
     async def fetch_report(self, backend: BackendRecord) -> EngineReport | None:
-        """Return the engine's report, None without an answer."""
+        """Return the engine's report, or None if it did not answer."""
         ...
 
     async def send_order(self, backend: BackendRecord, order: WeightsOrder) -> OrderReply:
-        """Send an order; :attr:`OrderReply.UNKNOWN` without an answer."""
+        """Send an order and return the reply, :attr:`OrderReply.UNKNOWN` if the engine did not answer."""
         ...
 
 
 class LoadProgress(msgspec.Struct, frozen=True):
-    """Row by which all nodes learn which engines are loading and which have finished."""
+    """Row that tells all nodes which engines are loading a model's weights and which have finished."""
 
     model: str
     loading: tuple[tuple[str, int], ...]
@@ -78,18 +77,16 @@
     finished: tuple[tuple[str, int], ...]
     """Incarnations of engines that have loaded, each with its version."""
     named: tuple[tuple[int, float], ...] = ()
-    """Versions and the store's time (s) of their naming, for nodes that start later."""
+    """Versions, each with its naming time on the store's clock in seconds, for nodes that start later."""
 
 
 def _expected_load(model: str, version: int, now_s: float) -> LoadInProgress:
-    """Return what nodes assume of an engine once its load is announced."""
-    return LoadInProgress(
-        model, version, now_s + LOAD_ANNOUNCEMENT_LIFETIME_S, now_s + ORDER_DELAY_S - REQUEST_STOP_LEAD_S
-    )
+    """Return the load in progress that nodes assume for an engine after its load has been announced."""
+    return LoadInProgress(model, version, now_s + LOADING_ASSUMED_S, now_s + ORDER_DELAY_S - REQUEST_STOP_LEAD_S)
 
 
 class WeightsRollDriver:
-    """One node's driver of weights rolls; the lease lets at most one node act at a time."""
+    """Runs weights rolls on one node; the lease lets at most one node of the fleet act at a time."""
 
     def __init__(self, state: NodeState, table: TableService, control: EngineControl, clock: StoreClock) -> None:
         self._state = state
@@ -106,22 +103,22 @@
         guard_s = state.bounds.lease_s
         self._lease = LeaseKeeper(LEASE_NAME, state.node, self._valid_s, table, guard_s, state.store_era)
         self._lease_candidate = LeaseTurn(LEASE_NAME, state.node, self._lease, self._valid_s, lambda: state.members)
-        self._running_loads: dict[str, LoadTask] = {}
-        self._finished_loads: dict[str, tuple[str, int]] = {}
-        """Model and version last brought to each engine."""
+        self._loading: dict[str, LoadTask] = {}
+        self._finished: dict[str, tuple[str, int]] = {}
+        """Model and version of the last load that this node finished on each engine, by incarnation."""
         self._unpublished_models: set[str] = set()
-        """Models whose row in the store is not up to date."""
+        """Models whose progress row in the store is out of date."""
         self._tasks = BackgroundTasks()
 
     def on_era(self, _era: int, is_restored: bool) -> None:
-        """After a restore, what this node has written is written again."""
+        """Republish this node's progress rows if the store has been restored from an older copy."""
         if is_restored:
-            self._unpublished_models.update(model for model, _ in self._finished_loads.values())
+            self._unpublished_models.update(model for model, _ in self._finished.values())
 
     # --- rows of other nodes ---------------------------------------------------------------------------
 
     def on_row(self, row: FeedRow, now_s: float) -> None:
-        """Apply a row of this product's own table; other kinds than the lease and progress are ignored."""
+        """Apply a row of wallwell's own table; rows other than the lease and load progress are ignored."""
         self._lease_candidate.observe(row, now_s)
         if row.key.startswith(PROGRESS_PREFIX) and row.value is not None:
             self._on_progress(msgspec.json.decode(row.value, type=LoadProgress), now_s)
@@ -147,14 +144,12 @@
             await self.step()
 
     async def step(self) -> None:
-        """Start the loads that are due, if this node holds the lease; publish loads that have ended."""
+        """Start the loads that are due or publish finished ones, if this node holds the lease."""
         now_s = boot_time_s()
         engines = self._loadable_engines()
-        is_work_pending = bool(self._tasks or self._unpublished_models) or self._planner.is_any_load_due(
-            engines, now_s
-        )
-        self._lease_candidate.set_due(is_work_pending, now_s)
-        if not is_work_pending or not await self._lease_candidate.hold(now_s):
+        is_pending = bool(self._tasks or self._unpublished_models) or self._planner.is_any_load_due(engines, now_s)
+        self._lease_candidate.set_due(is_pending, now_s)
+        if not is_pending or not await self._lease_candidate.hold(now_s):
             return
         started = [
             task
@@ -167,7 +162,7 @@
             await self._publish_progress(next(iter(self._unpublished_models)))
 
     def _loadable_engines(self) -> list[Backend]:
-        """Return the engines to load: those of models with named versions that a rollout has not excluded."""
+        """Return the engines of models with a named version whose software version no rollout excludes."""
         targets, rollouts = self._state.weights, self._state.rollouts
         return [
             engine
@@ -177,9 +172,9 @@
         ]
 
     def _group_by_rollout_version(self, engines: list[Backend]) -> list[list[Backend]]:
-        """Return the engines in groups, those of current versions and those of versions that are rolled out.
+        """Return the non-empty groups of engines on current software versions and on target versions of a rollout.
 
-        While requests are shared between both, engines of one group cannot serve for those of the other.
+        A rollout divides requests between the groups, so engines of one cannot stand in for the other.
         """
         current: list[Backend] = []
         target: list[Backend] = []
@@ -192,7 +187,7 @@
 
     async def _start_loads(self, tasks: list[LoadTask]) -> None:
         for task in tasks:
-            self._running_loads[task.backend.incarnation] = task
+            self._loading[task.backend.incarnation] = task
             now_s = boot_time_s()
             task.backend.expect_load(_expected_load(task.model, task.version, now_s), now_s)
         await self._publish_progress(tasks[0].model)
@@ -200,33 +195,20 @@
             self._tasks.begin(self._run_load(task))
 
     async def _publish_progress(self, model: str) -> None:
-        """Write the progress row; without an answer from the store the weights roll goes on all the same."""
+        """Write a model's progress row; the weights roll continues if the write fails."""
         self._unpublished_models.discard(model)
         listed = self._state.backends
-        self._finished_loads = {
-            incarnation: loaded
-            for incarnation, loaded in self._finished_loads.items()
-            if listed.get(incarnation) is not None
-        }
-        loading = tuple(
-            (incarnation, task.version)
-            for incarnation, task in sorted(self._running_loads.items())
-            if task.model == model
-        )
-        finished = tuple(
-            (incarnation, loaded[1])
-            for incarnation, loaded in sorted(self._finished_loads.items())
-            if loaded[0] == model
-        )
+        self._finished = {name: load for name, load in self._finished.items() if listed.get(name) is not None}
+        loading = tuple((name, task.version) for name, task in sorted(self._loading.items()) if task.model == model)
+        finished = tuple((name, load[1]) for name, load in sorted(self._finished.items()) if load[0] == model)
         versions = self._state.weights.versions_of_known_age(model)
-        named = tuple((named.version, self._clock.to_store_s(named.named_at_s)) for named in versions)
+        named = tuple((version.version, self._clock.to_store_s(version.named_at_s)) for version in versions)
         body = msgspec.json.encode(LoadProgress(model, loading, finished, named[-MAX_RECORDED_VERSIONS:])).decode()
         try:
             async with bounded(self._valid_s * PUBLISH_TIMEOUT_FRACTION):
                 await self._table.transact(Transaction((), (Put(PROGRESS_PREFIX + model, body),)))
         except (PlatformUnavailableError, TableConflictError, TimeoutError) as error:
-            # Logged each time, since a load publishes twice at most. The next write holds everything that this one
-            # did.
+            # Logged each time, as a load publishes at most twice. The next write includes all data of this one.
             emit(Event.WEIGHTS_PROGRESS_LOST, model=model, reason=f"{type(error).__name__}: {error}")
 
     async def _run_load(self, task: LoadTask) -> None:
@@ -236,27 +218,25 @@
         finally:
             now_s = boot_time_s()
             incarnation = task.backend.incarnation
-            self._running_loads.pop(incarnation, None)
+            self._loading.pop(incarnation, None)
             task.backend.loading = None
             self._planner.end_load(task, succeeded, now_s)
         if not succeeded:
             return
         emit(Event.WEIGHTS_IN_PLACE, backend=incarnation, model=task.model, version=task.version)
-        self._finished_loads[incarnation] = (task.model, task.version)
+        self._finished[incarnation] = (task.model, task.version)
         self._unpublished_models.add(task.model)
 
     async def _order_and_wait(self, task: LoadTask) -> bool:
-        """Send the order and wait until the engine reports the version; returns whether it did."""
+        """Send the order, wait for the engine to report the version, and return whether it did so in time."""
         record = task.backend.record
         await asyncio.sleep(ORDER_DELAY_S)
         give_up_at_s = boot_time_s() + LOAD_TIMEOUT_S
         is_order_accepted = False
-        unanswered_reports = 0
-        while (
-            boot_time_s() < give_up_at_s and not task.backend.gone and unanswered_reports < MAX_UNANSWERED_REPORTS
-        ):
+        unanswered = 0
+        while boot_time_s() < give_up_at_s and not task.backend.gone and unanswered < MAX_UNANSWERED_REPORTS:
             report = await self._control.fetch_report(record)
-            unanswered_reports = unanswered_reports + 1 if report is None else 0
+            unanswered = unanswered + 1 if report is None else 0
             if report is not None and report.versions.get(task.model, 0) >= task.version:
                 return True
             if not is_order_accepted and report is not None and not report.busy:
@@ -265,7 +245,7 @@
                     return False
                 if reply is OrderReply.ALREADY_LOADED:
                     return True
-                # Without an answer the order is sent again: with the same precondition at most one is accepted.
+                # An unanswered order is sent again; both carry the same precondition, so at most one is accepted.
                 is_order_accepted = reply is OrderReply.ACCEPTED
             await asyncio.sleep(REPORT_INTERVAL_S)
         return False
@@ -274,7 +254,7 @@
         try:
             fence = self._lease.check(boot_time_s())
         except LeaseLostError:
-            # No order without a lease, as if the engine had refused it. The lease turn logs what became of it.
+            # Without the lease no order is sent; treated as a fenced order. The lease candidate logs the loss.
             return OrderReply.FENCED
         order = WeightsOrder(task.model, task.version, self._state.node, fence, report.accepted_orders)
         reply = await self._control.send_order(task.backend.record, order)
@@ -290,10 +270,10 @@
         return reply
 
     def drain(self) -> None:
-        """Finish what this node holds the lease for, and take no new lease."""
+        """Finish the loads begun under a lease that this node holds, and acquire no new lease."""
         self._lease_candidate.drain()
 
     def stop(self) -> None:
-        """Send no further orders."""
+        """Cancel the loads in progress, so that no further orders are sent."""
         for task in self._tasks:
             task.cancel()
--- a/src/wallwell/placement/weights_roll_timing.py
+++ b/src/wallwell/placement/weights_roll_timing.py
@@ -1,8 +1,8 @@
-"""When a weights roll begins: at once, or after a version that is expected soon, so that one load serves both.
+"""Decides when a weights roll begins: at once, or later, so that one load also covers a version expected soon.
 
-A load costs an engine's time; a generation on older weights loses part of its value. Both are counted in
-generations and compared. Inputs: the times at which versions were named, the fleet's generations a second, the
-number of engines that would load, and whether all of them serve. Owns no state.
+A load takes engine time; a generation on older weights loses part of its value. Both costs are expressed in
+generations and compared. Inputs: the times at which versions were named, the fleet's generations per second, the
+number of outdated engines, and whether all engines serve. Stateless.
 """
 
 from __future__ import annotations
@@ -15,27 +15,27 @@
 from wallwell.deployment.weights import NamedVersion
 
 MIN_START_DELAY_S = 0.6
-"""Seconds from a version's naming to its first load at the earliest: every node knows the version by then, and
+"""Minimum seconds between a version's naming and its first load: by then every node knows the version, and
 generations on older weights still have their full value."""
 FULL_VALUE_AGE_S = 1.5
-"""Age in seconds of the newer version from which a generation on older weights loses value. Given by the
+"""A generation on older weights keeps its full value until the newer version is this many seconds old. Set by the
 operators, who value generations by the age of their weights."""
 STALE_VALUE_LOSS_FRACTION = 0.2
-"""Fraction of a generation's value that is lost on older weights. Given by the operators as well."""
+"""Fraction of its value that a generation loses on older weights after that age. Also set by the operators."""
 LOAD_COST_GENERATIONS = 1.4
 """Cost of a load and its order, in generations: 1.3 to 1.5 in most of the operators' price lists, 0.8 in two."""
 NAMING_TOLERANCE_S = 0.5
-"""Seconds by which a version may be later than the usual interval and still be expected."""
+"""Seconds past the usual interval during which the next version is still expected."""
 MAX_RECENT_INTERVALS = 4
-"""Newest intervals between versions whose median is the usual one: few, so that a change of the operators' habit
-counts soon."""
+"""Number of recent naming intervals of which the median is taken; small, so that the estimate follows a change in
+how often operators name versions."""
 
 
 class FleetConditions(msgspec.Struct, frozen=True):
-    """The fleet's state that a weights roll of one model would meet now."""
+    """Current state of the fleet, as it affects when the weights roll of one model begins."""
 
     generations_per_s: float
-    """Of all nodes."""
+    """Generations per second of all nodes."""
     outdated_engine_count: int
     """Engines without the newest version."""
     are_all_serving: bool
@@ -43,11 +43,9 @@
 
 
 def median_naming_interval_s(named_versions: Sequence[NamedVersion]) -> float | None:
-    """Return the usual time between two versions, None if fewer than two are known."""
-    naming_times_s = [named.named_at_s for named in named_versions if not named.estimated][
-        -MAX_RECENT_INTERVALS - 1 :
-    ]
-    intervals_s = [later - earlier for earlier, later in itertools.pairwise(naming_times_s)]
+    """Return the median seconds between two namings, None if fewer than two naming times are known."""
+    times_s = [named.named_at_s for named in named_versions if not named.estimated][-MAX_RECENT_INTERVALS - 1 :]
+    intervals_s = [later - earlier for earlier, later in itertools.pairwise(times_s)]
     return _median(intervals_s) if intervals_s else None
 
 
@@ -58,10 +56,10 @@
     max_delay_s: float,
     now_s: float,
 ) -> float:
-    """Return the seconds from the naming of the oldest missing version to the beginning of its weights roll.
+    """Return how many seconds after the naming of ``missing``, the oldest missing version, its weights roll begins.
 
     ``named_versions`` holds all versions of the model, oldest first. While an engine is out of service, the others
-    are needed, and a weights roll waits for ``max_delay_s``.
+    have to serve its load, and the weights roll waits for ``max_delay_s``.
     """
     if not conditions.are_all_serving:
         return max_delay_s
@@ -78,7 +76,7 @@
 
 
 def _median(values: Sequence[float]) -> float:
-    """Return the median of at least one value; the standard library's module for it costs a node 1 MB."""
+    """Return the median of a non-empty sequence; importing the standard ``statistics`` module costs a node 1 MB."""
     ordered = sorted(values)
     middle = len(ordered) // 2
     return ordered[middle] if len(ordered) % 2 else (ordered[middle - 1] + ordered[middle]) / 2
--- a/src/wallwell/storage/__init__.py
+++ b/src/wallwell/storage/__init__.py
@@ -1,2 +1,1 @@
-"""The store as this product uses it: rows under conditions, a feed of their changes, and a copy that peers
-follow."""
+"""Access to the store: conditional transactions on rows, a feed of row changes, and a replica that peers follow."""
--- a/src/wallwell/storage/feed.py
+++ b/src/wallwell/storage/feed.py
@@ -1,10 +1,10 @@
-"""Following a set of rows: one whole reading, then every change in order, however often the store fails.
+"""Follows a set of rows: reads one snapshot, then every change in order, and retries after failures of the store.
 
-For every kind of knowledge that lies in the store: following again is how it recovers. The follower starts over
-with a whole reading when the store has forgotten its history or has come back from an older copy.
+Used for all state that is kept in the store. The follower reads a new snapshot when the store no longer has the
+history of changes or has been restored from an older copy.
 
-Owns the version that was reached, when it was confirmed, and the pauses after failures. Relies on a
-:class:`RowSource` for the calls, and on :class:`StoreClock` for how old an answer is.
+Owns the version that was reached, when it was confirmed, and the delays after failures. Relies on a
+:class:`RowSource` for the calls, and on :class:`StoreClock` for the age of an answer.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 from wallwell.events import Event, emit
 
 MIN_RETRY_DELAY_S = 0.08
-"""Seconds that the pauses between failed calls start from; they double with each failure."""
+"""Minimum retry delay in seconds; the upper bound of the delay doubles with each consecutive failure."""
 MAX_RETRY_DELAY_S = 0.6
-"""Bound of these pauses in seconds: how late the return of the store is noticed."""
+"""Maximum retry delay in seconds, and so how late a follower notices that the store is back."""
 MAX_DOUBLINGS = 5
-"""Bound of the exponent, so that it stays small however long failures go on; three pass ``MAX_RETRY_S``."""
+"""Maximum exponent, which keeps the power small in long outages; three doublings exceed ``MAX_RETRY_DELAY_S``."""
 
 
 class FeedRow(msgspec.Struct, frozen=True):
-    """A row as of ``version`` in the era of its page; ``value`` is None if it was deleted."""
+    """A row as of ``version`` in its page's era; ``value`` is None if the row was deleted."""
 
     key: str
     value: bytes | None
@@ -39,9 +39,9 @@
 
 
 class FeedPage(msgspec.Struct, frozen=True):
-    """Rows of one answer. ``store_s`` is the store's steady clock when the answer was made.
+    """Rows of one answer. ``store_s`` is the store's steady clock in seconds when the answer was made.
 
-    ``relayed``: a peer passed it on, so that the times of the call say nothing of the store's clock.
+    ``relayed``: the page came from a peer's copy, so its call times give no information about the store's clock.
     """
 
     rows: tuple[FeedRow, ...]
@@ -52,43 +52,43 @@
 
     @property
     def position(self) -> StorePosition:
-        """The moment of the store's history that the page goes up to."""
+        """The position in the store's history up to which the page is complete."""
         return StorePosition(self.era, self.version)
 
 
 class FollowedPage(msgspec.Struct, frozen=True):
-    """A page as a follower hands it on. Times are on this node's clock."""
+    """A page with the follower's information about it. Times are in seconds on this node's clock."""
 
     page: FeedPage
     is_snapshot: bool
-    """Whether the page holds every row."""
+    """Whether the page contains every row rather than changes only."""
     confirmed_at_s: float
-    """When the rows were certainly current."""
+    """The latest time at which the rows were certainly current."""
     previous_confirmed_at_s: float
-    """When they were before this page; -inf for the first one."""
+    """``confirmed_at_s`` of the page before; minus infinity for the first page."""
     is_store_restored: bool = False
-    """Whether the store has come back from an older copy since the page before. Rows may then be older than those
-    applied here, and what was written since the copy was made is missing until it is written again."""
+    """Whether the store has been restored from an older copy since the page before. Rows may then be older than
+    those already applied, and writes made after the copy are missing until they are written again."""
 
 
 class RowSource(Protocol):
-    """A set of rows that can be read whole and followed."""
+    """A set of rows that can be read as a snapshot and followed."""
 
     async def read_all(self) -> FeedPage:
         """Return every row. Raises :class:`PlatformUnavailableError`."""
         ...
 
     async def changes(self, after: StorePosition, wait_s: float) -> FeedPage:
-        """Return what changed in the era of ``after``, waiting up to ``wait_s`` for the first change.
+        """Return the changes after a position of the same era, waiting up to ``wait_s`` seconds for the first one.
 
-        Raises :class:`HistoryLostError`, also if the store is in another era, or
-        :class:`PlatformUnavailableError`.
+        Raises :class:`HistoryLostError` if the history is incomplete or the store is in another era, and
+        :class:`PlatformUnavailableError` if the call fails.
         """
         ...
 
 
 class RowFollower:
-    """Follows a row source; ``apply`` is called with everything in order."""
+    """Follows a row source and calls ``apply`` with each page in order."""
 
     def __init__(
         self,
@@ -107,12 +107,12 @@
         self._clock = clock
         self._rng = rng
         self._position: StorePosition | None = None
-        """What was reached; None if every row is to be read."""
+        """The position reached; None if the next read is a snapshot."""
         self._applied_era: int | None = None
-        self._consecutive_failures = 0
+        self._failures = 0
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the source until cancelled."""
         while True:
             try:
                 await self.read_once()
@@ -125,7 +125,7 @@
                 await asyncio.sleep(self._retry_delay_s())
 
     async def read_once(self) -> None:
-        """One reading. Raises :class:`HistoryLostError` or :class:`PlatformUnavailableError`."""
+        """Read and apply one page. Raises :class:`HistoryLostError` or :class:`PlatformUnavailableError`."""
         sent_s = boot_time_s()
         is_snapshot = self._position is None
         if self._position is None:
@@ -136,14 +136,12 @@
             self._position = max(self._position, page.position)
         previous_confirmed_at_s = self.confirmed_at_s
         self.confirmed_at_s = max(self.confirmed_at_s, self._confirmed_s(page, sent_s))
-        if self._consecutive_failures:
-            emit(Event.STORE_REGAINED, rows=self.name, failures=self._consecutive_failures)
-            self._consecutive_failures = 0
-        is_store_restored = self._applied_era is not None and page.era > self._applied_era
+        if self._failures:
+            emit(Event.STORE_REGAINED, rows=self.name, failures=self._failures)
+            self._failures = 0
+        is_restored = self._applied_era is not None and page.era > self._applied_era
         self._applied_era = page.era
-        self._apply(
-            FollowedPage(page, is_snapshot, self.confirmed_at_s, previous_confirmed_at_s, is_store_restored)
-        )
+        self._apply(FollowedPage(page, is_snapshot, self.confirmed_at_s, previous_confirmed_at_s, is_restored))
 
     def _confirmed_s(self, page: FeedPage, sent_s: float) -> float:
         if page.relayed:
@@ -151,13 +149,11 @@
         return self._clock.confirmed_s(sent_s, page.store_s, page.era)
 
     def _on_failure(self, error: PlatformUnavailableError) -> None:
-        self._consecutive_failures += 1
-        if self._consecutive_failures == 1:
+        self._failures += 1
+        if self._failures == 1:
             emit(Event.STORE_LOST, rows=self.name, reason=error.detail)
 
     def _retry_delay_s(self) -> float:
-        """Return a random pause, so that nodes that lost the store together do not all call it at once."""
-        max_delay_s = min(
-            MAX_RETRY_DELAY_S, MIN_RETRY_DELAY_S * (1 << min(self._consecutive_failures, MAX_DOUBLINGS))
-        )
+        """Return a random delay in seconds, so that nodes that lost the store together do not retry in step."""
+        max_delay_s = min(MAX_RETRY_DELAY_S, MIN_RETRY_DELAY_S * (1 << min(self._failures, MAX_DOUBLINGS)))
         return self._rng.uniform(max_delay_s / 2, max_delay_s)
--- a/src/wallwell/storage/replica.py
+++ b/src/wallwell/storage/replica.py
@@ -1,8 +1,8 @@
-"""A node's copy of a set of rows, kept so that peers can follow it instead of the store. Pure.
+"""A node's copy of a set of rows, which peers can follow instead of the store. Pure.
 
-Answers the same two questions as the store: every row, and what changed after a version. Owns the rows, and the
-deletions since its last whole reading, of which it keeps a bounded number; a peer that asks for older changes has
-to read everything again. Relies on pages that arrive in the order of the store.
+Serves the same two reads as the store: a snapshot of all rows, and the changes after a version. Owns the rows and a
+bounded number of deletions since the last snapshot; a peer that asks for changes from before them has to read a
+snapshot. Relies on pages being applied in the order in which the store made them.
 """
 
 from __future__ import annotations
@@ -15,31 +15,32 @@
 from wallwell.storage.feed import FeedPage, FeedRow
 
 MAX_REMEMBERED_DELETIONS = 1000
-"""Deletions remembered: a follower asks every second or so, and a peer that has missed more reads every row again,
-which costs one large answer."""
+"""Number of deletions remembered. Followers ask about once a second; a peer that has missed more deletions has to
+read a snapshot, which costs one large answer."""
 
 
 class RowReplica:
-    """Rows by key with their versions, as of ``version`` at the store's time ``store_s``."""
+    """Rows by key, as of ``version`` at the time ``store_s`` (seconds on the store's clock)."""
 
     def __init__(self, max_deletions: int = MAX_REMEMBERED_DELETIONS) -> None:
         self.era = UNKNOWN_ERA
-        """The era of the store in which every row and version here was given out."""
+        """Era of the store to which all rows and versions of the copy belong."""
         self.version = -1
-        """The newest version that the copy holds; -1 before the first reading."""
+        """Version up to which the copy is complete; -1 before the first page."""
         self.store_s = float("-inf")
         self.last_change_version = -1
-        """Version up to which the last page that brought rows goes."""
+        """Version of the last page that was a snapshot or contained rows."""
         self._rows: dict[str, FeedRow] = {}
         self._deletions: OrderedDict[str, FeedRow] = OrderedDict()
         self._history_start_version = -1
-        """Changes after this version are complete; older ones are not."""
+        """Oldest version after which all changes, deletions included, are known."""
         self._max_deletions = max_deletions
 
     def apply_page(self, page: FeedPage, is_snapshot: bool) -> int:
-        """Apply a page; ``is_snapshot``: it holds every row. An older whole page than the copy is refused.
+        """Apply a page; ``is_snapshot``: the page contains every row. Return the number of rows that were refused.
 
-        Returns how many rows were refused since the copy holds newer ones.
+        A row is refused if the copy holds a newer version; all are if a snapshot is older than the copy, or if
+        changes are of another era.
         """
         if is_snapshot:
             if page.position < self.position:
@@ -56,11 +57,11 @@
 
     @property
     def position(self) -> StorePosition:
-        """The moment of the store's history that the copy goes up to."""
+        """The position in the store's history up to which the copy is complete."""
         return StorePosition(self.era, self.version)
 
     def _reset(self, page: FeedPage) -> None:
-        """Drop every row for those of a whole page; in another era all versions begin anew."""
+        """Clear the rows before a snapshot is applied; in another era the versions restart as well."""
         if page.era != self.era:
             self.era = page.era
             self.version = self.last_change_version = -1
@@ -70,7 +71,7 @@
         self._history_start_version = page.version
 
     def _apply_row(self, row: FeedRow) -> bool:
-        """Apply a row; returns False if the copy holds a newer one."""
+        """Apply a row; return False if the copy holds a newer version of it."""
         held_row = self._rows.get(row.key) or self._deletions.get(row.key)
         if held_row is not None and held_row.version > row.version:
             return False
@@ -86,11 +87,11 @@
         return True
 
     def all_rows(self) -> FeedPage:
-        """Return every row as of the copy's version."""
+        """Return a snapshot: every row as of the copy's version."""
         return self._page(self._rows.values())
 
     def changes_since(self, version: int) -> FeedPage:
-        """Return what changed after ``version``. Raises :class:`HistoryLostError` if that is not all known here."""
+        """Return the changes after ``version``. Raises :class:`HistoryLostError` if the copy lacks some of them."""
         if version < self._history_start_version:
             raise HistoryLostError("changes from before the last whole reading")
         changed = [row for row in (*self._rows.values(), *self._deletions.values()) if row.version > version]
--- a/src/wallwell/storage/table.py
+++ b/src/wallwell/storage/table.py
@@ -1,12 +1,12 @@
-"""Rows under conditions, as the store keeps them: types of a transaction, and what this product needs of the store.
+"""Interface to the store's rows: conditional transactions, and the operations that wallwell requires of a store.
 
-For rows that nodes write: leases, claims, crashes, configuration. Owns no state. Relies on the store to commit a
-transaction whole or not at all; its clients are ``platform/store.py`` and, for the router without the platform's
-store, ``standalone/table_client.py``.
+Used for rows that nodes write: leases, claims, crashes, configuration. Stateless. Relies on the store to commit
+transactions atomically; implemented by ``platform/store.py`` and, for the router without the platform's store, by
+``standalone/table_client.py``.
 
-Rows are strings under string keys. Every committed transaction gets the next commit number, which becomes the
-version of the rows it wrote. Answers can be lost after the commit, so :class:`PlatformUnavailableError` means
-that the effect is unknown; callers resolve it by reading back a row that names their own attempt.
+Keys and values are strings. Every committed transaction gets the next commit number, which becomes the version of
+the rows it wrote. An answer can be lost after the commit, so after :class:`PlatformUnavailableError` it is unknown
+whether the transaction took effect; callers find out by reading back a row that names their own attempt.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row. ``version`` is the commit number that wrote it."""
+    """One row. ``version`` is the number of the commit that wrote it."""
 
     key: str
     value: str
@@ -25,21 +25,21 @@
 
 
 class Condition(msgspec.Struct, frozen=True):
-    """The row at ``key`` must have exactly ``version``; 0 means that it must not exist."""
+    """Requires the row at ``key`` to have exactly ``version``; version 0 requires that the row does not exist."""
 
     key: str
     version: int
 
 
 class Put(msgspec.Struct, frozen=True):
-    """Write ``value`` at ``key``."""
+    """A write of ``value`` at ``key``."""
 
     key: str
     value: str
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Conditions and writes that happen together or not at all."""
+    """Writes and deletions that are committed atomically if all conditions hold."""
 
     conditions: tuple[Condition, ...] = ()
     puts: tuple[Put, ...] = ()
@@ -47,26 +47,27 @@
 
 
 class Scan(msgspec.Struct, frozen=True):
-    """Rows under a prefix with versions above the one asked for, read at one commit number."""
+    """Rows with a key prefix and versions above the requested one, as of the commit number ``commit``."""
 
     commit: int
     rows: tuple[Row, ...]
 
 
 class TableService(Protocol):
-    """What wallwell needs of the store; errors are those of :mod:`wallwell.errors`."""
+    """Operations that wallwell requires of a store; they raise errors of :mod:`wallwell.errors`."""
 
     async def transact(self, transaction: Transaction) -> int:
-        """Commit and return the commit number.
+        """Commit a transaction and return its commit number.
 
-        Raises :class:`TableConflictError` (nothing written) or :class:`PlatformUnavailableError` (unknown).
+        Raises :class:`TableConflictError` if a condition failed and nothing was written, and
+        :class:`PlatformUnavailableError` if the effect is unknown.
         """
         ...
 
     async def get(self, key: str) -> Row | None:
-        """Return a row. Raises :class:`PlatformUnavailableError`."""
+        """Return the row at a key, None if there is none. Raises :class:`PlatformUnavailableError`."""
         ...
 
     async def scan(self, prefix: str, after_version: int) -> Scan:
-        """Return rows changed after a version. Raises :class:`PlatformUnavailableError`."""
+        """Return the rows with a key prefix changed after a version. Raises :class:`PlatformUnavailableError`."""
         ...
--- a/tests/unit/cluster/test_relay.py
+++ b/tests/unit/cluster/test_relay.py
@@ -145,7 +145,7 @@
         await until(lambda: all(node.rows.links for node in nodes[1:]))
         store.write("a", None)
         store.write("c", b"3")
-        store.forget()
+        store.drop_history()
         await until(lambda: all(node.mirror.rows == {"c": b"3"} for node in nodes))
 
     with_nodes(scenario)
--- a/tests/unit/cluster/test_relay_network.py
+++ b/tests/unit/cluster/test_relay_network.py
@@ -45,7 +45,7 @@
     elif action == "delete":
         network.store.write(what, None)
     elif action == "forget":
-        network.store.forget()
+        network.store.drop_history()
     elif action == "copy":
         network.copy = network.store.copy()
     elif action == "restore":
@@ -98,9 +98,9 @@
         network.store.write("a", b"first")
         copy = network.store.copy()
         await asyncio.sleep(2.0)
-        network.store.forget()
+        network.store.drop_history()
         network.store.write("a", None)
-        network.store.forget()
+        network.store.drop_history()
         await asyncio.sleep(0.05)
         network.store.restore(copy)
         await asyncio.sleep(SETTLE_S)
--- a/tests/unit/deployment/test_freshness.py
+++ b/tests/unit/deployment/test_freshness.py
@@ -1,4 +1,4 @@
-"""The store's clock never makes knowledge look more recent than it is."""
+"""The store's clock never makes data appear more recent than it is."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,8 +11,8 @@
 
 
 @given(calls=CALLS, offset_s=st.floats(-1000.0, 1000.0))
-def test_confirmed_time_is_never_later_than_the_answer_was_made(calls, offset_s):
-    """Each call: a pause before it, the time until the store answers, and the time until the answer arrives."""
+def test_the_confirmed_time_is_never_later_than_the_answer(calls, offset_s):
+    """Each call has a pause before it, a time until the store answers, and a time until the answer arrives."""
     clock = StoreClock()
     now_s = 5000.0
     for pause_s, until_made_s, until_arrival_s in calls:
@@ -26,11 +26,11 @@
 def test_a_quick_call_makes_later_long_polls_exact():
     clock = StoreClock()
     clock.confirmed_s(100.0, 7.001)
-    # The poll waited 10 s and its answer took another 3 s; it was made at 110.0.
+    # The long poll waited 10 s and its answer took another 3 s to arrive; the answer was made at 110.0.
     assert abs(clock.confirmed_s(100.0, 17.0) - 110.0) < 0.02
 
 
-def test_requests_are_covered_by_their_arrival_and_not_by_when_they_are_handled():
+def test_the_bound_applies_to_the_arrival_time_of_a_request():
     freshness = ConfigurationFreshness()
     assert not freshness.is_within_bound(10.0, 4.6)
     freshness.confirm(10.0)
@@ -40,8 +40,8 @@
 
 
 @given(calls=CALLS, offset_s=st.floats(-1000.0, 1000.0), age_s=st.floats(0.0, 100.0))
-def test_a_word_of_the_store_that_a_peer_passed_on_never_looks_more_recent_than_it_is(calls, offset_s, age_s):
-    """``age_s`` is how long the peer kept it."""
+def test_an_answer_forwarded_by_a_peer_never_appears_more_recent_than_it_is(calls, offset_s, age_s):
+    """``age_s`` is how long the peer held the answer."""
     clock = StoreClock()
     now_s = 5000.0
     assert clock.confirmed_by_relay_s(now_s, now_s + offset_s) == float("-inf")
@@ -50,15 +50,15 @@
         made_s = sent_s + until_made_s
         clock.confirmed_s(sent_s, made_s + offset_s)
         now_s = made_s + until_arrival_s
-        told_s = now_s - age_s
-        assert clock.confirmed_by_relay_s(now_s, told_s + offset_s) <= told_s + 1e-6
+        answered_s = now_s - age_s
+        assert clock.confirmed_by_relay_s(now_s, answered_s + offset_s) <= answered_s + 1e-6
 
 
-def test_the_clock_of_a_restored_store_may_stand_elsewhere():
-    """An offset of before would make an answer of a clock that is ahead look newer than now."""
+def test_a_restored_store_may_have_another_clock():
+    """With the offset of the old era, an answer of a clock that is ahead would appear to be from the future."""
     clock = StoreClock()
     clock.confirmed_s(100.0, 50.0, 1)
-    assert clock.is_calibrated_for_other_era(2)
+    assert clock.is_for_other_era(2)
     assert clock.confirmed_by_relay_s(100.5, 90.0, 2) == float("-inf")
     assert clock.confirmed_s(101.0, 90.0, 2) == 101.0
     assert clock.confirmed_by_relay_s(101.5, 90.4, 2) <= 101.4
--- a/tests/unit/deployment/test_routes.py
+++ b/tests/unit/deployment/test_routes.py
@@ -1,4 +1,4 @@
-"""Routes are found by host and longest prefix; credentials by their holder."""
+"""Look-up of routes by host and longest path prefix, and of tenants by credential."""
 
 import pytest
 
@@ -29,13 +29,13 @@
         ("", "/", None),
     ],
 )
-def test_longest_prefix_of_the_host_wins(host, path, expected):
+def test_the_longest_matching_prefix_of_the_host_is_chosen(host, path, expected):
     found = CONFIG.find_route(host, path)
     assert (found.name if found else None) == expected
 
 
 @pytest.mark.parametrize(("key", "tenant"), [("k1", "t1"), ("k2", "t1"), ("k3", "t2"), ("k4", None), ("", None)])
-def test_credential_belongs_to_one_tenant(key, tenant):
+def test_a_credential_belongs_to_one_tenant(key, tenant):
     found = CONFIG.find_tenant(key)
     assert (found.name if found else None) == tenant
 
@@ -50,5 +50,5 @@
         (RouteKind.UNSAFE, True, False),
     ],
 )
-def test_what_may_be_repeated(kind, resumable, repeatable):
+def test_which_requests_may_be_sent_again(kind, resumable, repeatable):
     assert route("r", kind=kind, resumable=resumable).repeatable is repeatable
--- a/tests/unit/deployment/test_topology.py
+++ b/tests/unit/deployment/test_topology.py
@@ -1,11 +1,11 @@
-"""Zones are near or far by the map of the settings; without one everything is near."""
+"""Distances between zones by the map of the settings; without a map all zones are in one region."""
 
 import pytest
 
 from wallwell.deployment.topology import Distance, Topology
 
-MAP = {"a1": "a", "a2": "a", "b1": "b"}
-PLACES = Topology("a1", MAP, "a")
+REGION_BY_ZONE = {"a1": "a", "a2": "a", "b1": "b"}
+TOPOLOGY = Topology("a1", REGION_BY_ZONE, "a")
 
 
 @pytest.mark.parametrize(
@@ -18,26 +18,26 @@
         ("", Distance.SAME_REGION),
     ],
 )
-def test_distance_from_the_own_zone(zone, distance):
-    assert PLACES.distance_to(zone) is distance
-    assert PLACES.is_in_own_region(zone) == (distance is not Distance.OTHER_REGION)
+def test_distance_from_the_nodes_zone(zone, distance):
+    assert TOPOLOGY.distance_to(zone) is distance
+    assert TOPOLOGY.is_in_own_region(zone) == (distance is not Distance.OTHER_REGION)
 
 
 @pytest.mark.parametrize(
-    "places", [Topology("z1"), Topology("z1", {}, "r"), Topology("z1", {"z1": "r", "z2": "r"}, "r")]
+    "topology", [Topology("z1"), Topology("z1", {}, "r"), Topology("z1", {"z1": "r", "z2": "r"}, "r")]
 )
-def test_one_region_has_no_other(places):
-    assert not places.has_other_regions
-    assert places.distance_between("z1", "z2") is Distance.SAME_REGION
-    assert places.distance_between("z2", "z2") is Distance.SAME_ZONE
+def test_a_single_region_has_no_other_regions(topology):
+    assert not topology.has_other_regions
+    assert topology.distance_between("z1", "z2") is Distance.SAME_REGION
+    assert topology.distance_between("z2", "z2") is Distance.SAME_ZONE
 
 
-def test_the_own_region_is_read_from_the_map_if_it_is_not_given():
-    places = Topology("a1", MAP)
-    assert (places.own_region, places.has_other_regions) == ("a", True)
-    assert places.distance_between("a2", "b1") is Distance.OTHER_REGION
+def test_the_nodes_region_is_taken_from_the_map_if_it_is_not_set():
+    topology = Topology("a1", REGION_BY_ZONE)
+    assert (topology.own_region, topology.has_other_regions) == ("a", True)
+    assert topology.distance_between("a2", "b1") is Distance.OTHER_REGION
 
 
-def test_a_zone_that_is_not_named_is_near_to_zones_of_each_region():
-    assert [PLACES.distance_between(zone, "new") for zone in MAP] == [Distance.SAME_REGION] * 3
-    assert Topology("new", MAP, "b").distance_between("new", "a1") is Distance.OTHER_REGION
+def test_a_zone_missing_from_the_map_is_in_the_same_region_as_all_others():
+    assert [TOPOLOGY.distance_between(zone, "new") for zone in REGION_BY_ZONE] == [Distance.SAME_REGION] * 3
+    assert Topology("new", REGION_BY_ZONE, "b").distance_between("new", "a1") is Distance.OTHER_REGION
--- a/tests/unit/placement/test_weights_roll_driver.py
+++ b/tests/unit/placement/test_weights_roll_driver.py
@@ -1,4 +1,4 @@
-"""The driver over a table with faults: one node acts at a time, in virtual time."""
+"""Weights rolls of several nodes over a table with faults, in virtual time: one node acts at a time."""
 
 import asyncio
 import json
@@ -23,16 +23,16 @@
 LEASE_S = 3.0
 
 
-class Engine:
-    """Obeys orders with a rising fence, loads for a while, may lose answers or act late."""
+class SimulatedEngine:
+    """Refuses orders with a lower fence and takes 0.6 s to load; can lose replies and apply orders late."""
 
     def __init__(self):
         self.version, self.orders, self.fence, self.busy_until_s = 1, 0, 0, 0.0
-        self.lose, self.late_s = 0, 0.0
-        self.given: list[tuple[float, str, int]] = []
+        self.replies_to_lose, self.order_delay_s = 0, 0.0
+        self.received_orders: list[tuple[float, str, int]] = []
 
 
-class Control:
+class SimulatedControl:
     def __init__(self, engines, node):
         self.engines, self.node = engines, node
 
@@ -43,18 +43,18 @@
 
     async def send_order(self, backend, order):
         engine = self.engines[backend.incarnation]
-        engine.given.append((boot_time_s(), order.holder, order.fence))
-        if engine.late_s:
-            late_s, engine.late_s = engine.late_s, 0.0
-            asyncio.get_running_loop().call_later(late_s, self._take, engine, order)
+        engine.received_orders.append((boot_time_s(), order.holder, order.fence))
+        if engine.order_delay_s:
+            delay_s, engine.order_delay_s = engine.order_delay_s, 0.0
+            asyncio.get_running_loop().call_later(delay_s, self._apply_order, engine, order)
             return OrderReply.UNKNOWN
-        reply = self._take(engine, order)
-        if engine.lose:
-            engine.lose -= 1
+        reply = self._apply_order(engine, order)
+        if engine.replies_to_lose:
+            engine.replies_to_lose -= 1
             return OrderReply.UNKNOWN
         return reply
 
-    def _take(self, engine, order):
+    def _apply_order(self, engine, order):
         if order.fence < engine.fence:
             return OrderReply.FENCED
         if order.expected_orders != engine.orders or boot_time_s() < engine.busy_until_s:
@@ -66,11 +66,11 @@
 
 
 class Fleet:
-    """Nodes with drivers over one table; a feed tells every node of every row."""
+    """Nodes with drivers over one table; a feed delivers every row to every node."""
 
     def __init__(self, nodes=3, engines=6):
         self.table = FaultyTable()
-        self.engines = {f"i-{index}": Engine() for index in range(engines)}
+        self.engines = {f"i-{index}": SimulatedEngine() for index in range(engines)}
         self.states, self.drivers, self.tasks = [], [], []
         for index in range(nodes):
             state = NodeState(f"n{index}", "z", FleetBounds(lease_s=LEASE_S), random.Random(index))
@@ -81,7 +81,7 @@
                 )
             self.states.append(state)
             state.store_era.observe(0, boot_time_s())
-            driver = WeightsRollDriver(state, self.table, Control(self.engines, state.node), StoreClock())
+            driver = WeightsRollDriver(state, self.table, SimulatedControl(self.engines, state.node), StoreClock())
             driver.on_era(0, False)
             self.drivers.append(driver)
 
@@ -100,7 +100,7 @@
                     for driver in self.drivers:
                         driver.on_row(FeedRow(row.key, row.value.encode(), row.version), boot_time_s())
 
-    def name(self, version):
+    def name_version(self, version):
         for state in self.states:
             state.weights.add_version("m", version, boot_time_s())
 
@@ -109,7 +109,7 @@
         self.drivers[index].stop()
 
     def orders(self):
-        return sorted(given for engine in self.engines.values() for given in engine.given)
+        return sorted(order for engine in self.engines.values() for order in engine.received_orders)
 
     def versions(self):
         return {engine.version for engine in self.engines.values()}
@@ -120,7 +120,7 @@
         self.tasks[-1].cancel()
 
 
-def play(scenario, **fleet):
+def run_scenario(scenario, **fleet):
     async def work():
         running = Fleet(**fleet)
         running.start()
@@ -133,50 +133,50 @@
     return run_virtual(work())
 
 
-def test_every_engine_gets_the_version_in_time_from_one_holder():
+def test_every_engine_loads_the_version_in_time_by_orders_of_one_holder():
     async def scenario(fleet):
-        fleet.name(2)
+        fleet.name_version(2)
         await asyncio.sleep(8.0)
 
-    fleet = play(scenario)
+    fleet = run_scenario(scenario)
     assert fleet.versions() == {2}
     assert len({holder for _, holder, _ in fleet.orders()}) == 1
     assert len(fleet.orders()) == len(fleet.engines)
 
 
-def test_versions_named_shortly_after_each_other_cost_one_load():
+def test_versions_named_in_quick_succession_share_one_load():
     async def scenario(fleet):
-        fleet.name(2)
+        fleet.name_version(2)
         await asyncio.sleep(0.4)
-        fleet.name(3)
+        fleet.name_version(3)
         await asyncio.sleep(12.0)
 
-    fleet = play(scenario)
+    fleet = run_scenario(scenario)
     assert fleet.versions() == {3}
     assert len(fleet.orders()) == len(fleet.engines)
 
 
-def test_versions_named_at_a_usual_pace_share_loads_when_little_is_served():
+def test_versions_named_at_regular_intervals_share_loads_when_there_are_no_generations():
     async def scenario(fleet):
         for version in (2, 3, 4, 5):
-            fleet.name(version)
+            fleet.name_version(version)
             await asyncio.sleep(3.0)
         await asyncio.sleep(12.0)
 
-    fleet = play(scenario)
+    fleet = run_scenario(scenario)
     assert fleet.versions() == {5}
     assert len(fleet.orders()) <= 3 * len(fleet.engines)
 
 
-def test_a_dead_holder_is_followed_after_the_guard_by_one_with_a_higher_fence():
+def test_a_dead_holder_is_replaced_after_a_lease_time_by_one_with_a_higher_fence():
     async def scenario(fleet):
-        fleet.name(2)
+        fleet.name_version(2)
         while not fleet.orders():
             await asyncio.sleep(0.05)
         fleet.kill(int(fleet.orders()[0][1][1:]))
         await asyncio.sleep(14.0)
 
-    fleet = play(scenario)
+    fleet = run_scenario(scenario)
     assert fleet.versions() == {2}
     by_holder: dict[str, list[tuple[float, int]]] = {}
     for at_s, holder, fence in fleet.orders():
@@ -187,68 +187,69 @@
 
 
 @pytest.mark.parametrize("fault", ["lose", "late"])
-def test_orders_without_answer_are_taken_once(fault):
+def test_unanswered_orders_are_accepted_once(fault):
     async def scenario(fleet):
         for engine in fleet.engines.values():
-            engine.lose, engine.late_s = (1, 0.0) if fault == "lose" else (0, 4.0)
-        fleet.name(2)
+            engine.replies_to_lose, engine.order_delay_s = (1, 0.0) if fault == "lose" else (0, 4.0)
+        fleet.name_version(2)
         await asyncio.sleep(20.0)
 
-    fleet = play(scenario)
+    fleet = run_scenario(scenario)
     assert fleet.versions() == {2}
     assert all(engine.orders == 1 for engine in fleet.engines.values())
 
 
-def test_without_the_store_nobody_gives_orders():
+def test_no_node_sends_orders_without_the_store():
     async def scenario(fleet):
         async def refuse(*_):
             raise PlatformUnavailableError("down")
 
         fleet.table.get = refuse
         fleet.table.transact = refuse
-        fleet.name(2)
+        fleet.name_version(2)
         await asyncio.sleep(10.0)
 
-    assert play(scenario).orders() == []
+    assert run_scenario(scenario).orders() == []
 
 
-def test_a_holder_cut_off_from_the_store_stops_before_another_may_begin():
+def test_a_holder_cut_off_from_the_store_stops_before_another_node_begins():
     async def scenario(fleet):
-        fleet.name(2)
+        fleet.name_version(2)
         while not fleet.orders():
             await asyncio.sleep(0.02)
         holder = int(fleet.orders()[0][1][1:])
 
-        class Cut:
+        class UnreachableTable:
             async def get(self, *_):
                 raise PlatformUnavailableError("cut")
 
             transact = get
 
-        fleet.drivers[holder]._table = Cut()
-        fleet.drivers[holder]._lease._table = Cut()
+        fleet.drivers[holder]._table = UnreachableTable()
+        fleet.drivers[holder]._lease._table = UnreachableTable()
         await asyncio.sleep(15.0)
 
-    fleet = play(scenario, engines=12)
+    fleet = run_scenario(scenario, engines=12)
     assert fleet.versions() == {2}
     orders = fleet.orders()
-    turns = [index for index in range(1, len(orders)) if orders[index][1] != orders[index - 1][1]]
-    assert len(turns) <= 1
-    assert all(orders[index][0] - orders[index - 1][0] >= LEASE_S for index in turns)
+    handovers = [index for index in range(1, len(orders)) if orders[index][1] != orders[index - 1][1]]
+    assert len(handovers) <= 1
+    assert all(orders[index][0] - orders[index - 1][0] >= LEASE_S for index in handovers)
 
 
-def test_a_node_that_starts_later_learns_how_old_each_version_is():
-    """Found by a hunt: a restarted node saw only the newest name, and sent to an engine two versions behind."""
+def test_a_node_that_starts_later_reads_when_each_version_was_named():
+    """Guards against a failure of a soak run: a restarted node knew only the newest named version, and
+    sent requests to an engine that was two versions behind."""
 
     async def scenario(fleet):
         started_s = boot_time_s()
-        fleet.name(2)
+        fleet.name_version(2)
         await asyncio.sleep(3.0)
-        fleet.name(3)
+        fleet.name_version(3)
         await asyncio.sleep(4.0)
         late = NodeState("late", "z", FleetBounds(lease_s=LEASE_S), random.Random(9))
         late.weights.add_version("m", 4, boot_time_s(), estimated=True)
-        driver = WeightsRollDriver(late, fleet.table, Control(fleet.engines, "late"), StoreClock())
+        driver = WeightsRollDriver(late, fleet.table, SimulatedControl(fleet.engines, "late"), StoreClock())
         for row in (await fleet.table.scan("", 0)).rows:
             driver.on_row(FeedRow(row.key, row.value.encode(), row.version), boot_time_s())
         ages = [
@@ -256,16 +257,16 @@
             for each in late.weights.versions_of_known_age("m")
         ]
         assert ages == [(2, 0.0), (3, 3.0)]
-        assert late.weights.min_allowed_version("m", started_s + 7.0, 6.4, newest_loaded_version=3) == 2
+        assert late.weights.min_allowed_version("m", started_s + 7.0, 6.4, newest_loaded=3) == 2
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_progress_that_a_restored_store_has_lost_is_written_again():
-    """Without it a node that starts later does not know since when a version has been named."""
+def test_progress_lost_by_a_restored_store_is_written_again():
+    """Without the progress row a node that starts later does not know when a version was named."""
 
     async def scenario(fleet):
-        fleet.name(2)
+        fleet.name_version(2)
         await asyncio.sleep(6.0)
         rows = fleet.table.model.rows
         before = json.loads(rows[f"{PROGRESS_PREFIX}m"].value)
@@ -276,17 +277,18 @@
         await asyncio.sleep(2 * LEASE_S)
         assert json.loads(rows[f"{PROGRESS_PREFIX}m"].value)["finished"] == before["finished"] != []
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_nodes_know_which_version_each_engine_is_loading():
-    """Found on a calm day: an engine that had finished one version counted as loading the next one's."""
+    """Guards against a failure of a soak run with a fault-free span: an engine that had finished loading one
+    version counted as loading the next."""
 
     async def scenario(fleet):
-        fleet.name(2)
+        fleet.name_version(2)
         while not fleet.orders():
             await asyncio.sleep(0.05)
-        fleet.name(3)
+        fleet.name_version(3)
         await asyncio.sleep(1.5)
         for state in fleet.states:
             for incarnation, engine in fleet.engines.items():
@@ -296,29 +298,29 @@
                     assert backend.believed_version("m") == engine.version
                     assert not backend.is_loading(boot_time_s())
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_engines_that_leave_after_a_rollout_of_their_software_get_no_orders():
+def test_engines_on_software_excluded_by_a_rollout_get_no_orders():
     async def scenario(fleet):
-        left = sorted(fleet.engines)[:2]
+        excluded = sorted(fleet.engines)[:2]
         record = RolloutRecord("s", "v2", 1, 0.0, 20.0, Phase.COMPLETE, barred=("v1",))
         for state in fleet.states:
             for incarnation in fleet.engines:
-                known = state.backends.get(incarnation).record
-                software = "v1" if incarnation in left else "v2"
-                state.backends.upsert(replace(known, software=software))
+                record_before = state.backends.get(incarnation).record
+                software = "v1" if incarnation in excluded else "v2"
+                state.backends.upsert(replace(record_before, software=software))
             state.rollouts.on_record(record, StorePosition(0, 1), boot_time_s())
-        fleet.name(2)
+        fleet.name_version(2)
         await asyncio.sleep(8.0)
-        return left
+        return excluded
 
-    fleet = play(scenario)
-    assert sorted(len(engine.given) for engine in fleet.engines.values()) == [0, 0, 1, 1, 1, 1]
+    fleet = run_scenario(scenario)
+    assert sorted(len(engine.received_orders) for engine in fleet.engines.values()) == [0, 0, 1, 1, 1, 1]
 
 
 @pytest.mark.parametrize("phase", [Phase.CANARY, Phase.SWITCHING])
-def test_engines_beside_the_current_ones_in_a_rollout_do_not_stand_in_for_those_that_load(phase):
+def test_target_engines_of_a_rollout_do_not_replace_current_engines_that_load(phase):
     async def scenario(fleet):
         target = sorted(fleet.engines)[10:]
         record = RolloutRecord("s", "v2", 1, 0.0, 20.0, phase)
@@ -326,15 +328,15 @@
             fleet.engines[incarnation].version = 2
         for state in fleet.states:
             for incarnation in fleet.engines:
-                known = state.backends.get(incarnation).record
+                record_before = state.backends.get(incarnation).record
                 fields = {"software": "v2", "versions": {"m": 2}} if incarnation in target else {"software": "v1"}
-                state.backends.upsert(replace(known, **fields))
+                state.backends.upsert(replace(record_before, **fields))
             state.rollouts.on_record(record, StorePosition(0, 1), boot_time_s())
-        fleet.name(2)
+        fleet.name_version(2)
         await asyncio.sleep(8.0)
 
-    fleet = play(scenario, engines=20)
-    given_s = [at_s for at_s, _, _ in fleet.orders()]
-    assert len(given_s) == 10
-    # An engine loads for 0.6 s after its order; half of the current ones have to go on serving.
-    assert max(sum(at_s <= other_s < at_s + 0.6 for other_s in given_s) for at_s in given_s) <= 5
+    fleet = run_scenario(scenario, engines=20)
+    order_times_s = [at_s for at_s, _, _ in fleet.orders()]
+    assert len(order_times_s) == 10
+    # An engine loads for 0.6 s after its order; half of the engines on current software must keep serving.
+    assert max(sum(at_s <= other_s < at_s + 0.6 for other_s in order_times_s) for at_s in order_times_s) <= 5
--- a/tests/unit/placement/test_weights_roll_timing.py
+++ b/tests/unit/placement/test_weights_roll_timing.py
@@ -1,4 +1,4 @@
-"""When a weights roll begins, by what is observed: pace of namings, demand, and whether all engines serve."""
+"""When a weights roll begins, given the naming intervals, the demand, and whether all engines serve."""
 
 import pytest
 
@@ -11,7 +11,7 @@
     start_delay_s,
 )
 
-LONGEST_S = 5.2
+MAX_DELAY_S = 5.2
 
 
 def named(*times, estimated=()):
@@ -28,9 +28,9 @@
         (named(0.0, 7.0, 10.0, estimated=(0,)), 3.0),
         (named(0.0, 1.0, 20.0, 40.0, 60.0, 80.0), 20.0),
     ],
-    ids=["none", "one", "two", "one pause", "age of the first guessed", "pace that has changed"],
+    ids=["no version", "one", "two", "one long interval", "first age estimated", "interval that has changed"],
 )
-def test_the_usual_gap(versions, expected):
+def test_median_naming_interval(versions, expected):
     assert median_naming_interval_s(versions) == expected
 
 
@@ -48,22 +48,22 @@
         (named(0.0, 4.0), 8.0, 0.0, 5, True, False),
     ],
     ids=[
-        "nothing known of the pace",
-        "an engine is out",
-        "much is served on older weights",
-        "little is served",
+        "no known interval",
+        "an engine is out of service",
+        "many generations on older weights",
+        "few generations",
         "many engines to load",
-        "quick pace, very much is served",
-        "the next comes while older weights cost nothing",
-        "the next has not come",
-        "the next is due now",
+        "short interval, very many generations",
+        "next version expected while older weights keep their value",
+        "next version is late",
+        "next version is due now",
     ],
 )
 def test_a_weights_roll_begins_at_once_or_waits(versions, now_s, demand_per_s, lacking, serving, begins_at_once):
     circumstances = FleetConditions(demand_per_s, lacking, serving)
-    delay_s = start_delay_s(versions, versions[-1], circumstances, LONGEST_S, now_s)
-    assert delay_s == (MIN_START_DELAY_S if begins_at_once else LONGEST_S)
+    delay_s = start_delay_s(versions, versions[-1], circumstances, MAX_DELAY_S, now_s)
+    assert delay_s == (MIN_START_DELAY_S if begins_at_once else MAX_DELAY_S)
 
 
-def test_a_short_allowance_bounds_the_soonest():
+def test_the_maximum_delay_limits_the_minimum_delay():
     assert start_delay_s(named(0.0), named(0.0)[0], FleetConditions(9.0, 5, True), 0.2, 0.1) == 0.2
--- a/tests/unit/storage/memory_rows.py
+++ b/tests/unit/storage/memory_rows.py
@@ -1,4 +1,4 @@
-"""Rows in memory as a store keeps them, and a mirror of what a follower knows."""
+"""An in-memory row source for tests, and a mirror of the rows that a follower has applied."""
 
 import asyncio
 
@@ -7,16 +7,16 @@
 
 
 class MemoryRows:
-    """Rows with versions, a bounded history and scripted failures."""
+    """Rows with versions, a history that can be dropped, and scripted failures."""
 
     def __init__(self):
         self.rows: dict[str, FeedRow] = {}
         self.history: list[FeedRow] = []
         self.version = 0
         self.era = 1
-        self.forgotten = 0
+        self.history_start_version = 0
         self.failures: list[Exception] = []
-        self.whole_reads = 0
+        self.snapshot_reads = 0
 
     def write(self, key, value):
         self.version += 1
@@ -27,8 +27,8 @@
         else:
             self.rows[key] = row
 
-    def forget(self):
-        self.forgotten = self.version
+    def drop_history(self):
+        self.history_start_version = self.version
         self.history.clear()
 
     def _fail(self):
@@ -37,7 +37,7 @@
 
     async def read_all(self):
         self._fail()
-        self.whole_reads += 1
+        self.snapshot_reads += 1
         await asyncio.sleep(0.01)
         return FeedPage(tuple(self.rows.values()), self.version, self._now_s(), era=self.era)
 
@@ -45,7 +45,7 @@
         self._fail()
         if self.version == after.version:
             await asyncio.sleep(wait_s)
-        if not self.forgotten <= after.version <= self.version or after.era != self.era:
+        if not self.history_start_version <= after.version <= self.version or after.era != self.era:
             raise HistoryLostError("gone")
         rows = tuple(row for row in self.history if row.version > after.version)
         return FeedPage(rows, self.version, self._now_s(), era=self.era)
@@ -54,17 +54,17 @@
         return dict(self.rows), self.version
 
     def restore(self, copy):
-        """Come back from a copy: versions after it are given out again, in the next era."""
+        """Restore a copy: versions after the copy are assigned again, in the next era."""
         self.rows, self.version = dict(copy[0]), copy[1]
         self.era += 1
-        self.forget()
+        self.drop_history()
 
     def _now_s(self):
         return asyncio.get_running_loop().time() - 900.0
 
 
 class Mirror:
-    """What a follower of the rows knows."""
+    """The rows that a follower has applied."""
 
     def __init__(self):
         self.rows = {}
--- a/tests/unit/storage/test_feed.py
+++ b/tests/unit/storage/test_feed.py
@@ -1,4 +1,4 @@
-"""Following rows through every kind of failure, in virtual time."""
+"""Following rows of a store that fails in various ways, in virtual time."""
 
 import asyncio
 import random
@@ -16,7 +16,7 @@
 from wallwell.storage.feed import RowFollower
 
 
-def follower_of(source, mirror, wait_s=1.0):
+def make_follower(source, mirror, wait_s=1.0):
     return RowFollower("test", source, mirror.apply, wait_s, StoreClock(), random.Random(3))
 
 
@@ -34,17 +34,17 @@
 
 @settings(deadline=None, max_examples=60)
 @given(actions=ACTIONS)
-def test_the_copy_agrees_with_the_store_after_any_history(actions):
+def test_the_mirror_equals_the_store_after_any_history(actions):
     async def work():
         source, mirror = MemoryRows(), Mirror()
-        task = asyncio.create_task(follower_of(source, mirror).run())
+        task = asyncio.create_task(make_follower(source, mirror).run())
         for action, key, value in actions:
             if action == "write":
                 source.write(key, value)
             elif action == "delete":
                 source.write(key, None)
             elif action == "forget":
-                source.forget()
+                source.drop_history()
             elif action == "fail":
                 source.failures.append(PlatformUnavailableError("scripted"))
             else:
@@ -56,28 +56,28 @@
     run_virtual(work())
 
 
-def test_lost_history_leads_to_one_whole_reading():
+def test_lost_history_causes_one_snapshot_read():
     async def work():
         source, mirror = MemoryRows(), Mirror()
         source.write("a", b"1")
-        task = asyncio.create_task(follower_of(source, mirror).run())
+        task = asyncio.create_task(make_follower(source, mirror).run())
         await asyncio.sleep(2.0)
         source.write("b", b"2")
         source.write("a", None)
-        source.forget()
+        source.drop_history()
         await asyncio.sleep(3.0)
         task.cancel()
-        return mirror.rows, source.whole_reads
+        return mirror.rows, source.snapshot_reads
 
-    rows, whole_reads = run_virtual(work())
+    rows, snapshot_reads = run_virtual(work())
     assert rows == {"b": b"2"}
-    assert whole_reads == 2
+    assert snapshot_reads == 2
 
 
-def test_knowledge_is_as_old_as_the_last_answer():
+def test_the_confirmed_time_does_not_advance_without_answers():
     async def work():
         source, mirror = MemoryRows(), Mirror()
-        follower = follower_of(source, mirror)
+        follower = make_follower(source, mirror)
         task = asyncio.create_task(follower.run())
         await asyncio.sleep(5.0)
         confirmed_before_s = follower.confirmed_at_s
@@ -93,12 +93,12 @@
 
 
 @pytest.mark.parametrize("failures", [1, 20])
-def test_failures_are_retried_with_pauses_and_never_end_the_follower(failures):
+def test_failures_are_retried_with_delays_and_never_end_the_follower(failures):
     async def work():
         source, mirror = MemoryRows(), Mirror()
         source.failures += [PlatformUnavailableError("down")] * failures
         source.write("a", b"1")
-        task = asyncio.create_task(follower_of(source, mirror).run())
+        task = asyncio.create_task(make_follower(source, mirror).run())
         started_s = asyncio.get_running_loop().time()
         while not mirror.rows:
             await asyncio.sleep(0.05)
@@ -109,17 +109,17 @@
     assert 0.03 * failures <= took_s <= 0.7 * failures
 
 
-def test_a_store_that_has_forgotten_is_read_whole_again_and_that_is_logged(monkeypatch):
+def test_lost_history_is_logged_and_a_snapshot_is_read(monkeypatch):
     events = []
     monkeypatch.setattr(feed, "emit", lambda event, **fields: events.append((event, fields["version"])))
 
     async def work():
         source, mirror = MemoryRows(), Mirror()
         source.write("a", b"1")
-        task = asyncio.create_task(follower_of(source, mirror).run())
+        task = asyncio.create_task(make_follower(source, mirror).run())
         await asyncio.sleep(2.0)
         source.write("a", b"2")
-        source.forget()
+        source.drop_history()
         await asyncio.sleep(5.0)
         task.cancel()
         return mirror.rows
--- a/tests/unit/storage/test_replica.py
+++ b/tests/unit/storage/test_replica.py
@@ -1,4 +1,4 @@
-"""A copy of the rows says what the store would say, or that it does not know."""
+"""A replica answers as the store would, or raises an error if it lacks part of the history."""
 
 import pytest
 from hypothesis import given
@@ -11,9 +11,10 @@
 WRITES = st.lists(st.tuples(st.sampled_from("abcd"), st.booleans()), max_size=25)
 
 
-@given(writes=WRITES, read_whole_at=st.integers(0, 25), asked_from=st.integers(0, 25), deletions=st.integers(1, 4))
-def test_who_follows_the_copy_knows_what_the_store_knows(writes, read_whole_at, asked_from, deletions):
-    """The copy reads everything after some writes and each later one as a change; then a peer asks."""
+@given(writes=WRITES, snapshot_at=st.integers(0, 25), peer_version=st.integers(0, 25), deletions=st.integers(1, 4))
+def test_a_peer_that_follows_the_replica_gets_the_rows_of_the_store(writes, snapshot_at, peer_version, deletions):
+    """The replica reads a snapshot after some writes and each later write as a change; then a peer asks for
+    changes."""
     replica = RowReplica(max_deletions=deletions)
     rows, states = {}, [{}]
     for version, (key, deleted) in enumerate(writes, start=1):
@@ -22,26 +23,26 @@
         if not deleted:
             rows[key] = row
         states.append(rows)
-        if version == read_whole_at:
+        if version == snapshot_at:
             replica.apply_page(FeedPage(tuple(rows.values()), version, float(version)), is_snapshot=True)
-        elif version > read_whole_at:
+        elif version > snapshot_at:
             replica.apply_page(FeedPage((row,), version, float(version)), is_snapshot=False)
-    if read_whole_at > len(writes):
+    if snapshot_at > len(writes):
         return
-    known = dict(states[min(asked_from, len(writes))])
+    peer_rows = dict(states[min(peer_version, len(writes))])
     try:
-        changes = replica.changes_since(min(asked_from, len(writes)))
+        changes = replica.changes_since(min(peer_version, len(writes)))
     except HistoryLostError:
-        known = {}
+        peer_rows = {}
         changes = replica.all_rows()
     for row in changes.rows:
-        known.pop(row.key, None)
+        peer_rows.pop(row.key, None)
         if row.value is not None:
-            known[row.key] = row
-    assert known == rows
+            peer_rows[row.key] = row
+    assert peer_rows == rows
 
 
-def test_changes_from_before_the_whole_reading_are_not_known():
+def test_changes_from_before_the_snapshot_are_lost():
     replica = RowReplica()
     replica.apply_page(FeedPage((FeedRow("a", b"1", 3),), 7, 1.0), is_snapshot=True)
     assert replica.changes_since(7).rows == ()
@@ -49,7 +50,7 @@
         replica.changes_since(6)
 
 
-def test_an_older_whole_page_changes_nothing():
+def test_an_older_snapshot_is_refused():
     replica = RowReplica()
     replica.apply_page(FeedPage((FeedRow("a", b"2", 5),), 5, 2.0), is_snapshot=True)
     replica.apply_page(FeedPage((FeedRow("a", b"1", 3),), 4, 1.0), is_snapshot=True)
@@ -57,7 +58,7 @@
     assert (replica.version, replica.store_s) == (5, 2.0)
 
 
-def test_a_whole_page_of_a_later_era_replaces_newer_versions_and_begins_history_anew():
+def test_a_snapshot_of_a_later_era_replaces_newer_versions_and_restarts_the_history():
     replica = RowReplica()
     replica.apply_page(FeedPage((FeedRow("a", b"2", 5), FeedRow("b", b"1", 9)), 9, 2.0, era=1), is_snapshot=True)
     replica.apply_page(FeedPage((FeedRow("a", b"1", 3),), 4, 1.0, era=2), is_snapshot=True)
@@ -66,15 +67,15 @@
         replica.changes_since(3)
 
 
-@pytest.mark.parametrize("whole", [False, True])
-def test_a_late_page_of_an_earlier_era_changes_nothing(whole):
+@pytest.mark.parametrize("is_snapshot", [False, True])
+def test_a_delayed_page_of_an_earlier_era_is_refused(is_snapshot):
     replica = RowReplica()
     replica.apply_page(FeedPage((FeedRow("a", b"2", 5),), 5, 2.0, era=2), is_snapshot=True)
-    refused = replica.apply_page(FeedPage((FeedRow("a", b"1", 50),), 60, 9.0, era=1), whole)
+    refused = replica.apply_page(FeedPage((FeedRow("a", b"1", 50),), 60, 9.0, era=1), is_snapshot)
     assert (refused, replica.version, replica.all_rows().rows) == (1, 5, (FeedRow("a", b"2", 5),))
 
 
-def test_a_change_of_a_later_era_is_not_joined_to_the_rows_of_an_earlier_one():
+def test_a_change_of_a_later_era_is_not_applied_to_rows_of_an_earlier_era():
     replica = RowReplica()
     replica.apply_page(FeedPage((FeedRow("a", b"2", 5),), 5, 2.0, era=1), is_snapshot=True)
     replica.apply_page(FeedPage((FeedRow("b", b"1", 6),), 6, 9.0, era=2), is_snapshot=False)
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -557,8 +557,8 @@
 async def _write_progress(node: Any, store: Any) -> None:
     for name in ("w1", "w2"):
         node.state.backends.upsert(BackendRecord(name, "svc", f"127.0.0.1:{name[1]}", "z1", 1))
-    node._weights_roll._running_loads["w1"] = LoadTask(node.state.backends.get("w1"), "m", 3)
-    node._weights_roll._finished_loads["w2"] = ("m", 3)
+    node._weights_roll._loading["w1"] = LoadTask(node.state.backends.get("w1"), "m", 3)
+    node._weights_roll._finished["w2"] = ("m", 3)
     await node._weights_roll._publish_progress("m")
 
 
