--- a/src/wallwell/deployment/weights.py
+++ b/src/wallwell/deployment/weights.py
@@ -81,7 +81,7 @@
         return max((each.version for each in due if each.version <= newest_loaded or not each.estimated), default=0)
 
     def requests_allowed_until_s(self, model: str, loaded_version: int, max_staleness_s: float) -> float:
-        """Return until when an engine may begin requests; infinity if no newer version of known age is named."""
+        """Return until when an engine may begin requests; infinity if the next version is unnamed or estimated."""
         missing = self.oldest_missing(model, loaded_version)
         if missing is None or missing.estimated:
             return float("inf")
--- a/src/wallwell/placement/weights_roll_driver.py
+++ b/src/wallwell/placement/weights_roll_driver.py
@@ -202,7 +202,7 @@
         loading = tuple((name, task.version) for name, task in sorted(self._loading.items()) if task.model == model)
         finished = tuple((name, load[1]) for name, load in sorted(self._finished.items()) if load[0] == model)
         versions = self._state.weights.versions_of_known_age(model)
-        named = tuple((version.version, self._clock.to_store_s(version.named_at_s)) for version in versions)
+        named = tuple((each.version, self._clock.to_store_s(each.named_at_s)) for each in versions)
         body = msgspec.json.encode(LoadProgress(model, loading, finished, named[-MAX_RECORDED_VERSIONS:])).decode()
         try:
             async with bounded(self._valid_s * PUBLISH_TIMEOUT_FRACTION):
--- a/tests/unit/placement/test_weights_roll.py
+++ b/tests/unit/placement/test_weights_roll.py
@@ -14,8 +14,8 @@
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.health.suspension import FIRST_PAUSE_S
 
-ALLOWANCE_S = 8.0
-DUE_S = ALLOWANCE_S * MAX_START_DELAY_FRACTION
+MAX_STALENESS_S = 8.0
+DUE_S = MAX_STALENESS_S * MAX_START_DELAY_FRACTION
 
 
 def make_engines(count, version=1):
@@ -31,7 +31,7 @@
     targets = WeightsTargets()
     for version, named_at_s in named:
         targets.add_version("m", version, named_at_s)
-    return WeightsRollPlanner(targets, ALLOWANCE_S)
+    return WeightsRollPlanner(targets, MAX_STALENESS_S)
 
 
 def test_a_weights_roll_waits_for_a_version_expected_soon():
@@ -109,12 +109,12 @@
 def test_overdue_engines_load_at_once_regardless_of_the_concurrency_limit():
     planner, listed = make_planner((2, 0.0)), make_engines(9)
     assert len(planner.begin_due_loads(listed, DUE_S)) == 3
-    assert len(planner.begin_due_loads(listed, ALLOWANCE_S * OVERDUE_FRACTION)) == 6
+    assert len(planner.begin_due_loads(listed, MAX_STALENESS_S * OVERDUE_FRACTION)) == 6
 
 
 def test_crashed_engines_reduce_the_number_of_concurrent_loads():
-    """Guards against a failure of a soak run with a fault-free span: of six engines, one had crashed and four were
-    loading, so that the sixth served all requests."""
+    """Guards against a failure found in a soak run with a fault-free span: of six engines, one had crashed and four
+    were loading, so that the sixth served all requests."""
     planner, listed = make_planner((2, 0.0)), make_engines(6)
     for crashed in listed[:2]:
         crashed.suspended_until_s = 1000.0
--- a/tests/unit/placement/test_weights_roll_driver.py
+++ b/tests/unit/placement/test_weights_roll_driver.py
@@ -238,7 +238,7 @@
 
 
 def test_a_node_that_starts_later_reads_when_each_version_was_named():
-    """Guards against a failure of a soak run: a restarted node knew only the newest named version, and
+    """Guards against a failure found in a soak run: a restarted node knew only the newest named version, and
     sent requests to an engine that was two versions behind."""
 
     async def scenario(fleet):
@@ -281,7 +281,7 @@
 
 
 def test_nodes_know_which_version_each_engine_is_loading():
-    """Guards against a failure of a soak run with a fault-free span: an engine that had finished loading one
+    """Guards against a failure found in a soak run with a fault-free span: an engine that had finished loading one
     version counted as loading the next."""
 
     async def scenario(fleet):
--- a/tests/unit/placement/test_weights_roll_timing.py
+++ b/tests/unit/placement/test_weights_roll_timing.py
@@ -60,8 +60,8 @@
     ],
 )
 def test_a_weights_roll_begins_at_once_or_waits(versions, now_s, demand_per_s, lacking, serving, begins_at_once):
-    circumstances = FleetConditions(demand_per_s, lacking, serving)
-    delay_s = start_delay_s(versions, versions[-1], circumstances, MAX_DELAY_S, now_s)
+    conditions = FleetConditions(demand_per_s, lacking, serving)
+    delay_s = start_delay_s(versions, versions[-1], conditions, MAX_DELAY_S, now_s)
     assert delay_s == (MIN_START_DELAY_S if begins_at_once else MAX_DELAY_S)
 
 
