--- a/src/wallwell/cluster/upstream.py
+++ b/src/wallwell/cluster/upstream.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from wallwell.cluster.peer_health import PeersHealth
-from wallwell.deployment.topology import ONE_REGION, Topology
+from wallwell.deployment.topology import SINGLE_REGION, Topology
 from wallwell.routing.rendezvous import rendezvous_key, rendezvous_score
 
 MEMBERS_PER_RELAY = 40
@@ -61,7 +61,7 @@
     node: str
     zone: str
     members: Mapping[str, NodeRecord] = field(default_factory=dict)
-    topology: Topology = ONE_REGION
+    topology: Topology = SINGLE_REGION
     health: PeersHealth = field(default_factory=PeersHealth)
 
     def candidates(self, now_s: float) -> list[Peer]:
@@ -81,12 +81,12 @@
         earlier = [
             zone for zone in self._own_zones()[:STORE_FOLLOWING_ZONES] if _zone_rank(zone) < _zone_rank(self.zone)
         ]
-        has_regions = self.topology.has_regions
-        if len(earlier) < (STORE_FOLLOWING_ZONES_PER_REGION if has_regions else STORE_FOLLOWING_ZONES):
+        has_other_regions = self.topology.has_other_regions
+        if len(earlier) < (STORE_FOLLOWING_ZONES_PER_REGION if has_other_regions else STORE_FOLLOWING_ZONES):
             return []
         relays = [peer for zone in earlier for peer in self._relays_of(zone, now_s)]
         relays.sort(key=lambda peer: rendezvous_score(peer.name, rendezvous_key(self.zone)))
-        if has_regions:
+        if has_other_regions:
             relays.sort(key=lambda peer: _zone_rank(self.members[peer.name].zone))
         return relays
 
--- a/src/wallwell/routing/selection/call_choice.py
+++ b/src/wallwell/routing/selection/call_choice.py
@@ -54,9 +54,9 @@
 
 def _prefer_own_region(candidates: Sequence[Backend], node_count: int, topology: Topology) -> Sequence[Backend]:
     """Return the candidates of the own region if enough of its slots are free, else all candidates."""
-    if not topology.has_regions:
+    if not topology.has_other_regions:
         return candidates
-    in_own_region = [each for each in candidates if topology.is_own_region(each.record.zone)]
+    in_own_region = [each for each in candidates if topology.is_in_own_region(each.record.zone)]
     free_slots = sum(max(0, each.record.slots - each.fleet_load(node_count)) for each in in_own_region)
     has_enough_free = bool(in_own_region) and free_slots >= MIN_FREE_REGION_FRACTION * sum(
         each.record.slots for each in in_own_region
--- a/src/wallwell/routing/selection/candidates.py
+++ b/src/wallwell/routing/selection/candidates.py
@@ -128,7 +128,7 @@
     """
     allowance_s = requirement.allowance_s - BEGIN_MARGIN_S
     version = backend.believed_version(requirement.model)
-    return requirement.targets.begin_by_s(requirement.model, version, allowance_s)
+    return requirement.targets.requests_allowed_until_s(requirement.model, version, allowance_s)
 
 
 def exclude_unresponsive_zones(
@@ -153,5 +153,5 @@
     model = requirement.model
     newest_believed_version = max((each.believed_version(model) for each in usable), default=0)
     due_after_s = requirement.allowance_s * fraction
-    required_version = requirement.targets.minimum_version(model, now_s, due_after_s, newest_believed_version)
+    required_version = requirement.targets.min_allowed_version(model, now_s, due_after_s, newest_believed_version)
     return [each for each in usable if each.believed_version(model) >= required_version]
--- a/src/wallwell/routing/selection/engine_choice.py
+++ b/src/wallwell/routing/selection/engine_choice.py
@@ -80,7 +80,7 @@
     pool = engine_pool_of_all_regions(listed, prompt.tokens, topology)
     preferred: Sequence[Backend] = candidates
     others: Sequence[Backend] = ()
-    if topology.has_regions:
+    if topology.has_other_regions:
         preferred, others = _split_by_region(
             candidates, prefill_region(placement_key, prompt.shared_tokens, pool, topology), topology
         )
--- a/src/wallwell/routing/selection/kv_store_choice.py
+++ b/src/wallwell/routing/selection/kv_store_choice.py
@@ -51,7 +51,7 @@
 
     The store is in the region of the engine, whichever node sends the prompt to the engine.
     """
-    between = stores.topology.between
+    between = stores.topology.distance_between
     addresses = [
         store.kv_store_address
         for store in stores.listed
@@ -123,6 +123,6 @@
 
 def _distance_weight(stores: KvStores, engine_zone: str, store: Service) -> float:
     """Return the weight of a token held by a store; 1 if there are no regions."""
-    if not stores.topology.has_regions:
+    if not stores.topology.has_other_regions:
         return DISTANCE_WEIGHTS[Distance.SAME_ZONE]
-    return DISTANCE_WEIGHTS[stores.topology.between(engine_zone, store.zone)]
+    return DISTANCE_WEIGHTS[stores.topology.distance_between(engine_zone, store.zone)]
--- a/src/wallwell/routing/selection/prefix_home.py
+++ b/src/wallwell/routing/selection/prefix_home.py
@@ -68,7 +68,7 @@
 
     Regions alternate in the list, so that any leading slice of it is spread over them.
     """
-    if not topology.has_regions:
+    if not topology.has_other_regions:
         return engine_pool(engines, prompt_tokens)
     by_region: dict[str, list[Backend]] = {}
     for engine in engines:
--- a/src/wallwell/serving/admission.py
+++ b/src/wallwell/serving/admission.py
@@ -84,8 +84,8 @@
         """Return the charge to the tenant's limit, None without a limit. Raises :class:`RateLimitedError`."""
         if tenant is None or tenant.limit is None:
             return None
-        cost = tenant.limit.cost(request.declared_tokens)
-        charge = self._state.load.limits.admit(tenant.name, cost, boot_time_s())
+        request_cost = tenant.limit.request_cost(request.declared_tokens)
+        charge = self._state.load.limits.admit(tenant.name, request_cost, boot_time_s())
         if isinstance(charge, OverLimit):
             detail = f"the limit of {tenant.name} is used up"
             raise RateLimitedError(detail, retry_after_ms=round(charge.wait_s * 1000))
--- a/src/wallwell/serving/attempt.py
+++ b/src/wallwell/serving/attempt.py
@@ -106,7 +106,7 @@
     async def _send(self, active: ActiveRequest, backend: Backend) -> BackendAnswer:
         dispatch = self._build_dispatch(active, backend)
         answer = await self._response_waiter.await_response(active, backend, dispatch)
-        if self._state.topology.distance(backend.record.zone) is Distance.OTHER_REGION:
+        if self._state.topology.distance_to(backend.record.zone) is Distance.OTHER_REGION:
             cause = active.route.kind.value
             self._state.region_traffic.count_exchange(cause, len(active.request.body))
             answer = TrafficCountedAnswer(answer, self._state.region_traffic, cause)
--- a/tests/unit/cluster/test_relay.py
+++ b/tests/unit/cluster/test_relay.py
@@ -145,7 +145,7 @@
         await until(lambda: all(node.rows.links for node in nodes[1:]))
         store.write("a", None)
         store.write("c", b"3")
-        store.forget()
+        store.drop_history()
         await until(lambda: all(node.mirror.rows == {"c": b"3"} for node in nodes))
 
     with_nodes(scenario)
@@ -172,7 +172,7 @@
     async def scenario(store, nodes):
         store.write("big", value)
         await until(lambda: all(node.mirror.rows.get("big") == value for node in nodes))
-        page = nodes[0].rows.replica.after(store.version - 1)
+        page = nodes[0].rows.replica.changes_since(store.version - 1)
         return len(msgspec.json.encode(reply_with_rows(page)))
 
     assert with_nodes(scenario) < len(value) / 3
--- a/tests/unit/routing/selection/fleet_strategies.py
+++ b/tests/unit/routing/selection/fleet_strategies.py
@@ -57,7 +57,7 @@
     """Draw named weights versions with times, some of which are estimated since a node found them at its start."""
     targets = WeightsTargets()
     for version in sorted(draw(st.sets(st.integers(1, 4)))):
-        targets.name(MODEL, version, draw(TIMES_S), estimated=draw(RARELY_TRUE))
+        targets.add_version(MODEL, version, draw(TIMES_S), estimated=draw(RARELY_TRUE))
     return targets
 
 
--- a/tests/unit/routing/selection/test_candidates.py
+++ b/tests/unit/routing/selection/test_candidates.py
@@ -35,7 +35,7 @@
     """Return the requirement of generations ``named_s`` seconds after a version was named."""
     targets = WeightsTargets()
     if named_s is not None:
-        targets.name(MODEL, version, NOW_S - named_s)
+        targets.add_version(MODEL, version, NOW_S - named_s)
     return WeightsRequirement(targets, MODEL, ALLOWANCE_S)
 
 
--- a/tests/unit/serving/test_pipeline_generations.py
+++ b/tests/unit/serving/test_pipeline_generations.py
@@ -145,7 +145,7 @@
 @pytest.mark.parametrize(("reported", "expected"), [(5, 5), (0, 4)], ids=["reported by the engine", "newest named"])
 def test_a_refused_version_is_corrected_for_the_next_attempt(reported, expected):
     def name_newer_version(node_state):
-        node_state.weights.name("m", 4, boot_time_s())
+        node_state.weights.add_version("m", 4, boot_time_s())
 
     refused = Script(send_error=TransportEvent.PRECONDITION_REFUSED, refused_weights_version=reported)
     _, client, _ = serve_request(
@@ -161,7 +161,7 @@
 
 def test_an_engine_with_overdue_weights_gets_no_generation():
     def name_version_7_9_s_ago(node_state):
-        node_state.weights.name("m", 2, boot_time_s() - 7.9)
+        node_state.weights.add_version("m", 2, boot_time_s() - 7.9)
         node_state.backends.get("i-1").set_believed_version("m", 2)
 
     _, client, _ = serve_request(
@@ -180,7 +180,7 @@
     slow_start = stream(event(1), head_delay_s=5.0)
 
     def name_version_6_1_s_ago(node_state):
-        node_state.weights.name("m", 2, boot_time_s() - 6.1)
+        node_state.weights.add_version("m", 2, boot_time_s() - 6.1)
 
     reply, client, took_s = serve_request(
         [slow_start], NOT_RESUMABLE, generation_request(), versions={"m": 1}, prepare=name_version_6_1_s_ago
@@ -191,7 +191,7 @@
 
 def test_older_weights_serve_until_the_limit_when_no_engine_has_newer_ones():
     def name_version_7_s_ago(node_state):
-        node_state.weights.name("m", 2, boot_time_s() - 7.0)
+        node_state.weights.add_version("m", 2, boot_time_s() - 7.0)
 
     reply, _, _ = serve_request(
         [stream(event(1))], NOT_RESUMABLE, generation_request(), versions={"m": 1}, prepare=name_version_7_s_ago
@@ -205,7 +205,7 @@
         NOT_RESUMABLE,
         generation_request(),
         versions={"m": 1},
-        prepare=lambda node_state: node_state.weights.name("m", 2, boot_time_s() - 7.9),
+        prepare=lambda node_state: node_state.weights.add_version("m", 2, boot_time_s() - 7.9),
     )
     assert (reply.status, client.sent) == (503, [])
 
@@ -226,7 +226,7 @@
     """Streams continue while weights load, so draining an engine before its load order would only waste slots."""
 
     def name_version_earlier(node_state):
-        node_state.weights.name("m", 2, boot_time_s() - age_s)
+        node_state.weights.add_version("m", 2, boot_time_s() - age_s)
 
     homes = set()
     for prepare in (None, name_version_earlier):
--- a/tests/unit/serving/test_response_wait.py
+++ b/tests/unit/serving/test_response_wait.py
@@ -130,7 +130,7 @@
 
     async def scenario():
         state = make_state(make_route(RouteKind.STREAM, resumable=True), versions={"m": 1})
-        state.weights.name("m", 2, boot_time_s() - 6.75)
+        state.weights.add_version("m", 2, boot_time_s() - 6.75)
         state.first_token_delays.peer_counts = DelayCounts(100, 60)
         client, reply = WeightsUpdatedDuringRequest(state), FakeReply()
         await RequestPipeline(state, client).serve(make_request(generation=make_generation()), reply)
--- a/tests/unit/serving/test_rollout_requests.py
+++ b/tests/unit/serving/test_rollout_requests.py
@@ -142,7 +142,7 @@
 
 def test_the_current_version_serves_if_target_engines_lack_due_weights():
     def prepare(state):
-        state.weights.name("m", 1, boot_time_s() - 60)
+        state.weights.add_version("m", 1, boot_time_s() - 60)
 
     sent, _, _ = serve_requests(
         [STREAM_ANSWER],
