--- a/src/wallwell/node/adapter.py
+++ b/src/wallwell/node/adapter.py
@@ -34,13 +34,13 @@
 class NodeSources(msgspec.Struct, frozen=True):
     """The store as a node sees it. Decoders raise :class:`msgspec.MsgspecError` for a row they cannot read."""
 
-    operators: RowSource
+    operator_rows: RowSource
     """Table of the operators: configuration, named weights versions, orders of rollouts."""
-    backends: RowSource
+    backend_rows: RowSource
     """Table in which back ends list themselves."""
-    own: RowSource
+    own_rows: RowSource
     """This product's own table: members, leases, progress, crashes, records of rollouts."""
-    table: TableService
+    own_table: TableService
     """Writes to this product's own table."""
     era: StoreEra
     """The era of the store, by its answers to all of these."""
@@ -67,7 +67,7 @@
     """Sends attempts to back ends."""
     control: EngineControl
     """Orders and reports of engines."""
-    check: BackendCheck
+    backend_check: BackendCheck
     pool: ConnectionPool
     """The connections that ``client`` uses; the node closes those that rest for too long."""
     notices: BackendNotices
--- a/src/wallwell/node/crash_probe.py
+++ b/src/wallwell/node/crash_probe.py
@@ -25,10 +25,10 @@
 MAX_PROBES = 5
 """Probes of one back end. On a busy node, what it had sent before its end can be read after the first refusal; then
 one more probe is needed. The rest is a margin."""
-PROBES_TO_LIVE = 2
+ALIVE_AFTER_PROBES = 2
 """Probes in a row that find it listening, after which it counts as alive. A process that ends, or a proxy before
 it, may still take a connection after those of its attempts are reset."""
-SUCCESSOR_S = 3.0
+SUCCESSOR_WAIT_S = 3.0
 """Seconds for which a back end that listens may yet turn out to have been a successor: one that is back within 0.3
 s is listed at its address within about a second."""
 
@@ -36,7 +36,7 @@
 class CrashCheck(Protocol):
     """Finds out whether a back end's process is gone."""
 
-    async def is_refused(self, backend: BackendRecord) -> bool:
+    async def refuses_connections(self, backend: BackendRecord) -> bool:
         """Connect unless a connection is idle; returns True only if the machine answers that nothing listens
         there."""
         ...
@@ -50,23 +50,23 @@
 
     async def has_crashed(self, backend: Backend) -> bool:
         """Probe a back end after a broken attempt, from :data:`FIRST_PROBE_DELAY_S` on, until it is known."""
-        refused_s = None
-        listening = 0
+        refused_at_s = None
+        listening_probes = 0
         for probe in range(MAX_PROBES):
             await asyncio.sleep(PROBE_INTERVAL_S if probe else FIRST_PROBE_DELAY_S)
             if backend.superseded:
                 return True
-            if await self._check.is_refused(backend.record):
-                if refused_s is not None and backend.silence.last_received_s <= refused_s:
+            if await self._check.refuses_connections(backend.record):
+                if refused_at_s is not None and backend.silence.last_received_s <= refused_at_s:
                     return True
-                refused_s, listening = boot_time_s(), 0
+                refused_at_s, listening_probes = boot_time_s(), 0
             else:
-                refused_s, listening = None, listening + 1
-            if listening >= PROBES_TO_LIVE:
+                refused_at_s, listening_probes = None, listening_probes + 1
+            if listening_probes >= ALIVE_AFTER_PROBES:
                 return False
         return False
 
-    async def is_replaced_soon(self, backend: Backend) -> bool:
-        """Wait for :data:`SUCCESSOR_S` and return whether another incarnation has taken the address unannounced."""
-        await asyncio.sleep(SUCCESSOR_S)
+    async def wait_for_successor(self, backend: Backend) -> bool:
+        """Wait for :data:`SUCCESSOR_WAIT_S`; return whether another incarnation took the address unannounced."""
+        await asyncio.sleep(SUCCESSOR_WAIT_S)
         return backend.superseded and not backend.has_announced_leave
--- a/src/wallwell/node/followers.py
+++ b/src/wallwell/node/followers.py
@@ -44,7 +44,7 @@
         self._state = state
         self._order = order
         self._clock = clock
-        self.relayed: dict[str, RelayedRows] = {}
+        self.relayed_tables: dict[str, RelayedRows] = {}
         """Copies of the rows by table; peers' requests are answered from them."""
         self.followers: list[RowFollower] = []
 
@@ -52,10 +52,10 @@
         """Follow a table. ``name`` is its name between nodes; ``apply`` receives every page in order."""
         era = self._state.store_era
         rows = RelayedRows(name, store, self._order, self._clock, timing.wait_s, timing.pause_s, era)
-        self.relayed[name] = rows
+        self.relayed_tables[name] = rows
         self.followers.append(RowFollower(name, rows, apply, timing.wait_s, self._clock, self._state.rng))
 
     def close(self) -> None:
         """Close the connections to peers."""
-        for rows in self.relayed.values():
+        for rows in self.relayed_tables.values():
             rows.close()
--- a/src/wallwell/node/housekeeping.py
+++ b/src/wallwell/node/housekeeping.py
@@ -16,11 +16,11 @@
 from wallwell.node.backend_rows import BackendRows
 from wallwell.node.member_rows import MemberRows
 
-HOUSEKEEPING_S = 1.0
+HOUSEKEEPING_INTERVAL_S = 1.0
 """Mean seconds between two rounds: lapsed back ends are dropped at most this much late."""
 HOUSEKEEPING_JITTER = (0.8, 1.2)
 """Range of factors on the period, so that nodes that start together do not write to the store together."""
-FIRST_REGISTRATION_TICK_S = 0.1
+OWN_ROWS_CHECK_INTERVAL_S = 0.1
 """Seconds between two checks whether the own rows are read: until a node is registered it cannot follow a peer, and
 each of its readings is a call to the store."""
 
@@ -30,25 +30,25 @@
 
     def __init__(
         self,
-        members: MemberRows,
-        own_member: Callable[[], NodeRecord],
-        listing: BackendRows,
+        member_rows: MemberRows,
+        own_record: Callable[[], NodeRecord],
+        backend_rows: BackendRows,
         pool: ConnectionPool,
         rng: random.Random,
     ) -> None:
-        """``own_member`` returns the row by which peers should know this node now."""
-        self._members = members
-        self._own_member = own_member
-        self._listing = listing
+        """``own_record`` returns the row by which peers should know this node now."""
+        self._member_rows = member_rows
+        self._own_record = own_record
+        self._backend_rows = backend_rows
         self._pool = pool
         self._rng = rng
 
     async def run(self) -> None:
         """Run until cancelled."""
-        while not self._members.known:
-            await asyncio.sleep(FIRST_REGISTRATION_TICK_S)
+        while not self._member_rows.has_been_read:
+            await asyncio.sleep(OWN_ROWS_CHECK_INTERVAL_S)
         while True:
-            await self._members.register(self._own_member())
-            await asyncio.sleep(HOUSEKEEPING_S * self._rng.uniform(*HOUSEKEEPING_JITTER))
+            await self._member_rows.register(self._own_record())
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S * self._rng.uniform(*HOUSEKEEPING_JITTER))
             self._pool.sweep(boot_time_s())
-            self._listing.drop_lapsed(boot_time_s())
+            self._backend_rows.drop_lapsed(boot_time_s())
--- a/src/wallwell/node/kv_store_watch.py
+++ b/src/wallwell/node/kv_store_watch.py
@@ -21,10 +21,10 @@
 from wallwell.node.state import NodeState
 from wallwell.routing.selection.kv_store import CachePage, CachePosition, KvStoreContents
 
-WAIT_S = 0.8
+EVENT_WAIT_S = 0.8
 """Seconds for which a call is held open until there is an event; as for the tables
 (:mod:`wallwell.node.followers`)."""
-PAUSE_S = 0.1
+PAGE_PAUSE_S = 0.1
 """Seconds after a page, so that events which come close together cost one call."""
 RETRY_S = 0.5
 """Mean seconds after a failed call until the next."""
@@ -33,9 +33,9 @@
 ANSWER_MARGIN_S = 0.5
 """Seconds for which a peer's answer is waited for beyond the agreed wait; as for the tables
 (``relay.ANSWER_MARGIN_S``)."""
-CONFIG_TICK_S = 0.2
+CONFIG_CHECK_INTERVAL_S = 0.2
 """Seconds between two checks which stores are configured."""
-LISTING_INTERVAL_S = 5.0
+MIN_LISTING_INTERVAL_S = 5.0
 """Least seconds between two whole listings that missing events call for; a listing keeps the store busy."""
 
 
@@ -76,121 +76,121 @@
         self._state = state
         self._source = source
         self._order = order
-        self._links: defaultdict[str, PeerLinks] = defaultdict(PeerLinks)
+        self._peer_links: defaultdict[str, PeerLinks] = defaultdict(PeerLinks)
         """By store: a link carries one request at a time, and each store is followed by a task of its own."""
         self._followers: dict[str, asyncio.Task[None]] = {}
         self._listed_at_s: dict[str, float] = {}
-        self._refusing: set[str] = set()
+        self._refusing_stores: set[str] = set()
         """Stores that answered the last call without events."""
-        self._advanced = asyncio.Event()
+        self._page_applied = asyncio.Event()
 
     async def run(self) -> None:
         """Follow whatever stores are configured, until cancelled."""
         try:
             while True:
                 self._reconcile()
-                await asyncio.sleep(CONFIG_TICK_S)
+                await asyncio.sleep(CONFIG_CHECK_INTERVAL_S)
         finally:
-            for task in self._followers.values():
-                task.cancel()
+            for follower in self._followers.values():
+                follower.cancel()
             self._followers.clear()
 
     def _reconcile(self) -> None:
         config = self._state.config
-        wanted = {each.kv_store_address for each in config.kv_stores} if config is not None else set()
-        for address in self._followers.keys() - wanted:
+        configured = {each.kv_store_address for each in config.kv_stores} if config is not None else set()
+        for address in self._followers.keys() - configured:
             self._followers.pop(address).cancel()
             self._state.kv_store_contents.pop(address, None)
-        for address in wanted:
-            running = self._followers.get(address)
-            if running is None or running.done():
+        for address in configured:
+            task = self._followers.get(address)
+            if task is None or task.done():
                 self._state.kv_store_contents.setdefault(address, KvStoreContents())
                 self._followers[address] = asyncio.create_task(self._follow(address))
 
     async def _follow(self, address: str) -> None:
         while True:
-            took_page = await self.step(address)
-            await asyncio.sleep(PAUSE_S if took_page else RETRY_S * self._state.rng.uniform(*RETRY_JITTER))
+            has_page = await self.step(address)
+            await asyncio.sleep(PAGE_PAUSE_S if has_page else RETRY_S * self._state.rng.uniform(*RETRY_JITTER))
 
     async def step(self, address: str) -> bool:
         """Apply one page of a store's events; returns False if neither peer nor store sent one."""
-        cache = self._state.kv_store_contents[address]
+        contents = self._state.kv_store_contents[address]
         page = None
         candidates = self._order.candidates(boot_time_s())
         if candidates:
-            page = await self._from_peer(*candidates[0], address, cache)
+            page = await self._ask_peer(*candidates[0], address, contents)
         if page is None:
-            page = await self._from_store(address, cache)
+            page = await self._ask_store(address, contents)
         if page is None:
             return False
-        cache.apply_page(page)
-        self._advanced.set()
-        self._advanced = asyncio.Event()
+        contents.apply_page(page)
+        self._page_applied.set()
+        self._page_applied = asyncio.Event()
         return True
 
-    async def _from_peer(self, name: str, peer: str, address: str, cache: KvStoreContents) -> CachePage | None:
-        wants_all = cache.has_gaps and self._may_list(address)
-        position = CachePosition() if wants_all else cache.position
-        request = CacheRequest(address, position, WAIT_S)
-        links = self._links[address]
-        links.keep({name})
+    async def _ask_peer(self, peer: str, relay: str, address: str, contents: KvStoreContents) -> CachePage | None:
+        needs_listing = contents.has_gaps and self._may_list(address)
+        position = CachePosition() if needs_listing else contents.position
+        request = CacheRequest(address, position, EVENT_WAIT_S)
+        links = self._peer_links[address]
+        links.keep({peer})
         try:
-            reply = await links.to(name, peer).ask(request, CacheReply, WAIT_S + ANSWER_MARGIN_S)
+            reply = await links.to(peer, relay).ask(request, CacheReply, EVENT_WAIT_S + ANSWER_MARGIN_S)
         except PeerUnavailableError:
             # Not logged: the tables are followed through the same peer, which logs its loss and passes it over.
             return None
         if reply.page is not None:
-            self._note_listing(address, reply.page)
-            _set_reachable(cache, address, reply.reachable, reason=f"told by {name}")
+            self._record_listing(address, reply.page)
+            _set_reachable(contents, address, reply.reachable, reason=f"told by {peer}")
         return reply.page
 
-    async def _from_store(self, address: str, cache: KvStoreContents) -> CachePage | None:
+    async def _ask_store(self, address: str, contents: KvStoreContents) -> CachePage | None:
         try:
-            if cache.has_gaps and self._may_list(address):
+            if contents.has_gaps and self._may_list(address):
                 page = await self._source.listing(address)
             else:
-                page = await self._source.events(address, cache.position, WAIT_S)
+                page = await self._source.events(address, contents.position, EVENT_WAIT_S)
         except CacheStoreSilentError as error:
-            _set_reachable(cache, address, reachable=False, reason=error.detail)
+            _set_reachable(contents, address, reachable=False, reason=error.detail)
             return None
         except CacheEventsRefusedError as error:
             # Logged once until the store sends events again, since the call is made twice a second.
-            if address not in self._refusing:
-                self._refusing.add(address)
+            if address not in self._refusing_stores:
+                self._refusing_stores.add(address)
                 emit(Event.CACHE_EVENTS_REFUSED, address=address, reason=error.detail)
             return None
-        self._refusing.discard(address)
-        self._note_listing(address, page)
-        _set_reachable(cache, address, reachable=True)
+        self._refusing_stores.discard(address)
+        self._record_listing(address, page)
+        _set_reachable(contents, address, reachable=True)
         return page
 
-    def _note_listing(self, address: str, page: CachePage) -> None:
+    def _record_listing(self, address: str, page: CachePage) -> None:
         if page.whole:
             self._listed_at_s[address] = boot_time_s()
 
     def _may_list(self, address: str) -> bool:
-        return boot_time_s() - self._listed_at_s.get(address, float("-inf")) >= LISTING_INTERVAL_S
+        return boot_time_s() - self._listed_at_s.get(address, float("-inf")) >= MIN_LISTING_INTERVAL_S
 
-    async def answer(self, request: CacheRequest) -> CacheReply:
+    async def answer_peer(self, request: CacheRequest) -> CacheReply:
         """Answer a peer from the copy, once there is something new or the agreed wait is over."""
-        cache = self._state.kv_store_contents.get(request.address)
-        if cache is None or not cache.has_been_read:
+        contents = self._state.kv_store_contents.get(request.address)
+        if contents is None or not contents.has_been_read:
             return CacheReply()
-        give_up_s = boot_time_s() + request.wait_s
-        while cache.position == request.position and (left_s := give_up_s - boot_time_s()) > 0:
-            await ends_within(self._advanced.wait(), left_s)
-        return CacheReply(cache.changes_since(request.position), cache.reachable)
+        deadline_s = boot_time_s() + request.wait_s
+        while contents.position == request.position and (left_s := deadline_s - boot_time_s()) > 0:
+            await ends_within(self._page_applied.wait(), left_s)
+        return CacheReply(contents.changes_since(request.position), contents.reachable)
 
     def close(self) -> None:
         """Close the connections to peers."""
-        for links in self._links.values():
+        for links in self._peer_links.values():
             links.keep(set())
 
 
-def _set_reachable(cache: KvStoreContents, address: str, reachable: bool, reason: str = "") -> None:
+def _set_reachable(contents: KvStoreContents, address: str, reachable: bool, reason: str = "") -> None:
     """Note whether a store answers, its own word or a peer's; each change is logged once."""
-    if cache.reachable and not reachable:
+    if contents.reachable and not reachable:
         emit(Event.CACHE_STORE_LOST, address=address, reason=reason)
-    elif reachable and not cache.reachable:
+    elif reachable and not contents.reachable:
         emit(Event.CACHE_STORE_REGAINED, address=address)
-    cache.reachable = reachable
+    contents.reachable = reachable
--- a/src/wallwell/node/member_rows.py
+++ b/src/wallwell/node/member_rows.py
@@ -54,12 +54,12 @@
         self._era: int | None = None
         self._own_version: int | None = None
         """Version of this node's own row, 0 if there is none, None before the rows were read."""
-        self._registration_failing = False
-        self._listened: set[str] = set()
+        self._is_registration_failing = False
+        self._delivered_keys: set[str] = set()
         """Keys of the rows that the listeners have and that were not deleted."""
 
     @property
-    def known(self) -> bool:
+    def has_been_read(self) -> bool:
         """Whether the rows have been read."""
         return self._own_version is not None
 
@@ -73,7 +73,7 @@
         members = {} if followed.is_snapshot else dict(self._order.members)
         if followed.is_snapshot:
             self._own_version = 0
-            self._on_missing_rows(followed, now_s)
+            self._report_missing_rows(followed, now_s)
         for row in followed.page.rows:
             if row.key.startswith(MEMBER_PREFIX):
                 self._on_member(members, row)
@@ -82,22 +82,22 @@
         self._order.members = members
         self._state.members = set(members)
 
-    def _on_missing_rows(self, followed: FollowedPage, now_s: float) -> None:
+    def _report_missing_rows(self, followed: FollowedPage, now_s: float) -> None:
         """Tell the listeners of rows that were deleted in a part of the history that was not read.
 
         After a return from a copy a missing row may be one that the copy lacks; those are written again.
         """
-        missing = self._listened - {row.key for row in followed.page.rows}
-        self._listened -= missing
+        missing = self._delivered_keys - {row.key for row in followed.page.rows}
+        self._delivered_keys -= missing
         if not followed.is_store_restored:
             for key in sorted(missing):
                 self._on_other_row(FeedRow(key, None, followed.page.version), now_s)
 
     def _on_other_row(self, row: FeedRow, now_s: float) -> None:
         if row.value is None:
-            self._listened.discard(row.key)
+            self._delivered_keys.discard(row.key)
         else:
-            self._listened.add(row.key)
+            self._delivered_keys.add(row.key)
         for listener in self._listeners:
             try:
                 listener.on_row(row, now_s)
@@ -129,10 +129,10 @@
             await self._table.transact(Transaction((Condition(key, self._own_version),), (put,)))
         except (PlatformUnavailableError, TableConflictError) as error:
             # The caller tries again each second. Logged once, so that an outage of the store is no flood.
-            if not self._registration_failing:
+            if not self._is_registration_failing:
                 emit(
                     Event.MEMBER_NOT_REGISTERED, member=self._state.node, reason=f"{type(error).__name__}: {error}"
                 )
-            self._registration_failing = True
+            self._is_registration_failing = True
             return
-        self._registration_failing = False
+        self._is_registration_failing = False
--- a/src/wallwell/node/metrics.py
+++ b/src/wallwell/node/metrics.py
@@ -16,12 +16,12 @@
 from wallwell.node.state import NodeState
 from wallwell.serving.counters import LATENCY_BOUNDS_S, LatencyHistogram, RequestCounters
 
-MAX_TENANTS_SHOWN = 20
+MAX_TENANT_SERIES = 20
 """Tenants with series of their own: those that were refused most, so that labels stay bounded with any number of
 tenants."""
 
 
-class FleetCollector:
+class NodeCollector:
     """Turns a node's numbers into metrics at the moment they are collected."""
 
     def __init__(self, counters: RequestCounters, state: NodeState, is_ready: bool) -> None:
@@ -57,7 +57,7 @@
         yield from self._collect_limits(now_s)
         yield from self._collect_region_traffic()
         yield from self._collect_rollouts()
-        yield self._retry_budgets(now_s)
+        yield self._retry_budget_metric(now_s)
 
     def _collect_freshness(self, now_s: float) -> Iterator[Metric]:
         state = self._state
@@ -75,26 +75,26 @@
         yield GaugeMetricFamily("wallwell_nodes", "Nodes that share budgets.", value=state.node_count)
 
     def _collect_backends(self, now_s: float) -> Iterator[Metric]:
-        listed = list(self._state.backends.all_backends())
-        opened = sum(each.is_open(now_s) for each in listed)
-        yield GaugeMetricFamily("wallwell_backends", "Listed back ends.", value=len(listed))
-        yield GaugeMetricFamily("wallwell_backends_open", "Back ends that get new requests.", value=opened)
-        leaving = sum(each.has_announced_leave for each in listed)
-        yield GaugeMetricFamily("wallwell_backends_leaving", "Listed back ends that leave.", value=leaving)
-        backing_off = sum(each.backoff.is_in_force(now_s) for each in listed)
+        backends = list(self._state.backends.all_backends())
+        open_count = sum(each.is_open(now_s) for each in backends)
+        yield GaugeMetricFamily("wallwell_backends", "Listed back ends.", value=len(backends))
+        yield GaugeMetricFamily("wallwell_backends_open", "Back ends that get new requests.", value=open_count)
+        leaving_count = sum(each.has_announced_leave for each in backends)
+        yield GaugeMetricFamily("wallwell_backends_leaving", "Listed back ends that leave.", value=leaving_count)
+        backing_off_count = sum(each.backoff.is_in_force(now_s) for each in backends)
         yield GaugeMetricFamily(
-            "wallwell_backends_backing_off", "Back ends that asked for no requests now.", value=backing_off
+            "wallwell_backends_backing_off", "Back ends that asked for no requests now.", value=backing_off_count
         )
-        limited = sum(each.is_limited for each in listed)
+        limited_count = sum(each.is_limited for each in backends)
         yield GaugeMetricFamily(
-            "wallwell_backends_limited", "Back ends that state how many requests they take.", value=limited
+            "wallwell_backends_limited", "Back ends that state how many requests they take.", value=limited_count
         )
         yield CounterMetricFamily(
             "wallwell_limited_passed_over",
             "Choices of a back end that went elsewhere for the limit that it states.",
             value=self._state.load.stated_limits.requests_passed_over,
         )
-        in_flight = sum(each.in_flight for each in listed)
+        in_flight = sum(each.in_flight for each in backends)
         yield GaugeMetricFamily("wallwell_in_flight", "Attempts in flight.", value=in_flight)
 
     def _collect_quarantine(self) -> Iterator[Metric]:
@@ -111,9 +111,9 @@
             "wallwell_region_bytes", "Bytes exchanged with other regions, bodies only.", "cause", traffic.bytes
         )
 
-    def _retry_budgets(self, now_s: float) -> Metric:
+    def _retry_budget_metric(self, now_s: float) -> Metric:
         budget = GaugeMetricFamily("wallwell_retry_budget_left", "Retries left by service.", labels=["service"])
-        for service, left in self._state.budgets_left(now_s).items():
+        for service, left in self._state.remaining_retries(now_s).items():
             budget.add_metric([service], left)
         return budget
 
@@ -125,7 +125,7 @@
         refused = CounterMetricFamily(
             "wallwell_limit_refusals", "Requests refused by a tenant's limit.", labels=["tenant"]
         )
-        for use in self._state.load.limits.most_refused_tenants(MAX_TENANTS_SHOWN, now_s):
+        for use in self._state.load.limits.most_refused_tenants(MAX_TENANT_SERIES, now_s):
             left.add_metric([use.tenant], use.level)
             asked.add_metric([use.tenant], use.demand_per_s)
             refused.add_metric([use.tenant], use.refused_requests)
@@ -159,15 +159,15 @@
         yield from (phases, share, requests, failed)
 
 
-def _counter(name: str, text: str, label: str, counts: Mapping[str, int]) -> CounterMetricFamily:
-    family = CounterMetricFamily(name, text, labels=[label])
+def _counter(name: str, description: str, label: str, counts: Mapping[str, int]) -> CounterMetricFamily:
+    family = CounterMetricFamily(name, description, labels=[label])
     for value, count in counts.items():
         family.add_metric([value], count)
     return family
 
 
-def _histogram(name: str, text: str, by_kind: Mapping[str, LatencyHistogram]) -> HistogramMetricFamily:
-    family = HistogramMetricFamily(name, text, labels=["kind"])
+def _histogram(name: str, description: str, by_kind: Mapping[str, LatencyHistogram]) -> HistogramMetricFamily:
+    family = HistogramMetricFamily(name, description, labels=["kind"])
     for kind, histogram in by_kind.items():
         cumulative, buckets = 0, []
         for bound, count in zip((*map(str, LATENCY_BOUNDS_S), "+Inf"), histogram.buckets, strict=True):
@@ -178,7 +178,7 @@
 
 
 def metrics_text(counters: RequestCounters, state: NodeState, is_ready: bool) -> bytes:
-    """Return the text exposition of one node; ``is_ready`` as for :class:`FleetCollector`."""
+    """Return the text exposition of one node; ``is_ready`` as for :class:`NodeCollector`."""
     registry = CollectorRegistry()
-    registry.register(FleetCollector(counters, state, is_ready))
+    registry.register(NodeCollector(counters, state, is_ready))
     return generate_latest(registry)
--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -38,7 +38,7 @@
 from wallwell.node.planned_stop import PlannedStop
 from wallwell.node.readiness import Readiness
 from wallwell.node.state import FleetBounds, NodeState
-from wallwell.node.supervision import Loop, run_for_life
+from wallwell.node.supervision import LoopFunction, run_supervised
 from wallwell.placement.weights_roll_driver import WeightsRollDriver
 from wallwell.rollout.driver import RolloutDriver
 from wallwell.rollout.planner import RolloutPlanner
@@ -95,72 +95,76 @@
         self._build_drivers(adapter)
         self._build_followers(adapter.sources)
         self._build_peers(adapter.sources)
-        self.readiness = Readiness(self.state, self._members)
+        self.readiness = Readiness(self.state, self._member_rows)
         self._housekeeping = Housekeeping(
-            self._members, self._own_member, self._listing, adapter.pool, self.state.rng
+            self._member_rows, self._own_record, self._backend_rows, adapter.pool, self.state.rng
         )
         self._planned_stop = PlannedStop(
-            self.readiness, (self._weights_roll, self._rollouts), self._peers, lambda: self.in_flight
+            self.readiness, (self._weights_roll, self._rollout_driver), self._peer_server, lambda: self.in_flight
         )
 
     # --- wiring ----------------------------------------------------------------------------------------
 
     def _build_pipeline(self, adapter: NodeAdapter) -> None:
-        self._liveness = LivenessMonitor(self.state, adapter.check)
-        self._crashes = CrashWatch(self.state, adapter.check, adapter.sources.table, lambda: self._order.members)
+        self._liveness = LivenessMonitor(self.state, adapter.backend_check)
+        self._crash_watch = CrashWatch(
+            self.state, adapter.backend_check, adapter.sources.own_table, lambda: self._order.members
+        )
         self._pipeline = RequestPipeline(
-            self.state, adapter.client, liveness=self._liveness, crash_observer=self._crashes
+            self.state, adapter.client, liveness=self._liveness, crash_observer=self._crash_watch
         )
 
     def _build_drivers(self, adapter: NodeAdapter) -> None:
         """Build what changes engines and services, at most one node at a time."""
         sources = adapter.sources
-        self._weights_roll = WeightsRollDriver(self.state, sources.table, adapter.control, self._clock)
+        self._weights_roll = WeightsRollDriver(self.state, sources.own_table, adapter.control, self._clock)
         counts = FleetCounts()
         planner = RolloutPlanner(self.state.bounds.rollout)
-        self._rollouts = RolloutDriver(self.state, sources.table, sources.rollouts, planner, counts, self._clock)
-        self._reporter = CountsReporter(
+        self._rollout_driver = RolloutDriver(
+            self.state, sources.own_table, sources.rollouts, planner, counts, self._clock
+        )
+        self._counts_reporter = CountsReporter(
             self.state.node,
             self.state.rollouts.tally,
             counts,
-            lambda: self._rollouts.holder,
+            lambda: self._rollout_driver.holder,
             lambda: self._order.members,
         )
 
     def _build_followers(self, sources: NodeSources) -> None:
-        self._operators = OperatorRows(self.state, sources)
-        self._listing = BackendRows(self.state, sources, self._pool)
-        self._members = MemberRows(
+        self._operator_rows = OperatorRows(self.state, sources)
+        self._backend_rows = BackendRows(self.state, sources, self._pool)
+        self._member_rows = MemberRows(
             self.state,
-            sources.table,
+            sources.own_table,
             self._order,
-            (self._weights_roll, self._rollouts, self._crashes),
+            (self._weights_roll, self._rollout_driver, self._crash_watch),
         )
-        self._tables = TableFollowers(self.state, self._order, self._clock)
-        self._tables.add("operators", sources.operators, self._operators.apply, OPERATORS_TIMING)
-        self._tables.add("backends", sources.backends, self._listing.apply, BACKENDS_TIMING)
-        self._tables.add("own", sources.own, self._members.apply, OWN_TIMING)
+        self._followers = TableFollowers(self.state, self._order, self._clock)
+        self._followers.add("operators", sources.operator_rows, self._operator_rows.apply, OPERATORS_TIMING)
+        self._followers.add("backends", sources.backend_rows, self._backend_rows.apply, BACKENDS_TIMING)
+        self._followers.add("own", sources.own_rows, self._member_rows.apply, OWN_TIMING)
 
     def _build_peers(self, sources: NodeSources) -> None:
         """Build the exchange with peers."""
-        crash_reports = CrashReports(self._crashes.unwritten, self._crashes.on_peer_report)
+        crash_reports = CrashReports(self._crash_watch.unwritten_crashes, self._crash_watch.on_peer_report)
         self._load_reporter = LoadReporter(
             self.state.node, self.state.load, self._order, self.state.region_traffic, crash_reports
         )
         self._kv_store_watch = KvStoreWatch(self.state, sources.cache_events, self._order)
-        self._peers = PeerServer(
+        self._peer_server = PeerServer(
             {
-                RowsRequest: rows_handler(self._tables.relayed),
+                RowsRequest: rows_handler(self._followers.relayed_tables),
                 MemberLoad: self._load_reporter.on_member_load,
                 ZoneLoad: self._load_reporter.on_zone_load,
                 RegionLoad: self._load_reporter.region_reporter.on_region_load,
-                CacheRequest: self._kv_store_watch.answer,
-                CountsReport: self._reporter.on_counts_report,
+                CacheRequest: self._kv_store_watch.answer_peer,
+                CountsReport: self._counts_reporter.on_counts_report,
             }
         )
 
-    def _own_member(self) -> NodeRecord:
-        return NodeRecord(self._profile.zone, self._peers.address, self._profile.link_mbps)
+    def _own_record(self) -> NodeRecord:
+        return NodeRecord(self._profile.zone, self._peer_server.address, self._profile.link_mbps)
 
     # --- start -----------------------------------------------------------------------------------------
 
@@ -169,7 +173,7 @@
         refused: list[OSError] = []
         for port in ports:
             try:
-                await self._peers.start(host, port)
+                await self._peer_server.start(host, port)
                 break
             except OSError as error:
                 refused.append(error)  # Another process of the machine may use the port.
@@ -180,13 +184,13 @@
 
     def start(self) -> None:
         """Start following the store and all periodic work."""
-        loops: list[Loop] = [each.run for each in self._tables.followers]
+        loops: list[LoopFunction] = [each.run for each in self._followers.followers]
         loops += [self._weights_roll.run, self._load_reporter.run, self._kv_store_watch.run, self._liveness.run]
-        loops += [self._housekeeping.run, self.readiness.watch_event_loop, self._crashes.run]
+        loops += [self._housekeeping.run, self.readiness.watch_event_loop, self._crash_watch.run]
         if self._profile.topology.has_other_regions:
             loops.append(self._load_reporter.region_reporter.run)
-        loops += [self._rollouts.run, self._reporter.run]
-        self._tasks = [asyncio.create_task(run_for_life(loop)) for loop in loops]
+        loops += [self._rollout_driver.run, self._counts_reporter.run]
+        self._tasks = [asyncio.create_task(run_supervised(loop)) for loop in loops]
 
     # --- callers ---------------------------------------------------------------------------------------
 
@@ -209,9 +213,9 @@
         """Whether callers' new connections should come here."""
         return self.readiness.is_ready()
 
-    def closing_connections(self) -> bool:
+    def is_closing_connections(self) -> bool:
         """Whether callers should send their next request to another node."""
-        return self.readiness.closing_connections()
+        return self.readiness.is_closing_connections()
 
     # --- stop ------------------------------------------------------------------------------------------
 
@@ -225,9 +229,9 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        self._peers.close()
+        self._peer_server.close()
         self._load_reporter.close()
         self._kv_store_watch.close()
-        self._reporter.close()
-        self._tables.close()
+        self._counts_reporter.close()
+        self._followers.close()
         self._pool.close()
--- a/src/wallwell/node/operator_rows.py
+++ b/src/wallwell/node/operator_rows.py
@@ -16,10 +16,10 @@
 from wallwell.node.store_outage import STORE_OUTAGE_S
 from wallwell.storage.feed import FeedRow, FollowedPage
 
-WRITTEN_AGAIN_S = 5.0
+REWRITE_GRACE_S = 5.0
 """Seconds from the store's return from a copy within which operators have written again what the copy lacks; an
 order in the copy that contradicts the known one counts from then."""
-UNCONFIRMED_S = 1.0
+CONFIRMATION_HOLD_S = 1.0
 """Seconds from a node's first answer of an era for which the store confirms no configuration: it may be a copy that
 lacks the newest one, which operators write again soon. Less than what is left of the time for which the last
 confirmation holds after an outage of some seconds, so that callers notice nothing of it."""
@@ -34,7 +34,7 @@
         self._is_config_unreadable = False
         self._behind_since_s: float | None = None
         """Since when other nodes have known a newer configuration than the store has shown here."""
-        self._behind_logged = 0
+        self._logged_peers_version = 0
         """Version of theirs for which that was logged last."""
 
     def apply(self, followed: FollowedPage) -> None:
@@ -44,7 +44,7 @@
                 continue
             try:
                 if row.key.startswith(self._sources.rollout_prefix):
-                    self._on_rollout(row, followed)
+                    self._on_rollout_order(row, followed)
                 else:
                     self._on_row(row.key, row.value, followed.previous_confirmed_at_s)
             except msgspec.MsgspecError as error:
@@ -60,7 +60,7 @@
         # The store may have come back from a copy that lacks the newest configuration.
         self._state.load.own_configuration_version = config.version
         now_s = boot_time_s()
-        if not self._is_behind(config.version, now_s) and now_s >= era.observed_since_s + UNCONFIRMED_S:
+        if not self._is_behind(config.version, now_s) and now_s >= era.observed_since_s + CONFIRMATION_HOLD_S:
             self._state.freshness.confirm(followed.confirmed_at_s)
 
     def _is_behind(self, version: int, now_s: float) -> bool:
@@ -74,9 +74,9 @@
             return False
         if self._behind_since_s is None:
             self._behind_since_s = now_s
-        elif now_s >= self._behind_since_s + UNCONFIRMED_S and self._behind_logged != peers_version:
+        elif now_s >= self._behind_since_s + CONFIRMATION_HOLD_S and self._logged_peers_version != peers_version:
             # A peer may also just have been faster.
-            self._behind_logged = peers_version
+            self._logged_peers_version = peers_version
             emit(Event.CONFIG_BEHIND, version=version, peers_version=peers_version)
         return True
 
@@ -92,7 +92,7 @@
             if self._state.weights.add_version(model, version, since_s, estimated):
                 emit(Event.WEIGHTS_NAMED, model=model, version=version, estimated=estimated)
 
-    def _on_rollout(self, row: FeedRow, followed: FollowedPage) -> None:
+    def _on_rollout_order(self, row: FeedRow, followed: FollowedPage) -> None:
         assert row.value is not None
         try:
             order = self._sources.decode_rollout(row.key, row.value, row.version)
@@ -104,7 +104,7 @@
             emit(Event.ROLLOUT_REFUSED, row=row.key, error="no such service is configured or listed")
         effective_from_s = float("-inf")
         if followed.is_snapshot:
-            effective_from_s = self._state.store_era.observed_since_s + WRITTEN_AGAIN_S
+            effective_from_s = self._state.store_era.observed_since_s + REWRITE_GRACE_S
         if self._state.rollouts.on_order(order, boot_time_s(), effective_from_s):
             emit(
                 Event.ROLLOUT_ORDERED,
--- a/src/wallwell/node/planned_stop.py
+++ b/src/wallwell/node/planned_stop.py
@@ -15,12 +15,12 @@
 from wallwell.events import Event, emit
 from wallwell.node.readiness import Readiness
 
-NOTICE_S = 2.6
+LAME_DUCK_S = 2.6
 """Seconds for which a stopping node still takes requests. Load balancers check readiness each second and leave a
 node out after two failed checks, so after 2 s at most."""
-LARGEST_NOTICE_FRACTION = 0.5
+MAX_LAME_DUCK_FRACTION = 0.5
 """Largest fraction of the grace period that the notice may take, so that open requests get the rest."""
-DRAIN_TICK_S = 0.05
+DRAIN_CHECK_INTERVAL_S = 0.05
 """Seconds between two checks whether requests are still in flight: small beside the grace period of some
 seconds."""
 STOP_RESERVE_FRACTION = 0.125
@@ -49,7 +49,7 @@
         self._in_flight = in_flight
 
     async def drain(self, grace_s: float, close_listener: Callable[[], Awaitable[None]]) -> None:
-        """Stop being ready, stop taking requests after :data:`NOTICE_S`, and wait for those in flight.
+        """Stop being ready, stop taking requests after :data:`LAME_DUCK_S`, and wait for those in flight.
 
         ``close_listener`` ends the acceptance of connections and closes each one that is or becomes idle. It may
         return once none is left; those that are open at the end of the time for requests are cut.
@@ -60,7 +60,7 @@
             driver.drain()
         self._peers.close()
         end_s = boot_time_s() + grace_s * (1.0 - STOP_RESERVE_FRACTION)
-        await asyncio.sleep(min(NOTICE_S, grace_s * LARGEST_NOTICE_FRACTION))
+        await asyncio.sleep(min(LAME_DUCK_S, grace_s * MAX_LAME_DUCK_FRACTION))
         await ends_within(close_listener(), end_s - boot_time_s())
         while self._in_flight() and boot_time_s() < end_s:
-            await asyncio.sleep(DRAIN_TICK_S)
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
--- a/src/wallwell/node/readiness.py
+++ b/src/wallwell/node/readiness.py
@@ -9,7 +9,7 @@
 import asyncio
 
 from wallwell.clock import SuspensionWatch, boot_time_s
-from wallwell.node.loop_lag import TICK_S, LoopLag
+from wallwell.node.loop_lag import TIMER_INTERVAL_S, LoopLag
 from wallwell.node.member_rows import MemberRows
 from wallwell.node.state import NodeState
 
@@ -17,31 +17,31 @@
 class Readiness:
     """One node's answers to its callers' load balancers."""
 
-    def __init__(self, state: NodeState, members: MemberRows) -> None:
+    def __init__(self, state: NodeState, member_rows: MemberRows) -> None:
         self._state = state
-        self._members = members
-        self._suspensions = SuspensionWatch()
-        self.lag = LoopLag()
+        self._member_rows = member_rows
+        self._suspension_watch = SuspensionWatch()
+        self.loop_lag = LoopLag()
         self.draining = False
         """Whether a planned stop has begun."""
 
     def is_ready(self) -> bool:
         """Whether callers' new connections should come here."""
         now_s = boot_time_s()
-        if self.draining or self.lag.is_starved(now_s):
+        if self.draining or self.loop_lag.is_starved(now_s):
             return False
         # This product's own rows name the versions and requests that must not be served.
-        return self._members.known and self._state.is_ready(now_s)
+        return self._member_rows.has_been_read and self._state.is_ready(now_s)
 
-    def closing_connections(self) -> bool:
+    def is_closing_connections(self) -> bool:
         """Whether callers should send their next request to another node."""
         return self.draining or not self._state.is_fresh(boot_time_s())
 
     async def watch_event_loop(self) -> None:
         """Measure the event loop's delay, and notice suspensions of the machine, until cancelled."""
         while True:
-            due_s = boot_time_s() + TICK_S
-            await asyncio.sleep(TICK_S)
+            due_s = boot_time_s() + TIMER_INTERVAL_S
+            await asyncio.sleep(TIMER_INTERVAL_S)
             now_s = boot_time_s()
-            self._suspensions.look()
-            self.lag.observe(now_s - due_s, now_s)
+            self._suspension_watch.look()
+            self.loop_lag.observe(now_s - due_s, now_s)
--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -54,9 +54,9 @@
 from wallwell.routing.selection.prefill_rate import PrefillRate
 from wallwell.routing.selection.split import WeightedSplit
 
-DEFAULT_CALL_S = 0.05
+DEFAULT_CALL_TIME_S = 0.05
 """Seconds of a call until some have been observed."""
-START_FRACTION = 0.8
+STARTUP_FRACTION = 0.8
 """Fraction of the time given to a started machine after which versions of estimated age count as due."""
 
 
@@ -78,9 +78,9 @@
     """Window over which requests and retries are counted."""
     lease_s: float = 3.0
     """How long a lease on a share of the control work holds."""
-    contact_s: float = 3.0
+    startup_grace_s: float = 3.0
     """How long a machine that has started is given before bounds in time hold for it."""
-    version_s: float = 8.0
+    weights_deadline_s: float = 8.0
     """How long after its naming a weights version may be missing on an engine that gets generations."""
     rollout: RolloutBounds = field(default_factory=RolloutBounds)
 
@@ -116,13 +116,13 @@
     prefill_rate: PrefillRate = field(default_factory=PrefillRate)
     generation_time: AverageDuration = field(default_factory=AverageDuration)
     """How long generations take from their sending to their end."""
-    call_time: AverageDuration = field(default_factory=lambda: AverageDuration(DEFAULT_CALL_S))
+    call_time: AverageDuration = field(default_factory=lambda: AverageDuration(DEFAULT_CALL_TIME_S))
     """The same of calls."""
     shortest_answers: dict[str, ShortestAnswerTime] = field(default_factory=dict)
     """By route."""
     kv_store_contents: dict[str, KvStoreContents] = field(default_factory=dict)
     """What each KV store holds, by address."""
-    _budgets: dict[str, FleetRetryBudget] = field(default_factory=dict)
+    _retry_budgets: dict[str, FleetRetryBudget] = field(default_factory=dict)
     """Retry budgets by service."""
     zones: ZoneSuspicion = field(init=False)
     """Which zones are cut off from this node."""
@@ -193,19 +193,20 @@
         """Whether this node can serve callers now."""
         return self.config is not None and self.backends_known and self.is_fresh(now_s)
 
-    def budget_of(self, service: str) -> FleetRetryBudget:
+    def retry_budget(self, service: str) -> FleetRetryBudget:
         """Return this node's share of a service's retry budget."""
-        budget = self._budgets.get(service)
+        budget = self._retry_budgets.get(service)
         if budget is None:
             bounds = self.bounds
             budget = FleetRetryBudget(bounds.retry_ratio, bounds.retry_extra, bounds.retry_window_s, self.started_s)
-            self._budgets[service] = budget
+            self._retry_budgets[service] = budget
         return budget
 
-    def budgets_left(self, now_s: float) -> dict[str, float]:
+    def remaining_retries(self, now_s: float) -> dict[str, float]:
         """Return this node's retries left, by service."""
         return {
-            service: budget.remaining_retries(now_s, self.node_count) for service, budget in self._budgets.items()
+            service: budget.remaining_retries(now_s, self.node_count)
+            for service, budget in self._retry_budgets.items()
         }
 
     def on_connect_timeout(self, backend: Backend, now_s: float) -> None:
@@ -229,7 +230,9 @@
 
         It may be as old as any: it has to be due by the time that bounds hold for this node.
         """
-        return now_s - (self.bounds.version_s * OVERDUE_FRACTION - self.bounds.contact_s * START_FRACTION)
+        return now_s - (
+            self.bounds.weights_deadline_s * OVERDUE_FRACTION - self.bounds.startup_grace_s * STARTUP_FRACTION
+        )
 
     def on_version_refused(self, backend: Backend, model: str, reported: int) -> None:
         """A back end refused the expected weights version: believe the one it reports, else the newest named.
--- a/src/wallwell/node/supervision.py
+++ b/src/wallwell/node/supervision.py
@@ -11,13 +11,13 @@
 
 from wallwell.events import Event, emit
 
-Loop = Callable[[], Coroutine[Any, Any, None]]
+LoopFunction = Callable[[], Coroutine[Any, Any, None]]
 
 RESTART_PAUSE_S = 1.0
 """Seconds before a loop that ended starts again: long enough that an error that persists logs one line a second."""
 
 
-async def run_for_life(loop: Loop) -> None:
+async def run_supervised(loop: LoopFunction) -> None:
     """Run a loop until cancelled; an unexpected error is logged and the loop starts again."""
     while True:
         try:
--- a/src/wallwell/platform/callers.py
+++ b/src/wallwell/platform/callers.py
@@ -116,7 +116,7 @@
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         arrived_s = boot_time_s()
         request_id = request.headers.get(names.REQUEST_ID, "")
-        reply = HttpReply(request, request_id, self._node.closing_connections)
+        reply = HttpReply(request, request_id, self._node.is_closing_connections)
         try:
             await self._serve(request, reply, arrived_s)
         except asyncio.CancelledError:
--- a/src/wallwell/platform/main.py
+++ b/src/wallwell/platform/main.py
@@ -53,7 +53,7 @@
         _sources(store, CacheEventsClient(pool)),
         client=WorkerClient(pool, notices),
         control=WorkerControl(pool, notices),
-        check=WorkerProbes(pool, topology),
+        backend_check=WorkerProbes(pool, topology),
         pool=pool,
         notices=notices,
     )
@@ -62,10 +62,10 @@
 
 def _sources(store: PlatformStore, cache_events: CacheEventsClient) -> NodeSources:
     return NodeSources(
-        operators=TableRows(store, names.OPERATOR_TABLE),
-        backends=TableRows(store, names.BACKENDS_TABLE),
-        own=TableRows(store, names.OWN_TABLE),
-        table=store,
+        operator_rows=TableRows(store, names.OPERATOR_TABLE),
+        backend_rows=TableRows(store, names.BACKENDS_TABLE),
+        own_rows=TableRows(store, names.OWN_TABLE),
+        own_table=store,
         era=store.era,
         config_key=names.CONFIG_KEY,
         version_prefix=names.VERSION_KEY_PREFIX,
--- a/src/wallwell/platform/settings.py
+++ b/src/wallwell/platform/settings.py
@@ -130,8 +130,8 @@
             retry_extra=bounds.retry_budget_extra,
             retry_window_s=bounds.budget_window_s,
             lease_s=bounds.lease_ms / 1000,
-            contact_s=bounds.contact_ms / 1000,
-            version_s=bounds.version_ms / 1000,
+            startup_grace_s=bounds.contact_ms / 1000,
+            weights_deadline_s=bounds.version_ms / 1000,
             rollout=RolloutBounds(bounds.exposure_share, bounds.exposure_slack, bounds.rollback_ms / 1000),
         )
 
--- a/src/wallwell/platform/worker_probes.py
+++ b/src/wallwell/platform/worker_probes.py
@@ -27,7 +27,7 @@
         failure = await self._open_connection(backend)
         return failure is None or not failure.timed_out
 
-    async def is_refused(self, backend: BackendRecord) -> bool:
+    async def refuses_connections(self, backend: BackendRecord) -> bool:
         """See :class:`wallwell.node.crash_probe.CrashCheck`."""
         if self._pool.has_idle(backend.address):
             return False  # The end of its process would have reset it.
--- a/src/wallwell/serving/admission.py
+++ b/src/wallwell/serving/admission.py
@@ -49,7 +49,7 @@
         if request.caller_timeout_s is not None:
             effective_timeout_s = min(effective_timeout_s, request.caller_timeout_s)
         service = state.split.choose(route, state.split_offset)
-        state.budget_of(service).on_request(boot_time_s())
+        state.retry_budget(service).on_request(boot_time_s())
         if request.generation is not None:
             state.demand.own_generations.add(boot_time_s())
         return ActiveRequest(
--- a/src/wallwell/serving/attempt.py
+++ b/src/wallwell/serving/attempt.py
@@ -162,7 +162,7 @@
             active.route,
             active.history,
             lambda: has_untried_backend(self._state, active, now_s),
-            self._state.budget_of(active.service),
+            self._state.retry_budget(active.service),
             now_s,
         )
 
--- a/src/wallwell/serving/pipeline.py
+++ b/src/wallwell/serving/pipeline.py
@@ -231,7 +231,7 @@
         self._reporter.on_attempt_failed(active, backend, failure)
         if event in NOT_ARRIVED:
             self._state.load.stated_limits.refund(backend)
-        budget = self._state.budget_of(active.service)
+        budget = self._state.retry_budget(active.service)
         decision = self._policy.decide_after_failure(
             active.route, active.history, active.attempt_log.attempts, event, budget, now_s
         )
--- a/src/wallwell/serving/response_wait.py
+++ b/src/wallwell/serving/response_wait.py
@@ -66,7 +66,7 @@
     def _response_timeout_s(self, active: ActiveRequest) -> float | None:
         """Return the seconds after which a silent back end is abandoned for another one; None if not allowed."""
         now_s = boot_time_s()
-        budget = self._state.budget_of(active.service)
+        budget = self._state.retry_budget(active.service)
         may_abandon = self._policy.may_abandon_silent(
             active.route, active.history, lambda: has_untried_backend(self._state, active, now_s), budget, now_s
         )
@@ -81,7 +81,7 @@
         now_s = boot_time_s()
         is_generation = active.request.generation is not None
         fleet_is_behind = is_generation and self._state.first_token_delays.is_fleet_behind(now_s)
-        budget = self._state.budget_of(active.service)
+        budget = self._state.retry_budget(active.service)
         return self._policy.try_abandon_silent(active.history, fleet_is_behind, budget, now_s)
 
     def _start_timeout_s(self, active: ActiveRequest, backend: Backend) -> float | None:
--- a/tests/platform/test_busy_node.py
+++ b/tests/platform/test_busy_node.py
@@ -14,7 +14,7 @@
 
 from tests.platform.conftest import config, route
 from wallwell.clock import boot_time_s
-from wallwell.node.loop_lag import LATE_S, LoopLag
+from wallwell.node.loop_lag import LATE_TIMER_S, LoopLag
 from wallwell.platform.main import listen
 
 LOOPS = pytest.mark.parametrize("loop", [asyncio.new_event_loop, uvloop.new_event_loop], ids=["asyncio", "uvloop"])
@@ -75,9 +75,9 @@
         url = f"http://127.0.0.1:{next(iter(runner.sites))._server.sockets[0].getsockname()[1]}/"
         answers = []
         for delays in ((), (9.0,), (9.0, 9.0), ()):
-            harness.node.readiness.lag = LoopLag()
+            harness.node.readiness.loop_lag = LoopLag()
             for delay_s in delays:
-                harness.node.readiness.lag.observe(delay_s, boot_time_s() + 60.0)
+                harness.node.readiness.loop_lag.observe(delay_s, boot_time_s() + 60.0)
             async with harness.session.get(url) as response:
                 answers.append(response.status)
         await runner.cleanup()
@@ -88,8 +88,8 @@
 
 def test_a_node_notices_that_its_loop_is_starved(on_platform):
     async def scenario(harness):
-        busy = asyncio.create_task(hog(LATE_S + 0.1))
-        await harness.until(lambda: harness.node.readiness.lag.late_in_a_row >= 2, bound_s=30.0)
+        busy = asyncio.create_task(hog(LATE_TIMER_S + 0.1))
+        await harness.until(lambda: harness.node.readiness.loop_lag.consecutive_late_timers >= 2, bound_s=30.0)
         starved = not harness.node.is_ready()
         busy.cancel()
         await harness.until(harness.node.is_ready)
--- a/tests/platform/test_peers.py
+++ b/tests/platform/test_peers.py
@@ -25,7 +25,7 @@
 
 
 def both_know_each_other(nodes):
-    addresses = [node._peers.address for node in nodes]
+    addresses = [node._peer_server.address for node in nodes]
     return all({member.relay for member in node._order.members.values()} >= set(addresses) for node in nodes)
 
 
@@ -36,7 +36,7 @@
     await harness.until(lambda: both_know_each_other(nodes))
     await harness.until(lambda: all(node.is_ready() for node in nodes))
     nodes.sort(key=lambda node: len(node._order.candidates(asyncio.get_running_loop().time())))
-    await harness.until(lambda: all(len(rows.links) for rows in nodes[1]._tables.relayed.values()))
+    await harness.until(lambda: all(len(rows.links) for rows in nodes[1]._followers.relayed_tables.values()))
     return nodes
 
 
@@ -89,12 +89,14 @@
 def test_a_restarted_node_is_known_by_its_new_address(on_platform):
     async def scenario(harness):
         first = await second_node(harness)
-        await harness.until(lambda: first._peers.address in (harness.store.value("wallwell", "member/n2") or ""))
+        await harness.until(
+            lambda: first._peer_server.address in (harness.store.value("wallwell", "member/n2") or "")
+        )
         await first.stop()
         again = await second_node(harness)
-        await harness.until(lambda: again._peers.address in harness.store.value("wallwell", "member/n2"))
+        await harness.until(lambda: again._peer_server.address in harness.store.value("wallwell", "member/n2"))
         member = json.loads(harness.store.value("wallwell", "member/n2"))
-        address = again._peers.address
+        address = again._peer_server.address
         await again.stop()
         return member == {"zone": "z1", "relay": address, "link_mbps": 0.0}
 
@@ -112,7 +114,7 @@
             ports = [taken.getsockname()[1]] + ([0] if free_after else [])
             await harness.node.listen_for_peers(LOOPBACK, ports)
         await harness.until(lambda: harness.store.value("wallwell", "member/n1") is not None)
-        served = harness.node._peers.address
+        served = harness.node._peer_server.address
         return bool(served), (await harness.call())[0]
 
     assert on_platform(scenario) == (free_after is not None, 200)
--- a/tests/platform/test_reachability.py
+++ b/tests/platform/test_reachability.py
@@ -95,12 +95,12 @@
         server = await asyncio.start_server(lambda reader, writer: writer.transport.abort(), "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         pool = worker_pool()
-        accepts = await WorkerProbes(pool).is_refused(record(address))
+        accepts = await WorkerProbes(pool).refuses_connections(record(address))
         server.close()
         await server.wait_closed()
         while pool.has_idle(address):  # Until the reset has been read.
             await asyncio.sleep(0.005)
-        ended = await WorkerProbes(pool).is_refused(record(address))
+        ended = await WorkerProbes(pool).refuses_connections(record(address))
         pool.close()
         return accepts, ended
 
@@ -114,7 +114,7 @@
         server = await asyncio.start_server(lambda reader, writer: accepted.append(writer), "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         pool = worker_pool()
-        refused = [await WorkerProbes(pool).is_refused(record(address)) for _ in range(3)]
+        refused = [await WorkerProbes(pool).refuses_connections(record(address)) for _ in range(3)]
         pool.close()
         for writer in accepted:
             writer.close()
@@ -133,4 +133,4 @@
         raise ConnectFailedError(timed_out, "scripted")
 
     monkeypatch.setattr(pool, "open_idle", fail)
-    assert not run_async(WorkerProbes(pool).is_refused(record("10.0.0.1:80")))
+    assert not run_async(WorkerProbes(pool).refuses_connections(record("10.0.0.1:80")))
--- a/tests/platform/test_rollouts.py
+++ b/tests/platform/test_rollouts.py
@@ -239,7 +239,7 @@
 
 def test_a_node_is_not_ready_before_it_knows_which_versions_are_barred(on_platform):
     async def scenario(harness):
-        harness.node._members._own_version = None
+        harness.node._member_rows._own_version = None
         return harness.node.is_ready()
 
     assert not on_platform(scenario)
--- a/tests/unit/node/test_backend_rows.py
+++ b/tests/unit/node/test_backend_rows.py
@@ -12,13 +12,13 @@
 from wallwell.http_connection import ConnectionPool
 from wallwell.node import backend_notices, backend_rows
 from wallwell.node.backend_notices import apply_notice
-from wallwell.node.backend_rows import LAPSE_GRACE_S, RESTORED_ENTRIES_S, BackendRows
+from wallwell.node.backend_rows import LAPSE_GRACE_S, RESTORED_ENTRY_HOLD_S, BackendRows
 from wallwell.routing.health.backend_notice import BackendNotice
 from wallwell.routing.health.backend_registry import BackendRegistry
 from wallwell.serving.version_choice import eligible_backends
 from wallwell.storage.feed import FeedPage, FeedRow, FollowedPage
 
-AWAY_S = 5.0
+OUTAGE_S = 5.0
 
 
 class Sources:
@@ -30,7 +30,7 @@
         return BackendRecord(incarnation, "svc", address or incarnation, "z", 8, draining=state == "draining")
 
 
-class CoolingSources:
+class SlowStartSources:
     """Decodes a row's value as how long the back end is still slow, and its state."""
 
     @staticmethod
@@ -49,17 +49,17 @@
         return BackendRecord(incarnation, "svc", "a", "z", 8, state == "draining", started_unix_ms=int(started))
 
 
-def test_a_back_end_is_not_logged_as_changed_while_it_becomes_warm(monkeypatch):
+def test_decreasing_slow_start_time_is_not_logged_as_a_change(monkeypatch):
     """Its entry changes with each heartbeat then: 250 lines a node in 36 s with 30 back ends."""
     listed = []
     monkeypatch.setattr(backend_rows, "emit", lambda event, **fields: listed.append((event, fields["draining"])))
-    rows = BackendRows(make_state(backends=0), CoolingSources(), ConnectionPool("X", 1.0, 1.0))
+    rows = BackendRows(make_state(backends=0), SlowStartSources(), ConnectionPool("X", 1.0, 1.0))
     for value in (b"2.0 ready", b"1.0 ready", b"0.0 ready", b"0.0 draining"):
         rows.apply(FollowedPage(FeedPage((FeedRow("a", value, 1),), 1, 0.0), False, 0.0, 0.0))
     assert listed == [(Event.BACKEND_LISTED, False), (Event.BACKEND_LISTED, True)]
 
 
-class Followed:
+class FollowedRows:
     """A follower's pages: rows by key, None for a missing one."""
 
     def __init__(self):
@@ -67,134 +67,134 @@
         self.rows = BackendRows(self.state, Sources(), ConnectionPool("X", 1.0, 1.0))
         self.confirmed_s = float("-inf")
 
-    def take(self, whole=False, restored=False, **rows):
+    def apply_page(self, whole=False, restored=False, **rows):
         now_s = boot_time_s()
         page = tuple(FeedRow(key, value, 1) for key, value in rows.items())
         self.rows.apply(FollowedPage(FeedPage(page, 1, 0.0), whole, now_s, self.confirmed_s, restored))
         self.confirmed_s = now_s
 
-    def take_copy(self, **rows):
+    def apply_restored_listing(self, **rows):
         """Take the whole listing of a store that has come back from a copy a moment ago."""
         era = self.state.store_era
         era.observe((era.observed_era or 0) + 1, boot_time_s())
-        self.take(whole=True, restored=True, **rows)
+        self.apply_page(whole=True, restored=True, **rows)
 
-    def open(self):
+    def open_backends(self):
         now_s = boot_time_s()
         return sorted(
             each.incarnation for each in self.state.backends.backends_of_service("svc") if each.is_open(now_s)
         )
 
-    async def pass_time(self, seconds, told=True):
+    async def pass_time(self, seconds, is_store_up=True):
         """Let time pass; a store that is there tells every half a second that nothing has changed."""
         for _ in range(round(seconds / 0.5)):
             await asyncio.sleep(0.5)
-            if told:
-                self.take()
+            if is_store_up:
+                self.apply_page()
             else:
                 self.rows.drop_lapsed(boot_time_s())
 
 
-def play(scenario):
+def run_scenario(scenario):
     async def work():
-        followed = Followed()
-        followed.take(whole=True, a=b"ready", b=b"ready", c=b"draining")
+        followed = FollowedRows()
+        followed.apply_page(whole=True, a=b"ready", b=b"ready", c=b"draining")
         await followed.pass_time(2.0)
         return await scenario(followed)
 
     return run_virtual(work())
 
 
-def test_a_back_end_that_leaves_gets_nothing_at_once():
+def test_removed_back_end_gets_no_requests_at_once():
     async def scenario(followed):
-        followed.take(a=None)
-        return followed.open()
+        followed.apply_page(a=None)
+        return followed.open_backends()
 
-    assert play(scenario) == ["b"]
+    assert run_scenario(scenario) == ["b"]
 
 
-def test_an_entry_that_says_otherwise_later_does_not_bring_a_leaving_back_end_back():
+def test_ready_entry_does_not_reopen_a_leaving_back_end():
     """After an outage the store may list as ready what has said in its answers that it leaves."""
 
     async def scenario(followed):
         state = followed.state
         apply_notice(state, "a", BackendNotice(leaving=True))
-        seen = [followed.open()]
-        await followed.pass_time(AWAY_S, told=False)
-        followed.take(whole=True, a=b"ready", b=b"ready", c=b"ready")
-        seen.append(followed.open())
-        followed.take(a=None)
-        followed.take(a=b"ready")
-        seen.append(followed.open())
+        seen = [followed.open_backends()]
+        await followed.pass_time(OUTAGE_S, is_store_up=False)
+        followed.apply_page(whole=True, a=b"ready", b=b"ready", c=b"ready")
+        seen.append(followed.open_backends())
+        followed.apply_page(a=None)
+        followed.apply_page(a=b"ready")
+        seen.append(followed.open_backends())
         return seen
 
-    assert play(scenario) == [["b"], ["b"], ["b"]]
+    assert run_scenario(scenario) == [["b"], ["b"], ["b"]]
 
 
-def test_a_back_end_that_has_gone_does_not_return_with_the_listing_of_a_copy():
+def test_restored_listing_does_not_reopen_a_removed_back_end():
     """Seen by reading: it serves on for some seconds after its entry went, and must get nothing."""
 
     async def scenario(followed):
-        followed.take(a=None)
-        followed.take_copy(a=b"ready", b=b"ready", c=b"draining")
-        seen = [followed.open()]
-        await followed.pass_time(RESTORED_ENTRIES_S - 1.0)
-        seen.append(followed.open())
-        followed.take(a=None)
+        followed.apply_page(a=None)
+        followed.apply_restored_listing(a=b"ready", b=b"ready", c=b"draining")
+        seen = [followed.open_backends()]
+        await followed.pass_time(RESTORED_ENTRY_HOLD_S - 1.0)
+        seen.append(followed.open_backends())
+        followed.apply_page(a=None)
         await followed.pass_time(2.0)
-        return [*seen, followed.open()]
+        return [*seen, followed.open_backends()]
 
-    assert play(scenario) == [["b"], ["b"], ["b"]]
+    assert run_scenario(scenario) == [["b"], ["b"], ["b"]]
 
 
 @pytest.mark.parametrize("writes", [True, False], ids=["its entry changes", "its entry stays"])
-def test_a_back_end_that_lives_although_its_entry_had_gone_is_used_again_after_a_restore(writes):
+def test_live_back_end_with_a_removed_entry_is_used_again_after_a_restore(writes):
     async def scenario(followed):
-        followed.take(a=None)
-        followed.take_copy(a=b"ready", b=b"ready", c=b"draining")
+        followed.apply_page(a=None)
+        followed.apply_restored_listing(a=b"ready", b=b"ready", c=b"draining")
         if writes:
-            followed.take(a=b"ready")
+            followed.apply_page(a=b"ready")
         else:
-            await followed.pass_time(RESTORED_ENTRIES_S + 0.5)
-        return followed.open()
+            await followed.pass_time(RESTORED_ENTRY_HOLD_S + 0.5)
+        return followed.open_backends()
 
-    assert play(scenario) == ["a", "b"]
+    assert run_scenario(scenario) == ["a", "b"]
 
 
 @pytest.mark.parametrize("writes", [True, False], ids=["written again in time", "not written again"])
-def test_a_back_end_that_the_copy_lacks_is_used_until_its_entry_must_be_written_again(writes):
+def test_back_end_missing_from_a_restored_listing_is_used_during_the_grace_period(writes):
     """The store may have been away for a moment only, too short to count as an outage."""
 
     async def scenario(followed):
-        followed.take_copy(b=b"ready")
-        seen = [followed.open()]
+        followed.apply_restored_listing(b=b"ready")
+        seen = [followed.open_backends()]
         await followed.pass_time(LAPSE_GRACE_S - 0.5)
-        seen.append(followed.open())
+        seen.append(followed.open_backends())
         if writes:
-            followed.take(a=b"ready", c=b"draining")
+            followed.apply_page(a=b"ready", c=b"draining")
         await followed.pass_time(1.0)
-        return [*seen, followed.open()]
+        return [*seen, followed.open_backends()]
 
-    assert play(scenario) == [["a", "b"], ["a", "b"], ["a", "b"] if writes else ["b"]]
+    assert run_scenario(scenario) == [["a", "b"], ["a", "b"], ["a", "b"] if writes else ["b"]]
 
 
-def test_a_back_end_that_leaves_does_not_stay_because_the_copy_says_that_it_is_ready():
+def test_restored_ready_entry_does_not_reopen_a_draining_back_end():
     async def scenario(followed):
-        followed.take(a=b"draining")
-        followed.take_copy(a=b"ready", b=b"ready", c=b"ready")
-        return followed.open()
+        followed.apply_page(a=b"draining")
+        followed.apply_restored_listing(a=b"ready", b=b"ready", c=b"ready")
+        return followed.open_backends()
 
-    assert play(scenario) == ["b"]
+    assert run_scenario(scenario) == ["b"]
 
 
-def test_an_engine_does_not_go_back_to_the_weights_that_a_copy_names():
+def test_restored_entry_does_not_lower_the_weights_version():
     registry = BackendRegistry()
     for version in (2, 3, 2):
         backend = registry.upsert(BackendRecord("e", "llm", "e", "z", 8, versions={"m": version}))
     assert backend.believed_version("m") == 3
 
 
-def test_an_entry_does_not_take_back_the_weights_that_an_answer_has_told_of():
+def test_entry_does_not_lower_the_weights_version_reported_by_an_answer():
     """A changed entry with older versions had requests sent that the engine then refused."""
     registry = BackendRegistry()
     backend = registry.upsert(BackendRecord("e", "llm", "e", "z", 8, versions={"m": 1}))
@@ -203,7 +203,7 @@
     assert backend.believed_version("m") == 3
 
 
-def test_a_start_that_leaves_since_before_its_entry_told_of_it_is_not_used_for_another_while():
+def test_restarted_back_end_keeps_the_time_its_answers_announced_leaving():
     """Found by a soak: it had started again while the store was away, and its answers said so at once."""
     registry = BackendRegistry()
     first = registry.upsert(BackendRecord("a", "svc", "a", "z", 8, started_unix_ms=1000))
@@ -214,7 +214,7 @@
     assert ready.leaving_since_s is None
 
 
-def test_late_news_of_an_earlier_start_is_not_logged_as_a_change(monkeypatch):
+def test_late_entry_of_an_earlier_start_is_not_logged_as_a_change(monkeypatch):
     listed, forgotten = [], []
     monkeypatch.setattr(backend_rows, "emit", lambda event, **fields: listed.append(fields["draining"]))
     pool = ConnectionPool("X", 1.0, 1.0)
@@ -226,7 +226,7 @@
     assert forgotten == ["a"]
 
 
-def test_a_notice_is_logged_once_and_one_of_an_unlisted_back_end_is_ignored(monkeypatch):
+def test_notice_is_logged_once_and_ignored_for_an_unlisted_back_end(monkeypatch):
     lines = []
     monkeypatch.setattr(backend_notices, "emit", lambda event, **fields: lines.append((event, fields["backend"])))
 
@@ -237,7 +237,7 @@
         await asyncio.sleep(1.1)
         apply_notice(followed.state, "a", BackendNotice(backoff_s=1.0))
 
-    play(scenario)
+    run_scenario(scenario)
     assert lines == [
         (Event.BACKEND_ANNOUNCED_LEAVING, "a"),
         (Event.BACKEND_REQUESTED_BACKOFF, "a"),
@@ -246,67 +246,67 @@
 
 
 @pytest.mark.parametrize("whole", [True, False], ids=["whole reading", "changes"])
-def test_living_back_ends_serve_on_while_their_entries_come_back(whole):
+def test_live_back_ends_stay_open_while_their_entries_are_rewritten(whole):
     async def scenario(followed):
-        await followed.pass_time(AWAY_S, told=False)
-        followed.take(whole=True) if whole else followed.take(a=None, b=None, c=None)
-        seen = [followed.open()]
+        await followed.pass_time(OUTAGE_S, is_store_up=False)
+        followed.apply_page(whole=True) if whole else followed.apply_page(a=None, b=None, c=None)
+        seen = [followed.open_backends()]
         await followed.pass_time(1.0)
-        followed.take(a=b"ready")
-        seen.append(followed.open())
+        followed.apply_page(a=b"ready")
+        seen.append(followed.open_backends())
         await followed.pass_time(LAPSE_GRACE_S)
-        seen.append(followed.open())
+        seen.append(followed.open_backends())
         return seen
 
-    assert play(scenario) == [["a", "b"], ["a", "b"], ["a"]]
+    assert run_scenario(scenario) == [["a", "b"], ["a", "b"], ["a"]]
 
 
-def test_one_that_goes_missing_shortly_after_the_return_is_gone_at_the_same_time():
+def test_entry_missing_shortly_after_the_outage_lapses_at_the_end_of_the_same_grace_period():
     async def scenario(followed):
-        await followed.pass_time(AWAY_S, told=False)
-        followed.take()
+        await followed.pass_time(OUTAGE_S, is_store_up=False)
+        followed.apply_page()
         await followed.pass_time(1.5)
-        followed.take(a=None)
-        seen = [followed.open()]
+        followed.apply_page(a=None)
+        seen = [followed.open_backends()]
         await asyncio.sleep(LAPSE_GRACE_S - 1.5)
-        followed.take()
-        seen.append(followed.open())
+        followed.apply_page()
+        seen.append(followed.open_backends())
         await followed.pass_time(1.0)
-        followed.take(b=None)
-        return [*seen, followed.open()]
+        followed.apply_page(b=None)
+        return [*seen, followed.open_backends()]
 
-    assert play(scenario) == [["a", "b"], ["b"], []]
+    assert run_scenario(scenario) == [["a", "b"], ["b"], []]
 
 
-def test_a_lapsed_one_is_forgotten_also_when_the_store_is_away_again():
+def test_lapsed_back_end_is_forgotten_during_the_next_outage():
     async def scenario(followed):
-        await followed.pass_time(AWAY_S, told=False)
-        followed.take(whole=True)
-        await followed.pass_time(2.5, told=False)
+        await followed.pass_time(OUTAGE_S, is_store_up=False)
+        followed.apply_page(whole=True)
+        await followed.pass_time(2.5, is_store_up=False)
         return [each.incarnation for each in followed.state.backends.all_backends()]
 
-    assert play(scenario) == []
+    assert run_scenario(scenario) == []
 
 
-def test_a_restarted_back_end_gets_what_its_ended_incarnation_got_although_both_are_listed():
+def test_restarted_back_end_replaces_its_ended_incarnation_while_both_are_listed():
     """Found on a deployment of 59 engines: 813 requests were refused by the successors of crashed incarnations."""
 
     async def scenario(followed):
-        followed.take(d=b"ready@a")
-        return followed.open()
+        followed.apply_page(d=b"ready@a")
+        return followed.open_backends()
 
-    assert play(scenario) == ["b", "d"]
+    assert run_scenario(scenario) == ["b", "d"]
 
 
 @pytest.mark.parametrize("names", ["dz", "zd"])
-def test_a_node_that_starts_knows_which_of_two_incarnations_is_the_later_one(names):
+def test_starting_node_uses_the_later_of_two_incarnations(names):
     async def work():
-        followed = Followed()
+        followed = FollowedRows()
         rows = tuple(FeedRow(name, b"ready@same", version) for version, name in enumerate(names, start=1))
         now_s = boot_time_s()
         page = tuple(sorted(rows, key=lambda row: row.key))
         followed.rows.apply(FollowedPage(FeedPage(page, 2, 0.0), True, now_s, now_s))
-        return followed.open()
+        return followed.open_backends()
 
     assert run_virtual(work()) == [names[1]]
 
@@ -322,7 +322,7 @@
         )
 
 
-class VersionedFollowed(Followed):
+class VersionedFollowedRows(FollowedRows):
     def __init__(self):
         super().__init__()
         self.state.backends_known = False
@@ -333,11 +333,11 @@
     """Return the back ends that take requests after each step of a scenario: pages, or seconds that pass."""
 
     async def work():
-        followed = VersionedFollowed()
+        followed = VersionedFollowedRows()
         seen = []
         for step in steps:
             if isinstance(step, dict):
-                followed.take(whole=not seen, **step)
+                followed.apply_page(whole=not seen, **step)
             else:
                 await followed.pass_time(step)
             now_s = boot_time_s()
@@ -348,7 +348,7 @@
     return run_virtual(work())
 
 
-def test_a_back_end_of_a_version_that_nobody_named_gets_nothing_for_two_seconds():
+def test_back_end_of_an_unannounced_version_gets_no_requests_for_two_seconds():
     seen = usable_after([{"a": b"v1"}, {"b": b"v2"}, 1.5, 0.5])
     assert seen == [["a"], ["a"], ["a"], ["a", "b"]]
 
@@ -357,13 +357,13 @@
     assert usable_after([{"a": b"v1", "b": b"v2"}]) == [["a", "b"]]
 
 
-def test_a_back_end_counts_as_slow_from_when_its_entry_was_seen():
+def test_slow_start_time_counts_from_when_the_entry_was_first_read():
     async def work():
-        followed = VersionedFollowed()
-        followed.take(whole=True, a=b"v1@3")
+        followed = VersionedFollowedRows()
+        followed.apply_page(whole=True, a=b"v1@3")
         seen_s = boot_time_s()
         await followed.pass_time(1.0)
-        followed.take(a=b"v1@3")
+        followed.apply_page(a=b"v1@3")
         return followed.state.backends.get("a").slow_until_s - seen_s
 
     assert run_virtual(work()) == 3.0
--- a/tests/unit/node/test_crash_watch.py
+++ b/tests/unit/node/test_crash_watch.py
@@ -13,8 +13,8 @@
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.deployment.routes import RouteKind
-from wallwell.node.crash_probe import FIRST_PROBE_DELAY_S, MAX_PROBES, PROBE_INTERVAL_S, SUCCESSOR_S
-from wallwell.node.crash_watch import CRASH_PREFIX, MAX_UNWRITTEN, SWEEP_S, CrashWatch
+from wallwell.node.crash_probe import FIRST_PROBE_DELAY_S, MAX_PROBES, PROBE_INTERVAL_S, SUCCESSOR_WAIT_S
+from wallwell.node.crash_watch import CRASH_PREFIX, MAX_UNWRITTEN_ROWS, SWEEP_INTERVAL_S, CrashWatch
 from wallwell.outcomes import Outcome
 from wallwell.routing.admission.quarantine import CRASHES_TO_QUARANTINE, QUARANTINE_S, SUSPECT_S
 from wallwell.routing.retry.attempt_outcome import TransportEvent as T
@@ -27,25 +27,25 @@
 CUT_STREAM = Script(chunks=(event(1),), body_error=T.RESET_AFTER_SEND, stream=True)
 
 
-class Check:
+class FakeCheck:
     """Gives the listed answers to looks; the last one repeats."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
-        self.looks = 0
+        self.probes = 0
 
-    async def is_refused(self, backend):
-        self.looks += 1
+    async def refuses_connections(self, backend):
+        self.probes += 1
         return self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
 
 
-class Node:
+class WatchedNode:
     """A node's watch on a table, with what it would hear from the table's feed."""
 
     def __init__(self, check=None, table=None, members=("n1",), route=None):
         self.state = fresh_state(route)
         self.table = table or FaultyTable()
-        self.check = check or Check(REFUSED)
+        self.check = check or FakeCheck(REFUSED)
         self.watch = CrashWatch(self.state, self.check, self.table, lambda: members)
         self.running = asyncio.create_task(self.watch.run())
 
@@ -53,22 +53,22 @@
     def rows(self):
         return {key[len(CRASH_PREFIX) :] for key in self.table.model.rows}
 
-    def hear(self, content, incarnation, value=b"n2"):
-        self.watch.on_row(FeedRow(f"{CRASH_PREFIX}{content}/{incarnation}", value, 1), boot_time_s())
+    def read_row(self, content_digest, incarnation, value=b"n2"):
+        self.watch.on_row(FeedRow(f"{CRASH_PREFIX}{content_digest}/{incarnation}", value, 1), boot_time_s())
 
     def backend(self, number=0):
         return self.state.backends.get(f"i-{number}")
 
-    def hear_quarantine(self, content="c"):
+    def read_quarantine(self, content_digest="c"):
         for number in range(CRASHES_TO_QUARANTINE):
-            self.hear(content, f"gone-{number}")
+            self.read_row(content_digest, f"gone-{number}")
 
 
 def sign_of_life(node):
     node.backend().silence.on_received(boot_time_s())
 
 
-def goes_on_sending(node):
+def keeps_sending(node):
     async def send():
         while True:
             sign_of_life(node)
@@ -77,7 +77,7 @@
     node.sending = asyncio.create_task(send())
 
 
-def gets_more_requests(node):
+def keeps_getting_requests(node):
     """Each is refused by the dead address; the first after others have ended begins the count of silence."""
 
     async def send():
@@ -92,48 +92,48 @@
     node.backend().superseded = True
 
 
-def succeeded_later(node):
+def superseded_later(node):
     asyncio.get_running_loop().call_later(2.0, superseded, node)
 
 
 def replaced_as_planned(node):
     backend = node.backend()
     backend.record = dataclasses.replace(backend.record, draining=True)
-    succeeded_later(node)
+    superseded_later(node)
 
 
-def replaced_after_its_own_word(node):
+def replaced_after_leaving_notice(node):
     """Its answers said that it leaves, and the store did not."""
     node.state.backends.on_leaving(node.backend(), boot_time_s())
-    succeeded_later(node)
+    superseded_later(node)
 
 
-def leaving(node):
+def has_lapsed(node):
     node.state.backends.lapse("i-0", 0.0)
 
 
-def nothing(node):
+def no_change(node):
     pass
 
 
 @pytest.mark.parametrize(
     ("answers", "before", "meanwhile", "is_crash"),
     [
-        ([REFUSED], nothing, nothing, True),
-        ([REFUSED, ANSWERS], nothing, nothing, False),
-        ([ANSWERS], nothing, nothing, False),
-        ([ANSWERS, REFUSED], nothing, nothing, True),
-        ([REFUSED, ANSWERS, REFUSED], nothing, nothing, True),
-        ([REFUSED], nothing, goes_on_sending, False),
-        ([REFUSED], nothing, sign_of_life, True),
-        ([REFUSED], nothing, gets_more_requests, True),
-        ([ANSWERS], nothing, superseded, True),
-        ([ANSWERS], nothing, succeeded_later, True),
-        ([ANSWERS], nothing, replaced_as_planned, False),
-        ([ANSWERS], nothing, replaced_after_its_own_word, False),
-        ([REFUSED, ANSWERS], nothing, superseded, True),
-        ([REFUSED], leaving, nothing, False),
-        ([REFUSED], sign_of_life, nothing, True),
+        ([REFUSED], no_change, no_change, True),
+        ([REFUSED, ANSWERS], no_change, no_change, False),
+        ([ANSWERS], no_change, no_change, False),
+        ([ANSWERS, REFUSED], no_change, no_change, True),
+        ([REFUSED, ANSWERS, REFUSED], no_change, no_change, True),
+        ([REFUSED], no_change, keeps_sending, False),
+        ([REFUSED], no_change, sign_of_life, True),
+        ([REFUSED], no_change, keeps_getting_requests, True),
+        ([ANSWERS], no_change, superseded, True),
+        ([ANSWERS], no_change, superseded_later, True),
+        ([ANSWERS], no_change, replaced_as_planned, False),
+        ([ANSWERS], no_change, replaced_after_leaving_notice, False),
+        ([REFUSED, ANSWERS], no_change, superseded, True),
+        ([REFUSED], has_lapsed, no_change, False),
+        ([REFUSED], sign_of_life, no_change, True),
     ],
     ids=[
         "refused",
@@ -155,34 +155,34 @@
 )
 def test_what_counts_as_a_crash(answers, before, meanwhile, is_crash):
     async def work():
-        node = Node(Check(*answers))
+        node = WatchedNode(FakeCheck(*answers))
         before(node)
         await asyncio.sleep(0.01)
         node.watch.on_broken_run("c", node.backend())
         await asyncio.sleep(FIRST_PROBE_DELAY_S + 0.01)
         meanwhile(node)
-        await asyncio.sleep(MAX_PROBES * PROBED_S + SUCCESSOR_S)
+        await asyncio.sleep(MAX_PROBES * PROBED_S + SUCCESSOR_WAIT_S)
         return node.rows, "c" in suspected_contents(node.state.quarantine)
 
     assert run_virtual(work()) == ({"c/i-0"} if is_crash else set(), is_crash)
 
 
-def test_runs_that_break_together_cost_two_looks_and_one_write():
+def test_attempts_that_break_together_cost_two_probes_and_one_write():
     async def work():
-        node = Node()
+        node = WatchedNode()
         writes = []
         node.table.before_transact = lambda: writes.append(1)
         for number in range(20):
             node.watch.on_broken_run(f"c-{number}", node.backend())
         await asyncio.sleep(PROBED_S)
-        return node.check.looks, len(writes), len(node.rows)
+        return node.check.probes, len(writes), len(node.rows)
 
     assert run_virtual(work()) == (2, 1, 20)
 
 
-def test_more_suspects_than_one_transaction_takes():
+def test_suspects_beyond_one_transaction_are_all_written():
     async def work():
-        node = Node()
+        node = WatchedNode()
         for number in range(230):
             node.watch.on_broken_run(f"c-{number}", node.backend())
         await asyncio.sleep(PROBED_S)
@@ -192,9 +192,9 @@
 
 
 @pytest.mark.parametrize("faults", [[LOST_BEFORE], [LOST_AFTER], [DELAYED], [LOST_BEFORE] * 5])
-def test_a_write_that_failed_is_made_again(faults):
+def test_failed_write_is_retried(faults):
     async def work():
-        node = Node(table=FaultyTable(faults=faults))
+        node = WatchedNode(table=FaultyTable(faults=faults))
         node.watch.on_broken_run("c", node.backend())
         await asyncio.sleep(PROBED_S + 5.0)
         return node.rows
@@ -202,9 +202,9 @@
     assert run_virtual(work()) == {"c/i-0"}
 
 
-def test_while_the_store_is_down_the_node_goes_by_what_it_saw_and_tells_later():
+def test_node_quarantines_on_its_own_crashes_while_store_is_down_and_writes_them_later():
     async def work():
-        node = Node()
+        node = WatchedNode()
         node.table.down = True
         for number in range(CRASHES_TO_QUARANTINE):
             node.watch.on_broken_run("c", node.backend(number))
@@ -217,28 +217,28 @@
     assert run_virtual(work()) == (True, CRASHES_TO_QUARANTINE)
 
 
-def test_only_what_the_store_does_not_take_is_told_to_peers():
+def test_only_unwritten_crashes_are_reported_to_peers():
     async def work():
-        node = Node()
+        node = WatchedNode()
         node.watch.on_broken_run("c", node.backend(0))
         await asyncio.sleep(PROBED_S)
-        told = [list(node.watch.unwritten())]
+        reported = [list(node.watch.unwritten_crashes())]
         node.table.down = True
         for number in (1, 2):
             node.watch.on_broken_run("c", node.backend(number))
             await asyncio.sleep(PROBED_S)
-        told.append(list(node.watch.unwritten()))
+        reported.append(list(node.watch.unwritten_crashes()))
         node.table.down = False
         await asyncio.sleep(2.0)
-        told.append(list(node.watch.unwritten()))
-        return told
+        reported.append(list(node.watch.unwritten_crashes()))
+        return reported
 
     assert run_virtual(work()) == [[], [("c", "i-2"), ("c", "i-1")], []]
 
 
-def test_what_a_restored_store_has_lost_is_written_again_and_what_was_taken_back_goes_again():
+def test_recent_writes_and_deletions_are_repeated_after_a_restore():
     async def work():
-        node = Node()
+        node = WatchedNode()
         node.watch.on_era(0, False)
         node.watch.on_broken_run("c", node.backend())
         node.watch.on_broken_run("d", node.backend())
@@ -257,9 +257,9 @@
     assert written == after == {"c/i-0", "e/i-1"}
 
 
-def test_what_peers_tell_counts_as_if_it_had_been_read_and_is_not_written_again():
+def test_crashes_reported_by_peers_count_and_are_not_written():
     async def work():
-        node = Node()
+        node = WatchedNode()
         for number in range(CRASHES_TO_QUARANTINE):
             node.watch.on_peer_report(("c", f"gone-{number}"))
             node.watch.on_peer_report(("c", f"gone-{number}"))
@@ -269,21 +269,21 @@
     assert run_virtual(work()) == (True, set())
 
 
-def test_what_a_node_that_answered_the_request_hears_of_it_is_taken_back():
+def test_crash_row_of_an_answered_request_is_deleted():
     async def work():
-        node = Node()
+        node = WatchedNode()
         node.table.model.rows.update(dict.fromkeys([CRASH_PREFIX + "c/i-9"]))
         node.watch.on_answered("c")
-        node.hear("c", "i-9")
+        node.read_row("c", "i-9")
         await asyncio.sleep(0.1)
         return node.rows, node.state.quarantine.suspect_count
 
     assert run_virtual(work()) == (set(), 0)
 
 
-def test_an_answer_takes_back_what_was_written():
+def test_answer_deletes_written_crash_rows():
     async def work():
-        node = Node()
+        node = WatchedNode()
         node.watch.on_broken_run("c", node.backend())
         await asyncio.sleep(PROBED_S)
         before = node.rows
@@ -294,25 +294,25 @@
     assert run_virtual(work()) == ({"c/i-0"}, set())
 
 
-def test_a_row_that_goes_counts_no_longer():
+def test_deleted_row_no_longer_counts():
     async def work():
-        node = Node()
-        node.hear_quarantine()
-        node.hear("c", "gone-0", value=None)
+        node = WatchedNode()
+        node.read_quarantine()
+        node.read_row("c", "gone-0", value=None)
         return node.state.quarantine.remaining_s("c", boot_time_s())
 
     assert run_virtual(work()) == 0
 
 
 @pytest.mark.parametrize(("members", "removes"), [(("n1",), True), ((), True), (("n1", "n2", "n3", "n4"), None)])
-def test_old_crashes_are_removed_by_one_node(members, removes):
+def test_expired_crashes_are_removed_by_one_node(members, removes):
     async def work():
-        nodes = [Node(members=members) for _ in members or ("n1",)]
+        nodes = [WatchedNode(members=members) for _ in members or ("n1",)]
         for node, name in zip(nodes, members or ("n1",), strict=True):
             node.state.node = name
-            node.hear("c", "i-9")
+            node.read_row("c", "i-9")
             node.table.model.rows[CRASH_PREFIX + "c/i-9"] = None
-        await asyncio.sleep(SUSPECT_S + 2 * SWEEP_S)
+        await asyncio.sleep(SUSPECT_S + 2 * SWEEP_INTERVAL_S)
         return [not node.rows for node in nodes], [node.state.quarantine.suspect_count for node in nodes]
 
     removed, known = run_virtual(work())
@@ -321,17 +321,17 @@
 
 
 @pytest.mark.parametrize("members", [("n1",), ("n1", "n2", "n3", "n4")])
-def test_crashes_expire_while_the_store_takes_no_writes_and_are_not_written_later(members):
+def test_crashes_expire_while_store_is_down_and_are_not_written_later(members):
     """During an outage no suspect was ever forgotten, and the store's return brought expired ones back to all."""
 
     async def work():
-        node = Node(members=members)
+        node = WatchedNode(members=members)
         node.table.down = True
         for number in range(20):  # With four members, some are another one's to remove.
             node.watch.on_broken_run(f"c-{number}", node.backend())
         await asyncio.sleep(PROBED_S)
         before = node.state.quarantine.suspect_count
-        await asyncio.sleep(SUSPECT_S + 2 * SWEEP_S)
+        await asyncio.sleep(SUSPECT_S + 2 * SWEEP_INTERVAL_S)
         after = node.state.quarantine.suspect_count
         node.table.down = False
         await asyncio.sleep(2.0)
@@ -340,35 +340,35 @@
     assert run_virtual(work()) == (20, 0, set())
 
 
-def test_what_waits_for_a_store_that_takes_no_writes_is_bounded_and_the_newest_is_kept():
-    """Rows to be written grew with each crash of an outage, and were all told to peers twenty times a second."""
+def test_unwritten_rows_are_bounded_and_the_newest_are_kept():
+    """Rows to write grew with each crash of an outage, and all were reported to peers twenty times a second."""
 
     async def work():
-        node = Node()
+        node = WatchedNode()
         node.table.down = True
-        for number in range(MAX_UNWRITTEN + 100):
+        for number in range(MAX_UNWRITTEN_ROWS + 100):
             node.watch.on_broken_run(f"c-{number}", node.backend())
         await asyncio.sleep(PROBED_S)
         node.watch.on_broken_run("newest", node.backend(1))
         await asyncio.sleep(PROBED_S)
-        told = node.watch.unwritten()
+        reported = node.watch.unwritten_crashes()
         node.table.down = False
         await asyncio.sleep(10.0)
-        return len(told), told[0], len(node.rows)
+        return len(reported), reported[0], len(node.rows)
 
-    told, newest, written = run_virtual(work())
-    assert told == written == MAX_UNWRITTEN
+    reported, newest, written = run_virtual(work())
+    assert reported == written == MAX_UNWRITTEN_ROWS
     assert newest == ("newest", "i-1")
 
 
 # --- requests ----------------------------------------------------------------------------------------------
 
 
-def serve(route, scripts, prepare=nothing, generation=None, settle_s=PROBED_S):
+def serve(route, scripts, prepare=no_change, generation=None, settle_s=PROBED_S):
     """Serve one request on a node; return reply, number of sends and the node's rows a moment later."""
 
     async def work():
-        node = Node(route=route)
+        node = WatchedNode(route=route)
         reply, client = FakeReply(), FakeClient(*scripts)
         pipeline = RequestPipeline(node.state, client, crash_observer=node.watch)
         request = make_request(generation=generation)
@@ -380,18 +380,18 @@
     return run_virtual(work())
 
 
-def content_of(route):
+def content_digest_of(route):
     """The content of the requests that :func:`serve` sends."""
     _, _, rows = serve(UNSAFE, [RESET])
-    ((content, _),) = (row.split("/") for row in rows)
-    return content
+    ((content_digest, _),) = (row.split("/") for row in rows)
+    return content_digest
 
 
-CONTENT = content_of(UNSAFE)
+CONTENT_DIGEST = content_digest_of(UNSAFE)
 
 
 def quarantined(node):
-    node.hear_quarantine(CONTENT)
+    node.read_quarantine(CONTENT_DIGEST)
 
 
 @pytest.mark.parametrize(
@@ -399,23 +399,23 @@
     [(SAFE, None), (UNSAFE, None), (RESUMABLE, make_generation())],
     ids=["safe", "unsafe", "stream"],
 )
-def test_a_quarantined_request_is_refused_at_once_and_sent_to_nobody(route, generation):
+def test_quarantined_request_is_refused_at_once_and_not_sent(route, generation):
     reply, sends, _ = serve(route, [OK], quarantined, generation)
     assert (reply.status, sends, reply.error.code) == (503, 0, "WW3020")
     assert reply.error.outcome is Outcome.NOT_RUN
     assert QUARANTINE_S - 1 <= reply.error.retry_after_ms / 1000 <= QUARANTINE_S
 
 
-def test_a_repeat_that_would_crash_one_more_is_not_made():
+def test_request_quarantined_during_an_attempt_is_not_retried():
     """Other nodes see two crashes; this one's attempt is the third, known before the second attempt begins."""
 
     def two_crashes(node):
         for number in range(CRASHES_TO_QUARANTINE - 1):
-            node.hear(CONTENT, f"gone-{number}")
+            node.read_row(CONTENT_DIGEST, f"gone-{number}")
 
         async def third():
             await asyncio.sleep(0.1)
-            node.hear(CONTENT, "gone-9")
+            node.read_row(CONTENT_DIGEST, "gone-9")
 
         node.third = asyncio.create_task(third())
 
@@ -424,33 +424,33 @@
     assert (reply.status, sends, reply.error.outcome) == (504, 1, Outcome.UNKNOWN)
 
 
-def test_a_stream_that_has_begun_is_broken_off_rather_than_continued():
+def test_begun_stream_of_a_quarantined_request_is_aborted():
     def third_crash_meanwhile(node):
         for number in range(CRASHES_TO_QUARANTINE - 1):
-            node.hear(CONTENT, f"gone-{number}")
-        asyncio.get_running_loop().call_later(0.1, lambda: node.hear(CONTENT, "gone-9"))
+            node.read_row(CONTENT_DIGEST, f"gone-{number}")
+        asyncio.get_running_loop().call_later(0.1, lambda: node.read_row(CONTENT_DIGEST, "gone-9"))
 
     slow_cut = Script(chunks=(event(1), 0.2), body_error=T.RESET_AFTER_SEND, stream=True)
     reply, sends, _ = serve(RESUMABLE, [slow_cut, CUT_STREAM], third_crash_meanwhile, make_generation())
     assert (reply.ended, sends) == ("aborted", 1)
 
 
-def test_what_is_answered_after_a_crash_is_no_suspect():
+def test_request_answered_after_a_crash_is_no_suspect():
     reply, sends, rows = serve(SAFE, [RESET, OK], settle_s=3.0)
     assert (reply.status, sends, rows) == (200, 2, set())
 
 
-def test_a_failed_answer_clears_nothing():
+def test_failed_answer_clears_no_suspect():
     """A back end may give a request up at its deadline, and end because of it all the same."""
     reply, _, rows = serve(UNSAFE, [Script(status=504, chunks=(b"late",))], one_crash, settle_s=3.0)
     assert (reply.status, len(rows)) == (504, 1)
 
 
 def one_crash(node):
-    node.hear(CONTENT, "gone-0")
-    node.table.model.rows[f"{CRASH_PREFIX}{CONTENT}/gone-0"] = None
+    node.read_row(CONTENT_DIGEST, "gone-0")
+    node.table.model.rows[f"{CRASH_PREFIX}{CONTENT_DIGEST}/gone-0"] = None
 
 
-def test_other_requests_are_served_beside_a_quarantine():
-    reply, sends, _ = serve(SAFE, [OK], lambda node: node.hear_quarantine("other"))
+def test_other_requests_are_served_during_a_quarantine():
+    reply, sends, _ = serve(SAFE, [OK], lambda node: node.read_quarantine("other"))
     assert (reply.status, sends) == (200, 1)
--- a/tests/unit/node/test_fleet_recovery.py
+++ b/tests/unit/node/test_fleet_recovery.py
@@ -31,24 +31,24 @@
 
 NODES, ENGINES, ZONES = 24, 59, 7
 GUIDE_TOKENS, CASE_TOKENS, CASES = 2_520, 3_780, 1_266
-ENGINE_KEEPS_TOKENS = 60_000
-READ_TOKENS_PER_S = 40_800
+ENGINE_CACHE_TOKENS = 60_000
+PREFILL_TOKENS_PER_S = 40_800
 REPORT_S = 0.25
-WAY_S = 0.02
+REGION_LATENCY_S = 0.02
 OBJECTIVE_S = 0.8
-PATIENCE_S = 1.3
+ABANDON_AFTER_S = 1.3
 SLOW_FACTOR = 1.3
-DARK_ENGINES = 15
-DARK_FROM_S, DARK_TO_S = 2.0, 9.0
-RECOVERED_S = DARK_TO_S + 3.0
+LOST_ENGINES = 15
+LOST_FROM_S, LOST_UNTIL_S = 2.0, 9.0
+RECOVERED_S = LOST_UNTIL_S + 3.0
 ROUTE = msgspec.structs.replace(make_route(RouteKind.STREAM, timeout_s=5.0), objective_s=OBJECTIVE_S)
 
 
-class Recent:
+class LruParts:
     """Parts by identity, of which the least recently used give way."""
 
     def __init__(self, tokens):
-        self._room = tokens
+        self._capacity_tokens = tokens
         self._parts = OrderedDict()
 
     def __contains__(self, identity):
@@ -58,7 +58,7 @@
         """Keep a part, as the one used last."""
         self._parts[identity] = tokens
         self._parts.move_to_end(identity)
-        while sum(self._parts.values()) > self._room:
+        while sum(self._parts.values()) > self._capacity_tokens:
             self._parts.popitem(last=False)
 
 
@@ -66,55 +66,55 @@
     """Reads one prompt after the other; one that was withdrawn before its turn is left out."""
 
     def __init__(self, number, at):
-        self.kept = Recent(ENGINE_KEEPS_TOKENS)
-        self.away_until_s = 0.0
-        self._s_per_token = (SLOW_FACTOR if number % 3 == 2 else 1.0) / READ_TOKENS_PER_S
+        self.cached_parts = LruParts(ENGINE_CACHE_TOKENS)
+        self.unavailable_until_s = 0.0
+        self._s_per_token = (SLOW_FACTOR if number % 3 == 2 else 1.0) / PREFILL_TOKENS_PER_S
         self._at = at
         self._waiting = deque()
-        self._is_reading = False
+        self._is_prefilling = False
 
-    def read(self, sent, attempt, then, now_s):
-        """Read a prompt's parts that are not kept, and call ``then`` unless the attempt was withdrawn."""
-        self._waiting.append((sent, attempt, then))
-        if not self._is_reading:
-            self._next(max(now_s, self.away_until_s))
+    def prefill(self, sent, attempt, on_done, now_s):
+        """Read a prompt's parts that are not kept, and call ``on_done`` unless the attempt was withdrawn."""
+        self._waiting.append((sent, attempt, on_done))
+        if not self._is_prefilling:
+            self._prefill_next(max(now_s, self.unavailable_until_s))
 
-    def _next(self, now_s):
+    def _prefill_next(self, now_s):
         while self._waiting and self._waiting[0][0].attempt != self._waiting[0][1]:
             self._waiting.popleft()
-        self._is_reading = bool(self._waiting)
+        self._is_prefilling = bool(self._waiting)
         if not self._waiting:
             return
-        sent, attempt, then = self._waiting.popleft()
-        tokens = sum(part.tokens for part in sent.parts if part.identity not in self.kept)
+        sent, attempt, on_done = self._waiting.popleft()
+        tokens = sum(part.tokens for part in sent.parts if part.identity not in self.cached_parts)
         for part in sent.parts[:2]:
-            self.kept.use(part.identity, part.tokens)
+            self.cached_parts.use(part.identity, part.tokens)
 
         def end(at_s):
             if sent.attempt == attempt:
-                then(at_s)
-            self._next(at_s)
+                on_done(at_s)
+            self._prefill_next(at_s)
 
         self._at(now_s + tokens * self._s_per_token, end)
 
 
 class Fleet:
-    def __init__(self, seed, dark_engines=DARK_ENGINES, regions=None, dark_region=None):
-        """``regions`` gives the region of each zone; all dark engines are of ``dark_region`` if that is set."""
+    def __init__(self, seed, lost_engines=LOST_ENGINES, regions=None, lost_region=None):
+        """``regions`` gives the region of each zone; all lost engines are of ``lost_region`` if that is set."""
         self.regions = regions or {}
         self.rng = random.Random(seed)
         self.engines = {f"e{number}": Engine(number, self.at) for number in range(ENGINES)}
         names = [
             name
             for name in sorted(self.engines)
-            if dark_region is None or self.regions[f"z{int(name[1:]) % ZONES}"] == dark_region
+            if lost_region is None or self.regions[f"z{int(name[1:]) % ZONES}"] == lost_region
         ]
-        self.dark = set(self.rng.sample(names, min(dark_engines, len(names))))
+        self.lost = set(self.rng.sample(names, min(lost_engines, len(names))))
         self.events = []
         self.order = 0
-        self.told = []
-        self.told_before = []
-        self.to_region = []
+        self.latest_loads = []
+        self.previous_loads = []
+        self.region_choices = []
         """Shared parts of each prompt and the region of its engine."""
         self.nodes = [self._node(index) for index in range(NODES)]
 
@@ -140,8 +140,8 @@
         while at_s < seconds:
             self.at(at_s, self._arrive)
             at_s += self.rng.expovariate(per_s)
-        self.at(REPORT_S, self._report)
-        self.at(DARK_FROM_S, self._lose_engines)
+        self.at(REPORT_S, self._exchange_loads)
+        self.at(LOST_FROM_S, self._lose_engines)
         while self.events and self.events[0][0] < seconds + 5.0:
             now_s, _, action = heapq.heappop(self.events)
             action(now_s)
@@ -150,11 +150,11 @@
     def _lose_engines(self, now_s):
         """All nodes know at once which engines are away; these come back empty."""
         for state in self.nodes:
-            for engine in self.dark:
-                state.backends.get(engine).suspended_until_s = DARK_TO_S
-        for engine in self.dark:
-            self.engines[engine].kept = Recent(ENGINE_KEEPS_TOKENS)
-            self.engines[engine].away_until_s = DARK_TO_S
+            for engine in self.lost:
+                state.backends.get(engine).suspended_until_s = LOST_UNTIL_S
+        for engine in self.lost:
+            self.engines[engine].cached_parts = LruParts(ENGINE_CACHE_TOKENS)
+            self.engines[engine].unavailable_until_s = LOST_UNTIL_S
 
     def _arrive(self, now_s):
         case = int(CASES * self.rng.random() ** 1.4)
@@ -164,7 +164,7 @@
             PromptPart(f"case{case}", CASE_TOKENS),
             PromptPart("own", own),
         )
-        self._send(Sent(self.rng.choice(self.nodes), parts, now_s), now_s)
+        self._send(SentPrompt(self.rng.choice(self.nodes), parts, now_s), now_s)
 
     def _send(self, sent, now_s):
         state = sent.state
@@ -181,22 +181,23 @@
         attempt = sent.attempt
 
         def begin(at_s):
-            self._begin(sent, load_when_sent, now_s, at_s)
+            self._on_first_token(sent, load_when_sent, now_s, at_s)
 
         topology = state.topology
         is_far = topology.distance_to(backend.record.zone) is Distance.OTHER_REGION
-        self.to_region.append((sent.parts[:-1], topology.region_of(backend.record.zone)))
+        self.region_choices.append((sent.parts[:-1], topology.region_of(backend.record.zone)))
         engine = self.engines[backend.incarnation]
         if is_far:
             self.at(
-                now_s + WAY_S, lambda at_s: engine.read(sent, attempt, lambda s: self.at(s + WAY_S, begin), at_s)
+                now_s + REGION_LATENCY_S,
+                lambda at_s: engine.prefill(sent, attempt, lambda s: self.at(s + REGION_LATENCY_S, begin), at_s),
             )
         else:
-            engine.read(sent, attempt, begin, now_s)
+            engine.prefill(sent, attempt, begin, now_s)
         if not attempt:
-            self.at(now_s + PATIENCE_S, lambda at_s: self._end_patience(sent, at_s))
+            self.at(now_s + ABANDON_AFTER_S, lambda at_s: self._abandon_attempt(sent, at_s))
 
-    def _end_patience(self, sent, now_s):
+    def _abandon_attempt(self, sent, now_s):
         state = sent.state
         if sent.has_begun or state.first_token_delays.is_fleet_behind(now_s):
             return
@@ -205,35 +206,35 @@
         sent.attempt += 1
         self._send(sent, now_s)
 
-    def _begin(self, sent, load_when_sent, sent_s, now_s):
+    def _on_first_token(self, sent, load_when_sent, sent_s, now_s):
         sent.has_begun = True
         sent.backend.load -= sent.load
         sent.state.prefill_rate.observe(load_when_sent, now_s - sent_s)
         sent.state.first_token_delays.observe(now_s - sent_s, OBJECTIVE_S, now_s)
         self.results.append((sent.arrived_s, now_s - sent.arrived_s))
 
-    def _report(self, now_s):
-        """Every node learns what the others had told a moment ago."""
-        before, previous, self.told = (
-            self.told_before,
-            self.told,
+    def _exchange_loads(self, now_s):
+        """Every node receives the loads that the others had a moment ago."""
+        before, previous, self.latest_loads = (
+            self.previous_loads,
+            self.latest_loads,
             [state.load.own_load(now_s) for state in self.nodes],
         )
-        self.told_before = previous
+        self.previous_loads = previous
         for index, state in enumerate(self.nodes):
             region = state.topology.own_region
             others = []
             for other, node in enumerate(self.nodes):
-                told = previous if node.topology.own_region == region else before
-                if other != index and told:
-                    others.append(told[other])
+                loads = previous if node.topology.own_region == region else before
+                if other != index and loads:
+                    others.append(loads[other])
             if others:
                 state.load.update_from_peers(sum_loads(others), NODES, now_s)
-        self.at(now_s + REPORT_S, self._report)
+        self.at(now_s + REPORT_S, self._exchange_loads)
 
 
 @dataclasses.dataclass
-class Sent:
+class SentPrompt:
     """A prompt on its way."""
 
     state: NodeState
@@ -245,51 +246,51 @@
     has_begun: bool = False
 
 
-def late_part(results, from_s, to_s):
+def late_fraction(results, from_s, to_s):
     """Return the part of prompts whose first piece came after the objective."""
     times = [first_s for arrived_s, first_s in results if from_s <= arrived_s < to_s]
     return statistics.fmean(first_s > OBJECTIVE_S for first_s in times)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_prompts_are_in_time_three_seconds_after_lost_engines_are_back(seed):
+def test_prompts_meet_the_objective_three_seconds_after_lost_engines_return(seed):
     """All nodes chose the one engine that looked least loaded: half of all prompts stayed late to the end."""
     results = Fleet(seed).run(per_s=190, seconds=18.0)
-    assert late_part(results, RECOVERED_S, 18.0) < 0.1
+    assert late_fraction(results, RECOVERED_S, 18.0) < 0.1
 
 
-def test_most_prompts_stay_in_time_at_a_load_that_the_rest_of_the_fleet_cannot_carry():
+def test_most_prompts_meet_the_objective_while_the_remaining_engines_are_overloaded():
     results = Fleet(1).run(per_s=230, seconds=18.0)
-    assert late_part(results, DARK_FROM_S, DARK_TO_S) < 0.5
-    assert late_part(results, RECOVERED_S, 18.0) < 0.25
+    assert late_fraction(results, LOST_FROM_S, LOST_UNTIL_S) < 0.5
+    assert late_fraction(results, RECOVERED_S, 18.0) < 0.25
 
 
 REGIONS = {f"z{zone}": "west" if zone % 2 else "east" for zone in range(ZONES)}
 WEST_ENGINES = sum(REGIONS[f"z{engine % ZONES}"] == "west" for engine in range(ENGINES))
 
 
-def test_prompts_stay_in_the_region_of_their_home_while_it_keeps_up():
+def test_prompts_stay_in_the_region_of_their_home_while_it_meets_the_objective():
     """Whichever node sends them, those that share a part of thousands of tokens go to one region."""
-    fleet = Fleet(1, dark_engines=0, regions=REGIONS)
+    fleet = Fleet(1, lost_engines=0, regions=REGIONS)
     results = fleet.run(per_s=130, seconds=10.0)
-    assert late_part(results, 2.0, 10.0) < 0.05
-    regions = {shared: Counter() for shared, _ in fleet.to_region}
-    for shared, region in fleet.to_region:
+    assert late_fraction(results, 2.0, 10.0) < 0.05
+    regions = {shared: Counter() for shared, _ in fleet.region_choices}
+    for shared, region in fleet.region_choices:
         regions[shared][region] += 1
     away = sum(sum(counted.values()) - max(counted.values()) for counted in regions.values())
-    assert away < 0.02 * len(fleet.to_region)
+    assert away < 0.02 * len(fleet.region_choices)
     homes = Counter(max(counted, key=counted.__getitem__) for counted in regions.values())
     assert min(homes.values()) > 0.3 * len(regions)
 
 
-@pytest.mark.parametrize("lost_part", [0.5, 0.75, 0.96, 1.0])
-def test_a_region_that_loses_engines_is_helped_by_the_other_one(lost_part):
+@pytest.mark.parametrize("lost_fraction", [0.5, 0.75, 0.96, 1.0])
+def test_other_region_takes_load_of_a_region_that_loses_engines(lost_fraction):
     """Both regions know of each other's loads late and alike; no engine may get what a whole region sends.
 
     With prompts that only leave a region without any engine, 0.41 and 0.47 are late at the second and third part.
     """
-    dark = round(lost_part * WEST_ENGINES)
-    fleet = Fleet(2, dark_engines=dark, regions=REGIONS, dark_region="west")
+    lost = round(lost_fraction * WEST_ENGINES)
+    fleet = Fleet(2, lost_engines=lost, regions=REGIONS, lost_region="west")
     results = fleet.run(per_s=110, seconds=18.0)
-    assert late_part(results, DARK_FROM_S + 1.0, DARK_TO_S) < 0.3
-    assert late_part(results, RECOVERED_S, 18.0) < 0.1
+    assert late_fraction(results, LOST_FROM_S + 1.0, LOST_UNTIL_S) < 0.3
+    assert late_fraction(results, RECOVERED_S, 18.0) < 0.1
--- a/tests/unit/node/test_kv_store_choice.py
+++ b/tests/unit/node/test_kv_store_choice.py
@@ -59,5 +59,5 @@
     assert min(here.count(store.kv_store_address) for store in kv_stores) >= 10
 
 
-def test_without_a_store_nothing_is_kept():
+def test_no_prompt_is_saved_without_a_store():
     assert addresses_used("z1", (), ["shared"]) == [""]
--- a/tests/unit/node/test_kv_store_watch.py
+++ b/tests/unit/node/test_kv_store_watch.py
@@ -1,4 +1,4 @@
-"""Nodes learn what a store of kept KV cache holds, from it or from a peer, and notice when it is gone."""
+"""Nodes learn what a store of parts KV cache holds, from it or from a peer, and notice when it is gone."""
 
 import asyncio
 import dataclasses
@@ -24,25 +24,25 @@
     """Holds parts, tells events in order, and may be silent, refuse or lose events."""
 
     def __init__(self):
-        self.epoch, self.kept, self.journal = 1, {}, []
-        self.trouble = None
+        self.epoch, self.parts, self.journal = 1, {}, []
+        self.error = None
         self.calls = self.listings = 0
 
     @property
     def position(self):
         return CachePosition(self.epoch, len(self.journal))
 
-    def save(self, part, tokens=100, told=True):
-        self.kept[part] = tokens
-        self.journal.append(CacheEntry(len(self.journal) + 1, "s", part, tokens) if told else None)
+    def save(self, part, tokens=100, announced=True):
+        self.parts[part] = tokens
+        self.journal.append(CacheEntry(len(self.journal) + 1, "s", part, tokens) if announced else None)
 
     def restart(self):
-        self.epoch, self.kept, self.journal = self.epoch + 1, {}, []
+        self.epoch, self.parts, self.journal = self.epoch + 1, {}, []
 
     async def events(self, address, position, wait_s):
         self.calls += 1
-        if self.trouble is not None:
-            raise self.trouble
+        if self.error is not None:
+            raise self.error
         if position.epoch != self.epoch:
             return await self.listing(address)
         if position == self.position:
@@ -51,10 +51,10 @@
 
     async def listing(self, address):
         self.listings += 1
-        if self.trouble is not None:
-            raise self.trouble
+        if self.error is not None:
+            raise self.error
         number = len(self.journal)
-        entries = tuple(CacheEntry(number, "s", part, tokens) for part, tokens in self.kept.items())
+        entries = tuple(CacheEntry(number, "s", part, tokens) for part, tokens in self.parts.items())
         return CachePage(self.position, entries, whole=True)
 
 
@@ -66,7 +66,7 @@
         self.state.kv_store_contents[ADDRESS] = KvStoreContents()
         self.order = UpstreamOrder(name, "z")
         self.watch = KvStoreWatch(self.state, store, self.order)
-        self.server = PeerServer({CacheRequest: self.watch.answer})
+        self.server = PeerServer({CacheRequest: self.watch.answer_peer})
 
     @property
     def cache(self):
@@ -104,7 +104,7 @@
     return run
 
 
-def test_a_member_learns_through_its_peer_without_a_call_to_the_store(with_nodes):
+def test_member_reads_from_its_relay_without_calling_the_store(with_nodes):
     async def scenario(store, relay, member):
         store.save("a")
         await relay.watch.step(ADDRESS)
@@ -115,8 +115,8 @@
     with_nodes(scenario)
 
 
-def test_a_waiting_member_is_told_of_a_change_at_once(with_nodes, monkeypatch):
-    monkeypatch.setattr("wallwell.node.kv_store_watch.WAIT_S", 30.0)
+def test_waiting_member_receives_a_change_at_once(with_nodes, monkeypatch):
+    monkeypatch.setattr("wallwell.node.kv_store_watch.EVENT_WAIT_S", 30.0)
 
     async def scenario(store, relay, member):
         await relay.watch.step(ADDRESS)
@@ -132,17 +132,17 @@
     with_nodes(scenario)
 
 
-@pytest.mark.parametrize("trouble", [CacheStoreSilentError("x"), CacheEventsRefusedError("429")])
-def test_only_a_silent_store_counts_as_gone(with_nodes, trouble):
+@pytest.mark.parametrize("error", [CacheStoreSilentError("x"), CacheEventsRefusedError("429")])
+def test_only_a_silent_store_counts_as_unreachable(with_nodes, error):
     async def scenario(store, relay, member):
         for node in (relay, member):
             await node.watch.step(ADDRESS)
-        store.trouble = trouble
+        store.error = error
         assert not await relay.watch.step(ADDRESS)
         await member.watch.step(ADDRESS)
-        silent = isinstance(trouble, CacheStoreSilentError)
+        silent = isinstance(error, CacheStoreSilentError)
         assert (relay.cache.reachable, member.cache.reachable) == (not silent, not silent)
-        store.trouble = None
+        store.error = None
         for node in (relay, member):
             await node.watch.step(ADDRESS)
         assert relay.cache.reachable
@@ -165,17 +165,17 @@
     with_nodes(scenario)
 
 
-def test_a_lost_event_leads_to_one_listing_and_not_to_one_each_time(with_nodes):
+def test_lost_events_cause_one_listing_per_interval(with_nodes):
     async def scenario(store, relay, member):
         await relay.watch.step(ADDRESS)
         relay.watch._listed_at_s.clear()
-        store.save("lost", told=False)
+        store.save("lost", announced=False)
         store.save("told")
         for _ in range(4):
             await relay.watch.step(ADDRESS)
         assert relay.holds("lost")
         listings = store.listings
-        store.save("lost too", told=False)
+        store.save("lost too", announced=False)
         for _ in range(4):
             await relay.watch.step(ADDRESS)
         assert store.listings == listings
@@ -183,7 +183,7 @@
     with_nodes(scenario)
 
 
-def test_a_member_asks_the_store_itself_while_its_peer_is_dead(with_nodes):
+def test_member_reads_the_store_itself_while_its_relay_is_down(with_nodes):
     async def scenario(store, relay, member):
         store.save("a")
         relay.server.close()
@@ -212,9 +212,9 @@
     run_async(work())
 
 
-def test_several_stores_are_followed_through_one_peer_at_the_same_time(with_nodes, monkeypatch):
+def test_several_stores_are_followed_through_one_relay_concurrently(with_nodes, monkeypatch):
     """A link between peers carries one request at a time; the followers of three stores shared one."""
-    monkeypatch.setattr("wallwell.node.kv_store_watch.WAIT_S", 0.3)
+    monkeypatch.setattr("wallwell.node.kv_store_watch.EVENT_WAIT_S", 0.3)
 
     async def scenario(store, relay, member):
         store.save("a")
@@ -238,23 +238,23 @@
     async def scenario():
         store = Store()
         node = Node("a", store)
-        for trouble in (REFUSED, REFUSED, None, REFUSED):
-            store.trouble = trouble
+        for error in (REFUSED, REFUSED, None, REFUSED):
+            store.error = error
             await node.watch.step(ADDRESS)
 
     asyncio.run(scenario())
     assert events == [Event.CACHE_EVENTS_REFUSED] * 2
 
 
-def test_a_loss_that_a_peer_tells_of_is_logged_like_one_that_was_seen(with_nodes, monkeypatch):
+def test_store_loss_reported_by_a_relay_is_logged(with_nodes, monkeypatch):
     """A node that learnt of a store through a peer logged its return (6010) and never its loss (6009)."""
     events = []
     monkeypatch.setattr(kv_store_watch, "emit", lambda event, **fields: events.append(event))
-    monkeypatch.setattr("wallwell.node.kv_store_watch.WAIT_S", 0.01)
+    monkeypatch.setattr("wallwell.node.kv_store_watch.EVENT_WAIT_S", 0.01)
 
     async def scenario(store, relay, member):
-        for trouble in (None, CacheStoreSilentError("x"), None):
-            store.trouble = trouble
+        for error in (None, CacheStoreSilentError("x"), None):
+            store.error = error
             store.save("a")
             await relay.watch.step(ADDRESS)
             await member.watch.step(ADDRESS)
--- a/tests/unit/node/test_member_rows.py
+++ b/tests/unit/node/test_member_rows.py
@@ -16,7 +16,7 @@
 OWN = NodeRecord("z1", "127.0.0.1:9")
 
 
-class Table:
+class FailingTable:
     """Fails as often as it is set to."""
 
     def __init__(self, failures):
@@ -43,7 +43,7 @@
 
 def test_a_registration_that_fails_is_tried_again_and_logged_once(monkeypatch):
     async def scenario():
-        table = Table(failures=3)
+        table = FailingTable(failures=3)
         rows, _, events = make_rows(monkeypatch, table)
         rows.apply(page())
         for _ in range(4):
@@ -55,16 +55,16 @@
 
 def test_a_node_does_not_register_before_it_has_read_the_rows(monkeypatch):
     async def scenario():
-        table = Table(failures=0)
+        table = FailingTable(failures=0)
         rows, _, _ = make_rows(monkeypatch, table)
         await rows.register(OWN)
-        return table.calls, rows.known
+        return table.calls, rows.has_been_read
 
     assert asyncio.run(scenario()) == (0, False)
 
 
 def test_a_member_whose_row_cannot_be_decoded_counts_without_an_address(monkeypatch):
-    rows, order, events = make_rows(monkeypatch, Table(failures=0))
+    rows, order, events = make_rows(monkeypatch, FailingTable(failures=0))
     rows.apply(page(FeedRow(MEMBER_PREFIX + "other", b"{", 1)))
     assert order.members == {"other": NodeRecord(zone="")}
     assert events == [Event.MEMBER_ROW_UNREADABLE]
@@ -74,44 +74,46 @@
     """Cannot decode some rows."""
 
     def __init__(self):
-        self.taken = []
+        self.applied_keys = []
 
     def on_era(self, era, is_restored):
         pass
 
     def on_row(self, row, now_s):
-        if row.value == b"not to be read":
+        if row.value == b"unreadable":
             raise msgspec.ValidationError("not as expected")
-        self.taken.append(row.key)
+        self.applied_keys.append(row.key)
 
 
-def test_a_row_that_cannot_be_decoded_takes_no_other_row_with_it(monkeypatch):
+def test_undecodable_row_does_not_affect_other_rows(monkeypatch):
     first, second = Listener(), Listener()
-    rows, order, events = make_rows(monkeypatch, Table(failures=0), (first, second))
-    bad = FeedRow("progress/m", b"not to be read", 1)
-    rows.apply(page(bad, FeedRow("lease/x", b"{}", 2), FeedRow(MEMBER_PREFIX + "n2", msgspec.json.encode(OWN), 3)))
-    assert first.taken == second.taken == ["lease/x"]
+    rows, order, events = make_rows(monkeypatch, FailingTable(failures=0), (first, second))
+    unreadable = FeedRow("progress/m", b"unreadable", 1)
+    rows.apply(
+        page(unreadable, FeedRow("lease/x", b"{}", 2), FeedRow(MEMBER_PREFIX + "n2", msgspec.json.encode(OWN), 3))
+    )
+    assert first.applied_keys == second.applied_keys == ["lease/x"]
     assert set(order.members) == {"n2"}
     assert events == [Event.OWN_ROW_UNREADABLE] * 2
 
 
 @pytest.mark.parametrize(("restored", "gone"), [(False, ["crash/c/1"]), (True, [])])
-def test_a_row_deleted_while_the_history_was_lost_is_told_as_deleted(monkeypatch, restored, gone):
+def test_row_deleted_during_a_gap_in_the_feed_is_reported_as_deleted(monkeypatch, restored, gone):
     """A quarantine that operators took back went on at nodes whose feed had lost its history just then."""
-    told = []
+    received = []
 
     class Listener:
         def on_row(self, row, now_s):
-            told.append((row.key, row.value))
+            received.append((row.key, row.value))
 
         def on_era(self, era, is_restored):
             pass
 
-    rows, _, _ = make_rows(monkeypatch, Table(failures=0), (Listener(),))
+    rows, _, _ = make_rows(monkeypatch, FailingTable(failures=0), (Listener(),))
     rows.apply(page(FeedRow("crash/c/1", b"n", 1), FeedRow("crash/c/2", b"n", 2), FeedRow("crash/c/3", b"n", 3)))
     deleted = FeedRow("crash/c/3", None, 4)
     rows.apply(FollowedPage(FeedPage((deleted,), 4, 0.0), False, 0.0, 0.0))
-    told.clear()
+    received.clear()
     whole = FeedPage((FeedRow("crash/c/2", b"n", 2),), 5, 0.0)
     rows.apply(FollowedPage(whole, True, 0.0, 0.0, restored))
-    assert [key for key, value in told if value is None] == gone
+    assert [key for key, value in received if value is None] == gone
--- a/tests/unit/node/test_operator_rows.py
+++ b/tests/unit/node/test_operator_rows.py
@@ -14,7 +14,7 @@
 from wallwell.cluster.load_reports import Load, sum_loads
 from wallwell.events import Event
 from wallwell.node import operator_rows
-from wallwell.node.operator_rows import UNCONFIRMED_S, OperatorRows
+from wallwell.node.operator_rows import CONFIRMATION_HOLD_S, OperatorRows
 from wallwell.storage.feed import FeedPage, FeedRow, FollowedPage
 
 CONFIG_KEY = "config"
@@ -36,16 +36,16 @@
         return dataclasses.replace(self._config, version=int(value))
 
 
-class Followed:
+class FollowedRows:
     """One node's operators' rows, long after the first answer of the store."""
 
     def __init__(self, era=1):
         self.state = make_state()
         self.state.freshness.confirmed_at_s = float("-inf")
-        self.state.store_era.observe(era, boot_time_s() - UNCONFIRMED_S)
+        self.state.store_era.observe(era, boot_time_s() - CONFIRMATION_HOLD_S)
         self.rows = OperatorRows(self.state, Sources(self.state.config))
 
-    def read(self, value=None):
+    def apply_page(self, value=None):
         """Apply a page with a configuration or with nothing new; returns whether it confirms what is known."""
         now_s = boot_time_s()
         rows = () if value is None else (FeedRow(CONFIG_KEY, value, 1),)
@@ -68,26 +68,26 @@
     """Guards against a revoked key that is accepted because the store's copy has never heard of its end."""
 
     async def work():
-        followed = Followed(era)
+        followed = FollowedRows(era)
         followed.state.load.update_from_peers(Load(configuration=peers_version or msgspec.UNSET), 2, boot_time_s())
-        return followed.read(value)
+        return followed.apply_page(value)
 
     assert run_virtual(work()) is is_confirmed
 
 
-def test_it_is_confirmed_again_once_operators_have_written_it_and_logged_once_until_then(monkeypatch):
+def test_older_configuration_is_logged_once_and_confirmed_after_operators_rewrite_it(monkeypatch):
     events = []
     monkeypatch.setattr(operator_rows, "emit", lambda event, **fields: events.append((event, fields)))
 
     async def work():
-        followed = Followed()
-        followed.read(b"5")
+        followed = FollowedRows()
+        followed.apply_page(b"5")
         followed.state.load.update_from_peers(Load(configuration=7), 2, boot_time_s())
         confirmed = []
         for _ in range(3):
-            await asyncio.sleep(UNCONFIRMED_S)
-            confirmed.append(followed.read())
-        confirmed.append(followed.read(b"7"))
+            await asyncio.sleep(CONFIRMATION_HOLD_S)
+            confirmed.append(followed.apply_page())
+        confirmed.append(followed.apply_page(b"7"))
         return confirmed
 
     assert run_virtual(work()) == [False, False, False, True]
@@ -95,7 +95,7 @@
     assert behind == [{"version": 5, "peers_version": 7}]
 
 
-def test_the_newest_version_travels_with_the_loads_and_nothing_does_while_the_store_counts_no_eras():
+def test_load_reports_carry_the_newest_version_only_if_the_store_counts_eras():
     behind, ahead = FleetLoad(), FleetLoad()
     behind.own_configuration_version, ahead.own_configuration_version = 5, 7
     total = sum_loads([behind.own_load(1.0), ahead.own_load(1.0), FleetLoad().own_load(1.0)])
--- a/tests/unit/node/test_peer_ports.py
+++ b/tests/unit/node/test_peer_ports.py
@@ -10,7 +10,7 @@
 from wallwell.node.node import FleetNode
 
 
-class Peers:
+class FakePeerServer:
     """Can listen on free ports only."""
 
     def __init__(self, free):
@@ -34,6 +34,6 @@
 def test_the_first_free_port_serves_peers(monkeypatch, free, port, expected):
     events = []
     monkeypatch.setattr(node_module, "emit", lambda event, **fields: events.append(event))
-    node = SimpleNamespace(_peers=Peers(free))
+    node = SimpleNamespace(_peer_server=FakePeerServer(free))
     asyncio.run(FleetNode.listen_for_peers(node, "127.0.0.1", range(1, 4)))
-    assert (node._peers.port, events) == (port, expected)
+    assert (node._peer_server.port, events) == (port, expected)
--- a/tests/unit/node/test_restarted_back_end.py
+++ b/tests/unit/node/test_restarted_back_end.py
@@ -32,70 +32,72 @@
 from wallwell.serving.pipeline import RequestPipeline
 
 RESUMABLE = make_route(RouteKind.STREAM, resumable=True, attempts=2)
-HANGS = Script(chunks=(event(1), 30.0), stream=True)
-REST = Script(chunks=(event(2), event(3)), stream=True)
+STALLED_STREAM = Script(chunks=(event(1), 30.0), stream=True)
+REMAINING_STREAM = Script(chunks=(event(2), event(3)), stream=True)
 RESTARTED_S = 0.1
 """Seconds after which the listing names a later start."""
 
 
-class Refuses:
-    async def is_refused(self, backend):
+class RefusingCheck:
+    async def refuses_connections(self, backend):
         return True
 
 
-class Answers:
+class ReachableCheck:
     async def is_reachable(self, backend):
         return True
 
 
-def start_again(state, incarnation, born):
+def restart(state, incarnation, started_unix_ms):
     record = state.backends.get(incarnation).record
-    return state.backends.upsert(dataclasses.replace(record, started_unix_ms=born))
+    return state.backends.upsert(dataclasses.replace(record, started_unix_ms=started_unix_ms))
 
 
 def test_each_crash_of_the_same_back_end_counts():
     async def work():
         state = make_state()
-        watch = CrashWatch(state, Refuses(), FaultyTable(), lambda: ("n1",))
+        watch = CrashWatch(state, RefusingCheck(), FaultyTable(), lambda: ("n1",))
         running = asyncio.create_task(watch.run())
-        for born in range(1, CRASHES_TO_QUARANTINE + 1):
-            watch.on_broken_run("c", start_again(state, "i-0", born))
+        for started_unix_ms in range(1, CRASHES_TO_QUARANTINE + 1):
+            watch.on_broken_run("c", restart(state, "i-0", started_unix_ms))
             await asyncio.sleep(5.0)
         running.cancel()
         return state.quarantine.remaining_s("c", boot_time_s()), sorted(watch._table.model.rows)
 
     left_s, rows = run_virtual(work())
     assert left_s > 0
-    assert rows == [f"{CRASH_PREFIX}c/i-0@{born}" for born in range(1, CRASHES_TO_QUARANTINE + 1)]
+    assert rows == [
+        f"{CRASH_PREFIX}c/i-0@{started_unix_ms}" for started_unix_ms in range(1, CRASHES_TO_QUARANTINE + 1)
+    ]
 
 
-def test_a_back_end_that_is_back_within_a_moment_has_crashed_all_the_same():
+def test_back_end_that_restarts_at_once_counts_as_crashed():
     """Its address takes connections at once, so that no probe is refused."""
 
-    class Listens:
-        async def is_refused(self, backend):
+    class ListeningCheck:
+        async def refuses_connections(self, backend):
             return False
 
     async def work():
         state = make_state()
-        watch = CrashWatch(state, Listens(), FaultyTable(), lambda: ("n1",))
-        first = start_again(state, "i-0", 1)
+        watch = CrashWatch(state, ListeningCheck(), FaultyTable(), lambda: ("n1",))
+        first = restart(state, "i-0", 1)
         watch.on_broken_run("c", first)
         await asyncio.sleep(0.1)
-        start_again(state, "i-0", 2)
+        restart(state, "i-0", 2)
         await asyncio.sleep(5.0)
         return state.quarantine.suspect_count
 
     assert run_virtual(work()) == 1
 
 
-def test_one_that_left_as_it_said_and_is_back_has_not_crashed():
+def test_back_end_that_announced_leaving_and_restarts_has_not_crashed():
     async def work():
         state = make_state()
-        watch = CrashWatch(state, Refuses(), FaultyTable(), lambda: ("n1",))
-        first = start_again(state, "i-0", 1)
+        watch = CrashWatch(state, RefusingCheck(), FaultyTable(), lambda: ("n1",))
+        first = restart(state, "i-0", 1)
         state.backends.on_leaving(first, boot_time_s())
-        start_again(state, "i-0", 2)
+        restart(state, "i-0", 2)
         watch.on_broken_run("c", first)
         await asyncio.sleep(5.0)
         return state.quarantine.suspect_count
@@ -104,14 +106,14 @@
 
 
 @pytest.mark.parametrize("is_listed", [True, False], ids=["a later start", "none"])
-def test_a_stream_on_an_ended_start_goes_on_elsewhere(is_listed):
+def test_stream_on_an_ended_start_resumes_elsewhere(is_listed):
     async def work():
         state = make_state(RESUMABLE, versions={"m": 1}, backends=2)
         for number in (0, 1):
-            start_again(state, f"i-{number}", 1)
-        liveness = LivenessMonitor(state, Answers())
+            restart(state, f"i-{number}", 1)
+        liveness = LivenessMonitor(state, ReachableCheck())
         watching = asyncio.create_task(liveness.run())
-        client, reply = FakeClient(HANGS, REST), FakeReply()
+        client, reply = FakeClient(STALLED_STREAM, REMAINING_STREAM), FakeReply()
         started_s = boot_time_s()
         serving = asyncio.create_task(
             RequestPipeline(state, client, liveness=liveness).serve(
@@ -120,7 +122,7 @@
         )
         await asyncio.sleep(RESTARTED_S)
         if is_listed:
-            start_again(state, client.sent[0].backend.incarnation, 2)
+            restart(state, client.sent[0].backend.incarnation, 2)
         await serving
         watching.cancel()
         assert not liveness._interruptible_attempts
--- a/tests/unit/node/test_unreadable_rows.py
+++ b/tests/unit/node/test_unreadable_rows.py
@@ -1,4 +1,4 @@
-"""Entries of back ends that another writer has spoilt: they name none, and all other rows of the page hold.
+"""Entries of back ends that another writer has corrupt: they name none, and all other rows of the page hold.
 
 Seen: a value that is no base64 ended the follower of its table, again at each reading, so that the whole
 listing stood still; one that is no text kept a relay from answering its followers. An entry that cannot be
@@ -17,8 +17,8 @@
 from wallwell.platform.store_wire import StoredRow, encode_value, feed_row
 from wallwell.storage.feed import FeedPage, FollowedPage
 
-NO_BASE64, NO_TEXT, NO_JSON = "%", "/w==", encode_value("{")
-NO_ADDRESS = encode_value('{"service":"svc"}')
+INVALID_BASE64, INVALID_UTF8, INVALID_JSON = "%", "/w==", encode_value("{")
+MISSING_ADDRESS = encode_value('{"service":"svc"}')
 
 
 class Sources:
@@ -36,7 +36,7 @@
         self.rows = BackendRows(self.state, Sources, ConnectionPool("X", 1.0, 1.0))
         self.version = 0
 
-    def take(self, whole=False, **values):
+    def apply_page(self, whole=False, **values):
         stored = []
         for key, value in values.items():
             self.version += 1
@@ -57,13 +57,15 @@
 
 @pytest.mark.parametrize("whole", [True, False], ids=["whole", "a change"])
 @pytest.mark.parametrize(
-    "spoilt", [NO_BASE64, NO_TEXT, NO_JSON, NO_ADDRESS], ids=["no base64", "no text", "no JSON", "no address"]
+    "corrupt",
+    [INVALID_BASE64, INVALID_UTF8, INVALID_JSON, MISSING_ADDRESS],
+    ids=["invalid base64", "invalid UTF-8", "invalid JSON", "missing address"],
 )
-def test_a_back_end_under_a_spoilt_entry_is_gone_and_the_others_hold(spoilt, whole, logged):
+def test_back_end_with_a_corrupt_entry_is_removed_and_others_stay(corrupt, whole, logged):
     listing = Listing()
-    listing.take(True, a=entry(1), b=entry(2))
+    listing.apply_page(True, a=entry(1), b=entry(2))
     known = listing.state.backends.get("b")
-    listing.take(whole, a=entry(1), b=spoilt, c=entry(3))
+    listing.apply_page(whole, a=entry(1), b=corrupt, c=entry(3))
     assert listing.names() == ["a", "c"]
     assert known.gone
     assert [(each["event"], each["backend"], each["further"]) for each in logged] == [(6023, "b", 0)]
@@ -71,21 +73,21 @@
 
 def test_a_back_end_that_lists_itself_again_is_used_again():
     listing = Listing()
-    listing.take(True, a=entry(1))
-    listing.take(a=NO_JSON)
-    listing.take(a=entry(1))
+    listing.apply_page(True, a=entry(1))
+    listing.apply_page(a=INVALID_JSON)
+    listing.apply_page(a=entry(1))
     assert listing.names() == ["a"]
 
 
-def test_a_thousand_spoilt_entries_are_logged_in_a_few_lines(logged):
+def test_a_thousand_corrupt_entries_are_logged_in_a_few_lines(logged):
     listing = Listing()
-    listing.take(True, good=entry(1), **{f"spoilt-{number}": NO_JSON for number in range(1000)})
+    listing.apply_page(True, good=entry(1), **{f"corrupt-{number}": INVALID_JSON for number in range(1000)})
     assert listing.names() == ["good"]
     assert len(logged) == MAX_UNREADABLE_LOGGED
     assert logged[-1]["further"] == 1000 - MAX_UNREADABLE_LOGGED
 
 
-def test_a_service_that_nobody_has_configured_serves_no_route():
+def test_back_end_of_an_unconfigured_service_serves_no_route():
     listing = Listing()
-    listing.take(True, a=entry(1), b=entry(2, service="unknown"))
+    listing.apply_page(True, a=entry(1), b=entry(2, service="unknown"))
     assert listing.names() == ["a"]
--- a/tests/unit/rollout/fleet.py
+++ b/tests/unit/rollout/fleet.py
@@ -14,7 +14,7 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.freshness import StoreClock
 from wallwell.emulator.platform_server import TableModel
-from wallwell.node.operator_rows import WRITTEN_AGAIN_S
+from wallwell.node.operator_rows import REWRITE_GRACE_S
 from wallwell.node.state import FleetBounds, NodeState
 from wallwell.rollout.driver import RolloutDriver
 from wallwell.rollout.model import Phase, RolloutDecision, RolloutOrder, RolloutRecord
@@ -214,7 +214,7 @@
         self.orders = [msgspec.structs.replace(order, era=self.era) for order in copy[2]]
         for node in self.nodes:
             for order in self.orders:
-                node.registry.on_order(order, boot_time_s(), boot_time_s() + WRITTEN_AGAIN_S)
+                node.registry.on_order(order, boot_time_s(), boot_time_s() + REWRITE_GRACE_S)
 
     def kill(self, node):
         node.task.cancel()
--- a/tests/unit/serving/test_pipeline.py
+++ b/tests/unit/serving/test_pipeline.py
@@ -121,7 +121,7 @@
     """Attempts had been abandoned for retries that the retry budget then refused."""
 
     def exhaust_budget_during_the_wait(node_state):
-        budget = node_state.budget_of("svc")
+        budget = node_state.retry_budget("svc")
         asyncio.get_running_loop().call_later(0.1, lambda: [budget.try_retry(boot_time_s(), 1) for _ in range(99)])
 
     late_answer = Script(chunks=(b"late",), head_delay_s=1.0)
@@ -132,7 +132,7 @@
 def test_a_retry_after_a_response_timeout_draws_once_on_the_budget():
     async def scenario():
         node_state = make_state(SAFE)
-        budget = node_state.budget_of("svc")
+        budget = node_state.retry_budget("svc")
         before = budget.remaining_retries(boot_time_s(), 1)
         await RequestPipeline(node_state, FakeClient(Script(head_delay_s=60.0), OK)).serve(
             make_request(), FakeReply()
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -42,7 +42,7 @@
 from wallwell.events import Event
 from wallwell.log_writer import JsonSink, LogWriter
 from wallwell.node.kv_store_watch import CacheReply
-from wallwell.node.metrics import FleetCollector
+from wallwell.node.metrics import NodeCollector
 from wallwell.outcomes import Outcome
 from wallwell.placement.weights_roll import EngineReport, LoadTask, WeightsOrder
 from wallwell.placement.weights_roll_driver import LoadProgress
@@ -147,7 +147,7 @@
 def rewrite(kind: str, text: str) -> str:
     """Decode a JSON document of a kind as the product does and return it as the product encodes it."""
     if kind == "peer request":
-        return msgspec.json.encode(_node()._peers._decoder.decode(text)).decode()
+        return msgspec.json.encode(_node()._peer_server._decoder.decode(text)).decode()
     return msgspec.json.encode(msgspec.json.decode(text, type=_TYPES[kind])).decode()
 
 
@@ -170,12 +170,12 @@
 
 def peer_request_types() -> list[str]:
     """Return the names under which requests between nodes travel."""
-    return sorted(msgspec.inspect.type_info(each).tag for each in _node()._peers._handlers)
+    return sorted(msgspec.inspect.type_info(each).tag for each in _node()._peer_server._handlers)
 
 
 def relayed_tables() -> list[str]:
     """Return the names of tables that nodes ask each other for."""
-    return sorted(_node()._tables.relayed)
+    return sorted(_node()._followers.relayed_tables)
 
 
 def read_packed_sum(packed: bytes) -> str:
@@ -252,8 +252,8 @@
             "retry_extra": bounds.retry_extra,
             "retry_window_s": bounds.retry_window_s,
             "lease_s": bounds.lease_s,
-            "contact_s": bounds.contact_s,
-            "version_s": bounds.version_s,
+            "contact_s": bounds.startup_grace_s,
+            "version_s": bounds.weights_deadline_s,
             "exposure_share": bounds.rollout.exposure_share,
             "exposure_slack": bounds.rollout.exposure_requests,
             "rollback_s": bounds.rollout.rollback_s,
@@ -425,7 +425,7 @@
     """Return type, labels and bounds of the metrics of a router on the platform, by exposed name."""
     counters = RequestCounters()
     counters.on_answered("stream", 0.1, 0.2, 0.1)
-    collector = FleetCollector(counters, _node().state, is_ready=True)
+    collector = NodeCollector(counters, _node().state, is_ready=True)
     registry = CollectorRegistry()
     registry.register(collector)  # type: ignore[arg-type]
     declared = {each.name: tuple(each._labelnames) for each in collector.collect()}
@@ -513,7 +513,7 @@
     node = _node()
     store = PlatformStore("127.0.0.1:3")
     store._pool = pool = _RecordingPool(answers)  # type: ignore[assignment]
-    node._members._table._pool = pool
+    node._member_rows._table._pool = pool
     asyncio.run(act(node, store))  # type: ignore[arg-type]
     return pool.sent
 
@@ -535,7 +535,7 @@
     return _recorded(
         {
             "weights lease": lambda node, store: node._weights_roll._lease.try_acquire(0.0),
-            "rollout lease": lambda node, store: node._rollouts._lease.try_acquire(0.0),
+            "rollout lease": lambda node, store: node._rollout_driver._lease.try_acquire(0.0),
             "member": _write_member,
             "crash": _write_crash,
             "weights progress": _write_progress,
@@ -545,13 +545,13 @@
 
 
 async def _write_member(node: Any, store: Any) -> None:
-    node._members._own_version = 4
-    await node._members.register(NodeRecord("z1", "127.0.0.1:9", 30.0))
+    node._member_rows._own_version = 4
+    await node._member_rows.register(NodeRecord("z1", "127.0.0.1:9", 30.0))
 
 
 async def _write_crash(node: Any, store: Any) -> None:
-    node._crashes._write({"crash/c1/w1": True, "crash/c2/w2": False})
-    await node._crashes.write_some()
+    node._crash_watch._write({"crash/c1/w1": True, "crash/c2/w2": False})
+    await node._crash_watch.write_batch()
 
 
 async def _write_progress(node: Any, store: Any) -> None:
@@ -626,7 +626,7 @@
     followed = FollowedPage(page, True, now_s, float("-inf"))
     state = node.state
     if table == "op":
-        node._operators.apply(followed)
+        node._operator_rows.apply(followed)
         config = state.config
         orders = [
             (each.service, each.target_version, each.duration_s, each.store_version)
@@ -642,12 +642,12 @@
             "orders": orders,
         }
     if table == "servers":
-        node._listing.apply(followed)
+        node._backend_rows.apply(followed)
         return {each.incarnation: _backend(each.record) for each in state.backends.all_backends()}
-    node._members.apply(followed)
+    node._member_rows.apply(followed)
     return {
         "members": {name: [each.zone, each.relay, each.link_mbps] for name, each in node._order.members.items()},
-        "lease holders": [node._weights_roll._lease_candidate.holder, node._rollouts._turn.holder],
+        "lease holders": [node._weights_roll._lease_candidate.holder, node._rollout_driver._turn.holder],
         "rollouts": {
             name: [each.target_version, each.phase.value, each.share, list(each.barred)]
             for name in ("svc",)
@@ -730,7 +730,7 @@
     """Stands for the node behind the callers' listener: sends each request once, or refuses it."""
 
     def __init__(self, error: RequestError | None, dispatch: dict[str, Any], address: str) -> None:
-        self.closing_connections = lambda: False
+        self.is_closing_connections = lambda: False
         self.seen: dict[str, Any] = {}
         self._error = error
         self._dispatch = dispatch
