--- a/src/wallwell/node/__init__.py
+++ b/src/wallwell/node/__init__.py
@@ -1,1 +1,1 @@
-"""One router process on the store: what it knows, the rows it follows, its readiness, stop and metrics."""
+"""One router process of a fleet: its state, the store rows that it follows, its readiness, stop and metrics."""
--- a/src/wallwell/node/adapter.py
+++ b/src/wallwell/node/adapter.py
@@ -1,7 +1,7 @@
-"""What a platform's adapter supplies to a node: the store's tables with their decoders, and back ends' clients.
+"""What the platform adapter supplies to a node: the store's tables, their decoders, and clients of back ends.
 
 Owns no state. The adapter (``wallwell/platform/main.py``) builds one :class:`NodeAdapter`; everything in ``node/``
-reaches the store and the back ends through it, so that a node can be wired to stand-ins.
+reaches the store and the back ends through it, so that tests can replace both.
 """
 
 from __future__ import annotations
@@ -28,47 +28,47 @@
 
 
 class BackendCheck(ReachabilityCheck, CrashCheck, Protocol):
-    """Finds out by new connections whether back ends can be reached and whether their processes are gone."""
+    """Checks by new connections whether back ends are reachable and whether their processes have ended."""
 
 
 class NodeSources(msgspec.Struct, frozen=True):
-    """The store as a node sees it. Decoders raise :class:`msgspec.MsgspecError` for a row they cannot read."""
+    """The store's tables and their decoders, which raise :class:`msgspec.MsgspecError` for an invalid row."""
 
     operator_rows: RowSource
-    """Table of the operators: configuration, named weights versions, orders of rollouts."""
+    """Table that operators write: configuration, weights versions to serve, rollout orders."""
     backend_rows: RowSource
-    """Table in which back ends list themselves."""
+    """Table in which each back end registers itself."""
     own_rows: RowSource
-    """This product's own table: members, leases, progress, crashes, records of rollouts."""
+    """Table that nodes write: members, leases, progress of weights rolls, crashes, rollout records."""
     own_table: TableService
-    """Writes to this product's own table."""
+    """Client for writing to the table that ``own_rows`` reads."""
     era: StoreEra
-    """The era of the store, by its answers to all of these."""
+    """The store's era, as stated in its answers to any of these calls."""
     config_key: str
     version_prefix: str
     decode_config: Callable[[bytes], DeploymentConfig]
     decode_version: Callable[[bytes], tuple[str, int]]
-    """Returns a model and its weights version."""
+    """Returns a model's name and its weights version."""
     decode_backend: Callable[[str, bytes], BackendRecord]
-    """Takes an incarnation and its row's value."""
+    """Takes an incarnation and the value of its row."""
     rollout_prefix: str
     decode_rollout: Callable[[str, bytes, int], RolloutOrder]
-    """Takes key, value and version of an order's row."""
+    """Takes the key, value and version of a rollout order's row."""
     rollouts: RolloutStore
     cache_events: CacheEventSource
-    """Events of the KV stores."""
+    """Reads events and listings of the KV stores."""
 
 
 class NodeAdapter(msgspec.Struct, frozen=True):
-    """All that a node needs from outside. One object may serve as several of the clients."""
+    """Everything that a node needs from the platform. One object may implement several of the clients."""
 
     sources: NodeSources
     client: BackendClient
     """Sends attempts to back ends."""
     control: EngineControl
-    """Orders and reports of engines."""
+    """Sends orders to engines and reads their reports."""
     backend_check: BackendCheck
     pool: ConnectionPool
-    """The connections that ``client`` uses; the node closes those that rest for too long."""
+    """The connections that ``client`` uses; the node closes those that stay idle for too long."""
     notices: BackendNotices
-    """Through which ``client`` and ``control`` hand on what answers state about their back ends."""
+    """Receives from ``client`` and ``control`` what answers state about their back ends."""
--- a/src/wallwell/node/backend_notices.py
+++ b/src/wallwell/node/backend_notices.py
@@ -1,8 +1,8 @@
-"""Applies what back ends state about themselves in their answers to what this node knows of them, and logs it.
+"""Applies the statements that back ends make about themselves in their answers to this node's state; logs them.
 
-Owns no state: leaving and back-off are kept with the back end, limits by
-:mod:`wallwell.cluster.stated_limits`, which logs them too. Relies on the clients of back ends to hand every
-notice on (:class:`~wallwell.routing.health.backend_notice.BackendNotices`).
+Owns no state: leaving and back-off are stored in the :class:`Backend`; limits are stored and logged by
+:mod:`wallwell.cluster.stated_limits`. Relies on the clients of back ends to pass on every notice
+(:class:`~wallwell.routing.health.backend_notice.BackendNotices`).
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 
 def apply_notice(state: NodeState, incarnation: str, notice: BackendNotice) -> None:
-    """Apply what an answer of a back end stated; each thing is logged once for as long as it holds."""
+    """Apply the notice in a back end's answer; each statement is logged once for as long as it holds."""
     now_s = boot_time_s()
     backend = state.backends.get(incarnation)
     if backend is None:
-        return  # Its entry went while the answer was on its way, so it gets nothing anyway.
+        return  # The entry was removed before the answer arrived, so the back end gets no more requests.
     if notice.leaving and state.backends.on_leaving(backend, now_s):
         emit(Event.BACKEND_ANNOUNCED_LEAVING, backend=incarnation, service=backend.record.service)
     if notice.backoff_s and backend.backoff.on_requested(notice.backoff_s, now_s):
--- a/src/wallwell/node/backend_rows.py
+++ b/src/wallwell/node/backend_rows.py
@@ -1,6 +1,6 @@
-"""Keeps a node's registry of back ends as the store lists them, also over an outage of the store.
+"""Keeps a node's registry of back ends in step with their entries in the store, also across a store outage.
 
-Owns the time of the store's last return. Relies on a follower that hands on every row in order
+Owns the time at which the store last came back. Relies on a follower that delivers every row in order
 (:mod:`wallwell.storage.feed`) and on :meth:`BackendRows.drop_lapsed` being called once a second.
 """
 
@@ -18,25 +18,25 @@
 from wallwell.storage.feed import FeedRow, FollowedPage
 
 LAPSE_GRACE_S = 1.7
-"""Seconds from the store's return for which a back end whose entry is missing still gets requests.
+"""Seconds after the store comes back during which a back end whose entry is missing still gets requests.
 
-Entries of living back ends are written again within 2 s of the store's return. The figure is below the 2 s within
-which a back end that has left must get nothing more (``drain_ms``), since a missing entry may mean either."""
+Live back ends rewrite their entries within 2 s of the store's return. A missing entry may also mean that the back
+end has left, so the value is below the 2 s after which such a back end must get no requests (``drain_ms``)."""
 RESTORED_ENTRY_HOLD_S = 5.0
-"""Seconds from the store's return from a copy for which an entry in the copy does not bring a back end back that
-has gone: by then the entry of one that lives no more has gone again, after three missed heartbeats."""
+"""Seconds after a restore of the store from a backup during which a restored entry does not bring back a back end
+that was removed. By then the entry of an ended back end has been removed again, after three missed heartbeats."""
 MAX_UNREADABLE_LOGGED = 10
-"""Entries of one page that are logged one by one; the last of these lines says how many more there are."""
+"""Unreadable entries of one page that are logged; the last log line states how many more there are."""
 MAX_REASON_CHARS = 200
-"""Characters of a reason that are logged: it may quote the entry."""
+"""Characters of a decoding error that are logged, since its text may quote the entry."""
 
 
 class BackendRows:
-    """Keeps the registry of back ends as the store lists them.
+    """Updates the registry of back ends from their entries in the store.
 
-    Entries lapse while the store is unavailable, and living back ends list themselves again soon after its return.
-    One that is missing then goes on getting requests for ``LAPSE_GRACE_S`` from the return. After a return from a
-    copy, an entry may also be there again though its back end has gone: it is held back for a while.
+    Entries lapse while the store is unavailable, and live back ends rewrite them soon after it comes back. A back
+    end without an entry still gets requests for ``LAPSE_GRACE_S`` after that. A restore from a backup may bring
+    back the entry of a back end that has ended, so it is applied only after ``RESTORED_ENTRY_HOLD_S``.
     """
 
     def __init__(self, state: NodeState, sources: NodeSources, pool: ConnectionPool) -> None:
@@ -45,10 +45,10 @@
         self._pool = pool
         self._store_returned_s = float("-inf")
         self._held_entries: dict[str, bytes] = {}
-        """Entries of a copy whose back ends have gone as far as this node knows."""
+        """Restored entries of back ends that this node had removed, by incarnation; not applied yet."""
 
     def apply(self, followed: FollowedPage) -> None:
-        """Apply a page. A row that cannot be decoded names no back end: one known under its key counts as gone."""
+        """Apply a page of rows. If a row cannot be decoded, the back end listed under its key counts as gone."""
         now_s = boot_time_s()
         is_outage = now_s - followed.previous_confirmed_at_s > STORE_OUTAGE_S and self._state.backends_known
         if is_outage or followed.is_store_restored:
@@ -59,7 +59,7 @@
                 self._on_missing_entry(backend, now_s)
         may_be_stale = followed.is_snapshot and now_s < self._entry_hold_ends_s()
         unreadable: list[tuple[str, str]] = []
-        # Of two incarnations at one address the one that was written last is the one that lives.
+        # Of two incarnations at one address, the one whose entry was written last is the live one.
         for row in sorted(followed.page.rows, key=lambda row: row.version):
             reason = self._apply_row(row, may_be_stale, now_s)
             if reason:
@@ -69,7 +69,7 @@
         self._state.backends_known = True
 
     def _apply_row(self, row: FeedRow, may_be_stale: bool, now_s: float) -> str:
-        """Apply a row; returns why it cannot be decoded, empty if it can."""
+        """Apply a row. Returns the decoding error, or an empty string."""
         self._held_entries.pop(row.key, None)
         if row.value is None:
             listed = self._state.backends.get(row.key)
@@ -84,8 +84,7 @@
         return ""
 
     def drop_lapsed(self, now_s: float) -> None:
-        """Forget the back ends that have not listed themselves again in time; take the entries held back until
-        now."""
+        """Remove back ends whose entries were not rewritten in time; apply held entries that are due."""
         if self._held_entries and now_s >= self._entry_hold_ends_s():
             held_entries, self._held_entries = self._held_entries, {}
             for incarnation, value in held_entries.items():
@@ -106,9 +105,9 @@
         previous_record = None if previous is None else previous.record
         backend = self._state.backends.upsert(record)
         if backend.record.is_later_start_than(record):
-            return  # Late news of an earlier start of the same back end.
+            return  # The entry is of an earlier start of the same back end and arrived late.
         if previous is not None and backend is not previous:
-            # Another start. Behind a cut old connections may stay open, and nobody answers on them any more.
+            # A later start. After a network cut, old connections may stay open although nothing answers on them.
             self._pool.forget(previous.record.address)
         is_changed = previous_record != record
         if is_changed:
@@ -130,13 +129,13 @@
             backend.slow_until_s = now_s + record.slow_for_s
 
     def _on_missing_entry(self, backend: Backend, now_s: float) -> None:
-        """An entry is missing: the back end has left, or the entry lapsed while the store was unavailable."""
+        """Handle a missing entry: the back end has left, or its entry lapsed while the store was unavailable."""
         grace_ends_s = now_s if backend.has_announced_leave else self._store_returned_s + LAPSE_GRACE_S
         self._state.backends.lapse(backend.incarnation, max(now_s, grace_ends_s))
 
 
 def _log_unreadable(entries: list[tuple[str, str]]) -> None:
-    """Log entries that name no back end, each with its key and the reason."""
+    """Log entries that cannot be decoded, given as pairs of key and decoding error."""
     logged = entries[:MAX_UNREADABLE_LOGGED]
     for number, (key, reason) in enumerate(logged, start=1):
         further_count = len(entries) - len(logged) if number == len(logged) else 0
--- a/src/wallwell/node/crash_probe.py
+++ b/src/wallwell/node/crash_probe.py
@@ -1,11 +1,11 @@
-"""Finds out whether a back end's process has crashed, by a few probes of its address.
+"""Determines whether a back end's process has crashed, by probing its address a few times.
 
-A broken attempt alone is no proof of a crash: connections are reset on the way, by a back end with too many of
-them, and at the end of a planned stop. A back end counts as crashed when its address refuses connections, still
-does so a moment later, and nothing has come from it in between, or when another incarnation has taken its address.
+A broken attempt alone does not prove a crash: connections are also reset by the network, by a back end with too
+many connections, and at the end of a planned stop. A back end counts as crashed when two probes in a row are
+refused and nothing was received from it in between, or when another incarnation has taken its address.
 
-Owns no state. Relies on the listing to mark replaced incarnations (``Backend.superseded``) and on attempts to note
-what back ends send (``Backend.silence``).
+Owns no state. Relies on the registry to mark replaced incarnations (``Backend.superseded``) and on attempts to
+record when data is received (``Backend.silence``).
 """
 
 from __future__ import annotations
@@ -18,38 +18,37 @@
 from wallwell.routing.health.backend import Backend
 
 FIRST_PROBE_DELAY_S = 0.02
-"""Seconds from a broken attempt to the first probe: those that break with it are then known, and cost one write."""
+"""Seconds from a broken attempt to the first probe. Attempts that break together then share one probe and write."""
 PROBE_INTERVAL_S = 0.3
-"""Seconds between two probes. A back end that only has too many connections has sent something by then: its other
-streams pause for less than half a second, and with many streams some are always about to send."""
+"""Seconds between two probes. A back end that merely has too many connections has sent data by then: its other
+streams pause for less than half a second, and among many streams some are always about to send."""
 MAX_PROBES = 5
-"""Probes of one back end. On a busy node, what it had sent before its end can be read after the first refusal; then
-one more probe is needed. The rest is a margin."""
+"""Most probes of one back end. A busy node may read data that was sent before the crash only after the first
+refused probe, and then needs one more. The rest is a margin."""
 ALIVE_AFTER_PROBES = 2
-"""Probes in a row that find it listening, after which it counts as alive. A process that ends, or a proxy before
-it, may still take a connection after those of its attempts are reset."""
+"""Successful probes in a row after which a back end counts as alive. One is not enough: an ending process, or a
+proxy in front of it, may still accept a connection after it has reset those of its attempts."""
 SUCCESSOR_WAIT_S = 3.0
-"""Seconds for which a back end that listens may yet turn out to have been a successor: one that is back within 0.3
-s is listed at its address within about a second."""
+"""Seconds to wait for the entry of a successor at the address of a back end that accepts connections. A process
+that restarts within 0.3 s is listed within about a second."""
 
 
 class CrashCheck(Protocol):
-    """Finds out whether a back end's process is gone."""
+    """Checks whether a back end's process has ended."""
 
     async def refuses_connections(self, backend: BackendRecord) -> bool:
-        """Connect unless a connection is idle; returns True only if the machine answers that nothing listens
-        there."""
+        """Connect, unless a connection is idle; returns True only if the machine refuses the connection."""
         ...
 
 
 class CrashProbe:
-    """Probes back ends by :class:`CrashCheck`."""
+    """Probes back ends through a :class:`CrashCheck`."""
 
     def __init__(self, check: CrashCheck) -> None:
         self._check = check
 
     async def has_crashed(self, backend: Backend) -> bool:
-        """Probe a back end after a broken attempt, from :data:`FIRST_PROBE_DELAY_S` on, until it is known."""
+        """Probe a back end after a broken attempt, at most :data:`MAX_PROBES` times; returns whether it crashed."""
         refused_at_s = None
         listening_probes = 0
         for probe in range(MAX_PROBES):
--- a/src/wallwell/node/crash_watch.py
+++ b/src/wallwell/node/crash_watch.py
@@ -1,12 +1,12 @@
-"""Finds back ends that have crashed, and keeps in the store which requests they were running.
+"""Detects crashes of back ends and records in the store which requests they were running.
 
-Whether a back end has crashed is found out by :mod:`wallwell.node.crash_probe`. One row for each request and crash
-goes to the store, without a condition: writing it twice changes nothing, every node counts the rows, and a node
-that starts reads them.
+:mod:`wallwell.node.crash_probe` decides whether a back end has crashed. For each request and crash one row is
+written to the store, unconditionally, since writing it twice changes nothing. Every node counts the rows, and a
+starting node reads them.
 
-Owns the examinations in progress and the rows that the store has not taken yet. The counts are in
-``NodeState.quarantine``, which decides what is refused. Relies on attempts being reported
-(:meth:`CrashWatch.on_broken_run`, :meth:`CrashWatch.on_answered`) and on the followed rows of this product's table.
+Owns the probes in progress and the rows that the store has not accepted yet. The counts are in
+``NodeState.quarantine``, which decides which requests are refused. Relies on reports of attempts
+(:meth:`CrashWatch.on_broken_run`, :meth:`CrashWatch.on_answered`) and on the rows of the nodes' own table.
 """
 
 from __future__ import annotations
@@ -29,55 +29,55 @@
 from wallwell.storage.table import Put, TableService, Transaction
 
 CRASH_PREFIX = "crash/"
-"""Rows ``crash/CONTENT/START``, by :attr:`Backend.start_id`; the value names the node that saw it."""
+"""Prefix of keys ``crash/CONTENT_DIGEST/START_ID`` (:attr:`Backend.start_id`); the value is the reporting node."""
 MAX_TRANSACTION_ROWS = 100
-"""Entries of one transaction (the store's bound)."""
+"""Most rows of one transaction; a limit of the store."""
 MAX_UNWRITTEN_ROWS = 4096
-"""Rows that wait for a store that takes no writes: as many as suspects are remembered. The oldest are dropped
-first; the store then lacks a crash that this node knows, or keeps an expired one until nodes expire it again."""
+"""Most rows that wait while the store accepts no writes: as many as suspects are remembered. The oldest are dropped
+first; the store then lacks a crash that this node counts, or keeps an expired one until nodes expire it again."""
 WRITE_RETRY_S = 0.4
-"""Mean seconds from a failed write to the next."""
+"""Mean seconds between a failed write and its retry."""
 WRITE_RETRY_JITTER = (0.5, 1.5)
-"""Range of factors on that time, so that nodes do not write together once the store is back."""
+"""Range of random factors on ``WRITE_RETRY_S``, so that nodes do not write together once the store is back."""
 REWRITE_WINDOW_S = 60.0
-"""Seconds for which a row that was written is kept to be written again: a store that comes back from a copy has
-lost the last seconds before it."""
+"""Seconds for which a written row is remembered, to write it again if the store is restored from a backup, which
+lacks the last seconds of writes."""
 MAX_RECENT_WRITES = 1000
-"""Rows kept for that, far more than are written in that time."""
+"""Most rows remembered for rewriting, far more than are written in ``REWRITE_WINDOW_S``."""
 SWEEP_INTERVAL_S = 5.0
-"""Seconds between two removals of expired crashes: small beside the minutes they count for."""
+"""Seconds between two removals of expired crashes: short compared with the minutes for which a crash counts."""
 
 
 class CrashWatch:
-    """One node's part: probes back ends, counts crashes, writes them to the store and removes expired ones."""
+    """Probes back ends after broken attempts, counts crashes, writes them to the store and removes expired ones."""
 
     def __init__(
         self, state: NodeState, check: CrashCheck, table: TableService, member_names: Callable[[], Iterable[str]]
     ) -> None:
-        """``members`` names the nodes that share the removal of old rows."""
+        """``member_names`` returns the names of the nodes that share the removal of expired rows."""
         self._state = state
         self._probe = CrashProbe(check)
         self._table = table
         self._member_names = member_names
         self._broken_digests: dict[str, set[str]] = {}
-        """Contents of broken attempts, by the start of a back end that is being probed."""
+        """Content digests of broken attempts, by the ``start_id`` of a back end that is being probed."""
         self._probes = BackgroundTasks()
         self._unwritten: dict[str, bool] = {}
-        """Keys to write (True) or to delete (False)."""
+        """Keys of rows to write (True) or to delete (False)."""
         self._recent_writes: dict[str, tuple[bool, float]] = {}
-        """Keys written or deleted of late, and when, in that order."""
+        """By key: whether a row was last written (True) or deleted (False), and when; oldest first."""
         self._has_work = asyncio.Event()
         self._is_write_failing = False
-        """Whether the store did not take the last write, so that an outage is logged once."""
+        """Whether the last write failed, so that an outage is logged once."""
         self._has_dropped_rows = False
-        """Whether rows were dropped since the store took the last write, which is logged once too."""
+        """Whether rows were dropped since the last successful write, which is logged once too."""
 
     # --- attempts --------------------------------------------------------------------------------------
 
     def on_broken_run(self, content_digest: str, backend: Backend) -> None:
-        """The connection of an attempt ended before its answer was whole."""
+        """Probe a back end whose connection to an attempt ended before the answer was complete."""
         if backend.has_announced_leave or (backend.is_leaving(boot_time_s()) and not backend.superseded):
-            return  # The end of a planned stop.
+            return  # A planned stop ends connections too.
         probed_digests = self._broken_digests.get(backend.start_id)
         if probed_digests is not None:
             probed_digests.add(content_digest)
@@ -86,7 +86,7 @@
         self._probes.begin(self._probe_backend(backend))
 
     def on_answered(self, content_digest: str) -> None:
-        """A request was answered with success: whatever crashed beside it, it was not the cause."""
+        """Delete the crashes of a request that was answered successfully, since it cannot have caused them."""
         crashes = self._state.quarantine.on_answered(content_digest, boot_time_s())
         self._write({_crash_key(content_digest, incarnation): False for incarnation in crashes})
 
@@ -95,7 +95,7 @@
         try:
             has_crashed = await self._probe.has_crashed(backend)
         finally:
-            # Attempts that break from now on start probes of their own.
+            # Attempts that break from now on start a new series of probes.
             content_digests = self._broken_digests.pop(start_id)
         if not has_crashed:
             has_crashed = await self._probe.wait_for_successor(backend)
@@ -111,7 +111,7 @@
     # --- rows and reports of other nodes ---------------------------------------------------------------
 
     def on_row(self, row: FeedRow, now_s: float) -> None:
-        """Apply a row of this product's own table; other kinds than crashes are ignored."""
+        """Apply a crash row of the nodes' own table; rows of other kinds are ignored."""
         if not row.key.startswith(CRASH_PREFIX):
             return
         content_digest, incarnation = _parse_key(row.key)
@@ -123,18 +123,17 @@
             count_crash(self._state.quarantine, content_digest, incarnation, now_s)
 
     def on_peer_report(self, crash: Crash) -> None:
-        """Count a crash that a peer reports, since the store has not taken it yet; the peer that saw it writes
-        it."""
+        """Count a crash that the store has not accepted yet; the peer that detected it writes it."""
         count_crash(self._state.quarantine, *crash, boot_time_s())
 
     def unwritten_crashes(self) -> Sequence[Crash]:
-        """Return the crashes that the store has not taken, newest first; nothing while it takes writes."""
+        """Return the crashes that the store has not accepted, newest first; none while it accepts writes."""
         if not self._is_write_failing:
             return ()
         return [_parse_key(key) for key, is_put in reversed(self._unwritten.items()) if is_put]
 
     def on_era(self, _era: int, is_restored: bool) -> None:
-        """After a restore, what the store may have lost is written again."""
+        """Repeat recent writes and deletions if the store was restored, since it may have lost them."""
         if is_restored:
             since_s = boot_time_s() - REWRITE_WINDOW_S
             self._write({key: is_put for key, (is_put, at_s) in self._recent_writes.items() if at_s > since_s})
@@ -168,7 +167,7 @@
                 await asyncio.sleep(WRITE_RETRY_S * self._state.rng.uniform(*WRITE_RETRY_JITTER))
 
     async def write_batch(self) -> bool:
-        """Write as much as one transaction takes; returns False if the store did not take it."""
+        """Write as many rows as one transaction may hold; returns False if the store did not accept it."""
         batch = dict(list(self._unwritten.items())[:MAX_TRANSACTION_ROWS])
         puts = tuple(Put(key, self._state.node) for key, is_put in batch.items() if is_put)
         deletes = tuple(key for key, is_put in batch.items() if not is_put)
@@ -193,14 +192,14 @@
         return True
 
     def _sweep(self, now_s: float) -> None:
-        """Forget expired crashes; one node removes each row."""
+        """Remove expired crashes from the counts; for each row, one node deletes it from the store."""
         members = {*self._member_names(), self._state.node}
         for content_digest, incarnation in self._state.quarantine.remove_expired(now_s):
             key = _crash_key(content_digest, incarnation)
             if owner(members, rendezvous_key(content_digest)) == self._state.node:
                 self._write({key: False})
             else:
-                self._unwritten.pop(key, None)  # Written now, it would count anew at every node.
+                self._unwritten.pop(key, None)  # Writing an expired crash would make every node count it again.
 
 
 def _parse_key(key: str) -> Crash:
--- a/src/wallwell/node/housekeeping.py
+++ b/src/wallwell/node/housekeeping.py
@@ -1,7 +1,7 @@
-"""What a node does once a second: registers itself, closes idle connections, drops lapsed back ends.
+"""Periodic work, once a second: registers the node, closes idle connections, drops lapsed back ends.
 
-Owns the period alone; each step's state is its object's. Relies on the own rows being followed, since a node
-registers after it has read them.
+Owns only the period; the state belongs to the objects that it calls. Relies on the nodes' own table being followed,
+since a node registers only after reading it.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from wallwell.node.member_rows import MemberRows
 
 HOUSEKEEPING_INTERVAL_S = 1.0
-"""Mean seconds between two rounds: lapsed back ends are dropped at most this much late."""
+"""Mean seconds between two runs; a lapsed back end is dropped at most about one period late."""
 HOUSEKEEPING_JITTER = (0.8, 1.2)
-"""Range of factors on the period, so that nodes that start together do not write to the store together."""
+"""Range of random factors on the period, so that nodes started together do not write to the store together."""
 OWN_ROWS_CHECK_INTERVAL_S = 0.1
-"""Seconds between two checks whether the own rows are read: until a node is registered it cannot follow a peer, and
-each of its readings is a call to the store."""
+"""Seconds between two checks whether the nodes' own table has been read. It is short because a node that is not
+registered cannot follow a peer, so that each of its reads is a call to the store."""
 
 
 class Housekeeping:
-    """One node's periodic steps."""
+    """Runs one node's periodic work."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         pool: ConnectionPool,
         rng: random.Random,
     ) -> None:
-        """``own_record`` returns the row by which peers should know this node now."""
+        """``own_record`` returns the current content of this node's member row."""
         self._member_rows = member_rows
         self._own_record = own_record
         self._backend_rows = backend_rows
@@ -44,7 +44,7 @@
         self._rng = rng
 
     async def run(self) -> None:
-        """Run until cancelled."""
+        """Register once the rows have been read, then repeat the periodic work until cancelled."""
         while not self._member_rows.has_been_read:
             await asyncio.sleep(OWN_ROWS_CHECK_INTERVAL_S)
         while True:
--- a/src/wallwell/node/kv_store_watch.py
+++ b/src/wallwell/node/kv_store_watch.py
@@ -1,8 +1,7 @@
-"""Follows what the KV stores hold: from a peer that follows a store, or from the store itself.
+"""Tracks the contents of the KV stores, through a peer that follows a store or from the store itself.
 
-Owns a follower task for each configured store and the links to peers. The copies of the stores' content are in
-``NodeState.kv_store_contents``; cache planning reads them. Relies on :class:`UpstreamOrder` for the choice of a
-peer.
+Owns a follower task for each configured store and the links to peers. The copies of the contents are in
+``NodeState.kv_store_contents``, for cache planning. Relies on :class:`UpstreamOrder` to choose a peer.
 """
 
 from __future__ import annotations
@@ -22,40 +21,40 @@
 from wallwell.routing.selection.kv_store import CachePage, CachePosition, KvStoreContents
 
 EVENT_WAIT_S = 0.8
-"""Seconds for which a call is held open until there is an event; as for the tables
+"""Seconds for which a call is held open until there is an event; the same as for the store's tables
 (:mod:`wallwell.node.followers`)."""
 PAGE_PAUSE_S = 0.1
-"""Seconds after a page, so that events which come close together cost one call."""
+"""Pause in seconds after a page, so that events in quick succession cost one call."""
 RETRY_S = 0.5
-"""Mean seconds after a failed call until the next."""
+"""Mean seconds between a failed call and the next."""
 RETRY_JITTER = (0.8, 1.2)
-"""Range of factors on that time, so that nodes do not call together once a store is back."""
+"""Range of random factors on ``RETRY_S``, so that nodes do not call together once a store is back."""
 ANSWER_MARGIN_S = 0.5
-"""Seconds for which a peer's answer is waited for beyond the agreed wait; as for the tables
-(``relay.ANSWER_MARGIN_S``)."""
+"""Seconds to wait for a peer's answer beyond the time for which the peer may hold the request; the same as for the
+tables (``relay.ANSWER_MARGIN_S``)."""
 CONFIG_CHECK_INTERVAL_S = 0.2
-"""Seconds between two checks which stores are configured."""
+"""Seconds between two checks of which stores are configured."""
 MIN_LISTING_INTERVAL_S = 5.0
-"""Least seconds between two whole listings that missing events call for; a listing keeps the store busy."""
+"""Least seconds between two full listings after missed events, since a listing is expensive for the store."""
 
 
 class CacheEventSource(Protocol):
-    """Reads a store's events and its whole content."""
+    """Reads the events and the full content of a KV store."""
 
     async def events(self, address: str, position: CachePosition, wait_s: float) -> CachePage:
-        """Return what changed after a position, waiting up to ``wait_s``; everything if the position is unknown.
+        """Return the changes after a position, waiting up to ``wait_s``; everything if the position is unknown.
 
         Raises :class:`CacheStoreSilentError` or :class:`CacheEventsRefusedError`.
         """
         ...
 
     async def listing(self, address: str) -> CachePage:
-        """Return everything the store holds. Raises as :meth:`events` does."""
+        """Return the full content of the store. Raises the same errors as :meth:`events`."""
         ...
 
 
 class CacheRequest(PeerMessage, frozen=True):
-    """Ask a peer for what changed at a store after a position."""
+    """Asks a peer for the changes at a store after a position."""
 
     address: str
     position: CachePosition
@@ -63,29 +62,29 @@
 
 
 class CacheReply(msgspec.Struct, frozen=True):
-    """Answer to :class:`CacheRequest`; without a page the peer does not know the store's content."""
+    """Answer to :class:`CacheRequest`; ``page`` is None if the peer has not read the store's content."""
 
     page: CachePage | None = None
     reachable: bool = True
 
 
 class KvStoreWatch:
-    """Keeps a copy of each configured store's content and answers peers from it."""
+    """Keeps a copy of the content of each configured store and answers peers from it."""
 
     def __init__(self, state: NodeState, source: CacheEventSource, order: UpstreamOrder) -> None:
         self._state = state
         self._source = source
         self._order = order
         self._peer_links: defaultdict[str, PeerLinks] = defaultdict(PeerLinks)
-        """By store: a link carries one request at a time, and each store is followed by a task of its own."""
+        """By store address: a link carries one request at a time, and one task per store uses it."""
         self._followers: dict[str, asyncio.Task[None]] = {}
         self._listed_at_s: dict[str, float] = {}
         self._refusing_stores: set[str] = set()
-        """Stores that answered the last call without events."""
+        """Addresses of stores that refused the last call for events."""
         self._page_applied = asyncio.Event()
 
     async def run(self) -> None:
-        """Follow whatever stores are configured, until cancelled."""
+        """Follow the configured stores until cancelled."""
         try:
             while True:
                 self._reconcile()
@@ -113,7 +112,7 @@
             await asyncio.sleep(PAGE_PAUSE_S if has_page else RETRY_S * self._state.rng.uniform(*RETRY_JITTER))
 
     async def step(self, address: str) -> bool:
-        """Apply one page of a store's events; returns False if neither peer nor store sent one."""
+        """Fetch and apply one page of a store's events; returns False if neither a peer nor the store sent one."""
         contents = self._state.kv_store_contents[address]
         page = None
         candidates = self._order.candidates(boot_time_s())
@@ -137,11 +136,11 @@
         try:
             reply = await links.to(peer, relay).ask(request, CacheReply, EVENT_WAIT_S + ANSWER_MARGIN_S)
         except PeerUnavailableError:
-            # Not logged: the tables are followed through the same peer, which logs its loss and passes it over.
+            # Not logged: the followers of the tables use the same peer; they log its loss and choose another.
             return None
         if reply.page is not None:
             self._record_listing(address, reply.page)
-            _set_reachable(contents, address, reply.reachable, reason=f"told by {peer}")
+            _set_reachable(contents, address, reply.reachable, reason=f"reported by {peer}")
         return reply.page
 
     async def _ask_store(self, address: str, contents: KvStoreContents) -> CachePage | None:
@@ -154,7 +153,7 @@
             _set_reachable(contents, address, reachable=False, reason=error.detail)
             return None
         except CacheEventsRefusedError as error:
-            # Logged once until the store sends events again, since the call is made twice a second.
+            # Logged once until the store sends events again, since the call is repeated twice a second.
             if address not in self._refusing_stores:
                 self._refusing_stores.add(address)
                 emit(Event.CACHE_EVENTS_REFUSED, address=address, reason=error.detail)
@@ -172,7 +171,7 @@
         return boot_time_s() - self._listed_at_s.get(address, float("-inf")) >= MIN_LISTING_INTERVAL_S
 
     async def answer_peer(self, request: CacheRequest) -> CacheReply:
-        """Answer a peer from the copy, once there is something new or the agreed wait is over."""
+        """Answer a peer from the copy as soon as there is a change, or after the wait that the peer asked for."""
         contents = self._state.kv_store_contents.get(request.address)
         if contents is None or not contents.has_been_read:
             return CacheReply()
@@ -188,7 +187,7 @@
 
 
 def _set_reachable(contents: KvStoreContents, address: str, reachable: bool, reason: str = "") -> None:
-    """Note whether a store answers, its own word or a peer's; each change is logged once."""
+    """Record whether a store answers, as seen here or reported by a peer; each change is logged once."""
     if contents.reachable and not reachable:
         emit(Event.CACHE_STORE_LOST, address=address, reason=reason)
     elif reachable and not contents.reachable:
--- a/src/wallwell/node/member_rows.py
+++ b/src/wallwell/node/member_rows.py
@@ -1,8 +1,8 @@
-"""Knows the fleet's nodes from this product's own table, and registers this node there.
+"""Reads the members of the fleet from the nodes' own table, and registers this node there.
 
-Owns the version of this node's row. Other rows of the table (leases, progress of weights rolls, records of
-rollouts, crashes) go to their listeners. Relies on a follower that hands on every row in order
-(:mod:`wallwell.storage.feed`) and on :meth:`MemberRows.register` being called again after a failure.
+Owns the version of this node's row. Other rows of the table (leases, progress of weights rolls, rollout records,
+crashes) go to listeners. Relies on a follower that delivers every row in order (:mod:`wallwell.storage.feed`) and
+on :meth:`MemberRows.register` being called again after a failure.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 from wallwell.storage.table import Condition, Put, TableService, Transaction
 
 MEMBER_PREFIX = "member/"
-"""Keys of members' rows, before the node's name."""
+"""Prefix of the keys of member rows; the node's name follows."""
 
 
 class OwnRowListener(Protocol):
-    """Receives the rows of this product's own table, and acts on those of its kind."""
+    """Receives the rows of the nodes' own table that are not member rows."""
 
     def on_row(self, row: FeedRow, now_s: float) -> None:
-        """Apply a row; rows of other kinds are ignored."""
+        """Apply a row if it is of the listener's kind."""
         ...
 
     def on_era(self, era: int, is_restored: bool) -> None:
-        """The rows that follow are of this era of the store: at the start, and after each return from a copy."""
+        """Called before the first row of an era: at the start, and after each restore of the store."""
         ...
 
 
 class MemberRows:
-    """Knows the other nodes from this product's own rows, and makes this node known to them."""
+    """Keeps the list of the fleet's nodes and registers this node in it."""
 
     def __init__(
         self,
@@ -46,25 +46,25 @@
         order: UpstreamOrder,
         listeners: Sequence[OwnRowListener],
     ) -> None:
-        """``listeners`` receive every row that is not a member's."""
+        """``listeners`` receive every row that is not a member row."""
         self._state = state
         self._table = table
         self._order = order
         self._listeners = listeners
         self._era: int | None = None
         self._own_version: int | None = None
-        """Version of this node's own row, 0 if there is none, None before the rows were read."""
+        """Version of this node's own row; 0 if there is none, None until the table has been read."""
         self._is_registration_failing = False
         self._delivered_keys: set[str] = set()
-        """Keys of the rows that the listeners have and that were not deleted."""
+        """Keys of the rows delivered to the listeners, without those that were deleted since."""
 
     @property
     def has_been_read(self) -> bool:
-        """Whether the rows have been read."""
+        """Whether the table has been read once."""
         return self._own_version is not None
 
     def apply(self, followed: FollowedPage) -> None:
-        """Apply a page of this product's own table."""
+        """Apply a page of the nodes' own table."""
         now_s = boot_time_s()
         if followed.page.era != self._era:
             self._era = followed.page.era
@@ -83,9 +83,9 @@
         self._state.members = set(members)
 
     def _report_missing_rows(self, followed: FollowedPage, now_s: float) -> None:
-        """Tell the listeners of rows that were deleted in a part of the history that was not read.
+        """Report to the listeners, as deleted, the rows that are missing from a full listing.
 
-        After a return from a copy a missing row may be one that the copy lacks; those are written again.
+        After a restore from a backup a missing row may only be missing from the backup; its writer writes it again.
         """
         missing = self._delivered_keys - {row.key for row in followed.page.rows}
         self._delivered_keys -= missing
@@ -102,7 +102,7 @@
             try:
                 listener.on_row(row, now_s)
             except msgspec.MsgspecError as error:
-                # The other rows of the page hold all the same.
+                # The other rows of the page are still applied.
                 emit(Event.OWN_ROW_UNREADABLE, row=row.key, error=str(error))
 
     def _on_member(self, members: dict[str, NodeRecord], row: FeedRow) -> None:
@@ -115,12 +115,12 @@
         try:
             members[name] = msgspec.json.decode(row.value, type=NodeRecord)
         except msgspec.MsgspecError as error:
-            # It shares the fleet's budgets all the same; without a zone and an address nobody follows it.
+            # The member still shares the fleet's budgets; without a zone and an address no node follows it.
             members[name] = NodeRecord(zone="")
             emit(Event.MEMBER_ROW_UNREADABLE, row=row.key, error=str(error))
 
     async def register(self, own: NodeRecord) -> None:
-        """Write this node's row unless it stands there: peers find it by that row and share budgets with it."""
+        """Write this node's row unless it is current. Peers find this node by its row and share budgets with it."""
         if self._own_version is None or self._order.members.get(self._state.node) == own:
             return
         key = MEMBER_PREFIX + self._state.node
@@ -128,7 +128,7 @@
         try:
             await self._table.transact(Transaction((Condition(key, self._own_version),), (put,)))
         except (PlatformUnavailableError, TableConflictError) as error:
-            # The caller tries again each second. Logged once, so that an outage of the store is no flood.
+            # The caller retries each second. Logged once, so that a store outage does not flood the log.
             if not self._is_registration_failing:
                 emit(
                     Event.MEMBER_NOT_REGISTERED, member=self._state.node, reason=f"{type(error).__name__}: {error}"
--- a/src/wallwell/node/metrics.py
+++ b/src/wallwell/node/metrics.py
@@ -1,7 +1,7 @@
-"""A node's counters and state in Prometheus's text format.
+"""A node's counters and state in the Prometheus text format.
 
-Owns nothing: figures are read from the node's state when they are asked for. Imported only then, since the library
-costs memory. Names and labels of metrics are part of the operators' interface.
+Owns no state: values are read from the node's state when metrics are requested. Imported only then, since the
+Prometheus library costs memory. Names and labels of metrics are part of the operators' interface.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from wallwell.serving.counters import LATENCY_BOUNDS_S, LatencyHistogram, RequestCounters
 
 MAX_TENANT_SERIES = 20
-"""Tenants with series of their own: those that were refused most, so that labels stay bounded with any number of
-tenants."""
+"""Most tenants with their own time series, so that the number of labels stays bounded. The tenants with the most
+refused requests are shown."""
 
 
 class NodeCollector:
-    """Turns a node's numbers into metrics at the moment they are collected."""
+    """Prometheus collector that reads a node's counters and state."""
 
     def __init__(self, counters: RequestCounters, state: NodeState, is_ready: bool) -> None:
-        """``is_ready`` is what the node's readiness address says now."""
+        """``is_ready``: whether the node reports now that it is ready."""
         self._counters = counters
         self._state = state
         self._is_ready = is_ready
 
     def collect(self) -> Iterator[Metric]:
-        """Yield every metric."""
+        """Yield all metrics of the node."""
         yield from self._collect_counters()
         yield from self._collect_state()
 
@@ -132,7 +132,7 @@
         yield from (left, asked, refused)
 
     def _collect_rollouts(self) -> Iterator[Metric]:
-        """Yield the rollouts: labels are the configuration's services, the two sides and the four phases."""
+        """Yield metrics of rollouts, labelled by configured service, by side (two) and by phase (four)."""
         rollouts = self._state.rollouts
         phases = GaugeMetricFamily(
             "wallwell_rollout_phase", "1 for the phase a service's last rollout is in.", labels=["service", "phase"]
@@ -178,7 +178,7 @@
 
 
 def metrics_text(counters: RequestCounters, state: NodeState, is_ready: bool) -> bytes:
-    """Return the text exposition of one node; ``is_ready`` as for :class:`NodeCollector`."""
+    """Return one node's metrics in the Prometheus text format; ``is_ready`` as for :class:`NodeCollector`."""
     registry = CollectorRegistry()
     registry.register(NodeCollector(counters, state, is_ready))
     return generate_latest(registry)
--- a/src/wallwell/node/node.py
+++ b/src/wallwell/node/node.py
@@ -1,8 +1,7 @@
-"""One router process: wires the state, the followed tables, the drivers and the request pipeline together.
+"""One router process: connects the state, the followed tables, the drivers and the request pipeline.
 
-Owns the background tasks and the count of requests in flight. What the platform supplies comes as one
-:class:`NodeAdapter`; when the node is ready is said by :mod:`wallwell.node.readiness`, how it stops by
-:mod:`wallwell.node.planned_stop`.
+Owns the background tasks and the count of requests in flight. A :class:`NodeAdapter` supplies the platform's parts.
+Readiness is decided by :mod:`wallwell.node.readiness`; stops are performed by :mod:`wallwell.node.planned_stop`.
 """
 
 from __future__ import annotations
@@ -50,27 +49,27 @@
 
 
 class NodeProfile(msgspec.Struct, frozen=True):
-    """Who a node is and where it stands."""
+    """A node's name, location and network link."""
 
     name: str
     topology: Topology
-    """The node's zone and its distance from others."""
+    """The node's zone and the distance of other zones from it."""
     link_mbps: float = 0.0
-    """Speed of the node's network link in Mbit/s; 0 if the settings do not say."""
+    """Speed of the node's network link in Mbit/s; 0 if the settings do not state it."""
 
     @property
     def zone(self) -> str:
-        """The zone that the node stands in."""
+        """The node's zone."""
         return self.topology.zone
 
 
 class FleetNode:
-    """One node of a fleet whose lasting state lies in a store."""
+    """One node of a fleet that keeps its persistent state in a store."""
 
     def __init__(
         self, profile: NodeProfile, bounds: FleetBounds, adapter: NodeAdapter, seed: int | None = None
     ) -> None:
-        """``seed`` fixes the node's random draws; by default each start draws differently."""
+        """``seed`` makes the node's random numbers reproducible; by default each start uses other ones."""
         rng = random.Random(seed if seed is not None else f"{profile.name}/{time.time_ns()}")
         self.state = NodeState(
             profile.name,
@@ -82,7 +81,7 @@
             store_era=adapter.sources.era,
         )
         self.in_flight = 0
-        """Callers' requests that are not answered yet."""
+        """Number of callers' requests that are not answered yet."""
         self._profile = profile
         self._pool = adapter.pool
         self._clock = StoreClock()
@@ -115,7 +114,7 @@
         )
 
     def _build_drivers(self, adapter: NodeAdapter) -> None:
-        """Build what changes engines and services, at most one node at a time."""
+        """Build the drivers of weights rolls and rollouts, each of which runs on at most one node at a time."""
         sources = adapter.sources
         self._weights_roll = WeightsRollDriver(self.state, sources.own_table, adapter.control, self._clock)
         counts = FleetCounts()
@@ -146,7 +145,7 @@
         self._followers.add("own", sources.own_rows, self._member_rows.apply, OWN_TIMING)
 
     def _build_peers(self, sources: NodeSources) -> None:
-        """Build the exchange with peers."""
+        """Build the server for peers and the reporters that exchange load and crashes with them."""
         crash_reports = CrashReports(self._crash_watch.unwritten_crashes, self._crash_watch.on_peer_report)
         self._load_reporter = LoadReporter(
             self.state.node, self.state.load, self._order, self.state.region_traffic, crash_reports
@@ -169,21 +168,21 @@
     # --- start -----------------------------------------------------------------------------------------
 
     async def listen_for_peers(self, host: str, ports: Iterable[int]) -> None:
-        """Serve peers on the first free port; if none is free, peers follow the store themselves."""
+        """Serve peers on the first free port; if none is free, peers read the store themselves."""
         refused: list[OSError] = []
         for port in ports:
             try:
                 await self._peer_server.start(host, port)
                 break
             except OSError as error:
-                refused.append(error)  # Another process of the machine may use the port.
+                refused.append(error)  # Another process on the machine may use the port.
         else:
             emit(Event.RELAY_NOT_SERVED, host=host)
         if refused:
             emit(Event.PEER_PORTS_REFUSED, host=host, ports=len(refused), reason=str(refused[-1]))
 
     def start(self) -> None:
-        """Start following the store and all periodic work."""
+        """Start following the store and start all background loops."""
         loops: list[LoopFunction] = [each.run for each in self._followers.followers]
         loops += [self._weights_roll.run, self._load_reporter.run, self._kv_store_watch.run, self._liveness.run]
         loops += [self._housekeeping.run, self.readiness.watch_event_loop, self._crash_watch.run]
@@ -195,7 +194,7 @@
     # --- callers ---------------------------------------------------------------------------------------
 
     async def serve(self, request: CallerRequest, reply: CallerReply) -> None:
-        """Answer one request."""
+        """Answer one request of a caller."""
         self.in_flight += 1
         try:
             await self._pipeline.serve(request, reply)
@@ -203,14 +202,14 @@
             self.in_flight -= 1
 
     def metrics_text(self) -> bytes:
-        """Return this node's metrics in Prometheus's text format."""
-        # Imported here: a node whose settings name no address for metrics need not load the library.
+        """Return this node's metrics in the Prometheus text format."""
+        # Imported here so that a node without a metrics address does not load the Prometheus library.
         from wallwell.node.metrics import metrics_text
 
         return metrics_text(self._pipeline.counters, self.state, self.is_ready())
 
     def is_ready(self) -> bool:
-        """Whether callers' new connections should come here."""
+        """Whether callers should open new connections to this node."""
         return self.readiness.is_ready()
 
     def is_closing_connections(self) -> bool:
@@ -220,11 +219,11 @@
     # --- stop ------------------------------------------------------------------------------------------
 
     async def drain(self, grace_s: float, close_listener: Callable[[], Awaitable[None]]) -> None:
-        """Finish what is open within ``grace_s`` seconds; see :class:`PlannedStop`."""
+        """Finish open requests within ``grace_s`` seconds; see :meth:`PlannedStop.drain`."""
         await self._planned_stop.drain(grace_s, close_listener)
 
     async def stop(self) -> None:
-        """Stop following the store and close connections."""
+        """Cancel all background loops and close all connections."""
         self._weights_roll.stop()
         for task in self._tasks:
             task.cancel()
--- a/src/wallwell/node/operator_rows.py
+++ b/src/wallwell/node/operator_rows.py
@@ -1,7 +1,7 @@
-"""Applies the operators' rows to a node's state: configuration, named weights versions, orders of rollouts.
+"""Applies the operators' rows to a node's state: configuration, weights versions to serve, rollout orders.
 
-Owns no state beside :class:`NodeState`. Relies on a follower that hands on every row in order
-(:mod:`wallwell.storage.feed`); a row that cannot be decoded is logged and changes nothing.
+Beside :class:`NodeState`, owns whether the configuration is unreadable or older than that of peers. Relies on a
+follower that delivers every row in order (:mod:`wallwell.storage.feed`). Logs and ignores undecodable rows.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 from wallwell.storage.feed import FeedRow, FollowedPage
 
 REWRITE_GRACE_S = 5.0
-"""Seconds from the store's return from a copy within which operators have written again what the copy lacks; an
-order in the copy that contradicts the known one counts from then."""
+"""Seconds after a restore of the store from a backup within which operators have rewritten the rows that the backup
+lacks. A restored rollout order that contradicts the known one takes effect only then."""
 CONFIRMATION_HOLD_S = 1.0
-"""Seconds from a node's first answer of an era for which the store confirms no configuration: it may be a copy that
-lacks the newest one, which operators write again soon. Less than what is left of the time for which the last
-confirmation holds after an outage of some seconds, so that callers notice nothing of it."""
+"""Seconds after a node's first answer of an era during which the store's answers confirm no configuration: a
+restored store may lack the newest one, which operators rewrite soon. This is less than the remaining validity of
+the last confirmation after an outage of some seconds, so that callers are not affected."""
 
 
 class OperatorRows:
-    """Applies the operators' configuration and the weights versions they name."""
+    """Applies the operators' configuration, weights versions and rollout orders."""
 
     def __init__(self, state: NodeState, sources: NodeSources) -> None:
         self._state = state
         self._sources = sources
         self._is_config_unreadable = False
         self._behind_since_s: float | None = None
-        """Since when other nodes have known a newer configuration than the store has shown here."""
+        """Since when other nodes have had a newer configuration than this node has read; None if they have not."""
         self._logged_peers_version = 0
-        """Version of theirs for which that was logged last."""
+        """Newest version of the peers' configuration that was logged as missing here."""
 
     def apply(self, followed: FollowedPage) -> None:
         """Apply a page; a row that cannot be decoded is logged and changes nothing."""
@@ -57,16 +57,16 @@
         if era.current == UNKNOWN_ERA:
             self._state.freshness.confirm(followed.confirmed_at_s)
             return
-        # The store may have come back from a copy that lacks the newest configuration.
+        # The store may have been restored from a backup that lacks the newest configuration.
         self._state.load.own_configuration_version = config.version
         now_s = boot_time_s()
         if not self._is_behind(config.version, now_s) and now_s >= era.observed_since_s + CONFIRMATION_HOLD_S:
             self._state.freshness.confirm(followed.confirmed_at_s)
 
     def _is_behind(self, version: int, now_s: float) -> bool:
-        """Whether other nodes know a newer configuration, which may have taken credentials away.
+        """Whether other nodes have a newer configuration, which may have revoked credentials.
 
-        One that this node cannot read would not be known here either way, so it holds nothing up.
+        Returns False if this node cannot decode the store's configuration: it could not apply the newer one either.
         """
         peers_version = self._state.load.peers_configuration_version
         if version >= peers_version or self._is_config_unreadable:
@@ -75,7 +75,7 @@
         if self._behind_since_s is None:
             self._behind_since_s = now_s
         elif now_s >= self._behind_since_s + CONFIRMATION_HOLD_S and self._logged_peers_version != peers_version:
-            # A peer may also just have been faster.
+            # Logged only after this delay, since a peer may merely have read the row earlier.
             self._logged_peers_version = peers_version
             emit(Event.CONFIG_BEHIND, version=version, peers_version=peers_version)
         return True
@@ -115,9 +115,9 @@
             )
 
     def _named_since_s(self, unconfirmed_since_s: float) -> tuple[float, bool]:
-        """Return since when (boot clock) a version just seen counts as named, and whether that is estimated."""
+        """Return when (boot clock) a version read now counts as named, and whether that is an estimate."""
         now_s = boot_time_s()
         if unconfirmed_since_s == float("-inf"):
             return self._state.estimated_naming_s(now_s), True
-        # After an outage of the store the version may have been named at any time within it.
+        # The version may have been named at any time during an outage of the store.
         return (unconfirmed_since_s if now_s - unconfirmed_since_s > STORE_OUTAGE_S else now_s), False
--- a/src/wallwell/node/planned_stop.py
+++ b/src/wallwell/node/planned_stop.py
@@ -1,7 +1,7 @@
-"""The planned stop of a node: it reports that it is not ready, then takes nothing new, then finishes what is open.
+"""The planned stop of a node: it reports not ready, then accepts no new requests, then finishes the open ones.
 
-Owns the order of these steps and their times. What cannot finish within the grace period is cut when the process
-ends (:mod:`wallwell.platform.stop_deadline`).
+Owns the order and timing of these steps. Requests that outlast the grace period are cut when the process ends
+(:mod:`wallwell.platform.stop_deadline`).
 """
 
 from __future__ import annotations
@@ -16,28 +16,27 @@
 from wallwell.node.readiness import Readiness
 
 LAME_DUCK_S = 2.6
-"""Seconds for which a stopping node still takes requests. Load balancers check readiness each second and leave a
-node out after two failed checks, so after 2 s at most."""
+"""Seconds for which a stopping node still accepts requests although it reports not ready. Load balancers check each
+second and remove a node after two failed checks, so after 2 s at most."""
 MAX_LAME_DUCK_FRACTION = 0.5
-"""Largest fraction of the grace period that the notice may take, so that open requests get the rest."""
+"""Greatest fraction of the grace period that the lame-duck phase may take; open requests get the rest."""
 DRAIN_CHECK_INTERVAL_S = 0.05
-"""Seconds between two checks whether requests are still in flight: small beside the grace period of some
-seconds."""
+"""Seconds between two checks for requests in flight: short compared with the grace period of some seconds."""
 STOP_RESERVE_FRACTION = 0.125
-"""Fraction of the grace period kept for closing connections. Requests that still run in the last sixth of the
-period may be cut, and an eighth lies within it."""
+"""Fraction of the grace period reserved for closing connections. Requests that still run in the last sixth of the
+period may be cut, and an eighth is less than that."""
 
 
 class Drainable(Protocol):
-    """A driver that holds a lease: it finishes what it has begun and takes no new lease."""
+    """A driver that works under a lease; when draining it finishes its work and acquires no further lease."""
 
     def drain(self) -> None:
-        """Take no new lease from now on."""
+        """Acquire no new lease from now on."""
         ...
 
 
 class PlannedStop:
-    """Carries out one node's planned stop."""
+    """Performs the planned stop of one node."""
 
     def __init__(
         self, readiness: Readiness, drivers: Sequence[Drainable], peers: PeerServer, in_flight: Callable[[], int]
@@ -49,10 +48,10 @@
         self._in_flight = in_flight
 
     async def drain(self, grace_s: float, close_listener: Callable[[], Awaitable[None]]) -> None:
-        """Stop being ready, stop taking requests after :data:`LAME_DUCK_S`, and wait for those in flight.
+        """Report not ready, stop accepting requests after :data:`LAME_DUCK_S`, and wait for those in flight.
 
-        ``close_listener`` ends the acceptance of connections and closes each one that is or becomes idle. It may
-        return once none is left; those that are open at the end of the time for requests are cut.
+        ``close_listener`` stops accepting connections and closes each connection that is or becomes idle. It
+        returns once none is left. Connections still open at the end of the time for requests are cut.
         """
         emit(Event.NODE_DRAINING, in_flight=self._in_flight())
         self._readiness.draining = True
--- a/src/wallwell/node/readiness.py
+++ b/src/wallwell/node/readiness.py
@@ -1,7 +1,7 @@
-"""Whether a node takes callers' new connections, and whether it keeps those it has.
+"""Decides whether callers should connect to a node, and whether it keeps their open connections.
 
-Owns the node's ``draining`` flag and the measure of its event loop's delay. Relies on the rows that the node
-follows: before they are read, it does not know which callers and back ends are allowed.
+Owns the node's ``draining`` flag and the measurement of its event loop's delay. Relies on the store rows that the
+node follows: until they are read, it does not know which callers and back ends are allowed.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Readiness:
-    """One node's answers to its callers' load balancers."""
+    """The readiness that one node reports to load balancers."""
 
     def __init__(self, state: NodeState, member_rows: MemberRows) -> None:
         self._state = state
@@ -26,11 +26,11 @@
         """Whether a planned stop has begun."""
 
     def is_ready(self) -> bool:
-        """Whether callers' new connections should come here."""
+        """Whether callers should open new connections to this node."""
         now_s = boot_time_s()
         if self.draining or self.loop_lag.is_starved(now_s):
             return False
-        # This product's own rows name the versions and requests that must not be served.
+        # The nodes' own table lists versions and requests that must not be served.
         return self._member_rows.has_been_read and self._state.is_ready(now_s)
 
     def is_closing_connections(self) -> bool:
@@ -38,7 +38,7 @@
         return self.draining or not self._state.is_fresh(boot_time_s())
 
     async def watch_event_loop(self) -> None:
-        """Measure the event loop's delay, and notice suspensions of the machine, until cancelled."""
+        """Measure the event loop's delay and detect suspensions of the machine, until cancelled."""
         while True:
             due_s = boot_time_s() + TIMER_INTERVAL_S
             await asyncio.sleep(TIMER_INTERVAL_S)
--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -1,7 +1,7 @@
-"""What one node of a fleet knows and has counted. No I/O, and no decisions: those are in ``routing/``.
+"""The state of one node of a fleet, without I/O or decisions, which are made in ``routing/``.
 
-Each part is a type of its own, with one writer; everybody reads. All of them run in the process's one event loop,
-so no part needs a lock. Times are on this node's clock (``wallwell.clock.boot_time_s``).
+Each part has its own type and the writers listed below; any module may read it. All code runs in the process's
+single event loop, so no part needs a lock. Times are on this node's clock (``wallwell.clock.boot_time_s``).
 
 ==========================================  ================================  ====================================
 part                                        written by                        read by
@@ -20,7 +20,7 @@
                                             ``serving``
 retry budgets, split                        ``serving``                       ``serving``, metrics
 region_traffic                              ``serving``, ``cluster``          metrics
-node, zone, bounds, topology, started_s     the wiring, at the start          everybody
+node, zone, bounds, topology, started_s     ``node``, at the start            all modules
 ==========================================  ================================  ====================================
 """
 
@@ -55,89 +55,89 @@
 from wallwell.routing.selection.split import WeightedSplit
 
 DEFAULT_CALL_TIME_S = 0.05
-"""Seconds of a call until some have been observed."""
+"""Assumed duration of a call in seconds until calls have been observed."""
 STARTUP_FRACTION = 0.8
-"""Fraction of the time given to a started machine after which versions of estimated age count as due."""
+"""Fraction of ``startup_grace_s`` after which weights versions of estimated age count as due."""
 
 
 @dataclass(frozen=True)
 class FleetBounds:
-    """Bounds the operators set for every node. Times in seconds."""
+    """Limits that operators set for every node. Times are in seconds."""
 
     revocation_s: float = 5.0
-    """How long after its removal a credential may still be accepted."""
+    """How long after its revocation a credential may still be accepted."""
     revocation_margin_s: float = 0.4
-    """How much earlier this node stops relying on what the store confirmed."""
+    """How much earlier than ``revocation_s`` this node stops relying on the last confirmed configuration."""
     strict_revocation: bool = True
-    """Whether requests with credentials are refused when ``revocation_s`` cannot be kept."""
+    """Whether requests with credentials are refused when ``revocation_s`` cannot be guaranteed."""
     retry_ratio: float = 0.2
     """Retries allowed per request of a service."""
     retry_extra: float = 50.0
-    """Retries of a service that the whole fleet may send in a window beside that ratio."""
+    """Retries of a service that the whole fleet may send in a window in addition to ``retry_ratio``."""
     retry_window_s: float = 10.0
-    """Window over which requests and retries are counted."""
+    """Length of the window over which requests and retries are counted."""
     lease_s: float = 3.0
-    """How long a lease on a share of the control work holds."""
+    """How long a lease on one kind of control work is valid."""
     startup_grace_s: float = 3.0
-    """How long a machine that has started is given before bounds in time hold for it."""
+    """How long after its start a machine is exempt from time limits."""
     weights_deadline_s: float = 8.0
-    """How long after its naming a weights version may be missing on an engine that gets generations."""
+    """How long after operators name a weights version an engine without it may still get generations."""
     rollout: RolloutBounds = field(default_factory=RolloutBounds)
 
 
 @dataclass
 class NodeState:
-    """One node's state. The writers of its parts change them; see the module."""
+    """One node's state. Each part is changed only by its writers; see the table at the head of the module."""
 
-    # --- who this node is, fixed at its start ----------------------------------------------------------
+    # --- identity and limits, fixed at the start -------------------------------------------------------
     node: str
     zone: str
     bounds: FleetBounds
     rng: random.Random
-    """Random numbers of decisions on requests; tenants' limits have a generator of their own."""
-    # --- what the store says ---------------------------------------------------------------------------
+    """Generator for decisions on requests; tenants' limits use another one."""
+    # --- from the store --------------------------------------------------------------------------------
     config: DeploymentConfig | None = None
-    """The configuration in force; None before the first one."""
+    """The configuration in force; None until one has been read."""
     load: FleetLoad = field(default_factory=FleetLoad)
-    """Back ends and what is in flight at them, here and at other nodes; tenants' limits."""
+    """Back ends with their load from this node and from other nodes; tenants' limits."""
     backends_known: bool = False
-    """Whether the listing of back ends has been read once."""
+    """Whether the table of back ends has been read once."""
     weights: WeightsTargets = field(default_factory=WeightsTargets)
-    """Weights versions that operators have named."""
+    """Weights versions that operators have named for serving."""
     store_era: StoreEra = field(default_factory=StoreEra)
-    """The era that the store is in."""
+    """The store's current era."""
     freshness: ConfigurationFreshness = field(default_factory=ConfigurationFreshness)
     """When the store last confirmed the configuration."""
     split: WeightedSplit = field(default_factory=WeightedSplit)
-    """Where each route over several services stands in its round."""
+    """Position of each route with several services in its weighted round robin."""
     members: set[str] = field(default_factory=set)
     """Names of the live nodes."""
-    # --- what was learnt from answers ------------------------------------------------------------------
+    # --- from answers of back ends and other nodes -----------------------------------------------------
     prefill_rate: PrefillRate = field(default_factory=PrefillRate)
     generation_time: AverageDuration = field(default_factory=AverageDuration)
-    """How long generations take from their sending to their end."""
+    """Average seconds from sending a generation to its end."""
     call_time: AverageDuration = field(default_factory=lambda: AverageDuration(DEFAULT_CALL_TIME_S))
-    """The same of calls."""
+    """Average seconds from sending a call to its end."""
     shortest_answers: dict[str, ShortestAnswerTime] = field(default_factory=dict)
-    """By route."""
+    """Shortest answer time by route."""
     kv_store_contents: dict[str, KvStoreContents] = field(default_factory=dict)
-    """What each KV store holds, by address."""
+    """Contents of each KV store, by address."""
     _retry_budgets: dict[str, FleetRetryBudget] = field(default_factory=dict)
     """Retry budgets by service."""
     zones: ZoneSuspicion = field(init=False)
-    """Which zones are cut off from this node."""
+    """Zones suspected to be cut off from this node."""
     rollouts: RolloutRegistry = field(default_factory=RolloutRegistry)
-    """Rollouts of services' software."""
+    """Rollouts of software versions, by service."""
     split_offset: float = 0.0
-    """Where in [0, 1) this node begins in the round of a split, drawn at its start."""
+    """Random offset in [0, 1) at which this node begins the round robin of each split."""
     started_s: float = float("-inf")
-    """When this node started."""
+    """Start time of this node."""
     topology: Topology = SINGLE_REGION
-    """Which zones are near; without a map of regions all of them are of one."""
+    """Regions of the zones and distances between them; without a map, all zones are in one region."""
     region_traffic: RegionTraffic = field(default_factory=RegionTraffic)
-    """What has crossed the link to other regions."""
+    """Counts of messages and bytes exchanged with other regions."""
     quarantine: Quarantine = field(default_factory=Quarantine)
-    """Requests that crash the back ends that run them."""
+    """Requests suspected to crash the back ends that run them."""
 
     def __post_init__(self) -> None:
         self.split_offset = self.rng.random()
@@ -146,26 +146,26 @@
 
     @property
     def backends(self) -> BackendRegistry:
-        """The back ends as the store lists them, with what was observed of each."""
+        """The back ends listed in the store, with observations of each."""
         return self.load.backends
 
     @property
     def demand(self) -> FleetDemand:
-        """How many generations callers ask for."""
+        """Recent demand of callers for generations."""
         return self.load.demand
 
     @property
     def first_token_delays(self) -> FirstTokenDelays:
-        """How soon answers begin."""
+        """Delays of first tokens."""
         return self.load.first_token_delays
 
     @property
     def node_count(self) -> int:
-        """Nodes that share the fleet's budgets; this one at least."""
+        """Number of nodes that share the fleet's budgets, including this one."""
         return max(1, len(self.members | {self.node}))
 
     def apply_config(self, config: DeploymentConfig) -> bool:
-        """Put a version in force; returns False for one that is not newer."""
+        """Put a configuration in force; returns False if its version is not newer than the current one."""
         if self.config is not None and config.version <= self.config.version:
             return False
         self.config = config
@@ -173,7 +173,7 @@
         return True
 
     def knows_service(self, service: str) -> bool:
-        """Whether the configuration or the listing names a service."""
+        """Whether the configuration or a listed back end names a service."""
         config = self.config
         if config is not None and any(service == each.name for each in config.services):
             return True
@@ -184,7 +184,7 @@
         return bool(self.backends.backends_of_service(service))
 
     def is_fresh(self, arrival_s: float) -> bool:
-        """Whether a request that arrived then may rely on the configuration known here."""
+        """Whether a request that arrived at ``arrival_s`` may rely on this node's configuration."""
         bounds = self.bounds
         bound = RevocationBound(bounds.strict_revocation, bounds.revocation_s, bounds.revocation_margin_s)
         return is_fresh_enough(self.freshness, bound, arrival_s)
@@ -203,42 +203,42 @@
         return budget
 
     def remaining_retries(self, now_s: float) -> dict[str, float]:
-        """Return this node's retries left, by service."""
+        """Return the number of retries that this node may still send, by service."""
         return {
             service: budget.remaining_retries(now_s, self.node_count)
             for service, budget in self._retry_budgets.items()
         }
 
     def on_connect_timeout(self, backend: Backend, now_s: float) -> None:
-        """A connection to a back end neither came up nor was refused."""
+        """Record that a connection to a back end timed out: it was neither established nor refused."""
         if self.zones.on_connect_timeout(backend, self.backends.all_backends(), now_s):
             emit(Event.ZONE_SUSPECTED, zone=backend.record.zone)
 
     def on_sign_of_life(self, backend: Backend, now_s: float) -> None:
-        """Something came from a back end's machine."""
+        """Record that something was received from a back end's machine."""
         if self.zones.on_answer(backend, self.backends.all_backends(), now_s):
             emit(Event.ZONE_RETURNED, zone=backend.record.zone)
 
     @property
     def kv_stores(self) -> KvStores:
-        """The KV stores in the configuration, with what each is known to hold."""
+        """The configured KV stores with their known contents."""
         listed = () if self.config is None else self.config.kv_stores
         return KvStores(listed, self.kv_store_contents, self.topology)
 
     def estimated_naming_s(self, now_s: float) -> float:
-        """Return since when a weights version found at the start is taken to be named.
+        """Return the time at which a weights version read at this node's start is assumed to have been named.
 
-        It may be as old as any: it has to be due by the time that bounds hold for this node.
+        Its real age is unknown, so the version has to become due before time limits apply to this node.
         """
         return now_s - (
             self.bounds.weights_deadline_s * OVERDUE_FRACTION - self.bounds.startup_grace_s * STARTUP_FRACTION
         )
 
     def on_version_refused(self, backend: Backend, model: str, reported: int) -> None:
-        """A back end refused the expected weights version: believe the one it reports, else the newest named.
+        """Assume another weights version for a back end that refused the expected one.
 
-        ``reported`` is 0 if it reports none. If the newest was expected and refused, the listed one is believed
-        again.
+        That is the version it ``reported``; or, if 0 (none), the newest named one; or, if that was refused, the
+        listed one.
         """
         if reported:
             backend.set_believed_version(model, reported)
--- a/src/wallwell/node/supervision.py
+++ b/src/wallwell/node/supervision.py
@@ -1,6 +1,6 @@
-"""Keeps a node's background loops running for its whole life.
+"""Restarts a node's background loops when they end unexpectedly.
 
-Owns nothing; the caller holds the tasks.
+Owns no state; the caller owns the tasks.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 LoopFunction = Callable[[], Coroutine[Any, Any, None]]
 
 RESTART_PAUSE_S = 1.0
-"""Seconds before a loop that ended starts again: long enough that an error that persists logs one line a second."""
+"""Seconds before an ended loop is restarted, so that a persistent error logs at most one line a second."""
 
 
 async def run_supervised(loop: LoopFunction) -> None:
-    """Run a loop until cancelled; an unexpected error is logged and the loop starts again."""
+    """Run a loop until cancelled; restart it whenever it ends, and log the error if it failed."""
     while True:
         try:
             await loop()
