--- a/src/wallwell/node/metrics.py
+++ b/src/wallwell/node/metrics.py
@@ -17,8 +17,7 @@
 from wallwell.serving.counters import LATENCY_BOUNDS_S, LatencyHistogram, RequestCounters
 
 MAX_TENANT_SERIES = 20
-"""Most tenants with their own time series, so that the number of labels stays bounded. The tenants with the most
-refused requests are shown."""
+"""Most tenants with their own time series: those with the most refused requests, so that labels stay bounded."""
 
 
 class NodeCollector:
--- a/tests/unit/node/test_backend_rows.py
+++ b/tests/unit/node/test_backend_rows.py
@@ -1,4 +1,4 @@
-"""Entries of back ends that go missing: at once, or after the store was away, when living ones come back."""
+"""Missing entries of back ends: removed while the store is available, or lapsed during an outage or a restore."""
 
 import asyncio
 
@@ -31,7 +31,7 @@
 
 
 class SlowStartSources:
-    """Decodes a row's value as how long the back end is still slow, and its state."""
+    """Decodes a row's value as the remaining seconds of slow start and the back end's state."""
 
     @staticmethod
     def decode_backend(incarnation, value):
@@ -41,7 +41,7 @@
 
 
 class StartedSources:
-    """Decodes a row's value as when the back end started, and its state."""
+    """Decodes a row's value as the start time and state of the back end."""
 
     @staticmethod
     def decode_backend(incarnation, value):
@@ -50,7 +50,7 @@
 
 
 def test_decreasing_slow_start_time_is_not_logged_as_a_change(monkeypatch):
-    """Its entry changes with each heartbeat then: 250 lines a node in 36 s with 30 back ends."""
+    """The entry changes with each heartbeat then, which logged 250 lines a node in 36 s with 30 back ends."""
     listed = []
     monkeypatch.setattr(backend_rows, "emit", lambda event, **fields: listed.append((event, fields["draining"])))
     rows = BackendRows(make_state(backends=0), SlowStartSources(), ConnectionPool("X", 1.0, 1.0))
@@ -60,7 +60,7 @@
 
 
 class FollowedRows:
-    """A follower's pages: rows by key, None for a missing one."""
+    """A registry fed with pages of rows, given by key; None for a deleted row."""
 
     def __init__(self):
         self.state = make_state(backends=0)
@@ -74,7 +74,7 @@
         self.confirmed_s = now_s
 
     def apply_restored_listing(self, **rows):
-        """Take the whole listing of a store that has come back from a copy a moment ago."""
+        """Apply the full listing of a store that has just been restored from a backup."""
         era = self.state.store_era
         era.observe((era.observed_era or 0) + 1, boot_time_s())
         self.apply_page(whole=True, restored=True, **rows)
@@ -86,7 +86,7 @@
         )
 
     async def pass_time(self, seconds, is_store_up=True):
-        """Let time pass; a store that is there tells every half a second that nothing has changed."""
+        """Let time pass. While the store is up, an empty page is applied every half second."""
         for _ in range(round(seconds / 0.5)):
             await asyncio.sleep(0.5)
             if is_store_up:
@@ -114,7 +114,7 @@
 
 
 def test_ready_entry_does_not_reopen_a_leaving_back_end():
-    """After an outage the store may list as ready what has said in its answers that it leaves."""
+    """After an outage the store may list a back end as ready that announced in its answers that it leaves."""
 
     async def scenario(followed):
         state = followed.state
@@ -132,7 +132,7 @@
 
 
 def test_restored_listing_does_not_reopen_a_removed_back_end():
-    """Seen by reading: it serves on for some seconds after its entry went, and must get nothing."""
+    """A back end serves for some seconds after its entry is removed, and must get no requests then."""
 
     async def scenario(followed):
         followed.apply_page(a=None)
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize("writes", [True, False], ids=["written again in time", "not written again"])
 def test_back_end_missing_from_a_restored_listing_is_used_during_the_grace_period(writes):
-    """The store may have been away for a moment only, too short to count as an outage."""
+    """The store may have been unavailable for too short a time to count as an outage."""
 
     async def scenario(followed):
         followed.apply_restored_listing(b=b"ready")
@@ -195,7 +195,7 @@
 
 
 def test_entry_does_not_lower_the_weights_version_reported_by_an_answer():
-    """A changed entry with older versions had requests sent that the engine then refused."""
+    """After a changed entry with older versions, requests were sent that the engine refused."""
     registry = BackendRegistry()
     backend = registry.upsert(BackendRecord("e", "llm", "e", "z", 8, versions={"m": 1}))
     backend.set_believed_version("m", 3)
@@ -204,7 +204,7 @@
 
 
 def test_restarted_back_end_keeps_the_time_its_answers_announced_leaving():
-    """Found by a soak: it had started again while the store was away, and its answers said so at once."""
+    """A back end restarted during a store outage and announced in its answers, before its entry, that it leaves."""
     registry = BackendRegistry()
     first = registry.upsert(BackendRecord("a", "svc", "a", "z", 8, started_unix_ms=1000))
     registry.on_leaving(first, 10.0)
@@ -289,7 +289,7 @@
 
 
 def test_restarted_back_end_replaces_its_ended_incarnation_while_both_are_listed():
-    """Found on a deployment of 59 engines: 813 requests were refused by the successors of crashed incarnations."""
+    """On a deployment of 59 engines, 813 requests were refused by successors of crashed incarnations."""
 
     async def scenario(followed):
         followed.apply_page(d=b"ready@a")
@@ -312,7 +312,7 @@
 
 
 class VersionedSources:
-    """Decodes a row's value as software version and seconds for which the back end is still slow."""
+    """Decodes a row's value as software version and remaining seconds of slow start."""
 
     @staticmethod
     def decode_backend(incarnation, value):
@@ -330,7 +330,7 @@
 
 
 def usable_after(steps):
-    """Return the back ends that take requests after each step of a scenario: pages, or seconds that pass."""
+    """Return the eligible back ends after each step of a scenario; a step is a page or a number of seconds."""
 
     async def work():
         followed = VersionedFollowedRows()
--- a/tests/unit/node/test_crash_watch.py
+++ b/tests/unit/node/test_crash_watch.py
@@ -1,4 +1,4 @@
-"""What counts as a crash of a back end, and how its suspects become known and are cleared, in virtual time."""
+"""What counts as a crash of a back end, and how suspected requests are recorded and cleared, in virtual time."""
 
 import asyncio
 import dataclasses
@@ -28,7 +28,7 @@
 
 
 class FakeCheck:
-    """Gives the listed answers to looks; the last one repeats."""
+    """Answers probes from a list; the last answer repeats."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
@@ -40,7 +40,7 @@
 
 
 class WatchedNode:
-    """A node's watch on a table, with what it would hear from the table's feed."""
+    """A node's crash watch on a table; rows of the table's feed are passed to it by hand."""
 
     def __init__(self, check=None, table=None, members=("n1",), route=None):
         self.state = fresh_state(route)
@@ -64,21 +64,21 @@
             self.read_row(content_digest, f"gone-{number}")
 
 
-def sign_of_life(node):
+def receive_data(node):
     node.backend().silence.on_received(boot_time_s())
 
 
-def keeps_sending(node):
+def keep_sending(node):
     async def send():
         while True:
-            sign_of_life(node)
+            receive_data(node)
             await asyncio.sleep(0.1)
 
     node.sending = asyncio.create_task(send())
 
 
-def keeps_getting_requests(node):
-    """Each is refused by the dead address; the first after others have ended begins the count of silence."""
+def keep_getting_requests(node):
+    """Each attempt is refused by the dead address; the first one after others have ended starts the silence."""
 
     async def send():
         while True:
@@ -88,27 +88,27 @@
     node.sending = asyncio.create_task(send())
 
 
-def superseded(node):
+def supersede(node):
     node.backend().superseded = True
 
 
-def superseded_later(node):
-    asyncio.get_running_loop().call_later(2.0, superseded, node)
+def supersede_later(node):
+    asyncio.get_running_loop().call_later(2.0, supersede, node)
 
 
-def replaced_as_planned(node):
+def replace_as_planned(node):
     backend = node.backend()
     backend.record = dataclasses.replace(backend.record, draining=True)
-    superseded_later(node)
+    supersede_later(node)
 
 
-def replaced_after_leaving_notice(node):
-    """Its answers said that it leaves, and the store did not."""
+def replace_after_leaving_notice(node):
+    """The back end announced in its answers that it leaves, and its entry in the store did not state it."""
     node.state.backends.on_leaving(node.backend(), boot_time_s())
-    superseded_later(node)
+    supersede_later(node)
 
 
-def has_lapsed(node):
+def lapse_entry(node):
     node.state.backends.lapse("i-0", 0.0)
 
 
@@ -124,33 +124,33 @@
         ([ANSWERS], no_change, no_change, False),
         ([ANSWERS, REFUSED], no_change, no_change, True),
         ([REFUSED, ANSWERS, REFUSED], no_change, no_change, True),
-        ([REFUSED], no_change, keeps_sending, False),
-        ([REFUSED], no_change, sign_of_life, True),
-        ([REFUSED], no_change, keeps_getting_requests, True),
-        ([ANSWERS], no_change, superseded, True),
-        ([ANSWERS], no_change, superseded_later, True),
-        ([ANSWERS], no_change, replaced_as_planned, False),
-        ([ANSWERS], no_change, replaced_after_leaving_notice, False),
-        ([REFUSED, ANSWERS], no_change, superseded, True),
-        ([REFUSED], has_lapsed, no_change, False),
-        ([REFUSED], sign_of_life, no_change, True),
+        ([REFUSED], no_change, keep_sending, False),
+        ([REFUSED], no_change, receive_data, True),
+        ([REFUSED], no_change, keep_getting_requests, True),
+        ([ANSWERS], no_change, supersede, True),
+        ([ANSWERS], no_change, supersede_later, True),
+        ([ANSWERS], no_change, replace_as_planned, False),
+        ([ANSWERS], no_change, replace_after_leaving_notice, False),
+        ([REFUSED, ANSWERS], no_change, supersede, True),
+        ([REFUSED], lapse_entry, no_change, False),
+        ([REFUSED], receive_data, no_change, True),
     ],
     ids=[
         "refused",
-        "back at once",
-        "answers",
-        "listens a little longer than its connections last",
-        "a proxy takes connections between",
-        "sends on",
-        "read late",
+        "accepts again at once",
+        "accepts connections",
+        "accepts connections shortly after resetting others",
+        "a proxy accepts a connection in between",
+        "keeps sending",
+        "data read late",
         "gets more requests",
-        "successor answered the first look",
-        "successor answered all looks",
+        "successor answered the first probe",
+        "successor answered all probes",
         "replaced as planned meanwhile",
-        "replaced after it said that it leaves",
-        "successor listed before the second look",
-        "planned end",
-        "heard before",
+        "replaced after announcing that it leaves",
+        "successor listed before the second probe",
+        "planned stop",
+        "data received before",
     ],
 )
 def test_what_counts_as_a_crash(answers, before, meanwhile, is_crash):
@@ -322,12 +322,12 @@
 
 @pytest.mark.parametrize("members", [("n1",), ("n1", "n2", "n3", "n4")])
 def test_crashes_expire_while_store_is_down_and_are_not_written_later(members):
-    """During an outage no suspect was ever forgotten, and the store's return brought expired ones back to all."""
+    """Suspects did not expire during a store outage, and were written for all nodes when it ended."""
 
     async def work():
         node = WatchedNode(members=members)
         node.table.down = True
-        for number in range(20):  # With four members, some are another one's to remove.
+        for number in range(20):  # With four members, another one removes some of these.
             node.watch.on_broken_run(f"c-{number}", node.backend())
         await asyncio.sleep(PROBED_S)
         before = node.state.quarantine.suspect_count
@@ -341,7 +341,7 @@
 
 
 def test_unwritten_rows_are_bounded_and_the_newest_are_kept():
-    """Rows to write grew with each crash of an outage, and all were reported to peers twenty times a second."""
+    """Unwritten rows grew without bound during a store outage; all were sent to peers twenty times a second."""
 
     async def work():
         node = WatchedNode()
@@ -365,7 +365,7 @@
 
 
 def serve(route, scripts, prepare=no_change, generation=None, settle_s=PROBED_S):
-    """Serve one request on a node; return reply, number of sends and the node's rows a moment later."""
+    """Serve one request on a node; return the reply, the number of sends and the rows after ``settle_s``."""
 
     async def work():
         node = WatchedNode(route=route)
@@ -381,7 +381,7 @@
 
 
 def content_digest_of(route):
-    """The content of the requests that :func:`serve` sends."""
+    """Return the content digest of the requests that :func:`serve` sends."""
     _, _, rows = serve(UNSAFE, [RESET])
     ((content_digest, _),) = (row.split("/") for row in rows)
     return content_digest
@@ -390,7 +390,7 @@
 CONTENT_DIGEST = content_digest_of(UNSAFE)
 
 
-def quarantined(node):
+def quarantine(node):
     node.read_quarantine(CONTENT_DIGEST)
 
 
@@ -400,14 +400,14 @@
     ids=["safe", "unsafe", "stream"],
 )
 def test_quarantined_request_is_refused_at_once_and_not_sent(route, generation):
-    reply, sends, _ = serve(route, [OK], quarantined, generation)
+    reply, sends, _ = serve(route, [OK], quarantine, generation)
     assert (reply.status, sends, reply.error.code) == (503, 0, "WW3020")
     assert reply.error.outcome is Outcome.NOT_RUN
     assert QUARANTINE_S - 1 <= reply.error.retry_after_ms / 1000 <= QUARANTINE_S
 
 
 def test_request_quarantined_during_an_attempt_is_not_retried():
-    """Other nodes see two crashes; this one's attempt is the third, known before the second attempt begins."""
+    """Other nodes report two crashes; the third is read during this node's first attempt, before its second."""
 
     def two_crashes(node):
         for number in range(CRASHES_TO_QUARANTINE - 1):
@@ -441,7 +441,7 @@
 
 
 def test_failed_answer_clears_no_suspect():
-    """A back end may give a request up at its deadline, and end because of it all the same."""
+    """A back end may give up a request at its deadline and still crash because of it."""
     reply, _, rows = serve(UNSAFE, [Script(status=504, chunks=(b"late",))], one_crash, settle_s=3.0)
     assert (reply.status, len(rows)) == (504, 1)
 
--- a/tests/unit/node/test_fleet_recovery.py
+++ b/tests/unit/node/test_fleet_recovery.py
@@ -1,9 +1,9 @@
-"""A fleet that loses a quarter of its 59 engines at a high load is soon in time again once they are back.
+"""A fleet that loses a quarter of its 59 engines at a high load soon meets its objective again once they return.
 
-The choice of engines and the patience with silent ones are the product's; engines and what nodes tell each other
-are modelled. Every engine reads one prompt after the other, a third of them more slowly, and there is no store of
-kept KV cache. Loads of other nodes are a quarter to half a second old, as they are in a fleet of many nodes, and
-those of another region's nodes half to three quarters.
+The choice of engines and the rule for abandoning silent attempts are the product's; engines and load reports are
+simulated. Each engine prefills one prompt at a time, a third of them more slowly, and there is no KV store. Loads
+of other nodes are a quarter to half a second old, as in a fleet of many nodes, and those of nodes in another region
+half to three quarters of a second.
 """
 
 import dataclasses
@@ -45,7 +45,7 @@
 
 
 class LruParts:
-    """Parts by identity, of which the least recently used give way."""
+    """Parts by identity, with eviction of the least recently used."""
 
     def __init__(self, tokens):
         self._capacity_tokens = tokens
@@ -55,7 +55,7 @@
         return identity in self._parts
 
     def use(self, identity, tokens):
-        """Keep a part, as the one used last."""
+        """Store a part as the most recently used one."""
         self._parts[identity] = tokens
         self._parts.move_to_end(identity)
         while sum(self._parts.values()) > self._capacity_tokens:
@@ -63,7 +63,7 @@
 
 
 class Engine:
-    """Reads one prompt after the other; one that was withdrawn before its turn is left out."""
+    """Prefills one prompt at a time; skips those that were withdrawn before their turn."""
 
     def __init__(self, number, at):
         self.cached_parts = LruParts(ENGINE_CACHE_TOKENS)
@@ -74,7 +74,7 @@
         self._is_prefilling = False
 
     def prefill(self, sent, attempt, on_done, now_s):
-        """Read a prompt's parts that are not kept, and call ``on_done`` unless the attempt was withdrawn."""
+        """Prefill the parts of a prompt that are not cached; call ``on_done`` unless the attempt was withdrawn."""
         self._waiting.append((sent, attempt, on_done))
         if not self._is_prefilling:
             self._prefill_next(max(now_s, self.unavailable_until_s))
@@ -115,7 +115,7 @@
         self.latest_loads = []
         self.previous_loads = []
         self.region_choices = []
-        """Shared parts of each prompt and the region of its engine."""
+        """Shared parts of each prompt, and the region of its engine."""
         self.nodes = [self._node(index) for index in range(NODES)]
 
     def _node(self, index):
@@ -134,7 +134,7 @@
         self.order += 1
 
     def run(self, per_s, seconds):
-        """Return pairs of each prompt's arrival and its time to the first piece."""
+        """Return the arrival time and the time to first token of each prompt."""
         self.results = []
         at_s = 0.0
         while at_s < seconds:
@@ -148,7 +148,7 @@
         return self.results
 
     def _lose_engines(self, now_s):
-        """All nodes know at once which engines are away; these come back empty."""
+        """Suspend the lost engines at all nodes at once; they return with empty caches."""
         for state in self.nodes:
             for engine in self.lost:
                 state.backends.get(engine).suspended_until_s = LOST_UNTIL_S
@@ -214,7 +214,7 @@
         self.results.append((sent.arrived_s, now_s - sent.arrived_s))
 
     def _exchange_loads(self, now_s):
-        """Every node receives the loads that the others had a moment ago."""
+        """Give every node the earlier loads of the other nodes."""
         before, previous, self.latest_loads = (
             self.previous_loads,
             self.latest_loads,
@@ -235,7 +235,7 @@
 
 @dataclasses.dataclass
 class SentPrompt:
-    """A prompt on its way."""
+    """A prompt in flight."""
 
     state: NodeState
     parts: tuple
@@ -247,14 +247,14 @@
 
 
 def late_fraction(results, from_s, to_s):
-    """Return the part of prompts whose first piece came after the objective."""
+    """Return the fraction of prompts whose time to first token exceeded the objective."""
     times = [first_s for arrived_s, first_s in results if from_s <= arrived_s < to_s]
     return statistics.fmean(first_s > OBJECTIVE_S for first_s in times)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_prompts_meet_the_objective_three_seconds_after_lost_engines_return(seed):
-    """All nodes chose the one engine that looked least loaded: half of all prompts stayed late to the end."""
+    """All nodes chose the one engine that seemed least loaded, and half of all prompts stayed late to the end."""
     results = Fleet(seed).run(per_s=190, seconds=18.0)
     assert late_fraction(results, RECOVERED_S, 18.0) < 0.1
 
@@ -270,7 +270,7 @@
 
 
 def test_prompts_stay_in_the_region_of_their_home_while_it_meets_the_objective():
-    """Whichever node sends them, those that share a part of thousands of tokens go to one region."""
+    """Prompts that share a part of thousands of tokens go to one region, whichever node sends them."""
     fleet = Fleet(1, lost_engines=0, regions=REGIONS)
     results = fleet.run(per_s=130, seconds=10.0)
     assert late_fraction(results, 2.0, 10.0) < 0.05
@@ -285,9 +285,9 @@
 
 @pytest.mark.parametrize("lost_fraction", [0.5, 0.75, 0.96, 1.0])
 def test_other_region_takes_load_of_a_region_that_loses_engines(lost_fraction):
-    """Both regions know of each other's loads late and alike; no engine may get what a whole region sends.
+    """Each region knows the other's loads equally late, so no engine may get all prompts of the other region.
 
-    With prompts that only leave a region without any engine, 0.41 and 0.47 are late at the second and third part.
+    If prompts left only a region without any engine, 0.41 and 0.47 would be late at the second and third fraction.
     """
     lost = round(lost_fraction * WEST_ENGINES)
     fleet = Fleet(2, lost_engines=lost, regions=REGIONS, lost_region="west")
--- a/tests/unit/node/test_kv_store_choice.py
+++ b/tests/unit/node/test_kv_store_choice.py
@@ -1,4 +1,4 @@
-"""Which KV store a prompt's parts are saved to and fetched from."""
+"""Choice of the KV store that a prompt's parts are saved to and fetched from."""
 
 import dataclasses
 
@@ -29,7 +29,7 @@
 
 
 def addresses_used(node_zone, kv_stores, prompts):
-    """Return the store of each prompt as a node in ``node_zone`` chooses it."""
+    """Return the store that a node in ``node_zone`` chooses for each prompt."""
 
     async def work():
         state = make_state(STREAM, versions={"m": 1})
--- a/tests/unit/node/test_kv_store_watch.py
+++ b/tests/unit/node/test_kv_store_watch.py
@@ -1,4 +1,4 @@
-"""Nodes learn what a store of parts KV cache holds, from it or from a peer, and notice when it is gone."""
+"""Nodes read the contents of a KV store from the store or from a peer, and detect when it is unreachable."""
 
 import asyncio
 import dataclasses
@@ -21,7 +21,7 @@
 
 
 class Store:
-    """Holds parts, tells events in order, and may be silent, refuse or lose events."""
+    """Holds parts and sends events in order; it can be silent, refuse calls or lose events."""
 
     def __init__(self):
         self.epoch, self.parts, self.journal = 1, {}, []
@@ -78,8 +78,8 @@
 
 @pytest.fixture
 def with_nodes(run_async, monkeypatch):
-    """Run a scenario on two nodes of a zone, the one that follows the store first."""
-    # A busy machine must not decide whether a peer on it answers in time.
+    """Run a scenario on two nodes of one zone; the first one reads the store, the second one its peer."""
+    # Load on the machine must not make connections to peers time out.
     monkeypatch.setattr("wallwell.cluster.peer_link.CONNECT_TIMEOUT_S", 20.0)
 
     def run(scenario):
@@ -213,7 +213,7 @@
 
 
 def test_several_stores_are_followed_through_one_relay_concurrently(with_nodes, monkeypatch):
-    """A link between peers carries one request at a time; the followers of three stores shared one."""
+    """A link between peers carries one request at a time, and the followers of three stores shared one link."""
     monkeypatch.setattr("wallwell.node.kv_store_watch.EVENT_WAIT_S", 0.3)
 
     async def scenario(store, relay, member):
@@ -247,7 +247,7 @@
 
 
 def test_store_loss_reported_by_a_relay_is_logged(with_nodes, monkeypatch):
-    """A node that learnt of a store through a peer logged its return (6010) and never its loss (6009)."""
+    """A node that read a store through a peer logged its return (event 6010) but never its loss (6009)."""
     events = []
     monkeypatch.setattr(kv_store_watch, "emit", lambda event, **fields: events.append(event))
     monkeypatch.setattr("wallwell.node.kv_store_watch.EVENT_WAIT_S", 0.01)
--- a/tests/unit/node/test_loop_lag.py
+++ b/tests/unit/node/test_loop_lag.py
@@ -1,4 +1,4 @@
-"""A node is starved after two late timers in a row, for a second after the last one."""
+"""A node counts as starved after two late timers in a row, until a second after the last one."""
 
 import pytest
 
@@ -15,7 +15,7 @@
         ((0.0, 0.6, 0.7, 0.8), True),
         ((0.6, 0.6, 0.0), True),
     ],
-    ids=["well", "frozen once", "frozen twice", "starved", "longer", "just now"],
+    ids=["on time", "suspended once", "suspended twice", "starved", "starved longer", "recovering"],
 )
 def test_two_late_timers_in_a_row_are_starvation(delays, starved):
     lag = LoopLag()
--- a/tests/unit/node/test_member_rows.py
+++ b/tests/unit/node/test_member_rows.py
@@ -1,4 +1,4 @@
-"""A node's registration while the store takes no writes, and rows of members that cannot be decoded."""
+"""Registration of a node while the store accepts no writes, and member rows that cannot be decoded."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class FailingTable:
-    """Fails as often as it is set to."""
+    """Fails the first ``failures`` transactions."""
 
     def __init__(self, failures):
         self.failures = failures
@@ -71,7 +71,7 @@
 
 
 class Listener:
-    """Cannot decode some rows."""
+    """Records the keys of applied rows; cannot decode rows with the value ``unreadable``."""
 
     def __init__(self):
         self.applied_keys = []
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize(("restored", "gone"), [(False, ["crash/c/1"]), (True, [])])
 def test_row_deleted_during_a_gap_in_the_feed_is_reported_as_deleted(monkeypatch, restored, gone):
-    """A quarantine that operators took back went on at nodes whose feed had lost its history just then."""
+    """A quarantine lifted by operators stayed in force at nodes whose feed had lost its history meanwhile."""
     received = []
 
     class Listener:
--- a/tests/unit/node/test_operator_rows.py
+++ b/tests/unit/node/test_operator_rows.py
@@ -1,4 +1,4 @@
-"""When a page of the operators' rows confirms the configuration, in a fleet whose store comes back from copies."""
+"""When a page of operators' rows confirms the configuration, if the store may be restored from a backup."""
 
 import asyncio
 import dataclasses
@@ -37,7 +37,7 @@
 
 
 class FollowedRows:
-    """One node's operators' rows, long after the first answer of the store."""
+    """Operators' rows of one node, long after the first answer of the store."""
 
     def __init__(self, era=1):
         self.state = make_state()
@@ -46,7 +46,7 @@
         self.rows = OperatorRows(self.state, Sources(self.state.config))
 
     def apply_page(self, value=None):
-        """Apply a page with a configuration or with nothing new; returns whether it confirms what is known."""
+        """Apply a page with a configuration or without changes; return whether it confirms the configuration."""
         now_s = boot_time_s()
         rows = () if value is None else (FeedRow(CONFIG_KEY, value, 1),)
         self.rows.apply(FollowedPage(FeedPage(rows, 1, 0.0), False, now_s, now_s))
@@ -56,16 +56,16 @@
 @pytest.mark.parametrize(
     ("era", "peers_version", "value", "is_confirmed"),
     [
-        (1, 0, b"5", True),  # No peer is heard.
+        (1, 0, b"5", True),  # No peer reports its version.
         (1, 5, b"5", True),
         (1, 4, b"5", True),
         (1, 6, b"5", False),
-        (1, 6, b"unreadable", True),  # By a build that does not know it; nothing would show the newer one here.
-        (0, 6, b"5", True),  # The store counts no eras, so it never comes back from a copy.
+        (1, 6, b"unreadable", True),  # This build cannot decode it, nor would it decode a newer one.
+        (0, 6, b"5", True),  # The store counts no eras, so it is never restored from a backup.
     ],
 )
 def test_a_configuration_older_than_that_of_peers_is_not_confirmed(era, peers_version, value, is_confirmed):
-    """Guards against a revoked key that is accepted because the store's copy has never heard of its end."""
+    """A revoked key must not be accepted because the restored store lacks its revocation."""
 
     async def work():
         followed = FollowedRows(era)
--- a/tests/unit/node/test_peer_ports.py
+++ b/tests/unit/node/test_peer_ports.py
@@ -1,4 +1,4 @@
-"""A node serves its peers on the first port that is free, and logs once that others were not."""
+"""A node serves its peers on the first free port, and logs once that others were in use."""
 
 import asyncio
 from types import SimpleNamespace
@@ -11,7 +11,7 @@
 
 
 class FakePeerServer:
-    """Can listen on free ports only."""
+    """Raises OSError for ports that are not free."""
 
     def __init__(self, free):
         self.free = free
--- a/tests/unit/node/test_restarted_back_end.py
+++ b/tests/unit/node/test_restarted_back_end.py
@@ -1,10 +1,8 @@
-"""A back end that starts again under its identity: what runs on the earlier start ends, and each of its crashes
-counts.
+"""A back end that restarts under the same identity: attempts on the earlier start end, and each crash counts.
 
-Seen in a test: a request that crashed the same back end at three starts was sent to it a fourth time and on, since
-crashes were counted by identity, and one identity counts once. A stream behind a cut waited for a start that was
-listed as ended until its pause was over.
-Cause: an identity was taken for one life of a back end.
+A request that crashed three starts of a back end was sent to it again, since crashes were counted once per identity
+instead of once per start. A stream behind a network cut waited for an ended start until its largest allowed gap had
+passed.
 """
 
 import asyncio
@@ -35,7 +33,7 @@
 STALLED_STREAM = Script(chunks=(event(1), 30.0), stream=True)
 REMAINING_STREAM = Script(chunks=(event(2), event(3)), stream=True)
 RESTARTED_S = 0.1
-"""Seconds after which the listing names a later start."""
+"""Seconds after which a later start is listed."""
 
 
 class RefusingCheck:
@@ -72,7 +70,7 @@
 
 
 def test_back_end_that_restarts_at_once_counts_as_crashed():
-    """Its address takes connections at once, so that no probe is refused."""
+    """Its address accepts connections again at once, so that no probe is refused."""
 
     class ListeningCheck:
         async def refuses_connections(self, backend):
--- a/tests/unit/node/test_unreadable_rows.py
+++ b/tests/unit/node/test_unreadable_rows.py
@@ -1,9 +1,9 @@
-"""Entries of back ends that another writer has corrupt: they name none, and all other rows of the page hold.
+"""Corrupt entries of back ends: the back end under the key is removed, and all other rows of the page apply.
 
-Seen: a value that is no base64 ended the follower of its table, again at each reading, so that the whole
-listing stood still; one that is no text kept a relay from answering its followers. An entry that cannot be
-decoded was passed over, so that the back end known under its key stayed in use.
-Cause: nothing but missing and undecodable JSON was taken for possible in a table that others write.
+A value with invalid base64 stopped the follower of its table at each read, so that no listing was applied; one with
+invalid UTF-8 kept a relay from answering its followers. An undecodable entry was ignored, so that the back end
+listed under its key stayed in use. Only missing and undecodable JSON had been expected in a table that others
+write.
 """
 
 import msgspec
