--- a/src/wallwell/node/backend_rows.py
+++ b/src/wallwell/node/backend_rows.py
@@ -23,8 +23,9 @@
 Live back ends rewrite their entries within 2 s of the store's return. A missing entry may also mean that the back
 end has left, so the value is below the 2 s after which such a back end must get no requests (``drain_ms``)."""
 RESTORED_ENTRY_HOLD_S = 5.0
-"""Seconds after a restore of the store from a backup during which a restored entry does not bring back a back end
-that was removed. By then the entry of an ended back end has been removed again, after three missed heartbeats."""
+"""Seconds after a restore of the store from an older copy during which a restored entry does not bring back a back
+end that was removed. By then the entry of an ended back end has been removed again, after three missed
+heartbeats."""
 MAX_UNREADABLE_LOGGED = 10
 """Unreadable entries of one page that are logged; the last log line states how many more there are."""
 MAX_REASON_CHARS = 200
@@ -35,8 +36,8 @@
     """Updates the registry of back ends from their entries in the store.
 
     Entries lapse while the store is unavailable, and live back ends rewrite them soon after it comes back. A back
-    end without an entry still gets requests for ``LAPSE_GRACE_S`` after that. A restore from a backup may bring
-    back the entry of a back end that has ended, so it is applied only after ``RESTORED_ENTRY_HOLD_S``.
+    end without an entry still gets requests for ``LAPSE_GRACE_S`` after that. A restore from an older copy may
+    bring back the entry of a back end that has ended, so it is applied only after ``RESTORED_ENTRY_HOLD_S``.
     """
 
     def __init__(self, state: NodeState, sources: NodeSources, pool: ConnectionPool) -> None:
--- a/src/wallwell/node/crash_watch.py
+++ b/src/wallwell/node/crash_watch.py
@@ -40,8 +40,8 @@
 WRITE_RETRY_JITTER = (0.5, 1.5)
 """Range of random factors on ``WRITE_RETRY_S``, so that nodes do not write together once the store is back."""
 REWRITE_WINDOW_S = 60.0
-"""Seconds for which a written row is remembered, to write it again if the store is restored from a backup, which
-lacks the last seconds of writes."""
+"""Seconds for which a written row is remembered, to write it again if the store is restored from an older copy,
+which lacks the last seconds of writes."""
 MAX_RECENT_WRITES = 1000
 """Most rows remembered for rewriting, far more than are written in ``REWRITE_WINDOW_S``."""
 SWEEP_INTERVAL_S = 5.0
--- a/src/wallwell/node/member_rows.py
+++ b/src/wallwell/node/member_rows.py
@@ -83,9 +83,9 @@
         self._state.members = set(members)
 
     def _report_missing_rows(self, followed: FollowedPage, now_s: float) -> None:
-        """Report to the listeners, as deleted, the rows that are missing from a full listing.
+        """Report to the listeners, as deleted, the rows that are missing from a snapshot.
 
-        After a restore from a backup a missing row may only be missing from the backup; its writer writes it again.
+        After a restore of the store, the older copy may merely lack a missing row, whose writer writes it again.
         """
         missing = self._delivered_keys - {row.key for row in followed.page.rows}
         self._delivered_keys -= missing
--- a/src/wallwell/node/operator_rows.py
+++ b/src/wallwell/node/operator_rows.py
@@ -17,7 +17,7 @@
 from wallwell.storage.feed import FeedRow, FollowedPage
 
 REWRITE_GRACE_S = 5.0
-"""Seconds after a restore of the store from a backup within which operators have rewritten the rows that the backup
+"""Seconds after a restore of the store from an older copy within which operators have rewritten the rows that it
 lacks. A restored rollout order that contradicts the known one takes effect only then."""
 CONFIRMATION_HOLD_S = 1.0
 """Seconds after a node's first answer of an era during which the store's answers confirm no configuration: a
@@ -57,7 +57,7 @@
         if era.current == UNKNOWN_ERA:
             self._state.freshness.confirm(followed.confirmed_at_s)
             return
-        # The store may have been restored from a backup that lacks the newest configuration.
+        # The store may have been restored from an older copy that lacks the newest configuration.
         self._state.load.own_configuration_version = config.version
         now_s = boot_time_s()
         if not self._is_behind(config.version, now_s) and now_s >= era.observed_since_s + CONFIRMATION_HOLD_S:
@@ -80,7 +80,7 @@
             emit(Event.CONFIG_BEHIND, version=version, peers_version=peers_version)
         return True
 
-    def _on_row(self, key: str, value: bytes, unconfirmed_since_s: float) -> None:
+    def _on_row(self, key: str, value: bytes, previous_confirmed_at_s: float) -> None:
         if key == self._sources.config_key:
             config = self._sources.decode_config(value)
             self._is_config_unreadable = False
@@ -88,8 +88,8 @@
                 emit(Event.CONFIG_ADVANCED, version=config.version, routes=len(config.routes))
         elif key.startswith(self._sources.version_prefix):
             model, version = self._sources.decode_version(value)
-            since_s, estimated = self._named_since_s(unconfirmed_since_s)
-            if self._state.weights.add_version(model, version, since_s, estimated):
+            named_at_s, estimated = self._named_at_s(previous_confirmed_at_s)
+            if self._state.weights.add_version(model, version, named_at_s, estimated):
                 emit(Event.WEIGHTS_NAMED, model=model, version=version, estimated=estimated)
 
     def _on_rollout_order(self, row: FeedRow, followed: FollowedPage) -> None:
@@ -114,10 +114,10 @@
                 order=order.store_version,
             )
 
-    def _named_since_s(self, unconfirmed_since_s: float) -> tuple[float, bool]:
+    def _named_at_s(self, previous_confirmed_at_s: float) -> tuple[float, bool]:
         """Return when (boot clock) a version read now counts as named, and whether that is an estimate."""
         now_s = boot_time_s()
-        if unconfirmed_since_s == float("-inf"):
+        if previous_confirmed_at_s == float("-inf"):
             return self._state.estimated_naming_s(now_s), True
         # The version may have been named at any time during an outage of the store.
-        return (unconfirmed_since_s if now_s - unconfirmed_since_s > STORE_OUTAGE_S else now_s), False
+        return (previous_confirmed_at_s if now_s - previous_confirmed_at_s > STORE_OUTAGE_S else now_s), False
--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -80,7 +80,7 @@
     """How long a lease on one kind of control work is valid."""
     startup_grace_s: float = 3.0
     """How long after its start a machine is exempt from time limits."""
-    weights_deadline_s: float = 8.0
+    weights_staleness_s: float = 8.0
     """How long after operators name a weights version an engine without it may still get generations."""
     rollout: RolloutBounds = field(default_factory=RolloutBounds)
 
@@ -231,7 +231,7 @@
         Its real age is unknown, so the version has to become due before time limits apply to this node.
         """
         return now_s - (
-            self.bounds.weights_deadline_s * OVERDUE_FRACTION - self.bounds.startup_grace_s * STARTUP_FRACTION
+            self.bounds.weights_staleness_s * OVERDUE_FRACTION - self.bounds.startup_grace_s * STARTUP_FRACTION
         )
 
     def on_version_refused(self, backend: Backend, model: str, reported: int) -> None:
--- a/src/wallwell/placement/weights_roll.py
+++ b/src/wallwell/placement/weights_roll.py
@@ -24,7 +24,7 @@
 from wallwell.routing.selection.prefix_home import PREFILL_CHUNK_TOKENS, engine_pool_of_all_regions
 
 MAX_START_DELAY_FRACTION = 0.52
-"""Latest start of a weights roll, as a fraction of the time allowed for a version (``weights_deadline_s``): the
+"""Latest start of a weights roll, as a fraction of the time allowed for a version (``weights_staleness_s``): the
 loads have to finish in the rest of that time."""
 MAX_CONCURRENT_LOADS_FRACTION = 0.4
 """Fraction of a pool's engines that load at the same time: more would finish sooner but leave fewer to serve."""
--- a/src/wallwell/placement/weights_roll_driver.py
+++ b/src/wallwell/placement/weights_roll_driver.py
@@ -97,7 +97,7 @@
         self._clock = clock
         self._planner = WeightsRollPlanner(
             state.weights,
-            state.bounds.weights_deadline_s,
+            state.bounds.weights_staleness_s,
             lambda now_s: state.demand.generations_per_s(now_s, state.node_count),
             state.topology,
         )
--- a/src/wallwell/platform/settings.py
+++ b/src/wallwell/platform/settings.py
@@ -131,7 +131,7 @@
             retry_window_s=bounds.budget_window_s,
             lease_s=bounds.lease_ms / 1000,
             startup_grace_s=bounds.contact_ms / 1000,
-            weights_deadline_s=bounds.version_ms / 1000,
+            weights_staleness_s=bounds.version_ms / 1000,
             rollout=RolloutBounds(bounds.exposure_share, bounds.exposure_slack, bounds.rollback_ms / 1000),
         )
 
--- a/src/wallwell/serving/version_choice.py
+++ b/src/wallwell/serving/version_choice.py
@@ -48,7 +48,7 @@
 
 
 def _weights_requirement(state: NodeState, model: str) -> WeightsRequirement:
-    return WeightsRequirement(state.weights, model, state.bounds.weights_deadline_s)
+    return WeightsRequirement(state.weights, model, state.bounds.weights_staleness_s)
 
 
 def _may_prefer_target(rollout: ServiceRollout, now_s: float) -> bool:
--- a/tests/unit/node/test_backend_rows.py
+++ b/tests/unit/node/test_backend_rows.py
@@ -67,17 +67,17 @@
         self.rows = BackendRows(self.state, Sources(), ConnectionPool("X", 1.0, 1.0))
         self.confirmed_s = float("-inf")
 
-    def apply_page(self, whole=False, restored=False, **rows):
+    def apply_page(self, is_snapshot=False, is_restored=False, **rows):
         now_s = boot_time_s()
         page = tuple(FeedRow(key, value, 1) for key, value in rows.items())
-        self.rows.apply(FollowedPage(FeedPage(page, 1, 0.0), whole, now_s, self.confirmed_s, restored))
+        self.rows.apply(FollowedPage(FeedPage(page, 1, 0.0), is_snapshot, now_s, self.confirmed_s, is_restored))
         self.confirmed_s = now_s
 
     def apply_restored_listing(self, **rows):
-        """Apply the full listing of a store that has just been restored from a backup."""
+        """Apply a snapshot of a store that has just been restored from an older copy."""
         era = self.state.store_era
         era.observe((era.observed_era or 0) + 1, boot_time_s())
-        self.apply_page(whole=True, restored=True, **rows)
+        self.apply_page(is_snapshot=True, is_restored=True, **rows)
 
     def open_backends(self):
         now_s = boot_time_s()
@@ -98,7 +98,7 @@
 def run_scenario(scenario):
     async def work():
         followed = FollowedRows()
-        followed.apply_page(whole=True, a=b"ready", b=b"ready", c=b"draining")
+        followed.apply_page(is_snapshot=True, a=b"ready", b=b"ready", c=b"draining")
         await followed.pass_time(2.0)
         return await scenario(followed)
 
@@ -121,7 +121,7 @@
         apply_notice(state, "a", BackendNotice(leaving=True))
         seen = [followed.open_backends()]
         await followed.pass_time(OUTAGE_S, is_store_up=False)
-        followed.apply_page(whole=True, a=b"ready", b=b"ready", c=b"ready")
+        followed.apply_page(is_snapshot=True, a=b"ready", b=b"ready", c=b"ready")
         seen.append(followed.open_backends())
         followed.apply_page(a=None)
         followed.apply_page(a=b"ready")
@@ -245,11 +245,11 @@
     ]
 
 
-@pytest.mark.parametrize("whole", [True, False], ids=["whole reading", "changes"])
-def test_live_back_ends_stay_open_while_their_entries_are_rewritten(whole):
+@pytest.mark.parametrize("is_snapshot", [True, False], ids=["snapshot", "changes"])
+def test_live_back_ends_stay_open_while_their_entries_are_rewritten(is_snapshot):
     async def scenario(followed):
         await followed.pass_time(OUTAGE_S, is_store_up=False)
-        followed.apply_page(whole=True) if whole else followed.apply_page(a=None, b=None, c=None)
+        followed.apply_page(is_snapshot=True) if is_snapshot else followed.apply_page(a=None, b=None, c=None)
         seen = [followed.open_backends()]
         await followed.pass_time(1.0)
         followed.apply_page(a=b"ready")
@@ -281,7 +281,7 @@
 def test_lapsed_back_end_is_forgotten_during_the_next_outage():
     async def scenario(followed):
         await followed.pass_time(OUTAGE_S, is_store_up=False)
-        followed.apply_page(whole=True)
+        followed.apply_page(is_snapshot=True)
         await followed.pass_time(2.5, is_store_up=False)
         return [each.incarnation for each in followed.state.backends.all_backends()]
 
@@ -337,7 +337,7 @@
         seen = []
         for step in steps:
             if isinstance(step, dict):
-                followed.apply_page(whole=not seen, **step)
+                followed.apply_page(is_snapshot=not seen, **step)
             else:
                 await followed.pass_time(step)
             now_s = boot_time_s()
@@ -360,7 +360,7 @@
 def test_slow_start_time_counts_from_when_the_entry_was_first_read():
     async def work():
         followed = VersionedFollowedRows()
-        followed.apply_page(whole=True, a=b"v1@3")
+        followed.apply_page(is_snapshot=True, a=b"v1@3")
         seen_s = boot_time_s()
         await followed.pass_time(1.0)
         followed.apply_page(a=b"v1@3")
--- a/tests/unit/node/test_member_rows.py
+++ b/tests/unit/node/test_member_rows.py
@@ -97,8 +97,8 @@
     assert events == [Event.OWN_ROW_UNREADABLE] * 2
 
 
-@pytest.mark.parametrize(("restored", "gone"), [(False, ["crash/c/1"]), (True, [])])
-def test_row_deleted_during_a_gap_in_the_feed_is_reported_as_deleted(monkeypatch, restored, gone):
+@pytest.mark.parametrize(("is_restored", "gone"), [(False, ["crash/c/1"]), (True, [])])
+def test_row_deleted_during_a_gap_in_the_feed_is_reported_as_deleted(monkeypatch, is_restored, gone):
     """A quarantine lifted by operators stayed in force at nodes whose feed had lost its history meanwhile."""
     received = []
 
@@ -114,6 +114,6 @@
     deleted = FeedRow("crash/c/3", None, 4)
     rows.apply(FollowedPage(FeedPage((deleted,), 4, 0.0), False, 0.0, 0.0))
     received.clear()
-    whole = FeedPage((FeedRow("crash/c/2", b"n", 2),), 5, 0.0)
-    rows.apply(FollowedPage(whole, True, 0.0, 0.0, restored))
+    snapshot = FeedPage((FeedRow("crash/c/2", b"n", 2),), 5, 0.0)
+    rows.apply(FollowedPage(snapshot, True, 0.0, 0.0, is_restored))
     assert [key for key, value in received if value is None] == gone
--- a/tests/unit/node/test_operator_rows.py
+++ b/tests/unit/node/test_operator_rows.py
@@ -1,4 +1,4 @@
-"""When a page of operators' rows confirms the configuration, if the store may be restored from a backup."""
+"""When a page of operators' rows confirms the configuration, if the store may be restored from an older copy."""
 
 import asyncio
 import dataclasses
@@ -61,7 +61,7 @@
         (1, 4, b"5", True),
         (1, 6, b"5", False),
         (1, 6, b"unreadable", True),  # This build cannot decode it, nor would it decode a newer one.
-        (0, 6, b"5", True),  # The store counts no eras, so it is never restored from a backup.
+        (0, 6, b"5", True),  # The store counts no eras, so it is never restored from an older copy.
     ],
 )
 def test_a_configuration_older_than_that_of_peers_is_not_confirmed(era, peers_version, value, is_confirmed):
--- a/tests/unit/node/test_unreadable_rows.py
+++ b/tests/unit/node/test_unreadable_rows.py
@@ -36,12 +36,12 @@
         self.rows = BackendRows(self.state, Sources, ConnectionPool("X", 1.0, 1.0))
         self.version = 0
 
-    def apply_page(self, whole=False, **values):
+    def apply_page(self, is_snapshot=False, **values):
         stored = []
         for key, value in values.items():
             self.version += 1
             stored.append(feed_row(StoredRow(key, value, self.version)))
-        self.rows.apply(FollowedPage(FeedPage(tuple(stored), self.version, 0.0), whole, 0.0, 0.0))
+        self.rows.apply(FollowedPage(FeedPage(tuple(stored), self.version, 0.0), is_snapshot, 0.0, 0.0))
 
     def names(self):
         return [each.incarnation for each in self.state.backends.backends_of_service("svc")]
@@ -55,17 +55,17 @@
     logger.remove(sink)
 
 
-@pytest.mark.parametrize("whole", [True, False], ids=["whole", "a change"])
+@pytest.mark.parametrize("is_snapshot", [True, False], ids=["snapshot", "a change"])
 @pytest.mark.parametrize(
     "corrupt",
     [INVALID_BASE64, INVALID_UTF8, INVALID_JSON, MISSING_ADDRESS],
     ids=["invalid base64", "invalid UTF-8", "invalid JSON", "missing address"],
 )
-def test_back_end_with_a_corrupt_entry_is_removed_and_others_stay(corrupt, whole, logged):
+def test_back_end_with_a_corrupt_entry_is_removed_and_others_stay(corrupt, is_snapshot, logged):
     listing = Listing()
     listing.apply_page(True, a=entry(1), b=entry(2))
     known = listing.state.backends.get("b")
-    listing.apply_page(whole, a=entry(1), b=corrupt, c=entry(3))
+    listing.apply_page(is_snapshot, a=entry(1), b=corrupt, c=entry(3))
     assert listing.names() == ["a", "c"]
     assert known.gone
     assert [(each["event"], each["backend"], each["further"]) for each in logged] == [(6023, "b", 0)]
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -253,7 +253,7 @@
             "retry_window_s": bounds.retry_window_s,
             "lease_s": bounds.lease_s,
             "contact_s": bounds.startup_grace_s,
-            "version_s": bounds.weights_deadline_s,
+            "version_s": bounds.weights_staleness_s,
             "exposure_share": bounds.rollout.exposure_share,
             "exposure_slack": bounds.rollout.exposure_requests,
             "rollback_s": bounds.rollout.rollback_s,
