--- a/src/wallwell/node/kv_store_watch.py
+++ b/src/wallwell/node/kv_store_watch.py
@@ -108,10 +108,10 @@
 
     async def _follow(self, address: str) -> None:
         while True:
-            has_page = await self.step(address)
+            has_page = await self.read_once(address)
             await asyncio.sleep(PAGE_PAUSE_S if has_page else RETRY_S * self._state.rng.uniform(*RETRY_JITTER))
 
-    async def step(self, address: str) -> bool:
+    async def read_once(self, address: str) -> bool:
         """Fetch and apply one page of a store's events; returns False if neither a peer nor the store sent one."""
         contents = self._state.kv_store_contents[address]
         page = None
--- a/src/wallwell/node/state.py
+++ b/src/wallwell/node/state.py
@@ -237,8 +237,7 @@
     def on_version_refused(self, backend: Backend, model: str, reported: int) -> None:
         """Assume another weights version for a back end that refused the expected one.
 
-        That is the version it ``reported``; or, if 0 (none), the newest named one; or, if that was refused, the
-        listed one.
+        That is ``reported``; if it is 0 (none), the newest named one; if that was refused, the listed one.
         """
         if reported:
             backend.set_believed_version(model, reported)
--- a/tests/unit/node/test_kv_store_watch.py
+++ b/tests/unit/node/test_kv_store_watch.py
@@ -107,9 +107,9 @@
 def test_member_reads_from_its_relay_without_calling_the_store(with_nodes):
     async def scenario(store, relay, member):
         store.save("a")
-        await relay.watch.step(ADDRESS)
+        await relay.watch.read_once(ADDRESS)
         calls = store.calls
-        await member.watch.step(ADDRESS)
+        await member.watch.read_once(ADDRESS)
         assert (relay.holds("a"), member.holds("a"), store.calls) == (True, True, calls)
 
     with_nodes(scenario)
@@ -119,12 +119,12 @@
     monkeypatch.setattr("wallwell.node.kv_store_watch.EVENT_WAIT_S", 30.0)
 
     async def scenario(store, relay, member):
-        await relay.watch.step(ADDRESS)
-        await member.watch.step(ADDRESS)
-        waiting = asyncio.create_task(member.watch.step(ADDRESS))
+        await relay.watch.read_once(ADDRESS)
+        await member.watch.read_once(ADDRESS)
+        waiting = asyncio.create_task(member.watch.read_once(ADDRESS))
         await asyncio.sleep(0.05)
         store.save("a")
-        await relay.watch.step(ADDRESS)
+        await relay.watch.read_once(ADDRESS)
         async with asyncio.timeout(20):
             await waiting
         assert member.holds("a")
@@ -136,15 +136,15 @@
 def test_only_a_silent_store_counts_as_unreachable(with_nodes, error):
     async def scenario(store, relay, member):
         for node in (relay, member):
-            await node.watch.step(ADDRESS)
+            await node.watch.read_once(ADDRESS)
         store.error = error
-        assert not await relay.watch.step(ADDRESS)
-        await member.watch.step(ADDRESS)
+        assert not await relay.watch.read_once(ADDRESS)
+        await member.watch.read_once(ADDRESS)
         silent = isinstance(error, CacheStoreSilentError)
         assert (relay.cache.reachable, member.cache.reachable) == (not silent, not silent)
         store.error = None
         for node in (relay, member):
-            await node.watch.step(ADDRESS)
+            await node.watch.read_once(ADDRESS)
         assert relay.cache.reachable
         assert member.cache.reachable
 
@@ -155,10 +155,10 @@
     async def scenario(store, relay, member):
         store.save("a")
         for node in (relay, member):
-            await node.watch.step(ADDRESS)
+            await node.watch.read_once(ADDRESS)
         store.restart()
         for node in (relay, member):
-            await node.watch.step(ADDRESS)
+            await node.watch.read_once(ADDRESS)
         assert not relay.holds("a")
         assert not member.holds("a")
 
@@ -167,17 +167,17 @@
 
 def test_lost_events_cause_one_listing_per_interval(with_nodes):
     async def scenario(store, relay, member):
-        await relay.watch.step(ADDRESS)
+        await relay.watch.read_once(ADDRESS)
         relay.watch._listed_at_s.clear()
         store.save("lost", announced=False)
         store.save("told")
         for _ in range(4):
-            await relay.watch.step(ADDRESS)
+            await relay.watch.read_once(ADDRESS)
         assert relay.holds("lost")
         listings = store.listings
         store.save("lost too", announced=False)
         for _ in range(4):
-            await relay.watch.step(ADDRESS)
+            await relay.watch.read_once(ADDRESS)
         assert store.listings == listings
 
     with_nodes(scenario)
@@ -188,7 +188,7 @@
         store.save("a")
         relay.server.close()
         await asyncio.sleep(0.01)
-        assert await member.watch.step(ADDRESS)
+        assert await member.watch.read_once(ADDRESS)
         assert member.holds("a")
 
     with_nodes(scenario)
@@ -222,10 +222,10 @@
         for address in addresses:
             for node in (relay, member):
                 node.state.kv_store_contents.setdefault(address, KvStoreContents())
-            await relay.watch.step(address)
+            await relay.watch.read_once(address)
         calls = store.calls
         for _ in range(3):
-            assert all(await asyncio.gather(*(member.watch.step(address) for address in addresses)))
+            assert all(await asyncio.gather(*(member.watch.read_once(address) for address in addresses)))
         assert store.calls == calls
 
     with_nodes(scenario)
@@ -240,7 +240,7 @@
         node = Node("a", store)
         for error in (REFUSED, REFUSED, None, REFUSED):
             store.error = error
-            await node.watch.step(ADDRESS)
+            await node.watch.read_once(ADDRESS)
 
     asyncio.run(scenario())
     assert events == [Event.CACHE_EVENTS_REFUSED] * 2
@@ -256,8 +256,8 @@
         for error in (None, CacheStoreSilentError("x"), None):
             store.error = error
             store.save("a")
-            await relay.watch.step(ADDRESS)
-            await member.watch.step(ADDRESS)
+            await relay.watch.read_once(ADDRESS)
+            await member.watch.read_once(ADDRESS)
 
     with_nodes(scenario)
     assert events == [Event.CACHE_STORE_LOST] * 2 + [Event.CACHE_STORE_REGAINED] * 2
