--- a/src/wallwell/node/crash_watch.py
+++ b/src/wallwell/node/crash_watch.py
@@ -1,12 +1,12 @@
-"""Finds back ends that have crashed, and keeps in the store which requests they were running.
+"""Detects crashes of back ends and records in the store which requests they were running.
 
-Whether a back end has crashed is found out by :mod:`wallwell.node.crash_probe`. One row for each request and crash
-goes to the store, without a condition: writing it twice changes nothing, every node counts the rows, and a node
-that starts reads them.
+:mod:`wallwell.node.crash_probe` decides whether a back end has crashed. For each request and crash one row is
+written to the store, unconditionally, since writing it twice changes nothing. Every node counts the rows, and a
+starting node reads them.
 
-Owns the examinations in progress and the rows that the store has not taken yet. The counts are in
-``NodeState.quarantine``, which decides what is refused. Relies on attempts being reported
-(:meth:`CrashWatch.on_broken_run`, :meth:`CrashWatch.on_answered`) and on the followed rows of this product's table.
+Owns the probes in progress and the rows that the store has not accepted yet. The counts are in
+``NodeState.quarantine``, which decides which requests are refused. Relies on reports of attempts
+(:meth:`CrashWatch.on_broken_run`, :meth:`CrashWatch.on_answered`) and on the rows of the nodes' own table.
 """
 
 from __future__ import annotations
@@ -29,115 +29,114 @@
 from wallwell.storage.table import Put, TableService, Transaction
 
 CRASH_PREFIX = "crash/"
-"""Rows ``crash/CONTENT/START``, by :attr:`Backend.start_id`; the value names the node that saw it."""
-MAX_WRITES = 100
-"""Entries of one transaction (the store's bound)."""
-MAX_UNWRITTEN = 4096
-"""Rows that wait for a store that takes no writes: as many as suspects are remembered. The oldest are dropped
-first; the store then lacks a crash that this node knows, or keeps an expired one until nodes expire it again."""
-RETRY_S = 0.4
-"""Mean seconds from a failed write to the next."""
-RETRY_JITTER = (0.5, 1.5)
-"""Range of factors on that time, so that nodes do not write together once the store is back."""
-WRITTEN_AGAIN_S = 60.0
-"""Seconds for which a row that was written is kept to be written again: a store that comes back from a copy has
-lost the last seconds before it."""
-MAX_WRITTEN_KNOWN = 1000
-"""Rows kept for that, far more than are written in that time."""
-SWEEP_S = 5.0
-"""Seconds between two removals of expired crashes: small beside the minutes they count for."""
+"""Prefix of keys ``crash/CONTENT_DIGEST/START_ID`` (:attr:`Backend.start_id`); the value is the reporting node."""
+MAX_TRANSACTION_ROWS = 100
+"""Most rows of one transaction; a limit of the store."""
+MAX_UNWRITTEN_ROWS = 4096
+"""Most rows that wait while the store accepts no writes: as many as suspects are remembered. The oldest are dropped
+first; the store then lacks a crash that this node counts, or keeps an expired one until nodes expire it again."""
+WRITE_RETRY_S = 0.4
+"""Mean seconds between a failed write and its retry."""
+WRITE_RETRY_JITTER = (0.5, 1.5)
+"""Range of random factors on ``WRITE_RETRY_S``, so that nodes do not write together once the store is back."""
+REWRITE_WINDOW_S = 60.0
+"""Seconds for which a written row is remembered, to write it again if the store is restored from an older copy,
+which lacks the last seconds of writes."""
+MAX_RECENT_WRITES = 1000
+"""Most rows remembered for rewriting, far more than are written in ``REWRITE_WINDOW_S``."""
+SWEEP_INTERVAL_S = 5.0
+"""Seconds between two removals of expired crashes: short compared with the minutes for which a crash counts."""
 
 
 class CrashWatch:
-    """One node's part: probes back ends, counts crashes, writes them to the store and removes expired ones."""
+    """Probes back ends after broken attempts, counts crashes, writes them to the store and removes expired ones."""
 
     def __init__(
-        self, state: NodeState, check: CrashCheck, table: TableService, members: Callable[[], Iterable[str]]
+        self, state: NodeState, check: CrashCheck, table: TableService, member_names: Callable[[], Iterable[str]]
     ) -> None:
-        """``members`` names the nodes that share the removal of old rows."""
+        """``member_names`` returns the names of the nodes that share the removal of expired rows."""
         self._state = state
         self._probe = CrashProbe(check)
         self._table = table
-        self._members = members
-        self._broken: dict[str, set[str]] = {}
-        """Contents of broken attempts, by the start of a back end that is being probed."""
+        self._member_names = member_names
+        self._broken_digests: dict[str, set[str]] = {}
+        """Content digests of broken attempts, by the ``start_id`` of a back end that is being probed."""
         self._probes = BackgroundTasks()
         self._unwritten: dict[str, bool] = {}
-        """Keys to write (True) or to delete (False)."""
-        self._written: dict[str, tuple[bool, float]] = {}
-        """Keys written or deleted of late, and when, in that order."""
+        """Keys of rows to write (True) or to delete (False)."""
+        self._recent_writes: dict[str, tuple[bool, float]] = {}
+        """By key: whether a row was last written (True) or deleted (False), and when; oldest first."""
         self._has_work = asyncio.Event()
-        self._has_failed = False
-        """Whether the store did not take the last write, so that an outage is logged once."""
-        self._has_dropped = False
-        """Whether rows were dropped since the store took the last write, which is logged once too."""
+        self._is_write_failing = False
+        """Whether the last write failed, so that an outage is logged once."""
+        self._has_dropped_rows = False
+        """Whether rows were dropped since the last successful write, which is logged once too."""
 
     # --- attempts --------------------------------------------------------------------------------------
 
-    def on_broken_run(self, content: str, backend: Backend) -> None:
-        """The connection of an attempt ended before its answer was whole."""
+    def on_broken_run(self, content_digest: str, backend: Backend) -> None:
+        """Probe a back end whose connection to an attempt ended before the answer was complete."""
         if backend.has_announced_leave or (backend.is_leaving(boot_time_s()) and not backend.superseded):
-            return  # The end of a planned stop.
-        broken = self._broken.get(backend.start_id)
-        if broken is not None:
-            broken.add(content)
+            return  # A planned stop ends connections too.
+        probed_digests = self._broken_digests.get(backend.start_id)
+        if probed_digests is not None:
+            probed_digests.add(content_digest)
             return
-        self._broken[backend.start_id] = {content}
-        self._probes.begin(self._examine(backend))
+        self._broken_digests[backend.start_id] = {content_digest}
+        self._probes.begin(self._probe_backend(backend))
 
-    def on_answered(self, content: str) -> None:
-        """A request was answered with success: whatever crashed beside it, it was not the cause."""
-        crashes = self._state.quarantine.on_answered(content, boot_time_s())
-        self._write({_key(content, incarnation): False for incarnation in crashes})
+    def on_answered(self, content_digest: str) -> None:
+        """Delete the crashes of a request that was answered successfully, since it cannot have caused them."""
+        crashes = self._state.quarantine.on_answered(content_digest, boot_time_s())
+        self._write({_crash_key(content_digest, incarnation): False for incarnation in crashes})
 
-    async def _examine(self, backend: Backend) -> None:
-        start = backend.start_id
+    async def _probe_backend(self, backend: Backend) -> None:
+        start_id = backend.start_id
         try:
             has_crashed = await self._probe.has_crashed(backend)
         finally:
-            # Attempts that break from now on start probes of their own.
-            contents = self._broken.pop(start)
+            # Attempts that break from now on start a new series of probes.
+            content_digests = self._broken_digests.pop(start_id)
         if not has_crashed:
-            has_crashed = await self._probe.is_replaced_soon(backend)
+            has_crashed = await self._probe.wait_for_successor(backend)
         if has_crashed:
-            emit(Event.BACKEND_CRASHED, backend=backend.incarnation, runs=len(contents))
-            for content in contents:
-                self._count(content, start)
+            emit(Event.BACKEND_CRASHED, backend=backend.incarnation, runs=len(content_digests))
+            for content_digest in content_digests:
+                self._record_crash(content_digest, start_id)
 
-    def _count(self, content: str, incarnation: str) -> None:
-        if count_crash(self._state.quarantine, content, incarnation, boot_time_s()):
-            self._write({_key(content, incarnation): True})
+    def _record_crash(self, content_digest: str, incarnation: str) -> None:
+        if count_crash(self._state.quarantine, content_digest, incarnation, boot_time_s()):
+            self._write({_crash_key(content_digest, incarnation): True})
 
     # --- rows and reports of other nodes ---------------------------------------------------------------
 
     def on_row(self, row: FeedRow, now_s: float) -> None:
-        """Apply a row of this product's own table; other kinds than crashes are ignored."""
+        """Apply a crash row of the nodes' own table; rows of other kinds are ignored."""
         if not row.key.startswith(CRASH_PREFIX):
             return
-        content, incarnation = _crash_of(row.key)
+        content_digest, incarnation = _parse_key(row.key)
         if row.value is None:
-            self._state.quarantine.forget_crash(content, incarnation)
-        elif self._state.quarantine.is_cleared(content, now_s):
+            self._state.quarantine.forget_crash(content_digest, incarnation)
+        elif self._state.quarantine.is_cleared(content_digest, now_s):
             self._write({row.key: False})
         else:
-            count_crash(self._state.quarantine, content, incarnation, now_s)
+            count_crash(self._state.quarantine, content_digest, incarnation, now_s)
 
     def on_peer_report(self, crash: Crash) -> None:
-        """Count a crash that a peer reports, since the store has not taken it yet; the peer that saw it writes
-        it."""
+        """Count a crash that the store has not accepted yet; the peer that detected it writes it."""
         count_crash(self._state.quarantine, *crash, boot_time_s())
 
-    def unwritten(self) -> Sequence[Crash]:
-        """Return the crashes that the store has not taken, newest first; nothing while it takes writes."""
-        if not self._has_failed:
+    def unwritten_crashes(self) -> Sequence[Crash]:
+        """Return the crashes that the store has not accepted, newest first; none while it accepts writes."""
+        if not self._is_write_failing:
             return ()
-        return [_crash_of(key) for key, is_put in reversed(self._unwritten.items()) if is_put]
+        return [_parse_key(key) for key, is_put in reversed(self._unwritten.items()) if is_put]
 
     def on_era(self, _era: int, is_restored: bool) -> None:
-        """After a restore, what the store may have lost is written again."""
+        """Repeat recent writes and deletions if the store was restored, since it may have lost them."""
         if is_restored:
-            since_s = boot_time_s() - WRITTEN_AGAIN_S
-            self._write({key: is_put for key, (is_put, at_s) in self._written.items() if at_s > since_s})
+            since_s = boot_time_s() - REWRITE_WINDOW_S
+            self._write({key: is_put for key, (is_put, at_s) in self._recent_writes.items() if at_s > since_s})
 
     # --- the store -------------------------------------------------------------------------------------
 
@@ -146,67 +145,67 @@
             return
         self._unwritten.update(changes)
         self._has_work.set()
-        excess = len(self._unwritten) - MAX_UNWRITTEN
+        excess = len(self._unwritten) - MAX_UNWRITTEN_ROWS
         if excess <= 0:
             return
         for key in list(islice(self._unwritten, excess)):
             del self._unwritten[key]
-        if not self._has_dropped:
-            emit(Event.CRASHES_NOT_WRITTEN, rows=excess, reason=f"dropped: more than {MAX_UNWRITTEN} wait")
-        self._has_dropped = True
+        if not self._has_dropped_rows:
+            emit(Event.CRASHES_NOT_WRITTEN, rows=excess, reason=f"dropped: more than {MAX_UNWRITTEN_ROWS} wait")
+        self._has_dropped_rows = True
 
     async def run(self) -> None:
         """Write crashes and remove expired ones until cancelled."""
-        swept_s = boot_time_s()
+        last_sweep_s = boot_time_s()
         while True:
-            await ends_within(self._has_work.wait(), SWEEP_S)
+            await ends_within(self._has_work.wait(), SWEEP_INTERVAL_S)
             now_s = boot_time_s()
-            if now_s - swept_s >= SWEEP_S:
+            if now_s - last_sweep_s >= SWEEP_INTERVAL_S:
                 self._sweep(now_s)
-                swept_s = now_s
-            if self._unwritten and not await self.write_some():
-                await asyncio.sleep(RETRY_S * self._state.rng.uniform(*RETRY_JITTER))
+                last_sweep_s = now_s
+            if self._unwritten and not await self.write_batch():
+                await asyncio.sleep(WRITE_RETRY_S * self._state.rng.uniform(*WRITE_RETRY_JITTER))
 
-    async def write_some(self) -> bool:
-        """Write as much as one transaction takes; returns False if the store did not take it."""
-        batch = dict(list(self._unwritten.items())[:MAX_WRITES])
+    async def write_batch(self) -> bool:
+        """Write as many rows as one transaction may hold; returns False if the store did not accept it."""
+        batch = dict(list(self._unwritten.items())[:MAX_TRANSACTION_ROWS])
         puts = tuple(Put(key, self._state.node) for key, is_put in batch.items() if is_put)
         deletes = tuple(key for key, is_put in batch.items() if not is_put)
         try:
             await self._table.transact(Transaction((), puts, deletes))
         except (PlatformUnavailableError, TableConflictError) as error:
-            if not self._has_failed:
+            if not self._is_write_failing:
                 emit(Event.CRASHES_NOT_WRITTEN, rows=len(batch), reason=str(error))
-            self._has_failed = True
+            self._is_write_failing = True
             return False
-        self._has_failed = self._has_dropped = False
+        self._is_write_failing = self._has_dropped_rows = False
         now_s = boot_time_s()
         for key, is_put in batch.items():
-            self._written.pop(key, None)
-            self._written[key] = (is_put, now_s)
+            self._recent_writes.pop(key, None)
+            self._recent_writes[key] = (is_put, now_s)
             if self._unwritten.get(key) is is_put:
                 del self._unwritten[key]
-        while len(self._written) > MAX_WRITTEN_KNOWN:
-            del self._written[next(iter(self._written))]
+        while len(self._recent_writes) > MAX_RECENT_WRITES:
+            del self._recent_writes[next(iter(self._recent_writes))]
         if not self._unwritten:
             self._has_work.clear()
         return True
 
     def _sweep(self, now_s: float) -> None:
-        """Forget expired crashes; one node removes each row."""
-        members = {*self._members(), self._state.node}
-        for content, incarnation in self._state.quarantine.remove_expired(now_s):
-            key = _key(content, incarnation)
-            if owner(members, rendezvous_key(content)) == self._state.node:
+        """Remove expired crashes from the counts; for each row, one node deletes it from the store."""
+        members = {*self._member_names(), self._state.node}
+        for content_digest, incarnation in self._state.quarantine.remove_expired(now_s):
+            key = _crash_key(content_digest, incarnation)
+            if owner(members, rendezvous_key(content_digest)) == self._state.node:
                 self._write({key: False})
             else:
-                self._unwritten.pop(key, None)  # Written now, it would count anew at every node.
+                self._unwritten.pop(key, None)  # Writing an expired crash would make every node count it again.
 
 
-def _crash_of(key: str) -> Crash:
-    content, _, incarnation = key[len(CRASH_PREFIX) :].partition("/")
-    return content, incarnation
+def _parse_key(key: str) -> Crash:
+    content_digest, _, incarnation = key[len(CRASH_PREFIX) :].partition("/")
+    return content_digest, incarnation
 
 
-def _key(content: str, incarnation: str) -> str:
-    return f"{CRASH_PREFIX}{content}/{incarnation}"
+def _crash_key(content_digest: str, incarnation: str) -> str:
+    return f"{CRASH_PREFIX}{content_digest}/{incarnation}"
--- a/src/wallwell/node/kv_store_watch.py
+++ b/src/wallwell/node/kv_store_watch.py
@@ -1,8 +1,7 @@
-"""Follows what the KV stores hold: from a peer that follows a store, or from the store itself.
+"""Tracks the contents of the KV stores, through a peer that follows a store or from the store itself.
 
-Owns a follower task for each configured store and the links to peers. The copies of the stores' content are in
-``NodeState.kv_store_contents``; cache planning reads them. Relies on :class:`UpstreamOrder` for the choice of a
-peer.
+Owns a follower task for each configured store and the links to peers. The copies of the contents are in
+``NodeState.kv_store_contents``, for cache planning. Relies on :class:`UpstreamOrder` to choose a peer.
 """
 
 from __future__ import annotations
@@ -21,41 +20,41 @@
 from wallwell.node.state import NodeState
 from wallwell.routing.selection.kv_store import CachePage, CachePosition, KvStoreContents
 
-WAIT_S = 0.8
-"""Seconds for which a call is held open until there is an event; as for the tables
+EVENT_WAIT_S = 0.8
+"""Seconds for which a call is held open until there is an event; the same as for the store's tables
 (:mod:`wallwell.node.followers`)."""
-PAUSE_S = 0.1
-"""Seconds after a page, so that events which come close together cost one call."""
+PAGE_PAUSE_S = 0.1
+"""Pause in seconds after a page, so that events in quick succession cost one call."""
 RETRY_S = 0.5
-"""Mean seconds after a failed call until the next."""
+"""Mean seconds between a failed call and the next."""
 RETRY_JITTER = (0.8, 1.2)
-"""Range of factors on that time, so that nodes do not call together once a store is back."""
+"""Range of random factors on ``RETRY_S``, so that nodes do not call together once a store is back."""
 ANSWER_MARGIN_S = 0.5
-"""Seconds for which a peer's answer is waited for beyond the agreed wait; as for the tables
-(``relay.ANSWER_MARGIN_S``)."""
-CONFIG_TICK_S = 0.2
-"""Seconds between two checks which stores are configured."""
-LISTING_INTERVAL_S = 5.0
-"""Least seconds between two whole listings that missing events call for; a listing keeps the store busy."""
+"""Seconds to wait for a peer's answer beyond the time for which the peer may hold the request; the same as for the
+tables (``relay.ANSWER_MARGIN_S``)."""
+CONFIG_CHECK_INTERVAL_S = 0.2
+"""Seconds between two checks of which stores are configured."""
+MIN_LISTING_INTERVAL_S = 5.0
+"""Least seconds between two full listings after missed events, since a listing is expensive for the store."""
 
 
 class CacheEventSource(Protocol):
-    """Reads a store's events and its whole content."""
+    """Reads the events and the full content of a KV store."""
 
     async def events(self, address: str, position: CachePosition, wait_s: float) -> CachePage:
-        """Return what changed after a position, waiting up to ``wait_s``; everything if the position is unknown.
+        """Return the changes after a position, waiting up to ``wait_s``; everything if the position is unknown.
 
         Raises :class:`CacheStoreSilentError` or :class:`CacheEventsRefusedError`.
         """
         ...
 
     async def listing(self, address: str) -> CachePage:
-        """Return everything the store holds. Raises as :meth:`events` does."""
+        """Return the full content of the store. Raises the same errors as :meth:`events`."""
         ...
 
 
 class CacheRequest(PeerMessage, frozen=True):
-    """Ask a peer for what changed at a store after a position."""
+    """Asks a peer for the changes at a store after a position."""
 
     address: str
     position: CachePosition
@@ -63,134 +62,134 @@
 
 
 class CacheReply(msgspec.Struct, frozen=True):
-    """Answer to :class:`CacheRequest`; without a page the peer does not know the store's content."""
+    """Answer to :class:`CacheRequest`; ``page`` is None if the peer has not read the store's content."""
 
     page: CachePage | None = None
     reachable: bool = True
 
 
 class KvStoreWatch:
-    """Keeps a copy of each configured store's content and answers peers from it."""
+    """Keeps a copy of the content of each configured store and answers peers from it."""
 
     def __init__(self, state: NodeState, source: CacheEventSource, order: UpstreamOrder) -> None:
         self._state = state
         self._source = source
         self._order = order
-        self._links: defaultdict[str, PeerLinks] = defaultdict(PeerLinks)
-        """By store: a link carries one request at a time, and each store is followed by a task of its own."""
+        self._peer_links: defaultdict[str, PeerLinks] = defaultdict(PeerLinks)
+        """By store address: a link carries one request at a time, and one task per store uses it."""
         self._followers: dict[str, asyncio.Task[None]] = {}
         self._listed_at_s: dict[str, float] = {}
-        self._refusing: set[str] = set()
-        """Stores that answered the last call without events."""
-        self._advanced = asyncio.Event()
+        self._refusing_stores: set[str] = set()
+        """Addresses of stores that refused the last call for events."""
+        self._page_applied = asyncio.Event()
 
     async def run(self) -> None:
-        """Follow whatever stores are configured, until cancelled."""
+        """Follow the configured stores until cancelled."""
         try:
             while True:
                 self._reconcile()
-                await asyncio.sleep(CONFIG_TICK_S)
+                await asyncio.sleep(CONFIG_CHECK_INTERVAL_S)
         finally:
-            for task in self._followers.values():
-                task.cancel()
+            for follower in self._followers.values():
+                follower.cancel()
             self._followers.clear()
 
     def _reconcile(self) -> None:
         config = self._state.config
-        wanted = {each.kv_store_address for each in config.kv_stores} if config is not None else set()
-        for address in self._followers.keys() - wanted:
+        configured = {each.kv_store_address for each in config.kv_stores} if config is not None else set()
+        for address in self._followers.keys() - configured:
             self._followers.pop(address).cancel()
             self._state.kv_store_contents.pop(address, None)
-        for address in wanted:
-            running = self._followers.get(address)
-            if running is None or running.done():
+        for address in configured:
+            task = self._followers.get(address)
+            if task is None or task.done():
                 self._state.kv_store_contents.setdefault(address, KvStoreContents())
                 self._followers[address] = asyncio.create_task(self._follow(address))
 
     async def _follow(self, address: str) -> None:
         while True:
-            took_page = await self.step(address)
-            await asyncio.sleep(PAUSE_S if took_page else RETRY_S * self._state.rng.uniform(*RETRY_JITTER))
+            has_page = await self.read_once(address)
+            await asyncio.sleep(PAGE_PAUSE_S if has_page else RETRY_S * self._state.rng.uniform(*RETRY_JITTER))
 
-    async def step(self, address: str) -> bool:
-        """Apply one page of a store's events; returns False if neither peer nor store sent one."""
-        cache = self._state.kv_store_contents[address]
+    async def read_once(self, address: str) -> bool:
+        """Fetch and apply one page of a store's events; returns False if neither a peer nor the store sent one."""
+        contents = self._state.kv_store_contents[address]
         page = None
         candidates = self._order.candidates(boot_time_s())
         if candidates:
-            page = await self._from_peer(*candidates[0], address, cache)
+            page = await self._ask_peer(*candidates[0], address, contents)
         if page is None:
-            page = await self._from_store(address, cache)
+            page = await self._ask_store(address, contents)
         if page is None:
             return False
-        cache.apply_page(page)
-        self._advanced.set()
-        self._advanced = asyncio.Event()
+        contents.apply_page(page)
+        self._page_applied.set()
+        self._page_applied = asyncio.Event()
         return True
 
-    async def _from_peer(self, name: str, peer: str, address: str, cache: KvStoreContents) -> CachePage | None:
-        wants_all = cache.has_gaps and self._may_list(address)
-        position = CachePosition() if wants_all else cache.position
-        request = CacheRequest(address, position, WAIT_S)
-        links = self._links[address]
-        links.keep({name})
+    async def _ask_peer(self, peer: str, relay: str, address: str, contents: KvStoreContents) -> CachePage | None:
+        needs_listing = contents.has_gaps and self._may_list(address)
+        position = CachePosition() if needs_listing else contents.position
+        request = CacheRequest(address, position, EVENT_WAIT_S)
+        links = self._peer_links[address]
+        links.keep({peer})
         try:
-            reply = await links.to(name, peer).ask(request, CacheReply, WAIT_S + ANSWER_MARGIN_S)
+            reply = await links.to(peer, relay).ask(request, CacheReply, EVENT_WAIT_S + ANSWER_MARGIN_S)
         except PeerUnavailableError:
-            # Not logged: the tables are followed through the same peer, which logs its loss and passes it over.
+            # Not logged: the followers of the tables use the same peer; they log its loss and choose another.
             return None
         if reply.page is not None:
-            self._note_listing(address, reply.page)
-            _set_reachable(cache, address, reply.reachable, reason=f"told by {name}")
+            self._record_listing(address, reply.page)
+            _set_reachable(contents, address, reply.reachable, reason=f"reported by {peer}")
         return reply.page
 
-    async def _from_store(self, address: str, cache: KvStoreContents) -> CachePage | None:
+    async def _ask_store(self, address: str, contents: KvStoreContents) -> CachePage | None:
         try:
-            if cache.has_gaps and self._may_list(address):
+            if contents.has_gaps and self._may_list(address):
                 page = await self._source.listing(address)
             else:
-                page = await self._source.events(address, cache.position, WAIT_S)
+                page = await self._source.events(address, contents.position, EVENT_WAIT_S)
         except CacheStoreSilentError as error:
-            _set_reachable(cache, address, reachable=False, reason=error.detail)
+            _set_reachable(contents, address, reachable=False, reason=error.detail)
             return None
         except CacheEventsRefusedError as error:
-            # Logged once until the store sends events again, since the call is made twice a second.
-            if address not in self._refusing:
-                self._refusing.add(address)
+            # Logged once until the store sends events again, since the call is repeated twice a second.
+            if address not in self._refusing_stores:
+                self._refusing_stores.add(address)
                 emit(Event.CACHE_EVENTS_REFUSED, address=address, reason=error.detail)
             return None
-        self._refusing.discard(address)
-        self._note_listing(address, page)
-        _set_reachable(cache, address, reachable=True)
+        self._refusing_stores.discard(address)
+        self._record_listing(address, page)
+        _set_reachable(contents, address, reachable=True)
         return page
 
-    def _note_listing(self, address: str, page: CachePage) -> None:
+    def _record_listing(self, address: str, page: CachePage) -> None:
         if page.whole:
             self._listed_at_s[address] = boot_time_s()
 
     def _may_list(self, address: str) -> bool:
-        return boot_time_s() - self._listed_at_s.get(address, float("-inf")) >= LISTING_INTERVAL_S
+        return boot_time_s() - self._listed_at_s.get(address, float("-inf")) >= MIN_LISTING_INTERVAL_S
 
-    async def answer(self, request: CacheRequest) -> CacheReply:
-        """Answer a peer from the copy, once there is something new or the agreed wait is over."""
-        cache = self._state.kv_store_contents.get(request.address)
-        if cache is None or not cache.has_been_read:
+    async def answer_peer(self, request: CacheRequest) -> CacheReply:
+        """Answer a peer from the copy as soon as there is a change, or after the wait that the peer asked for."""
+        contents = self._state.kv_store_contents.get(request.address)
+        if contents is None or not contents.has_been_read:
             return CacheReply()
-        give_up_s = boot_time_s() + request.wait_s
-        while cache.position == request.position and (left_s := give_up_s - boot_time_s()) > 0:
-            await ends_within(self._advanced.wait(), left_s)
-        return CacheReply(cache.changes_since(request.position), cache.reachable)
+        deadline_s = boot_time_s() + request.wait_s
+        while contents.position == request.position and (left_s := deadline_s - boot_time_s()) > 0:
+            await ends_within(self._page_applied.wait(), left_s)
+        return CacheReply(contents.changes_since(request.position), contents.reachable)
 
     def close(self) -> None:
         """Close the connections to peers."""
-        for links in self._links.values():
+        for links in self._peer_links.values():
             links.keep(set())
 
 
-def _set_reachable(cache: KvStoreContents, address: str, reachable: bool, reason: str = "") -> None:
-    """Note whether a store answers, its own word or a peer's; each change is logged once."""
-    if cache.reachable and not reachable:
+def _set_reachable(contents: KvStoreContents, address: str, reachable: bool, reason: str = "") -> None:
+    """Record whether a store answers, as seen here or reported by a peer; each change is logged once."""
+    if contents.reachable and not reachable:
         emit(Event.CACHE_STORE_LOST, address=address, reason=reason)
-    elif reachable and not cache.reachable:
+    elif reachable and not contents.reachable:
         emit(Event.CACHE_STORE_REGAINED, address=address)
-    cache.reachable = reachable
+    contents.reachable = reachable
--- a/tests/unit/node/test_peer_ports.py
+++ b/tests/unit/node/test_peer_ports.py
@@ -1,4 +1,4 @@
-"""A node serves its peers on the first port that is free, and logs once that others were not."""
+"""A node serves its peers on the first free port, and logs once that others were in use."""
 
 import asyncio
 from types import SimpleNamespace
@@ -10,8 +10,8 @@
 from wallwell.node.node import FleetNode
 
 
-class Peers:
-    """Can listen on free ports only."""
+class FakePeerServer:
+    """Raises OSError for ports that are not free."""
 
     def __init__(self, free):
         self.free = free
@@ -34,6 +34,6 @@
 def test_the_first_free_port_serves_peers(monkeypatch, free, port, expected):
     events = []
     monkeypatch.setattr(node_module, "emit", lambda event, **fields: events.append(event))
-    node = SimpleNamespace(_peers=Peers(free))
+    node = SimpleNamespace(_peer_server=FakePeerServer(free))
     asyncio.run(FleetNode.listen_for_peers(node, "127.0.0.1", range(1, 4)))
-    assert (node._peers.port, events) == (port, expected)
+    assert (node._peer_server.port, events) == (port, expected)
--- a/tests/unit/node/test_unreadable_rows.py
+++ b/tests/unit/node/test_unreadable_rows.py
@@ -1,9 +1,9 @@
-"""Entries of back ends that another writer has spoilt: they name none, and all other rows of the page hold.
+"""Corrupt entries of back ends: the back end under the key is removed, and all other rows of the page apply.
 
-Seen: a value that is no base64 ended the follower of its table, again at each reading, so that the whole
-listing stood still; one that is no text kept a relay from answering its followers. An entry that cannot be
-decoded was passed over, so that the back end known under its key stayed in use.
-Cause: nothing but missing and undecodable JSON was taken for possible in a table that others write.
+A value with invalid base64 stopped the follower of its table at each read, so that no listing was applied; one with
+invalid UTF-8 kept a relay from answering its followers. An undecodable entry was ignored, so that the back end
+listed under its key stayed in use. Only missing and undecodable JSON had been expected in a table that others
+write.
 """
 
 import msgspec
@@ -17,8 +17,8 @@
 from wallwell.platform.store_wire import StoredRow, encode_value, feed_row
 from wallwell.storage.feed import FeedPage, FollowedPage
 
-NO_BASE64, NO_TEXT, NO_JSON = "%", "/w==", encode_value("{")
-NO_ADDRESS = encode_value('{"service":"svc"}')
+INVALID_BASE64, INVALID_UTF8, INVALID_JSON = "%", "/w==", encode_value("{")
+MISSING_ADDRESS = encode_value('{"service":"svc"}')
 
 
 class Sources:
@@ -36,12 +36,12 @@
         self.rows = BackendRows(self.state, Sources, ConnectionPool("X", 1.0, 1.0))
         self.version = 0
 
-    def take(self, whole=False, **values):
+    def apply_page(self, is_snapshot=False, **values):
         stored = []
         for key, value in values.items():
             self.version += 1
             stored.append(feed_row(StoredRow(key, value, self.version)))
-        self.rows.apply(FollowedPage(FeedPage(tuple(stored), self.version, 0.0), whole, 0.0, 0.0))
+        self.rows.apply(FollowedPage(FeedPage(tuple(stored), self.version, 0.0), is_snapshot, 0.0, 0.0))
 
     def names(self):
         return [each.incarnation for each in self.state.backends.backends_of_service("svc")]
@@ -55,15 +55,17 @@
     logger.remove(sink)
 
 
-@pytest.mark.parametrize("whole", [True, False], ids=["whole", "a change"])
+@pytest.mark.parametrize("is_snapshot", [True, False], ids=["snapshot", "a change"])
 @pytest.mark.parametrize(
-    "spoilt", [NO_BASE64, NO_TEXT, NO_JSON, NO_ADDRESS], ids=["no base64", "no text", "no JSON", "no address"]
+    "corrupt",
+    [INVALID_BASE64, INVALID_UTF8, INVALID_JSON, MISSING_ADDRESS],
+    ids=["invalid base64", "invalid UTF-8", "invalid JSON", "missing address"],
 )
-def test_a_back_end_under_a_spoilt_entry_is_gone_and_the_others_hold(spoilt, whole, logged):
+def test_back_end_with_a_corrupt_entry_is_removed_and_others_stay(corrupt, is_snapshot, logged):
     listing = Listing()
-    listing.take(True, a=entry(1), b=entry(2))
+    listing.apply_page(True, a=entry(1), b=entry(2))
     known = listing.state.backends.get("b")
-    listing.take(whole, a=entry(1), b=spoilt, c=entry(3))
+    listing.apply_page(is_snapshot, a=entry(1), b=corrupt, c=entry(3))
     assert listing.names() == ["a", "c"]
     assert known.gone
     assert [(each["event"], each["backend"], each["further"]) for each in logged] == [(6023, "b", 0)]
@@ -71,21 +73,21 @@
 
 def test_a_back_end_that_lists_itself_again_is_used_again():
     listing = Listing()
-    listing.take(True, a=entry(1))
-    listing.take(a=NO_JSON)
-    listing.take(a=entry(1))
+    listing.apply_page(True, a=entry(1))
+    listing.apply_page(a=INVALID_JSON)
+    listing.apply_page(a=entry(1))
     assert listing.names() == ["a"]
 
 
-def test_a_thousand_spoilt_entries_are_logged_in_a_few_lines(logged):
+def test_a_thousand_corrupt_entries_are_logged_in_a_few_lines(logged):
     listing = Listing()
-    listing.take(True, good=entry(1), **{f"spoilt-{number}": NO_JSON for number in range(1000)})
+    listing.apply_page(True, good=entry(1), **{f"corrupt-{number}": INVALID_JSON for number in range(1000)})
     assert listing.names() == ["good"]
     assert len(logged) == MAX_UNREADABLE_LOGGED
     assert logged[-1]["further"] == 1000 - MAX_UNREADABLE_LOGGED
 
 
-def test_a_service_that_nobody_has_configured_serves_no_route():
+def test_back_end_of_an_unconfigured_service_serves_no_route():
     listing = Listing()
-    listing.take(True, a=entry(1), b=entry(2, service="unknown"))
+    listing.apply_page(True, a=entry(1), b=entry(2, service="unknown"))
     assert listing.names() == ["a"]
