--- a/src/wallwell/emulator/deployment.py
+++ b/src/wallwell/emulator/deployment.py
@@ -216,7 +216,7 @@
             node = router.context.node
             if not router.context.ready or node.config.head < head or head == 0:
                 return False
-            if len(node.engines.serving()) < len(self.engines):
+            if len(node.engines.serving_engines()) < len(self.engines):
                 return False
         return True
 
--- a/src/wallwell/standalone/backends/engine_watch.py
+++ b/src/wallwell/standalone/backends/engine_watch.py
@@ -19,7 +19,7 @@
 from wallwell.events import Event, emit
 from wallwell.standalone.backends import engine_protocol as wire
 from wallwell.standalone.backends.engine_client import EngineClient
-from wallwell.standalone.cluster.messages import INTERACTIVE_RANK, EngineNews
+from wallwell.standalone.cluster.messages import MAX_INTERACTIVE_RANK, EngineRecord
 from wallwell.standalone.cluster.node import ClusterNode
 from wallwell.standalone.cluster.shards import EngineReader
 from wallwell.standalone.config.compiled import Engine
@@ -75,14 +75,14 @@
 
     def _reconcile(self) -> None:
         engines = self._region_engines()
-        assigned = self._node.engines_to_read(engines)
+        assigned = self._node.assigned_engines(engines)
         for name in [name for name in self._tasks if name not in assigned]:
             self._tasks.pop(name).cancel()
             self._node.readers.pop(name, None)
             self.status.pop(name, None)
             if name in engines:
                 # Its next reader reports whether it is still leaving.
-                self._node.leaving_by_own_word.discard(engines[name].address)
+                self._node.leaving_by_engine_status.discard(engines[name].address)
         for name in assigned - self._tasks.keys():
             self._tasks[name] = asyncio.create_task(self._read_forever(engines[name]))
         self._publish(engines)
@@ -93,18 +93,18 @@
         reading = sorted(name for name in self.status if name in engines)
         serving = [name for name in reading if self.status[name].state is wire.EngineState.SERVING]
         news = tuple(
-            EngineNews(name, self.status[name].incarnation, tuple(sorted(self.status[name].weights.items())))
+            EngineRecord(name, self.status[name].incarnation, tuple(sorted(self.status[name].weights.items())))
             for name in serving
         )
         waiting = tuple(self._waiting_ms(name, now_s) for name in serving)
         for name in reading:
             self._note_leaving(engines[name], self.status[name].state is wire.EngineState.LEAVING)
-        self._node.set_engines(news, waiting)
+        self._node.publish_engines(news, waiting)
         self._learn_from_peers(now_s)
 
     def _waiting_ms(self, engine: str, now_s: float) -> tuple[int, int]:
         load = self._selector.load_of(engine)
-        interactive = load.waiting_s(now_s, INTERACTIVE_RANK)
+        interactive = load.waiting_s(now_s, MAX_INTERACTIVE_RANK)
         return (round(interactive * 1000), round(load.waiting_s(now_s) * 1000))
 
     def _learn_from_peers(self, now_s: float) -> None:
@@ -116,13 +116,13 @@
             load = self._selector.load_of(engine)
             rate = load.prefill_tokens_per_s / 1000
             interactive = round(interactive_ms * rate)
-            waiting = ((INTERACTIVE_RANK, interactive), (LOWEST_RANK, round(any_ms * rate) - interactive))
+            waiting = ((MAX_INTERACTIVE_RANK, interactive), (LOWEST_RANK, round(any_ms * rate) - interactive))
             load.on_report(LoadReport(0, 0, waiting, 0, 0, now_s - PEER_REPORT_AGE_S))
 
     def _note_leaving(self, engine: Engine, leaving: bool) -> None:
         """Note whether the engine reports that it is leaving; one that serves again at its address is used
         again."""
-        known = self._node.leaving_by_own_word
+        known = self._node.leaving_by_engine_status
         if leaving and engine.address not in known:
             emit(Event.BACKEND_LEAVING, backend=engine.name)
             known.add(engine.address)
@@ -153,7 +153,7 @@
                 self._on_load(engine, reader, line)
             elif isinstance(line, wire.CacheLine):
                 reader.on_event(line)
-            if reader.doubtful:
+            if reader.needs_snapshot:
                 await self._resynchronise(engine, client)
 
     def _on_status(self, engine: str, line: wire.StatusLine) -> None:
@@ -166,8 +166,8 @@
 
     def _on_load(self, engine: str, reader: EngineReader, line: wire.LoadLine) -> None:
         # Everything up to the previous load line should have arrived by now.
-        reader.doubtful |= reader.sequence < reader.sequence_at_last_load
-        reader.sequence_at_last_load = line.sequence
+        reader.needs_snapshot |= reader.sequence < reader.last_load_sequence
+        reader.last_load_sequence = line.sequence
         now_s = boot_time_s()
         report = LoadReport(
             line.running,
@@ -195,4 +195,4 @@
             for entry in snapshot.entries
             for offset, block in enumerate(wire.unpack_hashes(entry.blocks))
         ]
-        reader.replace_all(snapshot.sequence, entries)
+        reader.apply_snapshot(snapshot.sequence, entries)
--- a/src/wallwell/standalone/callers/caller.py
+++ b/src/wallwell/standalone/callers/caller.py
@@ -31,7 +31,7 @@
 from wallwell.outcomes import Outcome
 from wallwell.standalone.callers.context import NodeContext
 from wallwell.standalone.callers.retry_after import NO_BACKEND_RETRY_AFTER_MS, STOPPING_RETRY_AFTER_MS
-from wallwell.standalone.cluster.limits import TenantRates
+from wallwell.standalone.cluster.limits import TenantRateLimit
 from wallwell.standalone.config.compiled import Tenant
 from wallwell.standalone.config.schema import PrioritySpec
 
@@ -146,8 +146,8 @@
 def admitted(context: NodeContext, caller: CheckedCaller) -> Iterator[None]:
     """Hold the tenant's concurrency for the block. Raises :class:`RateLimitedError`."""
     spec = caller.tenant.spec
-    limit = TenantRates(spec.requests_per_s, spec.burst, spec.concurrency)
-    retry_s = context.node.limits.try_start(caller.tenant.name, limit, boot_time_s())
+    limit = TenantRateLimit(spec.requests_per_s, spec.burst, spec.concurrency)
+    retry_s = context.node.limits.admit(caller.tenant.name, limit, boot_time_s())
     if retry_s is not None:
         raise RateLimitedError("the tenant's limit is used up", retry_after_ms=max(1, round(retry_s * 1000)))
     context.in_flight += 1
--- a/src/wallwell/standalone/callers/context.py
+++ b/src/wallwell/standalone/callers/context.py
@@ -17,7 +17,7 @@
 from wallwell.background import BackgroundTasks
 from wallwell.standalone.backends.service_client import ServiceClient
 from wallwell.standalone.cluster.claims import ClaimTable
-from wallwell.standalone.cluster.messages import EngineNews
+from wallwell.standalone.cluster.messages import EngineRecord
 from wallwell.standalone.cluster.node import ClusterNode
 from wallwell.standalone.cluster.transport import ClusterTransport
 from wallwell.standalone.config.commit import ConfigCommitter
@@ -49,7 +49,7 @@
     metrics: NodeMetrics
     crashes: CrashMemory
     retry_budget: RetryBudget = field(default_factory=RetryBudget)
-    refuted_news: dict[str, EngineNews] = field(default_factory=dict)
+    refuted_news: dict[str, EngineRecord] = field(default_factory=dict)
     """By engine, the published state that the engine has contradicted by refusing a dispatch."""
     service_in_flight: dict[str, int] = field(default_factory=dict)
     """Calls in flight by service instance."""
@@ -89,7 +89,7 @@
             self._region_revision = config.revision
         return self._region_engines
 
-    def trusted_news(self) -> dict[str, EngineNews]:
+    def trusted_news(self) -> dict[str, EngineRecord]:
         """Return serving engines as published, without those that refused a dispatch since they published that."""
         return {
             name: news for name, news in self.node.serving_engines().items() if self.refuted_news.get(name) != news
--- a/src/wallwell/standalone/callers/engine_selection.py
+++ b/src/wallwell/standalone/callers/engine_selection.py
@@ -35,7 +35,7 @@
     candidates = [engines[name] for name in incarnations] or list(engines.values())
     views = [EngineView(each.name, each.zone, incarnations.get(each.name, "")) for each in candidates]
     request = _routing_request(run, context.settings.zone, now_s)
-    choice = context.selector.select(request, views, run.lookup.held, now_s, run.failed_engines)
+    choice = context.selector.select(request, views, run.lookup.held_prefixes, now_s, run.failed_engines)
     if choice is None:
         raise NoBackendError("every engine's circuit breaker is open", retry_after_ms=NO_BACKEND_RETRY_AFTER_MS)
     if not run.log.attempts:
--- a/src/wallwell/standalone/callers/generation_run.py
+++ b/src/wallwell/standalone/callers/generation_run.py
@@ -17,7 +17,7 @@
 from wallwell.standalone.backends.engine_protocol import Resume
 from wallwell.standalone.callers.caller import MAX_NAME_IN_ERROR, CheckedCaller
 from wallwell.standalone.callers.openai_format import GenerationBody, chunk_text, render_prompt
-from wallwell.standalone.cluster.messages import EngineNews
+from wallwell.standalone.cluster.messages import EngineRecord
 from wallwell.standalone.cluster.transport import LookupResult
 from wallwell.standalone.config.compiled import CompiledConfig
 from wallwell.standalone.config.schema import ModelSpec
@@ -43,7 +43,7 @@
     log: AttemptLog = field(default_factory=lambda: AttemptLog(repeatable=True))
     events: list[bytes] = field(default_factory=list)
     """Stream events received so far, one a token."""
-    published: EngineNews | None = None
+    published: EngineRecord | None = None
     """What was published of the engine that the current attempt was sent to."""
     progress: GenerationProgress = field(default_factory=GenerationProgress)
     """As of the last failed attempt."""
--- a/src/wallwell/standalone/cluster/codec.py
+++ b/src/wallwell/standalone/cluster/codec.py
@@ -16,7 +16,7 @@
 
 _MAC_BYTES = 8
 """Length of the authentication code: 64 bits, since a forger gets one try for each datagram."""
-_MAC_TEXT = 2 * _MAC_BYTES
+_MAC_HEX_CHARS = 2 * _MAC_BYTES
 _MAX_KEY_BYTES = hashlib.blake2b.MAX_KEY_SIZE
 """Longest key that BLAKE2b takes; the rest of a longer one is not used."""
 T = TypeVar("T")
@@ -39,22 +39,22 @@
         payload = self._encoder.encode(message)
         return self._mac(payload) + b" " + payload + b"\n"
 
-    def _payload(self, line: bytes) -> bytes:
-        payload = line[_MAC_TEXT + 1 :].rstrip(b"\n")
-        if not hmac.compare_digest(line[:_MAC_TEXT], self._mac(payload)):
+    def _verified_payload(self, line: bytes) -> bytes:
+        payload = line[_MAC_HEX_CHARS + 1 :].rstrip(b"\n")
+        if not hmac.compare_digest(line[:_MAC_HEX_CHARS], self._mac(payload)):
             raise ClusterMessageError("authentication failed")
         return payload
 
     def decode(self, line: bytes) -> ClusterMessage:
         """Check and decode a datagram. Raises :class:`ClusterMessageError`."""
         try:
-            return self._decoder.decode(self._payload(line))
+            return self._decoder.decode(self._verified_payload(line))
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise ClusterMessageError(str(error)) from error
 
     def decode_as(self, line: bytes, target: type[T]) -> T:
         """Check and decode a line of a known type. Raises :class:`ClusterMessageError`."""
         try:
-            return msgspec.json.decode(self._payload(line), type=target)
+            return msgspec.json.decode(self._verified_payload(line), type=target)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise ClusterMessageError(str(error)) from error
--- a/src/wallwell/standalone/cluster/crash_notices.py
+++ b/src/wallwell/standalone/cluster/crash_notices.py
@@ -14,57 +14,60 @@
 
 from wallwell.standalone.cluster.messages import CrashNotice
 
-FIRST_PAUSE_S = 1.0
+MIN_RESEND_INTERVAL_S = 1.0
 """Seconds before a notice is sent to the other members again; the pause doubles from there."""
-LONGEST_PAUSE_S = 60.0
+MAX_RESEND_INTERVAL_S = 60.0
 """Seconds up to which the pause between two announcements doubles."""
-ANNOUNCED_FOR_S = 300.0
+CRASH_RESEND_DURATION_S = 300.0
 """Seconds for which a notice is announced again: as long as a crash counts against a request that is not
 quarantined."""
-ANSWER_ANNOUNCED_FOR_S = 5.0
+ANSWER_RESEND_DURATION_S = 5.0
 """The same, in seconds, for a notice that a request was answered. Each announcement clears the request for half a
 minute, so crashes that it causes later would not count for as long as it is announced."""
-MAX_ANNOUNCED = 256
+MAX_ANNOUNCEMENTS = 256
 """Notices announced at a time; the oldest is dropped for a new one."""
 
 
 @dataclass
 class _Announcement:
-    begun_s: float
-    due_s: float
-    pause_s: float = FIRST_PAUSE_S
+    started_s: float
+    next_send_s: float
+    resend_interval_s: float = MIN_RESEND_INTERVAL_S
 
 
 class CrashNotices:
     """One node's notices. Times are on its clock."""
 
     def __init__(self) -> None:
-        self.listener: Callable[[str, str], None] = lambda content, life: None
-        """Called with content and life of each notice received; an empty life means that it was answered."""
+        self.listener: Callable[[str, str], None] = lambda content_digest, incarnation: None
+        """Called with content digest and incarnation of each received notice; the incarnation is empty if the
+        request was answered."""
         self._announcements: dict[tuple[str, str], _Announcement] = {}
 
-    def announce(self, content: str, life: str, now_s: float) -> None:
-        """Announce a crash of one life of a back end, or, without a life, that the request was answered."""
-        if not life:
-            self._announcements = {key: each for key, each in self._announcements.items() if key[0] != content}
-        self._announcements.setdefault((content, life), _Announcement(now_s, now_s))
-        if len(self._announcements) > MAX_ANNOUNCED:
+    def announce(self, content_digest: str, incarnation: str, now_s: float) -> None:
+        """Announce that an incarnation of a back end crashed or, if it is empty, that the request was answered."""
+        if not incarnation:
+            self._announcements = {
+                key: each for key, each in self._announcements.items() if key[0] != content_digest
+            }
+        self._announcements.setdefault((content_digest, incarnation), _Announcement(now_s, now_s))
+        if len(self._announcements) > MAX_ANNOUNCEMENTS:
             del self._announcements[next(iter(self._announcements))]
 
-    def due(self, now_s: float) -> list[CrashNotice]:
+    def collect_due(self, now_s: float) -> list[CrashNotice]:
         """Return the notices to send now."""
         found = []
         for key, announcement in list(self._announcements.items()):
-            announced_for_s = ANNOUNCED_FOR_S if key[1] else ANSWER_ANNOUNCED_FOR_S
-            if now_s - announcement.begun_s > announced_for_s:
+            resend_duration_s = CRASH_RESEND_DURATION_S if key[1] else ANSWER_RESEND_DURATION_S
+            if now_s - announcement.started_s > resend_duration_s:
                 del self._announcements[key]
-            elif now_s >= announcement.due_s:
+            elif now_s >= announcement.next_send_s:
                 found.append(CrashNotice(*key))
-                announcement.due_s = now_s + announcement.pause_s
-                announcement.pause_s = min(LONGEST_PAUSE_S, 2 * announcement.pause_s)
+                announcement.next_send_s = now_s + announcement.resend_interval_s
+                announcement.resend_interval_s = min(MAX_RESEND_INTERVAL_S, 2 * announcement.resend_interval_s)
         return found
 
-    def receive(self, notice: CrashNotice, now_s: float) -> None:
+    def on_notice(self, notice: CrashNotice, now_s: float) -> None:
         """Take a notice; one from another region is announced in this one."""
         self.listener(notice.content, notice.life)
         if notice.to_region and (notice.content, notice.life) not in self._announcements:
--- a/src/wallwell/standalone/cluster/limits.py
+++ b/src/wallwell/standalone/cluster/limits.py
@@ -17,17 +17,17 @@
 from wallwell.standalone.cluster.messages import Action, Send, TokenGrant, TokenRequest
 from wallwell.standalone.routing.limits import TokenBucket
 
-FULL_RETRY_S = 0.1
+CONCURRENCY_RETRY_AFTER_S = 0.1
 """Retry-After while a tenant's concurrency is used up: any of its requests may end."""
-IDLE_S = 300.0
+TENANT_IDLE_TIMEOUT_S = 300.0
 """Seconds after which a tenant that was not seen is forgotten."""
-REQUEST_INTERVAL_S = 0.25
+TOKEN_REQUEST_INTERVAL_S = 0.25
 """Least time between two requests for tokens of one tenant: four datagrams a second at most."""
-_GRANT_FRACTION = 0.5
+_MAX_GRANT_FRACTION = 0.5
 """Greatest fraction of its tokens that a node grants, so that its own next requests still find some."""
-_LEAST_GRANT = 1.0
+_MIN_GRANT_TOKENS = 1.0
 """Tokens; a smaller grant would admit no request."""
-_OPEN_REQUESTS = 256
+_MAX_OPEN_REQUESTS = 256
 """Requests for tokens whose grants are still accepted; older grants are dropped, which only loses tokens."""
 
 
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class TenantRates:
+class TenantRateLimit:
     """The limit of one tenant over the whole fleet."""
 
     requests_per_s: float
@@ -58,7 +58,7 @@
     _fraction: float = 1.0
     _sequence: int = 0
     _open_requests: set[int] = field(default_factory=set)
-    _demanding: set[str] = field(default_factory=set)
+    _refused_tenants: set[str] = field(default_factory=set)
 
     def set_fraction(self, configured_zones: int, live_nodes_in_zone: int) -> None:
         """Set this node's fraction of every limit."""
@@ -69,7 +69,7 @@
         """This node's fraction of every limit."""
         return self._fraction
 
-    def _share(self, tenant: str, limit: TenantRates, now_s: float) -> _TenantShare:
+    def _share(self, tenant: str, limit: TenantRateLimit, now_s: float) -> _TenantShare:
         share = self._shares.get(tenant)
         capacity = max(1.0, limit.burst * self._fraction)
         rate = limit.requests_per_s * self._fraction
@@ -82,14 +82,14 @@
         share.concurrency = max(1, round(limit.concurrency * self._fraction))
         return share
 
-    def try_start(self, tenant: str, limit: TenantRates, now_s: float) -> float | None:
+    def admit(self, tenant: str, limit: TenantRateLimit, now_s: float) -> float | None:
         """Admit one request; returns None, or the seconds after which to try again."""
         share = self._share(tenant, limit, now_s)
         if share.in_flight >= share.concurrency:
-            return FULL_RETRY_S
+            return CONCURRENCY_RETRY_AFTER_S
         if not share.bucket.try_take(now_s):
             share.demand += 1.0
-            self._demanding.add(tenant)
+            self._refused_tenants.add(tenant)
             return share.bucket.wait_s()
         share.in_flight += 1
         return None
@@ -103,38 +103,38 @@
     @property
     def has_demand(self) -> bool:
         """Whether a tenant was refused since tokens were last asked for."""
-        return bool(self._demanding)
+        return bool(self._refused_tenants)
 
     def tick(self, now_s: float, peers: list[str]) -> list[Action]:
         """Ask one peer for tokens for each tenant that was refused; ``peers`` are cluster addresses."""
         actions: list[Action] = []
-        for tenant in list(self._demanding):
+        for tenant in list(self._refused_tenants):
             share = self._shares[tenant]
             if now_s < share.next_request_s or not peers:
                 continue
-            self._demanding.discard(tenant)
-            share.next_request_s = now_s + REQUEST_INTERVAL_S
+            self._refused_tenants.discard(tenant)
+            share.next_request_s = now_s + TOKEN_REQUEST_INTERVAL_S
             self._sequence += 1
-            self._open_requests = {s for s in self._open_requests if s > self._sequence - _OPEN_REQUESTS}
+            self._open_requests = {s for s in self._open_requests if s > self._sequence - _MAX_OPEN_REQUESTS}
             self._open_requests.add(self._sequence)
-            amount = max(_LEAST_GRANT, share.demand)
+            amount = max(_MIN_GRANT_TOKENS, share.demand)
             actions.append(Send(self.rng.choice(peers), TokenRequest(self._sequence, tenant, amount)))
             share.demand = 0.0
         return actions
 
-    def on_request(
-        self, message: TokenRequest, sender_address: str, limit: TenantRates, now_s: float
+    def on_token_request(
+        self, message: TokenRequest, sender_address: str, limit: TenantRateLimit, now_s: float
     ) -> list[Action]:
         """Grant some of what this node has, unless it was short of the tenant's tokens itself."""
         share = self._share(message.tenant, limit, now_s)
-        available = share.bucket.tokens * _GRANT_FRACTION if share.demand <= 0 else 0.0
+        available = share.bucket.tokens * _MAX_GRANT_FRACTION if share.demand <= 0 else 0.0
         amount = min(message.amount, available)
-        if amount < _LEAST_GRANT:
+        if amount < _MIN_GRANT_TOKENS:
             return []
         share.bucket.tokens -= amount
         return [Send(sender_address, TokenGrant(message.sequence, message.tenant, amount))]
 
-    def on_grant(self, message: TokenGrant) -> None:
+    def on_token_grant(self, message: TokenGrant) -> None:
         """Add granted tokens once; a duplicated or very late datagram is ignored."""
         if message.sequence not in self._open_requests:
             return
@@ -143,12 +143,12 @@
         if share is not None:
             share.bucket.tokens += message.amount
 
-    def forget_idle(self, now_s: float, idle_s: float = IDLE_S) -> None:
+    def forget_idle(self, now_s: float, idle_timeout_s: float = TENANT_IDLE_TIMEOUT_S) -> None:
         """Drop tenants that were not seen for a while."""
         for tenant, share in list(self._shares.items()):
-            if share.in_flight == 0 and now_s - share.bucket.updated_s > idle_s:
+            if share.in_flight == 0 and now_s - share.bucket.updated_s > idle_timeout_s:
                 del self._shares[tenant]
-                self._demanding.discard(tenant)
+                self._refused_tenants.discard(tenant)
 
     def tokens(self, tenant: str) -> float:
         """Tokens this node has for a tenant."""
--- a/src/wallwell/standalone/cluster/member_table.py
+++ b/src/wallwell/standalone/cluster/member_table.py
@@ -12,7 +12,7 @@
 
 from wallwell.routing.rendezvous import rendezvous_key
 from wallwell.standalone.cluster.members import GossipMember, MemberChange, MembershipTimings
-from wallwell.standalone.cluster.messages import DigestEntry, EngineNews, LoadRecord, MemberRecord, MemberStatus
+from wallwell.standalone.cluster.messages import DigestEntry, EngineRecord, LoadRecord, MemberRecord, MemberStatus
 
 
 class MemberTable:
@@ -23,7 +23,7 @@
         self.others: dict[str, GossipMember] = {}
         self._timings = timings
         self._changes: list[MemberChange] = []
-        self._must_refute = False
+        self._refutation_pending = False
         self._alive: list[str] | None = None
         """Result of :meth:`alive`, None after a change."""
 
@@ -59,19 +59,19 @@
             roster ^= rendezvous_key(name)
         return roster
 
-    def take_changes(self) -> list[MemberChange]:
+    def pop_changes(self) -> list[MemberChange]:
         """Return and clear the status changes since the last call."""
         changes, self._changes = self._changes, []
         return changes
 
-    def take_refutation(self) -> bool:
+    def pop_refutation(self) -> bool:
         """Return whether this node has refuted a suspicion since the last call."""
-        refuted, self._must_refute = self._must_refute, False
+        refuted, self._refutation_pending = self._refutation_pending, False
         return refuted
 
     # --- own state -------------------------------------------------------------------------------------
 
-    def update_own_record(self, engines: tuple[EngineNews, ...], leaving: tuple[str, ...]) -> bool:
+    def update_own_record(self, engines: tuple[EngineRecord, ...], leaving: tuple[str, ...]) -> bool:
         """Publish this node's slowly changing state; returns whether it changed."""
         record = self.own.record
         if record.engines == engines and record.leaving == leaving:
@@ -139,7 +139,7 @@
             return
         if entry.incarnation >= self.own.incarnation and entry.status != MemberStatus.ALIVE:
             self.own.incarnation = entry.incarnation + 1
-            self._must_refute = True
+            self._refutation_pending = True
 
     # --- failures --------------------------------------------------------------------------------------
 
--- a/src/wallwell/standalone/cluster/members.py
+++ b/src/wallwell/standalone/cluster/members.py
@@ -39,7 +39,7 @@
         """Whether the member is not considered failed: a suspect still counts as alive."""
         return self.status <= MemberStatus.SUSPECT
 
-    def digest(self) -> DigestEntry:
+    def digest_entry(self) -> DigestEntry:
         """Return the member's versions, without its state."""
         return DigestEntry(
             self.record.node, self.incarnation, int(self.status), self.record.version, self.load.version
--- a/src/wallwell/standalone/cluster/membership.py
+++ b/src/wallwell/standalone/cluster/membership.py
@@ -20,11 +20,11 @@
 from wallwell.standalone.cluster.messages import Action, MemberStatus, Send, Sync, SyncReply
 from wallwell.standalone.cluster.probing import FailureDetector
 
-SYNC_SPREAD = (0.9, 1.1)
+SYNC_INTERVAL_JITTER = (0.9, 1.1)
 """Multiples of the sync interval, so that nodes which started together drift apart."""
-REJOIN_SPREAD = (0.8, 1.2)
+REJOIN_INTERVAL_JITTER = (0.8, 1.2)
 """The same for tries to reach seeds again."""
-CATCH_UP_FACTOR = 0.25
+CATCH_UP_FRACTION = 0.25
 """Fraction of the sync interval after which a node that met an unknown member syncs again."""
 EXPIRY_INTERVAL_S = 0.5
 """Seconds between two checks for suspects and departed members whose time is over: how much later than its timeout
@@ -45,7 +45,7 @@
         self.seeds = seeds
         self.table = MemberTable(own, timings)
         self.detector = FailureDetector(self.table, timings, rng)
-        self._reconciliation = AntiEntropy(self.table, region, rng)
+        self._anti_entropy = AntiEntropy(self.table, region, rng)
         self._timings = timings
         self._rng = rng
         self._next_expiry_s = 0.0
@@ -88,13 +88,15 @@
         if now_s >= self._next_expiry_s:
             self._next_expiry_s = now_s + EXPIRY_INTERVAL_S
             self.table.expire(now_s)
-        if self.table.take_refutation():
-            actions.extend(self.detector.announce(self.own.digest()))
+        if self.table.pop_refutation():
+            actions.extend(self.detector.announce(self.own.digest_entry()))
         if now_s >= self._next_sync_s:
-            self._next_sync_s = now_s + self._timings.sync_interval_s * self._rng.uniform(*SYNC_SPREAD)
+            self._next_sync_s = now_s + self._timings.sync_interval_s * self._rng.uniform(*SYNC_INTERVAL_JITTER)
             actions.extend(self._start_round(now_s, config_head))
         if now_s >= self._next_rejoin_s:
-            self._next_rejoin_s = now_s + self._timings.rejoin_interval_s * self._rng.uniform(*REJOIN_SPREAD)
+            self._next_rejoin_s = now_s + self._timings.rejoin_interval_s * self._rng.uniform(
+                *REJOIN_INTERVAL_JITTER
+            )
             actions.extend(self._try_rejoin(config_head))
         return actions
 
@@ -103,8 +105,8 @@
         if target is None:
             return self.join(config_head)
         address = self.members[target].record.address
-        sequence = self.detector.begin(target, address, now_s)
-        return [Send(address, self._reconciliation.sync(sequence, config_head, target))]
+        sequence = self.detector.begin_probe(target, address, now_s)
+        return [Send(address, self._anti_entropy.make_sync(sequence, config_head, target))]
 
     def _try_rejoin(self, config_head: int) -> list[Action]:
         """Contact a seed or a member considered dead, so that a healed partition is noticed."""
@@ -114,38 +116,40 @@
         targets = [address for address in (*self.seeds, *lost) if address not in known]
         if not targets:
             return []
-        return self.greet([self._rng.choice(targets)], config_head)
+        return self.start_sync([self._rng.choice(targets)], config_head)
 
     def join(self, config_head: int) -> list[Action]:
         """Greet every seed at once; used at start and while no other member is known."""
-        return self.greet(self.seeds, config_head)
+        return self.start_sync(self.seeds, config_head)
 
-    def greet(self, addresses: Iterable[str], config_head: int) -> list[Action]:
+    def start_sync(self, addresses: Iterable[str], config_head: int) -> list[Action]:
         """Start a reconciliation with nodes known only by address."""
         own = self.own.record.address
         return [
-            Send(address, self._reconciliation.sync(0, config_head, "")) for address in addresses if address != own
+            Send(address, self._anti_entropy.make_sync(0, config_head, ""))
+            for address in addresses
+            if address != own
         ]
 
     def leave(self) -> list[Action]:
         """Announce a planned stop to a few members."""
         self.own.status = MemberStatus.LEFT
-        return self.detector.announce(self.own.digest())
+        return self.detector.announce(self.own.digest_entry())
 
     # --- messages --------------------------------------------------------------------------------------
 
     def on_sync(self, message: Sync, sender_address: str, now_s: float, config_head: int) -> list[Action]:
         """Answer a digest with what the sender lacks and ask for what this node lacks."""
-        return [Send(sender_address, self._reconciliation.reply_to(message, now_s, config_head))]
+        return [Send(sender_address, self._anti_entropy.reply_to(message, now_s, config_head))]
 
     def on_sync_reply(
         self, message: SyncReply, sender_address: str, now_s: float, config_head: int
     ) -> list[Action]:
         """Merge an answer; send the third leg if the peer asked for records."""
         self.detector.acknowledge(message.sequence)
-        if self._reconciliation.merge(message, now_s):
+        if self._anti_entropy.merge(message, now_s):
             # Where one member was unknown others may be: the next round comes sooner.
-            soon_s = now_s + self._timings.sync_interval_s * CATCH_UP_FACTOR
+            soon_s = now_s + self._timings.sync_interval_s * CATCH_UP_FRACTION
             self._next_sync_s = min(self._next_sync_s, soon_s)
-        answer = self._reconciliation.answer_to(message, config_head)
+        answer = self._anti_entropy.follow_up_to(message, config_head)
         return [Send(sender_address, answer)] if answer is not None else []
--- a/src/wallwell/standalone/cluster/messages.py
+++ b/src/wallwell/standalone/cluster/messages.py
@@ -11,7 +11,7 @@
 
 MAX_DATAGRAM_BYTES = 1200
 """Largest datagram: with headers under the 1,280 bytes that every IPv6 link carries whole."""
-INTERACTIVE_RANK = 4
+MAX_INTERACTIVE_RANK = 4
 """Least urgent rank that counts as interactive in reported waits."""
 
 
@@ -24,7 +24,7 @@
     LEFT = 3
 
 
-class EngineNews(msgspec.Struct, frozen=True, array_like=True):
+class EngineRecord(msgspec.Struct, frozen=True, array_like=True):
     """A serving engine as its reader knows it; ``weights`` pairs models with loaded versions."""
 
     name: str
@@ -44,7 +44,7 @@
     zone: str
     incarnation: int
     version: int
-    engines: tuple[EngineNews, ...] = ()
+    engines: tuple[EngineRecord, ...] = ()
     leaving: tuple[str, ...] = ()
 
 
@@ -52,7 +52,7 @@
     """Fast changing state of one node: the configuration in force and its engines' waiting time.
 
     ``waiting_ms`` follows the order of ``MemberRecord.engines`` of the record with ``record_version``; of each
-    engine it gives the wait of interactive work (ranks up to ``INTERACTIVE_RANK``) and of any work.
+    engine it gives the wait of interactive work (ranks up to ``MAX_INTERACTIVE_RANK``) and of any work.
     """
 
     node: str
@@ -118,7 +118,7 @@
     sequence: int
 
 
-class HeadNotice(msgspec.Struct, frozen=True, array_like=True, tag="h"):
+class ConfigHeadNotice(msgspec.Struct, frozen=True, array_like=True, tag="h"):
     """The sender's configuration moved to ``config_head``."""
 
     config_head: int
@@ -133,7 +133,7 @@
     contacts: tuple[str, ...]
 
 
-class RegionNews(msgspec.Struct, frozen=True, array_like=True, tag="z"):
+class RegionExchange(msgspec.Struct, frozen=True, array_like=True, tag="z"):
     """Summaries exchanged by delegates of different regions."""
 
     summaries: tuple[RegionSummary, ...]
@@ -204,8 +204,8 @@
     | IndirectProbe
     | Ping
     | Ack
-    | HeadNotice
-    | RegionNews
+    | ConfigHeadNotice
+    | RegionExchange
     | Lookup
     | LookupReply
     | DispatchReport
--- a/src/wallwell/standalone/cluster/node.py
+++ b/src/wallwell/standalone/cluster/node.py
@@ -15,19 +15,19 @@
 
 from wallwell.standalone.cluster import messages as msg
 from wallwell.standalone.cluster.crash_notices import CrashNotices
-from wallwell.standalone.cluster.limits import SharedLimits, TenantRates
+from wallwell.standalone.cluster.limits import SharedLimits, TenantRateLimit
 from wallwell.standalone.cluster.members import GossipMember, MemberChange, MembershipTimings
 from wallwell.standalone.cluster.membership import Membership
-from wallwell.standalone.cluster.messages import Action, FetchConfig, HeadNotice, Send
+from wallwell.standalone.cluster.messages import Action, ConfigHeadNotice, FetchConfig, Send
 from wallwell.standalone.cluster.published_engines import PeerWaiting, PublishedEngines, WaitingMs
 from wallwell.standalone.cluster.region_directory import RegionDirectory
-from wallwell.standalone.cluster.regions import CONTACTS, RegionDelegate
+from wallwell.standalone.cluster.regions import CONTACT_COUNT, RegionDelegate
 from wallwell.standalone.cluster.shards import EngineReader
 from wallwell.standalone.config.store import ConfigDelta, ConfigStore
 
-HEAD_FANOUT = 3
+CONFIG_HEAD_FANOUT = 3
 """Members that are sent a new configuration head at once; the others learn it from gossip."""
-LOAD_INTERVAL_S = 1.0
+LOAD_PUBLISH_INTERVAL_S = 1.0
 """Seconds between two updates of the load that this node's digests carry."""
 
 
@@ -68,7 +68,7 @@
         self.directory = RegionDirectory(self.membership.table, rng)
         self.limits = SharedLimits(rng)
         self.crash_notices = CrashNotices()
-        self.highest_head_heard = 0
+        self.highest_config_head = 0
         self._next_load_s = 0.0
 
     # --- rounds ----------------------------------------------------------------------------------------
@@ -80,35 +80,35 @@
         """
         head = self.config.head
         if now_s >= self._next_load_s:
-            self._next_load_s = now_s + LOAD_INTERVAL_S
+            self._next_load_s = now_s + LOAD_PUBLISH_INTERVAL_S
             self._publish_load()
         actions = self.membership.tick(now_s, head)
         alive = self.membership.alive()
         if self.regions.is_due(now_s):
-            self.regions.refresh_own(head, self._contacts(alive), now_ms)
+            self.regions.update_own_summary(head, self._choose_contacts(alive), now_ms)
             actions.extend(self.regions.tick(now_s, alive, self.membership.seeds))
             self._update_limit_fraction(alive)
         actions.extend(self.directory.tick(now_s))
         if self.limits.has_demand:
             actions.extend(self.limits.tick(now_s, self._peer_addresses(alive)))
-        for notice in self.crash_notices.due(now_s):
-            actions.extend(self._spread(notice, alive))
+        for notice in self.crash_notices.collect_due(now_s):
+            actions.extend(self._broadcast(notice, alive))
         return actions
 
     def _publish_load(self) -> None:
         self.membership.table.update_own_load(self.config.head, self.engines.waiting_ms)
 
-    def _spread(self, notice: msg.CrashNotice, alive: Sequence[str]) -> Iterator[Action]:
+    def _broadcast(self, notice: msg.CrashNotice, alive: Sequence[str]) -> Iterator[Action]:
         """Yield a notice for each member of the region and for one of each other region."""
         for address in self._peer_addresses(alive):
             yield Send(address, notice)
-        far = msg.CrashNotice(notice.content, notice.life, to_region=True)
+        forwarded = msg.CrashNotice(notice.content, notice.life, to_region=True)
         for region, summary in self.regions.summaries.items():
             if region != self.identity.region and summary.contacts:
-                yield Send(self.rng.choice(summary.contacts), far)
+                yield Send(self.rng.choice(summary.contacts), forwarded)
 
-    def _contacts(self, alive: Sequence[str]) -> tuple[str, ...]:
-        chosen = self.rng.sample(list(alive), min(len(alive), CONTACTS))
+    def _choose_contacts(self, alive: Sequence[str]) -> tuple[str, ...]:
+        chosen = self.rng.sample(list(alive), min(len(alive), CONTACT_COUNT))
         return tuple(self.membership.address_of(name) for name in chosen)
 
     def _peer_addresses(self, alive: Sequence[str]) -> list[str]:
@@ -131,16 +131,16 @@
         match message:
             case msg.Sync():
                 if message.region != self.identity.region:
-                    return self._greet_other_region(sender)
+                    return self._redirect_to_own_region(sender)
                 actions = membership.on_sync(message, sender, now_s, head)
-                return actions + self._catch_up(message.config_head, sender)
+                return actions + self._fetch_if_behind(message.config_head, sender)
             case msg.SyncReply():
                 actions = membership.on_sync_reply(message, sender, now_s, head)
-                return actions + self._catch_up(message.config_head, sender)
-            case msg.HeadNotice():
-                return self._catch_up(message.config_head, sender)
-            case msg.RegionNews():
-                return self.regions.on_news(message, sender, head) + self._join_through(message)
+                return actions + self._fetch_if_behind(message.config_head, sender)
+            case msg.ConfigHeadNotice():
+                return self._fetch_if_behind(message.config_head, sender)
+            case msg.RegionExchange():
+                return self.regions.on_region_exchange(message, sender, head) + self._join_own_region(message)
             case msg.Ping():
                 return membership.detector.on_ping(message, sender)
             case msg.IndirectProbe():
@@ -157,48 +157,48 @@
             case msg.LookupReply():
                 self.directory.on_lookup_reply(message)
             case msg.DispatchReport():
-                self.directory.shard.on_dispatch(message, sender)
+                self.directory.shard.on_dispatch_report(message, sender)
             case msg.BlockReport():
-                self.directory.shard.on_report(message)
+                self.directory.shard.on_block_report(message)
             case msg.TokenRequest():
                 limit = self.tenant_limit(message.tenant)
-                return self.limits.on_request(message, sender, limit, now_s) if limit else []
+                return self.limits.on_token_request(message, sender, limit, now_s) if limit else []
             case msg.TokenGrant():
-                self.limits.on_grant(message)
+                self.limits.on_token_grant(message)
             case msg.CrashNotice():
-                self.crash_notices.receive(message, now_s)
+                self.crash_notices.on_notice(message, now_s)
         return []
 
-    def _join_through(self, message: msg.RegionNews) -> list[Action]:
+    def _join_own_region(self, message: msg.RegionExchange) -> list[Action]:
         """A node that knows no member of its region learns of some from another region's node."""
         if len(self.membership.alive()) > 1:
             return []
         region = self.identity.region
         own = [summary.contacts for summary in message.summaries if summary.region == region]
-        return self.membership.greet(own[0], self.config.head) if own else []
+        return self.membership.start_sync(own[0], self.config.head) if own else []
 
-    def _greet_other_region(self, sender: str) -> list[Action]:
+    def _redirect_to_own_region(self, sender: str) -> list[Action]:
         if self.identity.region not in self.regions.summaries:
             return []
         summaries = tuple(self.regions.summaries.values())
-        return [Send(sender, msg.RegionNews(summaries, wants_answer=True))]
+        return [Send(sender, msg.RegionExchange(summaries, wants_answer=True))]
 
-    def tenant_limit(self, tenant: str) -> TenantRates | None:
+    def tenant_limit(self, tenant: str) -> TenantRateLimit | None:
         """Return the configured limit of a tenant."""
         found = self.config.compiled.tenants.get(tenant)
         if found is None:
             return None
-        return TenantRates(found.spec.requests_per_s, found.spec.burst, found.spec.concurrency)
+        return TenantRateLimit(found.spec.requests_per_s, found.spec.burst, found.spec.concurrency)
 
-    def take_member_changes(self) -> list[MemberChange]:
+    def pop_member_changes(self) -> list[MemberChange]:
         """Return members' status changes since the last call."""
-        return self.membership.table.take_changes()
+        return self.membership.table.pop_changes()
 
     # --- configuration ---------------------------------------------------------------------------------
 
-    def _catch_up(self, head: int, sender: str) -> list[Action]:
+    def _fetch_if_behind(self, head: int, sender: str) -> list[Action]:
         """Fetch the configuration from a node that has a higher revision."""
-        self.highest_head_heard = max(self.highest_head_heard, head)
+        self.highest_config_head = max(self.highest_config_head, head)
         return [FetchConfig(sender, head)] if head > self.config.head else []
 
     def advance_config(self, delta: ConfigDelta) -> list[Action]:
@@ -207,8 +207,8 @@
             return []
         self._publish_load()
         addresses = self._peer_addresses(self.membership.alive())
-        chosen = self.rng.sample(addresses, min(len(addresses), HEAD_FANOUT))
-        return [Send(address, HeadNotice(self.config.head)) for address in chosen]
+        chosen = self.rng.sample(addresses, min(len(addresses), CONFIG_HEAD_FANOUT))
+        return [Send(address, ConfigHeadNotice(self.config.head)) for address in chosen]
 
     # --- engines, for callers and back ends ------------------------------------------------------------
 
@@ -218,30 +218,32 @@
         return self.directory.readers
 
     @property
-    def leaving_by_own_word(self) -> set[str]:
-        """See :attr:`PublishedEngines.leaving_by_own_word`."""
-        return self.engines.leaving_by_own_word
+    def leaving_by_engine_status(self) -> set[str]:
+        """See :attr:`PublishedEngines.leaving_by_engine_status`."""
+        return self.engines.leaving_by_engine_status
 
-    def set_engines(self, engines: tuple[msg.EngineNews, ...], waiting_ms: WaitingMs) -> None:
+    def publish_engines(self, engines: tuple[msg.EngineRecord, ...], waiting_ms: WaitingMs) -> None:
         """See :meth:`PublishedEngines.publish`."""
         self.engines.publish(engines, waiting_ms)
 
-    def engines_to_read(self, engines: Iterable[str]) -> set[str]:
-        """See :meth:`PublishedEngines.to_read`."""
-        return self.engines.to_read(engines)
+    def assigned_engines(self, engines: Iterable[str]) -> set[str]:
+        """See :meth:`PublishedEngines.assigned_engines`."""
+        return self.engines.assigned_engines(engines)
 
-    def serving_engines(self) -> dict[str, msg.EngineNews]:
-        """See :meth:`PublishedEngines.serving`."""
-        return self.engines.serving()
+    def serving_engines(self) -> dict[str, msg.EngineRecord]:
+        """See :meth:`PublishedEngines.serving_engines`."""
+        return self.engines.serving_engines()
 
     def peer_waiting_ms(self) -> Iterator[PeerWaiting]:
-        """See :meth:`PublishedEngines.peer_waiting`."""
-        return self.engines.peer_waiting()
+        """See :meth:`PublishedEngines.peer_waiting_ms`."""
+        return self.engines.peer_waiting_ms()
 
     def leaving_addresses(self) -> set[str]:
-        """See :meth:`PublishedEngines.all_leaving`."""
-        return self.engines.all_leaving()
+        """See :meth:`PublishedEngines.leaving_addresses`."""
+        return self.engines.leaving_addresses()
 
-    def report_dispatch(self, lookup: int, engine: str, incarnation: str, chain: Sequence[int]) -> list[Action]:
+    def report_dispatch(
+        self, lookup_sequence: int, engine: str, incarnation: str, chain: Sequence[int]
+    ) -> list[Action]:
         """See :meth:`RegionDirectory.report_dispatch`."""
-        return self.directory.report_dispatch(lookup, engine, incarnation, chain)
+        return self.directory.report_dispatch(lookup_sequence, engine, incarnation, chain)
--- a/src/wallwell/standalone/cluster/probing.py
+++ b/src/wallwell/standalone/cluster/probing.py
@@ -13,7 +13,7 @@
 from wallwell.standalone.cluster.members import MembershipTimings
 from wallwell.standalone.cluster.messages import Ack, Action, DigestEntry, IndirectProbe, Ping, Send, SyncReply
 
-INDIRECT_PROBES = 3
+INDIRECT_PROBE_COUNT = 3
 """Members asked to probe one that did not answer, as in SWIM: a single lossy path must not make a member
 suspect."""
 INDIRECT_TIMEOUT_FACTOR = 2
@@ -46,7 +46,7 @@
         self._rng = rng
         self._probes: dict[int, _Probe] = {}
         self._forwarded: dict[int, _ForwardedProbe] = {}
-        self._round: list[str] = []
+        self._probe_order: list[str] = []
         self._sequence = 0
 
     # --- probes of this node ---------------------------------------------------------------------------
@@ -54,17 +54,17 @@
     def next_target(self) -> str | None:
         """Round robin over a shuffled list, so that each member is probed within a bounded time."""
         while True:
-            if not self._round:
-                self._round = [name for name in self._table.alive() if name != self._table.node]
-                self._rng.shuffle(self._round)
-                if not self._round:
+            if not self._probe_order:
+                self._probe_order = [name for name in self._table.alive() if name != self._table.node]
+                self._rng.shuffle(self._probe_order)
+                if not self._probe_order:
                     return None
-            name = self._round.pop()
+            name = self._probe_order.pop()
             member = self._table.others.get(name)
             if member is not None and member.is_alive:
                 return name
 
-    def begin(self, target: str, address: str, now_s: float) -> int:
+    def begin_probe(self, target: str, address: str, now_s: float) -> int:
         """Expect an acknowledgement from a member; returns the sequence number that the probe must carry."""
         self._sequence += 1
         self._probes[self._sequence] = _Probe(target, address, now_s + self._timings.probe_timeout_s)
@@ -87,30 +87,30 @@
                 probe.indirect = True
                 probe.deadline_s = now_s + INDIRECT_TIMEOUT_FACTOR * self._timings.probe_timeout_s
                 actions.extend(self._probe_indirectly(sequence, probe))
-        self._forget_forwarded(now_s)
+        self._remove_expired_forwarded(now_s)
         return actions
 
     def _suspect(self, probe: _Probe, now_s: float) -> list[Action]:
         member = self._table.suspect(probe.target, now_s)
         if member is None:
             return []
-        return self.announce(member.digest(), also=probe.address)
+        return self.announce(member.digest_entry(), extra_address=probe.address)
 
     def _probe_indirectly(self, sequence: int, probe: _Probe) -> list[Action]:
-        helpers = self._sample(probe.target, INDIRECT_PROBES)
+        helpers = self._sample_addresses(probe.target, INDIRECT_PROBE_COUNT)
         actions: list[Action] = [Send(address, IndirectProbe(sequence, probe.address)) for address in helpers]
         actions.append(Send(probe.address, Ping(sequence)))
         return actions
 
-    def announce(self, entry: DigestEntry, also: str = "") -> list[Action]:
-        """Send one status to a few members at once, without waiting for the next round."""
-        addresses = self._sample(entry.node, STATUS_FANOUT)
+    def announce(self, entry: DigestEntry, extra_address: str = "") -> list[Action]:
+        """Send one status to a few members at once, excluded waiting for the next round."""
+        addresses = self._sample_addresses(entry.node, STATUS_FANOUT)
         notice = SyncReply(0, self._table.node, 0, (entry,))
-        return [Send(address, notice) for address in dict.fromkeys((*addresses, also)) if address]
+        return [Send(address, notice) for address in dict.fromkeys((*addresses, extra_address)) if address]
 
-    def _sample(self, without: str, count: int) -> list[str]:
-        """Return addresses of ``count`` live members at most, this node and ``without`` left out."""
-        names = [name for name in self._table.alive() if name not in (self._table.node, without)]
+    def _sample_addresses(self, excluded: str, count: int) -> list[str]:
+        """Return addresses of ``count`` live members at most, this node and ``excluded`` left out."""
+        names = [name for name in self._table.alive() if name not in (self._table.node, excluded)]
         chosen = self._rng.sample(names, min(len(names), count))
         return [self._table.others[name].record.address for name in chosen]
 
@@ -133,7 +133,7 @@
         forwarded = self._forwarded.pop(message.sequence, None)
         return [Send(forwarded.requester, Ack(forwarded.sequence))] if forwarded else []
 
-    def _forget_forwarded(self, now_s: float) -> None:
+    def _remove_expired_forwarded(self, now_s: float) -> None:
         for sequence, forwarded in list(self._forwarded.items()):
             if now_s >= forwarded.deadline_s:
                 del self._forwarded[sequence]
--- a/src/wallwell/standalone/cluster/region_directory.py
+++ b/src/wallwell/standalone/cluster/region_directory.py
@@ -17,7 +17,7 @@
 REPORT_INTERVAL_S = 0.25
 """Seconds between two reports of stored and removed blocks to the owners of their shards: how long a new block
 stays unknown to them."""
-MAX_REMEMBERED_OWNERS = 4096
+MAX_CACHED_OWNERS = 4096
 """Owners of chains remembered, so that rendezvous hashing is not done for each lookup."""
 
 
@@ -35,21 +35,21 @@
         self._next_report_s = 0.0
         self._last_report_s: float | None = None
         self._owners: dict[int, str] = {}
-        self._owners_for: list[str] = []
+        self._owners_valid_for: list[str] = []
         """The list of live members for which ``_owners`` holds."""
 
     def owner_of(self, root: int) -> str:
         """Return the node that keeps the chain with first block ``root``."""
         alive = self._table.alive()
-        if self._owners_for is not alive:
-            self._owners_for = alive
+        if self._owners_valid_for is not alive:
+            self._owners_valid_for = alive
             self._owners.clear()
-        keeper = self._owners.get(root)
-        if keeper is None:
-            if len(self._owners) >= MAX_REMEMBERED_OWNERS:
+        owner = self._owners.get(root)
+        if owner is None:
+            if len(self._owners) >= MAX_CACHED_OWNERS:
                 self._owners.clear()
-            keeper = self._owners[root] = shard_owner(root, alive)
-        return keeper
+            owner = self._owners[root] = shard_owner(root, alive)
+        return owner
 
     # --- reports ---------------------------------------------------------------------------------------
 
@@ -62,7 +62,7 @@
         self._last_report_s = now_s
         actions: list[Action] = []
         for reader in self.readers.values():
-            reader.announce(elapsed_s)
+            reader.queue_reannouncements(elapsed_s)
             actions.extend(self._flush(reader))
         return actions
 
@@ -70,26 +70,28 @@
         actions: list[Action] = []
         for name, report in reader.flush(self.owner_of):
             if name == self._table.node:
-                self.shard.on_report(report)
+                self.shard.on_block_report(report)
             else:
                 actions.append(Send(self._table.address_of(name), report))
         return actions
 
-    def report_dispatch(self, lookup: int, engine: str, incarnation: str, chain: Sequence[int]) -> list[Action]:
+    def report_dispatch(
+        self, lookup_sequence: int, engine: str, incarnation: str, chain: Sequence[int]
+    ) -> list[Action]:
         """Report to the chain's owner that ``engine`` is about to hold the chain of an earlier lookup."""
         if not chain:
             return []
-        keeper = self.owner_of(chain[0])
-        if keeper == self._table.node:
+        owner = self.owner_of(chain[0])
+        if owner == self._table.node:
             holder = EngineIncarnation(engine, incarnation)
             self.shard.directory.add(holder, lookup_hashes(chain), self._rng)
             return []
-        report = DispatchReport(lookup, engine, incarnation)
-        return [Send(self._table.address_of(keeper), report)]
+        report = DispatchReport(lookup_sequence, engine, incarnation)
+        return [Send(self._table.address_of(owner), report)]
 
     # --- lookups ---------------------------------------------------------------------------------------
 
-    def next_lookup(self) -> int:
+    def begin_lookup(self) -> int:
         """Return a sequence number for a lookup and expect its answer."""
         self._lookup_sequence += 1
         self.lookup_replies[self._lookup_sequence] = None
--- a/src/wallwell/standalone/cluster/regions.py
+++ b/src/wallwell/standalone/cluster/regions.py
@@ -13,13 +13,13 @@
 from dataclasses import dataclass, field
 
 from wallwell.routing.rendezvous import owners, rendezvous_key
-from wallwell.standalone.cluster.messages import Action, FetchConfig, RegionNews, RegionSummary, Send
+from wallwell.standalone.cluster.messages import Action, FetchConfig, RegionExchange, RegionSummary, Send
 
-DELEGATES = 2
+DELEGATE_COUNT = 2
 """Nodes of a region that exchange summaries with other regions: two, so that one may fail."""
-CONTACTS = 3
+CONTACT_COUNT = 3
 """Addresses of a region that other regions receive, so that one of them may fail."""
-SPREAD = (0.8, 1.2)
+REGION_INTERVAL_JITTER = (0.8, 1.2)
 """Multiples of the interval, so that delegates do not send together."""
 REGION_INTERVAL_S = 1.0
 """Mean seconds between two exchanges of a delegate, each with one other region."""
@@ -33,23 +33,23 @@
     region: str
     rng: random.Random
     summaries: dict[str, RegionSummary] = field(default_factory=dict)
-    _next_s: float = 0.0
+    _next_exchange_s: float = 0.0
 
     def is_delegate(self, alive: list[str]) -> bool:
         """Whether this node exchanges summaries for its region."""
-        return self.node in owners(alive, rendezvous_key(f"delegate/{self.region}"), DELEGATES)
+        return self.node in owners(alive, rendezvous_key(f"delegate/{self.region}"), DELEGATE_COUNT)
 
-    def refresh_own(self, config_head: int, contacts: tuple[str, ...], now_ms: int) -> None:
+    def update_own_summary(self, config_head: int, contacts: tuple[str, ...], now_ms: int) -> None:
         """Rebuild the own region's summary."""
         self.summaries[self.region] = RegionSummary(self.region, now_ms, config_head, contacts)
 
     def is_due(self, now_s: float) -> bool:
         """Whether the next exchange is due."""
-        return now_s >= self._next_s
+        return now_s >= self._next_exchange_s
 
     def tick(self, now_s: float, alive: list[str], seeds: tuple[str, ...]) -> list[Action]:
         """Exchange summaries with one other region, if this node is a delegate."""
-        self._next_s = now_s + REGION_INTERVAL_S * self.rng.uniform(*SPREAD)
+        self._next_exchange_s = now_s + REGION_INTERVAL_S * self.rng.uniform(*REGION_INTERVAL_JITTER)
         if not self.is_delegate(alive):
             return []
         others = [summary for name, summary in self.summaries.items() if name != self.region]
@@ -60,12 +60,12 @@
             address = self.rng.choice(seeds)
         else:
             return []
-        return [Send(address, self._news(wants_answer=True))]
+        return [Send(address, self._make_exchange(wants_answer=True))]
 
-    def _news(self, wants_answer: bool) -> RegionNews:
-        return RegionNews(tuple(self.summaries.values()), wants_answer)
+    def _make_exchange(self, wants_answer: bool) -> RegionExchange:
+        return RegionExchange(tuple(self.summaries.values()), wants_answer)
 
-    def on_news(self, message: RegionNews, sender_address: str, config_head: int) -> list[Action]:
+    def on_region_exchange(self, message: RegionExchange, sender_address: str, config_head: int) -> list[Action]:
         """Merge summaries; fetch the configuration if another region is ahead."""
         actions: list[Action] = []
         for summary in message.summaries:
@@ -76,5 +76,5 @@
         if highest > config_head:
             actions.append(FetchConfig(sender_address, highest))
         if message.wants_answer and self.region in self.summaries:
-            actions.append(Send(sender_address, self._news(wants_answer=False)))
+            actions.append(Send(sender_address, self._make_exchange(wants_answer=False)))
         return actions
--- a/src/wallwell/standalone/cluster/shards.py
+++ b/src/wallwell/standalone/cluster/shards.py
@@ -28,9 +28,9 @@
 MAX_REPORT_HASHES = 72
 """Hashes in one report, stored and removed ones together. Arithmetic: they take 768 of a datagram's 1,200 bytes
 beside the names of engine and incarnation."""
-ANNOUNCE_PERIOD_S = 120.0
+REANNOUNCE_PERIOD_S = 120.0
 """Seconds in which everything known is announced once more, so that a lost report is made good."""
-RECENT_LOOKUPS = 256
+MAX_RECENT_LOOKUPS = 256
 """Lookups of other nodes for which a dispatch report is still accepted; older ones are dropped."""
 MAX_SHARD_ENTRIES = 200_000
 """Checkpoints that one shard holds."""
@@ -44,7 +44,7 @@
         self._rng = rng
         self._recent_lookups: OrderedDict[tuple[str, int], list[int]] = OrderedDict()
 
-    def on_report(self, report: BlockReport) -> None:
+    def on_block_report(self, report: BlockReport) -> None:
         """Record what a reader or a dispatcher reports."""
         holder = EngineIncarnation(report.engine, report.incarnation)
         if report.stored:
@@ -56,13 +56,13 @@
         """Answer who holds the leading checkpoints; the hashes are kept for the dispatch report that follows."""
         hashes = unpack_hashes(message.hashes)
         self._recent_lookups[(sender, message.sequence)] = hashes
-        if len(self._recent_lookups) > RECENT_LOOKUPS:
+        if len(self._recent_lookups) > MAX_RECENT_LOOKUPS:
             self._recent_lookups.popitem(last=False)
         held = self.directory.lookup(hashes, range(len(hashes)))
         holders = tuple((each.holder.engine, each.holder.incarnation, each.blocks) for each in held)
         return LookupReply(message.sequence, holders)
 
-    def on_dispatch(self, message: DispatchReport, sender: str) -> None:
+    def on_dispatch_report(self, message: DispatchReport, sender: str) -> None:
         """Record that an engine is about to hold a chain looked up before; an old lookup is ignored."""
         hashes = self._recent_lookups.pop((sender, message.sequence), None)
         if hashes is not None:
@@ -103,13 +103,13 @@
         self.engine = engine
         self.incarnation = incarnation
         self.sequence = sequence
-        self.sequence_at_last_load = sequence
-        self.doubtful = False
-        self.gaps = 0
+        self.last_load_sequence = sequence
+        self.needs_snapshot = False
+        self.gap_count = 0
         self._checkpoints = CompactTable()
         self._batches: dict[int, _Batch] = {}
-        self._announcing: Iterator[tuple[int, int]] | None = None
-        self._announce_credit = 0.0
+        self._reannouncing: Iterator[tuple[int, int]] | None = None
+        self._reannounce_credit = 0.0
 
     def __len__(self) -> int:
         return len(self._checkpoints)
@@ -132,8 +132,8 @@
         else:
             self._remove(hashes)
         if not contiguous:
-            self.gaps += 1
-            self.doubtful = True
+            self.gap_count += 1
+            self.needs_snapshot = True
         return contiguous
 
     def _store(self, root: int, depth: int, hashes: Sequence[int]) -> None:
@@ -149,16 +149,16 @@
                 self._checkpoints.delete(block)
                 self._batches.setdefault(root, _Batch()).removed.append(block)
 
-    def replace_all(self, sequence: int, entries: Sequence[tuple[int, int, int]]) -> None:
+    def apply_snapshot(self, sequence: int, entries: Sequence[tuple[int, int, int]]) -> None:
         """Adopt a snapshot of ``(root, depth, block)`` after a gap; what is no longer held is reported removed."""
         held = {block: root for root, depth, block in entries if is_checkpoint(depth)}
-        gone = [block for block, _ in self._checkpoints.items() if block not in held]
-        self._remove(gone)
+        removed_blocks = [block for block, _ in self._checkpoints.items() if block not in held]
+        self._remove(removed_blocks)
         for block, root in held.items():
             if not self._checkpoints.get(block):
                 self._store(root, 0, [block])
         self.sequence = max(self.sequence, sequence)
-        self.doubtful = False
+        self.needs_snapshot = False
 
     def flush(self, owner_of: Callable[[int], str]) -> list[tuple[str, BlockReport]]:
         """Return ``(owner, report)`` for everything collected since the last call."""
@@ -180,16 +180,16 @@
             removed = pack_hashes(batch.removed[start:end])
             yield BlockReport(self.engine, self.incarnation, stored, removed)
 
-    def announce(self, elapsed_s: float) -> None:
+    def queue_reannouncements(self, elapsed_s: float) -> None:
         """Queue the share of all checkpoints that ``elapsed_s`` of an announcement period allows."""
-        self._announce_credit += len(self._checkpoints) * elapsed_s / ANNOUNCE_PERIOD_S
-        if self._announcing is None:
-            self._announcing = iter(list(self._checkpoints.items()))
-        while self._announce_credit >= 1.0:
-            self._announce_credit -= 1.0
-            entry = next(self._announcing, None)
+        self._reannounce_credit += len(self._checkpoints) * elapsed_s / REANNOUNCE_PERIOD_S
+        if self._reannouncing is None:
+            self._reannouncing = iter(list(self._checkpoints.items()))
+        while self._reannounce_credit >= 1.0:
+            self._reannounce_credit -= 1.0
+            entry = next(self._reannouncing, None)
             if entry is None:
-                self._announcing = None
+                self._reannouncing = None
                 return
             block, root = entry
             if self._checkpoints.get(block):
--- a/src/wallwell/standalone/cluster/reconcile.py
+++ b/src/wallwell/standalone/cluster/sync_reply.py
@@ -19,14 +19,14 @@
     SyncReply,
 )
 
-_HEADER_BYTES = 160
+_RESERVED_BYTES = 160
 """Bytes of a datagram left for its header and authentication code: the code takes 17."""
-_QUOTES_AND_COMMA = 3
+_JSON_STRING_OVERHEAD_BYTES = 3
 """Bytes that a name takes in JSON beside its own."""
-_PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - _HEADER_BYTES
+_PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - _RESERVED_BYTES
 
 
-class ReplyContent:
+class SyncReplyBuilder:
     """Collects statuses, records and loads up to the size of a datagram."""
 
     def __init__(self, entries: list[DigestEntry], wanted: Sequence[str]) -> None:
@@ -34,22 +34,22 @@
         self._wanted = tuple(wanted)
         self._records: list[MemberRecord] = []
         self._loads: list[LoadRecord] = []
-        self._size = sum(len(name) + _QUOTES_AND_COMMA for name in wanted) + _encoded_size(entries)
+        self._size = sum(len(name) + _JSON_STRING_OVERHEAD_BYTES for name in wanted) + _encoded_size(entries)
 
-    def collect(self, members: Iterable[GossipMember], known: Mapping[str, DigestEntry]) -> None:
-        """Add what ``members`` have beyond what the peer is ``known`` to have, until the datagram is full."""
+    def add_members(self, members: Iterable[GossipMember], peer_digest: Mapping[str, DigestEntry]) -> None:
+        """Add what ``members`` have beyond what the peer is ``peer_digest`` to have, until the datagram is full."""
         for member in members:
-            theirs = known.get(member.record.node)
-            if member.status is MemberStatus.LEFT and theirs is None:
+            peer = peer_digest.get(member.record.node)
+            if member.status is MemberStatus.LEFT and peer is None:
                 continue
-            if not self._add(member, theirs):
+            if not self._add(member, peer):
                 return
 
-    def _add(self, member: GossipMember, theirs: DigestEntry | None) -> bool:
-        mine = member.digest()
-        status = [mine] if _status_is_newer(mine, theirs) else []
-        record = [member.record] if _record_is_newer(mine, theirs) else []
-        load = [member.load] if _load_is_newer(mine, theirs) else []
+    def _add(self, member: GossipMember, peer: DigestEntry | None) -> bool:
+        own = member.digest_entry()
+        status = [own] if _status_is_newer(own, peer) else []
+        record = [member.record] if _record_is_newer(own, peer) else []
+        load = [member.load] if _load_is_newer(own, peer) else []
         size = _encoded_size([*status, *record, *load])
         if self._size + size > _PAYLOAD_BYTES:
             return False
@@ -59,7 +59,7 @@
         self._loads.extend(load)
         return True
 
-    def message(self, sequence: int, sender: str, config_head: int) -> SyncReply:
+    def build(self, sequence: int, sender: str, config_head: int) -> SyncReply:
         """Return the message."""
         return SyncReply(
             sequence,
@@ -85,13 +85,13 @@
     )
 
 
-def _status_is_newer(mine: DigestEntry, theirs: DigestEntry | None) -> bool:
-    return theirs is None or (mine.incarnation, mine.status) > (theirs.incarnation, theirs.status)
+def _status_is_newer(own: DigestEntry, peer: DigestEntry | None) -> bool:
+    return peer is None or (own.incarnation, own.status) > (peer.incarnation, peer.status)
 
 
-def _record_is_newer(mine: DigestEntry, theirs: DigestEntry | None) -> bool:
-    return theirs is None or mine.incarnation > theirs.incarnation or mine.version > theirs.version
+def _record_is_newer(own: DigestEntry, peer: DigestEntry | None) -> bool:
+    return peer is None or own.incarnation > peer.incarnation or own.version > peer.version
 
 
-def _load_is_newer(mine: DigestEntry, theirs: DigestEntry | None) -> bool:
-    return theirs is None or mine.incarnation > theirs.incarnation or mine.load_version > theirs.load_version
+def _load_is_newer(own: DigestEntry, peer: DigestEntry | None) -> bool:
+    return peer is None or own.incarnation > peer.incarnation or own.load_version > peer.load_version
--- a/src/wallwell/standalone/cluster/transport.py
+++ b/src/wallwell/standalone/cluster/transport.py
@@ -28,26 +28,26 @@
 
 TICK_INTERVAL_S = 0.1
 """Seconds between two ticks of the state machines: the resolution of their timers."""
-LOOKUP_DEADLINE_S = 0.005
+LOOKUP_TIMEOUT_S = 0.005
 """Seconds to wait for a directory lookup, which each request pays at most: zones of a region are a few milliseconds
 apart."""
-FETCH_TIMEOUT_S = 2.0
+CONFIG_FETCH_TIMEOUT_S = 2.0
 """Seconds for a configuration delta from a peer over TCP."""
 MAX_LINE_BYTES = 64 * 1024 * 1024
 """Largest line over TCP, a whole configuration: far above any known one."""
-MAX_CONCURRENT_STATE_REQUESTS = 4
+MAX_CONCURRENT_CONFIG_REPLIES = 4
 """Deltas served at once, so that nodes that start together do not take the processor from requests."""
-BUDGET_BURST_S = 2.0
+SEND_BUDGET_BURST_S = 2.0
 """Seconds of the send budget that may go out at once."""
 
 
-class FetchRevisions(msgspec.Struct, frozen=True):
+class ConfigDeltaRequest(msgspec.Struct, frozen=True):
     """Ask a peer for the configuration after a revision."""
 
     after: int
 
 
-class _Datagrams(asyncio.DatagramProtocol):
+class _DatagramProtocol(asyncio.DatagramProtocol):
     def __init__(self, receive: Callable[[bytes, str], None]) -> None:
         self._receive = receive
 
@@ -59,7 +59,7 @@
     """Holders of a chain, and the lookup's number for the dispatch report."""
 
     sequence: int
-    held: list[HeldPrefix]
+    held_prefixes: list[HeldPrefix]
 
 
 class TrafficCounter:
@@ -77,16 +77,16 @@
     """Runs one :class:`ClusterNode` over sockets."""
 
     def __init__(self, codec: LineCodec, listener: Listener, budget_bytes_per_s: float) -> None:
-        burst = budget_bytes_per_s * BUDGET_BURST_S
+        burst = budget_bytes_per_s * SEND_BUDGET_BURST_S
         self._budget = TokenBucket(budget_bytes_per_s, burst, burst, boot_time_s())
         self._codec = codec
         self._listener = listener
         self._server: asyncio.Server | None = None
         self._datagrams: asyncio.DatagramTransport | None = None
         self._tasks = BackgroundTasks()
-        self._waiters: dict[int, asyncio.Future[None]] = {}
+        self._lookup_waiters: dict[int, asyncio.Future[None]] = {}
         self._fetching: set[str] = set()
-        self._state_requests = asyncio.Semaphore(MAX_CONCURRENT_STATE_REQUESTS)
+        self._config_reply_slots = asyncio.Semaphore(MAX_CONCURRENT_CONFIG_REPLIES)
         self.traffic = TrafficCounter()
         self.address = ""
         self.node: ClusterNode | None = None
@@ -99,7 +99,7 @@
             port = self._server.sockets[0].getsockname()[1]
             loop = asyncio.get_running_loop()
             transport, _ = await loop.create_datagram_endpoint(
-                lambda: _Datagrams(self._on_datagram), local_addr=(host, port)
+                lambda: _DatagramProtocol(self._on_datagram), local_addr=(host, port)
             )
         except OSError as error:
             raise AddressInUseError(f"{host}:{self._listener.port}: {error}") from error
@@ -143,7 +143,7 @@
 
     def _wake_lookups(self) -> None:
         assert self.node is not None
-        for sequence, waiter in list(self._waiters.items()):
+        for sequence, waiter in list(self._lookup_waiters.items()):
             if self.node.directory.lookup_replies.get(sequence) is not None and not waiter.done():
                 waiter.set_result(None)
 
@@ -175,26 +175,26 @@
         owner = node.directory.owner_of(chain[0])
         if owner == node.identity.node:
             return LookupResult(0, node.directory.shard.directory.lookup_chain(chain))
-        sequence = node.directory.next_lookup()
+        sequence = node.directory.begin_lookup()
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._waiters[sequence] = waiter
+        self._lookup_waiters[sequence] = waiter
         lookup = Lookup(sequence, pack_hashes(lookup_hashes(chain)))
         self._send(Send(node.membership.address_of(owner), lookup))
         try:
-            async with bounded(LOOKUP_DEADLINE_S):
+            async with bounded(LOOKUP_TIMEOUT_S):
                 await waiter
         except TimeoutError:
             # Usual on a busy link; the node then goes by its own recent dispatches, and hit-rate metrics show it.
             return LookupResult(sequence, [])
         finally:
-            del self._waiters[sequence]
+            del self._lookup_waiters[sequence]
             reply = node.directory.lookup_replies.pop(sequence, None)
         holders = reply.holders if reply is not None else ()
-        held = [
+        held_prefixes = [
             HeldPrefix(EngineIncarnation(engine, incarnation), blocks_of_checkpoints(count))
             for engine, incarnation, count in holders
         ]
-        return LookupResult(sequence, held)
+        return LookupResult(sequence, held_prefixes)
 
     # --- configuration over TCP ------------------------------------------------------------------------
 
@@ -208,13 +208,13 @@
         assert self.node is not None
         try:
             delta = await self.fetch_config(address, self.node.config.head)
-            self.adopt(delta)
+            self.apply_config_delta(delta)
         except PeerUnavailableError as error:
             emit(Event.CONFIG_FETCH_FAILED, peer=address, reason=str(error))
         finally:
             self._fetching.discard(address)
 
-    def adopt(self, delta: ConfigDelta) -> bool:
+    def apply_config_delta(self, delta: ConfigDelta) -> bool:
         """Apply a delta and notify others; returns whether this node moved up."""
         assert self.node is not None
         before = self.node.config.head
@@ -227,10 +227,10 @@
     async def fetch_config(self, address: str, after: int) -> ConfigDelta:
         """Ask one peer for a delta. Raises :class:`PeerUnavailableError`."""
         host, _, port = address.rpartition(":")
-        request = self._codec.encode(FetchRevisions(after))
+        request = self._codec.encode(ConfigDeltaRequest(after))
         writer: asyncio.StreamWriter | None = None
         try:
-            async with bounded(FETCH_TIMEOUT_S):
+            async with bounded(CONFIG_FETCH_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(host, int(port), limit=MAX_LINE_BYTES)
                 writer.write(request)
                 line = await reader.readline()
@@ -246,8 +246,8 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            async with bounded(FETCH_TIMEOUT_S), self._state_requests:
-                request = self._codec.decode_as(await reader.readline(), FetchRevisions)
+            async with bounded(CONFIG_FETCH_TIMEOUT_S), self._config_reply_slots:
+                request = self._codec.decode_as(await reader.readline(), ConfigDeltaRequest)
                 if self.node is None:
                     return
                 line = self._codec.encode(self.node.config.delta_after(request.after))
--- a/src/wallwell/standalone/placement/controller.py
+++ b/src/wallwell/standalone/placement/controller.py
@@ -59,7 +59,7 @@
         if owner(context.node.membership.alive(), rendezvous_key(f"placement/{model}")) != context.settings.node:
             return
         engines = context.engines_for(model)
-        serving = context.node.engines.serving()
+        serving = context.node.engines.serving_engines()
         loading = self._loading(model, spec)
         slots = min((engine.max_concurrent_loads for engine in engines.values()), default=0)
         wanted = next_loads(model, spec, list(engines), serving, loading, slots)
@@ -74,7 +74,7 @@
     def _loading(self, model: str, spec: ModelSpec) -> set[str]:
         """Engines ordered lately that do not serve the declared version yet."""
         now_s = boot_time_s()
-        serving = self._context.node.engines.serving()
+        serving = self._context.node.engines.serving_engines()
         loading = set()
         for (ordered_model, name), at_s in self._ordered_at_s.items():
             news = serving.get(name)
--- a/src/wallwell/standalone/placement/reconcile.py
+++ b/src/wallwell/standalone/placement/reconcile.py
@@ -8,11 +8,11 @@
 from collections import Counter
 from collections.abc import Collection, Mapping, Sequence
 
-from wallwell.standalone.cluster.messages import EngineNews
+from wallwell.standalone.cluster.messages import EngineRecord
 from wallwell.standalone.config.schema import ModelSpec
 
 
-def loaded_version(news: EngineNews, model: str) -> str:
+def loaded_version(news: EngineRecord, model: str) -> str:
     """Return the version of ``model`` an engine has loaded, empty if none."""
     return dict(news.weights).get(model, "")
 
@@ -21,7 +21,7 @@
     model: str,
     spec: ModelSpec,
     configured: Sequence[str],
-    serving: Mapping[str, EngineNews],
+    serving: Mapping[str, EngineRecord],
     loading: Collection[str],
     max_concurrent_loads: int,
 ) -> list[str]:
@@ -40,7 +40,7 @@
     return outdated[: max(0, min(free_slots, spare))]
 
 
-def engines_to_use(model: str, spec: ModelSpec, serving: Mapping[str, EngineNews]) -> tuple[str, dict[str, str]]:
+def engines_to_use(model: str, spec: ModelSpec, serving: Mapping[str, EngineRecord]) -> tuple[str, dict[str, str]]:
     """Return the version requests run on, and the incarnation of each engine that has it.
 
     During a roll that is the declared version as soon as half of the engines, or the declared minimum if that is
--- a/src/wallwell/standalone/platform_reads.py
+++ b/src/wallwell/standalone/platform_reads.py
@@ -69,7 +69,7 @@
         member may have mentioned a higher revision.
         """
         node = self._context.node
-        if node.config.head == 0 or node.config.head < node.highest_head_heard:
+        if node.config.head == 0 or node.config.head < node.highest_config_head:
             return False
         if platform.done() and platform.result():
             return True
@@ -83,7 +83,7 @@
         except PeerUnavailableError as error:
             emit(Event.CONFIG_FETCH_FAILED, peer=seed, reason=str(error))
             return False
-        transport.adopt(delta)
+        transport.apply_config_delta(delta)
         return delta.head > 0
 
     async def _refresh(self) -> bool:
--- a/src/wallwell/standalone/router_node.py
+++ b/src/wallwell/standalone/router_node.py
@@ -139,7 +139,7 @@
             services=ServiceClient(),
             table=table,
             claims=ClaimTable(table),
-            committer=ConfigCommitter(table, node.config, self.transport.adopt),
+            committer=ConfigCommitter(table, node.config, self.transport.apply_config_delta),
             metrics=NodeMetrics(),
             crashes=CrashMemory(settings.node, node.crash_notices),
         )
@@ -167,7 +167,7 @@
             self._log_member_changes()
             await asyncio.sleep(HOUSEKEEPING_S)
             node = self.context.node
-            for engine in node.engines.serving().values():
+            for engine in node.engines.serving_engines().values():
                 node.directory.shard.directory.observe_incarnation(engine.name, engine.incarnation)
                 self.context.selector.on_incarnation(engine.name, engine.incarnation)
             node.directory.shard.directory.sweep()
@@ -175,7 +175,7 @@
             node.limits.forget_idle(boot_time_s())
 
     def _log_member_changes(self) -> None:
-        for change in self.context.node.take_member_changes():
+        for change in self.context.node.pop_member_changes():
             emit(MEMBER_EVENTS[change.status], node=self.settings.node, member=change.node)
 
     # --- stop ------------------------------------------------------------------------------------------
--- a/tests/unit/cluster/test_leases.py
+++ b/tests/unit/cluster/test_leases.py
@@ -6,7 +6,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from tests.faulty_table import DELAYED, LOST_AFTER, LOST_BEFORE, OK, FaultyTable
-from tests.unit.standalone.cluster.test_claims import drive
+from tests.unit.standalone.cluster.test_claims import run_without_waiting
 from wallwell.cluster.leases import LeaseKeeper
 from wallwell.deployment.store_era import StoreEra
 from wallwell.errors import LeaseLostError, PlatformUnavailableError
@@ -71,14 +71,14 @@
     def acquire(self, node, fault):
         self.table.faults.extend([OK, fault])
         try:
-            drive(self.keepers[node].try_acquire(self.now_s))
+            run_without_waiting(self.keepers[node].try_acquire(self.now_s))
         except PlatformUnavailableError:
             pass
         self.table.faults.clear()
 
     @rule(node=st.integers(0, NODES - 1))
     def release(self, node):
-        drive(self.keepers[node].release())
+        run_without_waiting(self.keepers[node].release())
 
     @rule(seconds=st.sampled_from([0.5, 3.0, 9.5, 11.0, 30.0]))
     def pass_time(self, seconds):
@@ -118,14 +118,14 @@
 def test_a_released_lease_is_acquired_at_once_and_an_abandoned_one_after_its_time():
     table = FaultyTable()
     first, second = (LeaseKeeper("l", name, TTL_S, table) for name in ("a", "b"))
-    held = drive(first.try_acquire(0.0))
-    assert drive(second.try_acquire(1.0)) is None
-    drive(first.release())
-    taken = drive(second.try_acquire(2.0))
+    held = run_without_waiting(first.try_acquire(0.0))
+    assert run_without_waiting(second.try_acquire(1.0)) is None
+    run_without_waiting(first.release())
+    taken = run_without_waiting(second.try_acquire(2.0))
     assert taken.fence > held.fence
-    assert drive(first.try_acquire(3.0)) is None
-    assert drive(first.try_acquire(12.9)) is None
-    assert drive(first.try_acquire(13.0)).fence > taken.fence
+    assert run_without_waiting(first.try_acquire(3.0)) is None
+    assert run_without_waiting(first.try_acquire(12.9)) is None
+    assert run_without_waiting(first.try_acquire(13.0)).fence > taken.fence
     with pytest.raises(LeaseLostError):
         second.require_held(13.0)
 
@@ -151,7 +151,7 @@
         self.era += 1
 
     def acquire(self, keeper):
-        return drive(keeper.try_acquire(self.now_s))
+        return run_without_waiting(keeper.try_acquire(self.now_s))
 
     def acquire_once_allowed(self, keeper):
         """Learn of the new era, wait until a lease may start in it, and acquire the lease."""
@@ -167,16 +167,16 @@
     first, second = restored.keeper("a"), restored.keeper("b")
     copy = restored.copy()
     restored.acquire(first)
-    drive(first.release())
+    run_without_waiting(first.release())
     if has_row:
         copy = restored.copy()
     restored.acquire(second)
-    drive(second.release())
+    run_without_waiting(second.release())
     fences = []
     for _ in range(5):
         restored.now_s += 3 * TTL_S
         fences.append(restored.acquire(first).fence)
-        drive(first.release())
+        run_without_waiting(first.release())
     restored.restore(copy)
     keeper = restored.keeper("c") if is_new else second
     assert restored.acquire_once_allowed(keeper).fence > max(fences)
@@ -214,5 +214,5 @@
     restored.eras["a"].observe(restored.era, restored.now_s)
     taken = restored.acquire_once_allowed(second)
     assert taken.version == held.version
-    drive(first.release())
+    run_without_waiting(first.release())
     assert restored.acquire(second).fence == taken.fence
--- a/tests/unit/standalone/cluster/test_claims.py
+++ b/tests/unit/standalone/cluster/test_claims.py
@@ -67,7 +67,7 @@
     assert error.value.outcome == "not_run"
 
 
-def drive(work):
+def run_without_waiting(work):
     """Run a coroutine that never really waits."""
     try:
         work.send(None)
@@ -91,7 +91,7 @@
     def claim(self, faults):
         self.table.faults.extend(faults)
         try:
-            claim = drive(self.claims.claim("t", "k", "d", f"claim-{next(self.numbers)}"))
+            claim = run_without_waiting(self.claims.claim("t", "k", "d", f"claim-{next(self.numbers)}"))
         except ClaimUnavailableError:
             return
         if claim.result is ClaimResult.GRANTED:
@@ -103,7 +103,7 @@
             claim = self.holders.pop()
             self.runs += 1
             self.table.faults.extend(faults)
-            drive(self.claims.record(claim, 200, "answer"))
+            run_without_waiting(self.claims.record(claim, 200, "answer"))
 
     @rule()
     def run_and_die(self):
@@ -116,7 +116,7 @@
         if self.holders:
             claim = self.holders.pop()
             self.table.faults.extend(faults)
-            drive(self.claims.release(claim))
+            run_without_waiting(self.claims.release(claim))
 
     @invariant()
     def at_most_one_run_and_one_holder(self):
--- a/tests/unit/standalone/cluster/test_crash_notices.py
+++ b/tests/unit/standalone/cluster/test_crash_notices.py
@@ -4,32 +4,37 @@
 
 import pytest
 
-from tests.unit.standalone.cluster.test_network import LOSSY, all_know_their_region, make_network
+from tests.unit.standalone.cluster.test_network import LOSSY, all_regions_converged, make_network
 from tests.virtual_network import LinkFaults
-from wallwell.standalone.cluster.crash_notices import ANNOUNCED_FOR_S, LONGEST_PAUSE_S, MAX_ANNOUNCED, CrashNotices
+from wallwell.standalone.cluster.crash_notices import (
+    CRASH_RESEND_DURATION_S,
+    MAX_ANNOUNCEMENTS,
+    MAX_RESEND_INTERVAL_S,
+    CrashNotices,
+)
 from wallwell.standalone.cluster.messages import CrashNotice
 from wallwell.standalone.cluster.node import ClusterNode
 
 
-def listening(network):
-    """Return what each node has heard."""
-    heard = {}
+def record_notices(network):
+    """Return what each node has received."""
+    received = {}
     for node in network.nodes():
-        heard[node.identity.node] = known = set()
+        received[node.identity.node] = known = set()
         node.crash_notices.listener = lambda content, life, known=known: known.add((content, life))
-    return heard
+    return received
 
 
 @pytest.mark.parametrize("faults", [LinkFaults(), LOSSY], ids=["clean", "lossy"])
 @pytest.mark.parametrize(("nodes", "regions"), [(5, 1), (70, 1), (60, 3)])
 def test_every_node_of_every_region_hears_of_a_crash_soon(nodes, regions, faults):
     network = make_network(nodes, regions, faults=faults)
-    assert network.run_until(lambda: all_know_their_region(network), limit_s=30) is not None
+    assert network.run_until(lambda: all_regions_converged(network), limit_s=30) is not None
     network.run_until(lambda: False, limit_s=10)
-    heard = listening(network)
-    teller = network.nodes()[3]
-    teller.crash_notices.announce("c", "e/1", network.now_s)
-    others = [known for name, known in heard.items() if name != teller.identity.node]
+    received = record_notices(network)
+    announcer = network.nodes()[3]
+    announcer.crash_notices.announce("c", "e/1", network.now_s)
+    others = [known for name, known in received.items() if name != announcer.identity.node]
     took_s = network.run_until(lambda: all(others), limit_s=30)
     assert took_s is not None
     assert all(known == {("c", "e/1")} for known in others)
@@ -37,44 +42,44 @@
 
 def test_a_node_that_starts_later_hears_of_it_too():
     network = make_network(5)
-    network.run_until(lambda: all_know_their_region(network), limit_s=30)
-    first, late = network.nodes()[0], network.nodes()[4]
-    network.kill(late.identity.address)
+    network.run_until(lambda: all_regions_converged(network), limit_s=30)
+    first, late_node = network.nodes()[0], network.nodes()[4]
+    network.kill(late_node.identity.address)
     first.crash_notices.announce("c", "e/1", network.now_s)
     network.run_until(lambda: False, limit_s=20)
-    again = type(late.identity)(
-        *(getattr(late.identity, name) for name in ("node", "zone", "region", "address")), 2**50
+    restarted = type(late_node.identity)(
+        *(getattr(late_node.identity, name) for name in ("node", "zone", "region", "address")), 2**50
     )
-    network.add(ClusterNode(again, random.Random(9), late.membership.seeds))
-    heard = listening(network)
-    assert network.run_until(lambda: heard[again.node], limit_s=2 * LONGEST_PAUSE_S) is not None
+    network.add(ClusterNode(restarted, random.Random(9), late_node.membership.seeds))
+    received = record_notices(network)
+    assert network.run_until(lambda: received[restarted.node], limit_s=2 * MAX_RESEND_INTERVAL_S) is not None
 
 
-def times_told(notices, until_s):
-    return [now_s for now_s in range(int(until_s)) if notices.due(float(now_s))]
+def send_times(notices, until_s):
+    return [now_s for now_s in range(int(until_s)) if notices.collect_due(float(now_s))]
 
 
 def test_a_notice_is_told_at_growing_intervals_and_then_no_more():
     notices = CrashNotices()
     notices.announce("c", "e/1", 0.0)
-    told = times_told(notices, 3 * ANNOUNCED_FOR_S)
+    told = send_times(notices, 3 * CRASH_RESEND_DURATION_S)
     assert told[:5] == [0, 1, 3, 7, 15]
     assert len(told) == 10
-    assert told[-1] <= ANNOUNCED_FOR_S
+    assert told[-1] <= CRASH_RESEND_DURATION_S
 
 
 def test_an_answer_is_told_for_a_short_time_only():
     notices = CrashNotices()
     notices.announce("c", "", 0.0)
-    assert times_told(notices, 3 * ANNOUNCED_FOR_S) == [0, 1, 3]
+    assert send_times(notices, 3 * CRASH_RESEND_DURATION_S) == [0, 1, 3]
 
 
 def test_the_same_crash_told_twice_is_one_notice():
     notices = CrashNotices()
     for now_s in (0.0, 0.5):
         notices.announce("c", "e/1", now_s)
-        notices.due(now_s)
-    assert notices.due(0.9) == []
+        notices.collect_due(now_s)
+    assert notices.collect_due(0.9) == []
 
 
 def test_an_answer_takes_the_place_of_the_crashes():
@@ -82,20 +87,20 @@
     notices.announce("c", "e/1", 0.0)
     notices.announce("d", "e/1", 0.0)
     notices.announce("c", "", 0.0)
-    assert {(each.content, each.life) for each in notices.due(0.0)} == {("c", ""), ("d", "e/1")}
+    assert {(each.content, each.life) for each in notices.collect_due(0.0)} == {("c", ""), ("d", "e/1")}
 
 
 def test_only_what_comes_from_another_region_is_told_on():
     notices = CrashNotices()
-    notices.receive(CrashNotice("near", "e/1"), 0.0)
-    notices.receive(CrashNotice("far", "e/1", to_region=True), 0.0)
-    assert [each.content for each in notices.due(0.0)] == ["far"]
-    notices.receive(CrashNotice("far", "e/1", to_region=True), 0.5)
-    assert notices.due(0.5) == []
+    notices.on_notice(CrashNotice("near", "e/1"), 0.0)
+    notices.on_notice(CrashNotice("far", "e/1", to_region=True), 0.0)
+    assert [each.content for each in notices.collect_due(0.0)] == ["far"]
+    notices.on_notice(CrashNotice("far", "e/1", to_region=True), 0.5)
+    assert notices.collect_due(0.5) == []
 
 
 def test_notices_told_again_are_bounded():
     notices = CrashNotices()
-    for number in range(MAX_ANNOUNCED + 3):
+    for number in range(MAX_ANNOUNCEMENTS + 3):
         notices.announce(f"c-{number}", "e/1", 0.0)
-    assert len(notices.due(0.0)) == MAX_ANNOUNCED
+    assert len(notices.collect_due(0.0)) == MAX_ANNOUNCEMENTS
--- a/tests/unit/standalone/cluster/test_member_table.py
+++ b/tests/unit/standalone/cluster/test_member_table.py
@@ -11,26 +11,26 @@
 from wallwell.standalone.cluster.member_table import MemberTable
 from wallwell.standalone.cluster.members import GossipMember, MembershipTimings
 from wallwell.standalone.cluster.messages import DigestEntry, LoadRecord, MemberRecord, MemberStatus, Ping
-from wallwell.standalone.cluster.probing import INDIRECT_PROBES, INDIRECT_TIMEOUT_FACTOR, FailureDetector
+from wallwell.standalone.cluster.probing import INDIRECT_PROBE_COUNT, INDIRECT_TIMEOUT_FACTOR, FailureDetector
 
 TIMINGS = MembershipTimings()
 ALIVE, SUSPECT, DEAD, LEFT = MemberStatus
 
 
-def record(name, incarnation=1, version=1):
+def make_record(name, incarnation=1, version=1):
     return MemberRecord(name, f"{name}:1", "zone", incarnation, version)
 
 
-def table(*others):
-    own = GossipMember(record("own"), LoadRecord("own", 1, 1, 0), incarnation=1)
+def make_table(*others):
+    own = GossipMember(make_record("own"), LoadRecord("own", 1, 1, 0), incarnation=1)
     found = MemberTable(own, TIMINGS)
     for name in others:
-        found.merge_record(record(name), now_s=0.0)
-    found.take_changes()
+        found.merge_record(make_record(name), now_s=0.0)
+    found.pop_changes()
     return found
 
 
-def entry(status, incarnation=1, name="other"):
+def make_entry(status, incarnation=1, name="other"):
     return DigestEntry(name, incarnation, int(status), 1, 1)
 
 
@@ -46,9 +46,9 @@
     ],
 )
 def test_a_higher_incarnation_wins_and_of_one_incarnation_the_higher_status(before, received, after):
-    members = table("other")
+    members = make_table("other")
     for incarnation, status in (before, received):
-        members.merge_status(entry(status, incarnation), now_s=1.0)
+        members.merge_status(make_entry(status, incarnation), now_s=1.0)
     found = members.member("other")
     assert (found.incarnation, found.status) == after
     assert ("other" in members.alive()) == (after[1] in (ALIVE, SUSPECT))
@@ -56,27 +56,27 @@
 
 @given(st.permutations([(each, status) for each in (1, 2, 3) for status in MemberStatus]))
 def test_the_order_of_statements_does_not_matter(statements):
-    members = table("other")
+    members = make_table("other")
     for incarnation, status in statements:
-        members.merge_status(entry(status, incarnation), now_s=1.0)
+        members.merge_status(make_entry(status, incarnation), now_s=1.0)
     found = members.member("other")
     assert (found.incarnation, found.status) == (3, LEFT)
 
 
 def test_a_suspicion_about_this_node_is_refuted_once_unless_it_leaves():
-    members = table()
-    members.merge_status(entry(SUSPECT, 1, "own"), now_s=1.0)
+    members = make_table()
+    members.merge_status(make_entry(SUSPECT, 1, "own"), now_s=1.0)
     assert members.own.incarnation == 2
-    assert members.take_refutation()
-    assert not members.take_refutation()
+    assert members.pop_refutation()
+    assert not members.pop_refutation()
     members.own.status = LEFT
-    members.merge_status(entry(SUSPECT, 2, "own"), now_s=1.0)
+    members.merge_status(make_entry(SUSPECT, 2, "own"), now_s=1.0)
     assert members.own.incarnation == 2
-    assert not members.take_refutation()
+    assert not members.pop_refutation()
 
 
 def test_a_suspect_is_dead_after_its_timeout_and_forgotten_after_the_retention():
-    members = table("other")
+    members = make_table("other")
     assert members.suspect("other", now_s=10.0) is members.member("other")
     assert members.suspect("other", now_s=10.0) is None
     members.expire(10.0 + TIMINGS.suspicion_timeout_s - 0.01)
@@ -84,13 +84,13 @@
     died_s = 10.0 + TIMINGS.suspicion_timeout_s
     members.expire(died_s)
     assert members.alive() == ["own"]
-    assert [each.status for each in members.take_changes()] == [SUSPECT, DEAD]
+    assert [each.status for each in members.pop_changes()] == [SUSPECT, DEAD]
     members.expire(died_s + TIMINGS.dead_retention_s)
     assert members.member("other") is None
 
 
 def test_large_groups_have_longer_to_refute():
-    members = table(*(f"n{number}" for number in range(99)))
+    members = make_table(*(f"n{number}" for number in range(99)))
     members.suspect("n0", now_s=0.0)
     members.expire(2 * TIMINGS.suspicion_timeout_s - 0.01)
     assert "n0" in members.alive()
@@ -99,12 +99,12 @@
 
 
 def test_a_member_is_suspected_after_a_direct_and_an_indirect_probe_without_answer():
-    members = table("a", "b", "c", "d", "e")
+    members = make_table("a", "b", "c", "d", "e")
     detector = FailureDetector(members, TIMINGS, random.Random(1))
-    sequence = detector.begin("a", "a:1", now_s=0.0)
+    sequence = detector.begin_probe("a", "a:1", now_s=0.0)
     assert detector.expire(TIMINGS.probe_timeout_s - 0.01) == []
     asked = detector.expire(TIMINGS.probe_timeout_s)
-    assert len(asked) == INDIRECT_PROBES + 1
+    assert len(asked) == INDIRECT_PROBE_COUNT + 1
     assert asked[-1].message == Ping(sequence)
     assert members.member("a").status is ALIVE
     detector.expire((1 + INDIRECT_TIMEOUT_FACTOR) * TIMINGS.probe_timeout_s)
@@ -112,8 +112,8 @@
 
 
 def test_a_probe_that_was_answered_suspects_nobody():
-    members = table("a")
+    members = make_table("a")
     detector = FailureDetector(members, TIMINGS, random.Random(1))
-    detector.acknowledge(detector.begin("a", "a:1", now_s=0.0))
+    detector.acknowledge(detector.begin_probe("a", "a:1", now_s=0.0))
     assert detector.expire(100.0) == []
     assert members.member("a").status is ALIVE
--- a/tests/unit/standalone/cluster/test_network.py
+++ b/tests/unit/standalone/cluster/test_network.py
@@ -6,7 +6,7 @@
 import pytest
 
 from tests.virtual_network import LinkFaults, VirtualNetwork
-from wallwell.standalone.cluster.messages import MAX_DATAGRAM_BYTES, EngineNews, MemberStatus
+from wallwell.standalone.cluster.messages import MAX_DATAGRAM_BYTES, EngineRecord, MemberStatus
 from wallwell.standalone.cluster.node import ClusterIdentity, ClusterNode
 from wallwell.standalone.config.schema import FileKey, Kind, TenantSpec
 from wallwell.standalone.config.store import ConfigDelta, FileRevision
@@ -39,15 +39,15 @@
     return network
 
 
-def region_of(network, node):
+def region_nodes(network, node):
     return {each.identity.node for each in network.nodes() if each.identity.region == node.identity.region}
 
 
-def all_know_their_region(network):
-    return all(set(node.membership.alive()) == region_of(network, node) for node in network.nodes())
+def all_regions_converged(network):
+    return all(set(node.membership.alive()) == region_nodes(network, node) for node in network.nodes())
 
 
-def is_out(network, node):
+def is_removed_everywhere(network, node):
     others = [each for each in network.nodes() if each is not node]
     return all(node.identity.node not in each.membership.alive() for each in others)
 
@@ -59,69 +59,69 @@
 @pytest.mark.parametrize(("nodes", "regions"), [(3, 1), (30, 1), (70, 1), (60, 3)])
 def test_every_node_learns_its_region_and_only_it(nodes, regions, faults):
     network = make_network(nodes, regions, faults=faults)
-    assert network.run_until(lambda: all_know_their_region(network), limit_s=30) is not None
+    assert network.run_until(lambda: all_regions_converged(network), limit_s=30) is not None
 
 
 @pytest.mark.parametrize("faults", [LinkFaults(), LOSSY], ids=["clean", "lossy"])
 def test_a_dead_node_is_out_and_a_restarted_one_back_within_a_bound(faults):
     network = make_network(30, faults=faults)
-    network.run_until(lambda: all_know_their_region(network), limit_s=30)
+    network.run_until(lambda: all_regions_converged(network), limit_s=30)
     victim = network.nodes()[7]
     network.kill(victim.identity.address)
-    assert network.run_until(lambda: is_out(network, victim), limit_s=45) is not None
+    assert network.run_until(lambda: is_removed_everywhere(network, victim), limit_s=45) is not None
     identity = victim.identity
-    again = type(identity)(
+    restarted = type(identity)(
         identity.node, identity.zone, identity.region, identity.address, identity.incarnation + 10_000
     )
-    network.add(ClusterNode(again, random.Random(9), victim.membership.seeds))
-    assert network.run_until(lambda: all_know_their_region(network), limit_s=45) is not None
+    network.add(ClusterNode(restarted, random.Random(9), victim.membership.seeds))
+    assert network.run_until(lambda: all_regions_converged(network), limit_s=45) is not None
 
 
 def test_live_nodes_are_not_declared_dead_on_a_lossy_network():
     network = make_network(30, faults=LinkFaults(loss=0.05))
-    network.run_until(lambda: all_know_their_region(network), limit_s=30)
+    network.run_until(lambda: all_regions_converged(network), limit_s=30)
     for node in network.nodes():
-        node.take_member_changes()
+        node.pop_member_changes()
     network.run(120)
-    dead = [c for node in network.nodes() for c in node.take_member_changes() if c.status is MemberStatus.DEAD]
+    dead = [c for node in network.nodes() for c in node.pop_member_changes() if c.status is MemberStatus.DEAD]
     assert dead == []
 
 
 def test_a_paused_node_comes_back_by_refuting():
     network = make_network(20)
-    network.run_until(lambda: all_know_their_region(network), limit_s=30)
+    network.run_until(lambda: all_regions_converged(network), limit_s=30)
     paused = network.nodes()[3]
     network.pause(paused.identity.address, True)
-    assert network.run_until(lambda: is_out(network, paused), limit_s=45) is not None
+    assert network.run_until(lambda: is_removed_everywhere(network, paused), limit_s=45) is not None
     network.pause(paused.identity.address, False)
-    assert network.run_until(lambda: all_know_their_region(network), limit_s=45) is not None
+    assert network.run_until(lambda: all_regions_converged(network), limit_s=45) is not None
 
 
 def test_a_healed_partition_is_one_group_again():
     network = make_network(24)
-    network.run_until(lambda: all_know_their_region(network), limit_s=30)
+    network.run_until(lambda: all_regions_converged(network), limit_s=30)
     addresses = list(network.hosts)
     network.partition([addresses[:12], addresses[12:]])
     network.run(60)
-    assert not all_know_their_region(network)
+    assert not all_regions_converged(network)
     network.partition([])
-    assert network.run_until(lambda: all_know_their_region(network), limit_s=60) is not None
+    assert network.run_until(lambda: all_regions_converged(network), limit_s=60) is not None
 
 
 def test_a_planned_leave_is_known_without_suspicion():
     network = make_network(20)
-    network.run_until(lambda: all_know_their_region(network), limit_s=30)
+    network.run_until(lambda: all_regions_converged(network), limit_s=30)
     leaver = network.nodes()[0]
     network.perform(leaver, leaver.membership.leave())
     network.run(0.1)
     network.kill(leaver.identity.address)
-    assert network.run_until(lambda: all_know_their_region(network), limit_s=10) is not None
+    assert network.run_until(lambda: all_regions_converged(network), limit_s=10) is not None
 
 
 @pytest.mark.parametrize(("nodes", "regions"), [(3, 1), (30, 3), (120, 6)])
 def test_a_change_is_everywhere_within_six_seconds_and_never_reverts(nodes, regions):
     network = make_network(nodes, regions, faults=LinkFaults(loss=0.05, duplication=0.05))
-    network.run_until(lambda: all_know_their_region(network), limit_s=40)
+    network.run_until(lambda: all_regions_converged(network), limit_s=40)
     network.run(5)
     for revision in range(1, 6):
         writer = network.rng.choice(network.nodes())
@@ -134,7 +134,7 @@
 
 def test_a_zone_cut_off_catches_up_and_brings_nothing_back():
     network = make_network(24)
-    network.run_until(lambda: all_know_their_region(network), limit_s=30)
+    network.run_until(lambda: all_regions_converged(network), limit_s=30)
     addresses = list(network.hosts)
     first = network.nodes()[0]
     network.perform(first, first.advance_config(tenant_change(1, 1)))
@@ -153,8 +153,8 @@
     original = network._receive
     network._receive = lambda address, sender, data: (sizes.append(len(data)), original(address, sender, data))
     for number, node in enumerate(network.nodes()):
-        node.set_engines(
-            tuple(EngineNews(f"engine-{number:03d}-{k:02d}", f"{k:08x}", (("m", "1"),)) for k in range(17)),
+        node.publish_engines(
+            tuple(EngineRecord(f"engine-{number:03d}-{k:02d}", f"{k:08x}", (("m", "1"),)) for k in range(17)),
             ((5, 30),) * 17,
         )
     network.run(20)
--- a/tests/unit/standalone/placement/test_reconcile.py
+++ b/tests/unit/standalone/placement/test_reconcile.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wallwell.standalone.cluster.messages import EngineNews
+from wallwell.standalone.cluster.messages import EngineRecord
 from wallwell.standalone.config.schema import ModelSpec
 from wallwell.standalone.placement.reconcile import engines_to_use, next_loads
 
@@ -10,7 +10,7 @@
 
 
 def serving(**versions):
-    return {name: EngineNews(name, f"i-{name}", (("m", version),)) for name, version in versions.items()}
+    return {name: EngineRecord(name, f"i-{name}", (("m", version),)) for name, version in versions.items()}
 
 
 ALL_OLD = dict.fromkeys(NAMES, "1")
--- a/tests/unit/standalone/test_crash_memory.py
+++ b/tests/unit/standalone/test_crash_memory.py
@@ -56,7 +56,7 @@
 def test_what_counts_and_is_told(with_memory, event, answers, is_crash):
     _, memory = with_memory(answers, lambda memory: memory.on_failure("c", event, "e", "1.2.3.4:5"))
     assert ("c" in suspected_contents(memory.quarantine)) is is_crash
-    assert memory.notices.due(1100.0) == ([CrashNotice("c", "e/n1/1")] if is_crash else [])
+    assert memory.notices.collect_due(1100.0) == ([CrashNotice("c", "e/n1/1")] if is_crash else [])
 
 
 def test_runs_that_break_at_one_back_end_together_are_one_crash(with_memory):
@@ -66,16 +66,16 @@
             await memory.on_failure("c", T.RESET_AFTER_SEND, "e", "1.2.3.4:5")
 
     _, memory = with_memory([REFUSED], scenario)
-    assert {notice.life for notice in memory.notices.due(1100.0)} == {"e/n1/1", "e/n1/2"}
+    assert {notice.life for notice in memory.notices.collect_due(1100.0)} == {"e/n1/1", "e/n1/2"}
     assert memory.quarantine.remaining_s("c", 1000.0) == 0
 
 
 def test_what_others_tell_quarantines_and_their_answer_clears(with_memory):
     async def scenario(memory):
         for number in range(CRASHES_TO_QUARANTINE):
-            memory.notices.receive(CrashNotice("c", f"e/n2/{number}"), boot_time_s())
+            memory.notices.on_notice(CrashNotice("c", f"e/n2/{number}"), boot_time_s())
         refused = memory.refusal("c")
-        memory.notices.receive(CrashNotice("c", ""), boot_time_s())
+        memory.notices.on_notice(CrashNotice("c", ""), boot_time_s())
         assert memory.refusal("c") is None
         return refused
 
@@ -92,4 +92,4 @@
         memory.on_answered("c")
 
     _, memory = with_memory([REFUSED], scenario)
-    assert memory.notices.due(1002.0) == [CrashNotice("c", "")]
+    assert memory.notices.collect_due(1002.0) == [CrashNotice("c", "")]
--- a/tests/virtual_network.py
+++ b/tests/virtual_network.py
@@ -15,7 +15,7 @@
 from wallwell.standalone.cluster.codec import LineCodec
 from wallwell.standalone.cluster.messages import Action, FetchConfig, Send
 from wallwell.standalone.cluster.node import ClusterNode
-from wallwell.standalone.cluster.transport import FetchRevisions
+from wallwell.standalone.cluster.transport import ConfigDeltaRequest
 
 TICK_INTERVAL_S = 0.1
 EPOCH_MS = 1_700_000_000_000
@@ -170,7 +170,7 @@
         host, peer = self.hosts.get(address), self.hosts.get(source)
         if host is None or peer is None or host.paused or peer.paused or not self._reachable(address, source):
             return
-        request = len(_CODEC.encode(FetchRevisions(host.node.config.head)))
+        request = len(_CODEC.encode(ConfigDeltaRequest(host.node.config.head)))
         delta = peer.node.config.delta_after(host.node.config.head)
         line = _CODEC.encode(delta)
         actions = host.node.advance_config(_CODEC.decode_as(line, type(delta)))
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -75,7 +75,7 @@
 from wallwell.standalone.cluster import messages
 from wallwell.standalone.cluster.claims import ClaimBody, ClaimTable
 from wallwell.standalone.cluster.codec import LineCodec
-from wallwell.standalone.cluster.transport import FetchRevisions
+from wallwell.standalone.cluster.transport import ConfigDeltaRequest
 from wallwell.standalone.config.commit import ApplyAnswer, ApplyRequest, ConfigCommitter, HeadBody
 from wallwell.standalone.config.parse import check_references, parse_file
 from wallwell.standalone.config.schema import SPEC_TYPES
@@ -160,7 +160,9 @@
 def rewrite_line(kind: str, line: bytes, key: str) -> bytes:
     """Do the same for an authenticated line over TCP: ``revisions wanted`` or ``revisions``."""
     codec = LineCodec(key)
-    return codec.encode(codec.decode_as(line, {"revisions wanted": FetchRevisions, "revisions": ConfigDelta}[kind]))
+    return codec.encode(
+        codec.decode_as(line, {"revisions wanted": ConfigDeltaRequest, "revisions": ConfigDelta}[kind])
+    )
 
 
 def datagram_types() -> int:
