--- a/src/wallwell/standalone/cluster/__init__.py
+++ b/src/wallwell/standalone/cluster/__init__.py
@@ -1,5 +1,4 @@
-"""Between standalone routers: membership by gossip, directory shards, claims, shared limits. Messages and state
-machines.
+"""The cluster protocol of standalone routers: gossip membership, directory shards, claims and shared limits.
 
-Begin with ``node``, which joins the parts; ``transport`` runs it over sockets.
+Entry points: ``node`` combines the protocol's state machines; ``transport`` runs them over sockets.
 """
--- a/src/wallwell/standalone/cluster/anti_entropy.py
+++ b/src/wallwell/standalone/cluster/anti_entropy.py
@@ -1,7 +1,6 @@
-"""Reconciliation between two members: a sample of what one knows, and what the other one answers.
+"""Anti-entropy between two members: one sends a digest of sampled member versions, the other replies with updates.
 
-Owns nothing but the figures of a sample. Relies on :class:`.member_table.MemberTable` for what is known, and on
-:mod:`.sync_reply` for what fits into a datagram.
+Stateless: reads and updates :class:`.member_table.MemberTable`. :mod:`.sync_reply` limits a reply to one datagram.
 """
 
 from __future__ import annotations
@@ -15,33 +14,33 @@
 from wallwell.standalone.cluster.sync_reply import SyncReplyBuilder, is_newer
 
 DIGEST_SAMPLE_SIZE = 20
-"""Members in one digest beside the sender and the target, so that a datagram does not grow with the fleet."""
+"""Maximum members in a digest, in addition to sender and target; keeps datagrams small in a large fleet."""
 DIGEST_RECENT_CHANGES = 6
-"""Of these, members whose status changed last, so that each digest carries news."""
+"""How many of the sampled members are those whose status changed last, so that digests spread recent changes."""
 ROSTER_SAMPLE_SIZE = 12
-"""Statuses of further members sent to a node whose set of live members differs; the rest follows in its next
-syncs."""
+"""Maximum additional member statuses in the reply to a node whose set of live members differs; its next syncs bring
+the rest."""
 
 
 class AntiEntropy:
-    """Digests and answers of one node."""
+    """Builds and processes one node's anti-entropy messages."""
 
     def __init__(self, table: MemberTable, region: str, rng: random.Random) -> None:
         self._table = table
         self._region = region
         self._rng = rng
 
-    # --- first leg -------------------------------------------------------------------------------------
+    # --- sync ------------------------------------------------------------------------------------------
 
     def make_sync(self, sequence: int, config_head: int, target: str) -> Sync:
-        """Return the message that asks ``target`` (empty: a node known by address only) for what is missing."""
+        """Return the message that asks ``target`` for newer state; an empty name stands for an unknown node."""
         digest = tuple(self._digest_sample(target))
         return Sync(sequence, self._region, self._table.node, config_head, self._table.roster_hash(), digest)
 
     def _digest_sample(self, target: str) -> list[DigestEntry]:
-        """Return this node, the target, the latest changes of status, and a random sample of the rest.
+        """Return entries of this node, the target, the latest status changes and a random sample of live members.
 
-        A change back to alive counts as a change: a refutation must outrun the suspicion it answers.
+        A change back to alive counts as a change, since a refutation must spread faster than the suspicion.
         """
         members = self._table.others
         entries = [self._table.own.digest_entry()]
@@ -54,18 +53,18 @@
         entries.extend(member.digest_entry() for member in sample)
         return entries
 
-    # --- second leg ------------------------------------------------------------------------------------
+    # --- reply to a sync -------------------------------------------------------------------------------
 
     def reply_to(self, message: Sync, now_s: float, config_head: int) -> SyncReply:
-        """Merge a digest; returns what its sender lacks and the names of which this node lacks something."""
+        """Merge a digest; return newer state that its sender lacks and the names of members to request from it."""
         newer: list[str] = [self._table.node]
         wanted: list[str] = []
         for entry in message.digest:
             self._table.merge_status(entry, now_s)
             self._compare_versions(entry, newer, wanted)
-        known = {entry.node: entry for entry in message.digest}
-        unlisted = self._unlisted_sample(known) if message.roster != self._table.roster_hash() else []
-        return self._reply(message.sequence, config_head, newer, known, unlisted, wanted)
+        peer_digest = {entry.node: entry for entry in message.digest}
+        unlisted = self._unlisted_sample(peer_digest) if message.roster != self._table.roster_hash() else []
+        return self._reply(message.sequence, config_head, newer, peer_digest, unlisted, wanted)
 
     def _compare_versions(self, entry: DigestEntry, newer: list[str], wanted: list[str]) -> None:
         own = self._table.member(entry.node)
@@ -84,10 +83,10 @@
         sample = self._rng.sample(unlisted, min(len(unlisted), ROSTER_SAMPLE_SIZE))
         return [members[name].digest_entry() for name in sample]
 
-    # --- third leg -------------------------------------------------------------------------------------
+    # --- processing of a reply -------------------------------------------------------------------------
 
     def merge(self, message: SyncReply, now_s: float) -> bool:
-        """Merge an answer; returns whether a member in it was unknown."""
+        """Merge a reply; return whether it contained a record of a member new to this node."""
         found_new = False
         for record in message.records:
             found_new |= self._table.merge_record(record, now_s)
@@ -98,7 +97,7 @@
         return found_new
 
     def follow_up_to(self, message: SyncReply, config_head: int) -> SyncReply | None:
-        """Return the records the sender asked for and ask for members still unknown; None if there are neither."""
+        """Return a reply with the requested records and a request for unknown members; None if both are empty."""
         unknown = [
             entry.node
             for entry in message.entries
@@ -113,11 +112,11 @@
         sequence: int,
         config_head: int,
         names: Iterable[str],
-        known: Mapping[str, DigestEntry],
+        peer_digest: Mapping[str, DigestEntry],
         entries: Sequence[DigestEntry],
         wanted: Sequence[str],
     ) -> SyncReply:
         members = [member for member in map(self._table.member, dict.fromkeys(names)) if member is not None]
         builder = SyncReplyBuilder(list(entries), wanted)
-        builder.add_members(members, known)
+        builder.add_members(members, peer_digest)
         return builder.build(sequence, self._table.node, config_head)
--- a/src/wallwell/standalone/cluster/claims.py
+++ b/src/wallwell/standalone/cluster/claims.py
@@ -1,11 +1,10 @@
 """Claims that make a call with an idempotency key run at most once.
 
-Before it sends such a call, a router inserts a claim row under (tenant, key), conditional on there being none.
-An open claim is never taken over, however long its holder is silent: that is what keeps a paused or dead
-router's call from running a second time. A claim is only released by its own holder, and only with proof
-that nothing ran.
+Before a router sends such a call, it inserts a claim row under (tenant, key), on condition that no row exists.
+Other routers never take over an open claim, however long its holder is silent, so the call of a paused or dead
+router does not run a second time. Only the holder releases a claim, and only if the call provably did not run.
 
-Owns the form of claim rows; relies on the table service for their conditional writes.
+Defines the format of claim rows; relies on the table service for conditional writes.
 """
 
 from __future__ import annotations
@@ -26,16 +25,16 @@
 
 CLAIM_PREFIX = "claim/"
 _MAX_TRIES = 3
-"""Tries to write a claim. Each lost answer costs one and is settled by reading the row."""
+"""Attempts to write a claim row. After a lost answer, the next attempt reads the row to learn the outcome."""
 MAX_RECORDED_BODY_CHARS = 64 * 1024
-"""Largest answer recorded with a claim, in characters; a larger one is not replayed to a resend. Bounds rows of the
-table."""
+"""Maximum characters of an answer recorded with a claim, to bound the row. A longer body is recorded as empty, so a
+resend does not receive it."""
 RETRY_AFTER_MS = 1000
-"""When a caller may ask again after the table gave no certain answer."""
+"""Retry-After in milliseconds when the table service did not confirm the claim."""
 
 
 class ClaimState(enum.StrEnum):
-    """Where a claim stands."""
+    """State of a claim row."""
 
     OPEN = "open"
     RELEASED = "released"
@@ -43,7 +42,7 @@
 
 
 class ClaimBody(msgspec.Struct, frozen=True):
-    """Contents of a claim row."""
+    """Value of a claim row, stored as JSON."""
 
     claim_id: str
     digest: str
@@ -53,7 +52,7 @@
 
 
 class ClaimResult(enum.Enum):
-    """What :func:`ClaimTable.claim` found."""
+    """Outcome of :meth:`ClaimTable.claim`."""
 
     GRANTED = "granted"
     RECORDED = "recorded"
@@ -62,7 +61,7 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """Result of claiming, with the recorded answer if there is one."""
+    """Outcome of claiming a key, with the recorded status and body if the call has been answered."""
 
     result: ClaimResult
     row_key: str
@@ -74,26 +73,26 @@
 
 
 class ClaimTable:
-    """Claims of one router in the table service."""
+    """Creates and settles one router's claims in the table service."""
 
     def __init__(self, table: TableService) -> None:
         self._table = table
 
     async def claim(self, tenant: str, key: str, content_digest: str, claim_id: str) -> Claim:
-        """Insert a claim, or find out who has it.
+        """Insert a claim and return it; if the key is already claimed, return its state or its recorded answer.
 
-        Raises :class:`KeyReusedError` when the key was used with another body, and
-        :class:`ClaimUnavailableError` when the table service gave no certain answer; the call was not sent.
+        Raises :class:`KeyReusedError` if the key was used with another body, and
+        :class:`ClaimUnavailableError` if the table service did not confirm the claim; the call was not sent.
         """
         row_key = f"{CLAIM_PREFIX}{tenant}/{key}"
         for _ in range(_MAX_TRIES):
             try:
                 return await self._claim_once(row_key, content_digest, claim_id)
             except PlatformUnavailableError as error:
-                # The insert may have taken effect; the next try then finds its own claim id.
+                # The insert may have succeeded; the next attempt then finds its own claim id in the row.
                 emit(Event.CLAIM_RETRIED, claim=claim_id, reason=str(error))
             except TableConflictError as error:
-                # Somebody wrote in between: the next try reads what stands there now.
+                # Another router wrote the row after it was read: the next attempt reads the new row.
                 emit(Event.CLAIM_RETRIED, claim=claim_id, reason=str(error))
         raise ClaimUnavailableError("the table service did not confirm the claim", retry_after_ms=RETRY_AFTER_MS)
 
@@ -102,7 +101,7 @@
         if row is not None:
             body = msgspec.json.decode(row.value, type=ClaimBody)
             if body.digest != content_digest:
-                raise KeyReusedError(f"key was used with another body: {row_key}")
+                raise KeyReusedError(f"idempotency key was used with another body: {row_key}")
             if body.state is ClaimState.DONE:
                 return Claim(
                     ClaimResult.RECORDED, row_key, claim_id, content_digest, row.version, body.status, body.body
@@ -120,14 +119,14 @@
         return await self._table.transact(Transaction((condition,), (put,)))
 
     async def record(self, claim: Claim, status: int, body: str) -> bool:
-        """Record the answer of a granted claim; returns whether it is certainly recorded."""
+        """Record the answer of a granted claim; return whether the table service confirmed it."""
         stored = body if len(body) <= MAX_RECORDED_BODY_CHARS else ""
         return await self._settle(
             claim, ClaimBody(claim.claim_id, claim.content_digest, ClaimState.DONE, status, stored)
         )
 
     async def release(self, claim: Claim) -> bool:
-        """Release a claim whose call provably never ran."""
+        """Release a claim whose call provably did not run; return whether the table service confirmed it."""
         return await self._settle(claim, ClaimBody(claim.claim_id, claim.content_digest, ClaimState.RELEASED))
 
     async def _settle(self, claim: Claim, body: ClaimBody) -> bool:
@@ -138,7 +137,7 @@
                     return True
                 current = msgspec.json.decode(row.value, type=ClaimBody)
                 if current.claim_id != claim.claim_id or current.state is not ClaimState.OPEN:
-                    return True  # Settled by an earlier try, or taken over after a release.
+                    return True  # Settled by an earlier attempt, or claimed by another after a release.
                 await self._write(claim.row_key, row, body)
                 return True
             except (PlatformUnavailableError, TableConflictError) as error:
--- a/src/wallwell/standalone/cluster/codec.py
+++ b/src/wallwell/standalone/cluster/codec.py
@@ -1,7 +1,4 @@
-"""Authenticated JSON lines: ``<16 hex digits of a keyed BLAKE2b> <JSON>\\n``.
-
-Owns the cluster's key; used over UDP and TCP.
-"""
+"""Codec of authenticated JSON lines, used over UDP and TCP: ``<16 hex digits of a keyed BLAKE2b> <JSON>\\n``."""
 
 from __future__ import annotations
 
@@ -15,15 +12,15 @@
 from wallwell.standalone.cluster.messages import ClusterMessage
 
 _MAC_BYTES = 8
-"""Length of the authentication code: 64 bits, since a forger gets one try for each datagram."""
+"""Length of the authentication code. 64 bits suffice, since each attempt at a forgery costs one datagram."""
 _MAC_HEX_CHARS = 2 * _MAC_BYTES
 _MAX_KEY_BYTES = hashlib.blake2b.MAX_KEY_SIZE
-"""Longest key that BLAKE2b takes; the rest of a longer one is not used."""
+"""Maximum key length of BLAKE2b; a longer key is truncated."""
 T = TypeVar("T")
 
 
 class LineCodec:
-    """Encodes and checks lines with the cluster's key."""
+    """Encodes lines, and authenticates and decodes received lines, with the shared cluster key."""
 
     def __init__(self, key: str) -> None:
         self._key = key.encode()[:_MAX_KEY_BYTES]
@@ -35,7 +32,7 @@
         return digest.hexdigest().encode()
 
     def encode(self, message: object) -> bytes:
-        """Return one line."""
+        """Return the message as an authenticated line that ends with a newline."""
         payload = self._encoder.encode(message)
         return self._mac(payload) + b" " + payload + b"\n"
 
@@ -46,14 +43,14 @@
         return payload
 
     def decode(self, line: bytes) -> ClusterMessage:
-        """Check and decode a datagram. Raises :class:`ClusterMessageError`."""
+        """Authenticate and decode a datagram. Raises :class:`ClusterMessageError` if either fails."""
         try:
             return self._decoder.decode(self._verified_payload(line))
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
             raise ClusterMessageError(str(error)) from error
 
     def decode_as(self, line: bytes, target: type[T]) -> T:
-        """Check and decode a line of a known type. Raises :class:`ClusterMessageError`."""
+        """Authenticate a line and decode it as ``target``. Raises :class:`ClusterMessageError` if either fails."""
         try:
             return msgspec.json.decode(self._verified_payload(line), type=target)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/src/wallwell/standalone/cluster/crash_notices.py
+++ b/src/wallwell/standalone/cluster/crash_notices.py
@@ -1,10 +1,10 @@
-"""Announcements between routers of requests under which back ends crashed. Pure.
+"""Notices by which routers tell each other which requests crashed back ends. Does no I/O.
 
-A notice goes to every member of the region at once and again at growing intervals, so that lost datagrams and
-members that start later are made up for; one member of each other region gets it too and announces it there.
-Each member and crash costs ten datagrams over five minutes: pauses double from a second to a minute.
+A notice is sent to every member of the region at once and resent at growing intervals, to reach members that lost a
+datagram or started later. One member of each other region receives it too and announces it there. Per crash, each
+member is sent ten datagrams over five minutes: the interval doubles from a second to a minute.
 
-Owns the notices that this node announces; what a notice means is decided by its listener.
+Keeps the notices that this node announces; the listener decides what to do with a received notice.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 from wallwell.standalone.cluster.messages import CrashNotice
 
 MIN_RESEND_INTERVAL_S = 1.0
-"""Seconds before a notice is sent to the other members again; the pause doubles from there."""
+"""Seconds until a notice is first resent; the interval doubles with each resend."""
 MAX_RESEND_INTERVAL_S = 60.0
-"""Seconds up to which the pause between two announcements doubles."""
+"""Maximum seconds between two resends of a notice."""
 CRASH_RESEND_DURATION_S = 300.0
-"""Seconds for which a notice is announced again: as long as a crash counts against a request that is not
+"""Seconds for which a notice of a crash is resent: as long as a crash counts against a request that is not
 quarantined."""
 ANSWER_RESEND_DURATION_S = 5.0
-"""The same, in seconds, for a notice that a request was answered. Each announcement clears the request for half a
-minute, so crashes that it causes later would not count for as long as it is announced."""
+"""Seconds for which a notice that a request was answered is resent. Short, since each such notice clears the
+request for half a minute: crashes that it causes meanwhile are not counted."""
 MAX_ANNOUNCEMENTS = 256
-"""Notices announced at a time; the oldest is dropped for a new one."""
+"""Maximum notices announced at a time; a new one replaces the oldest."""
 
 
 @dataclass
@@ -36,7 +36,7 @@
 
 
 class CrashNotices:
-    """One node's notices. Times are on its clock."""
+    """The crash notices that one node sends and receives. Times are in seconds on the caller's clock."""
 
     def __init__(self) -> None:
         self.listener: Callable[[str, str], None] = lambda content_digest, incarnation: None
@@ -47,15 +47,13 @@
     def announce(self, content_digest: str, incarnation: str, now_s: float) -> None:
         """Announce that an incarnation of a back end crashed or, if it is empty, that the request was answered."""
         if not incarnation:
-            self._announcements = {
-                key: each for key, each in self._announcements.items() if key[0] != content_digest
-            }
+            self._announcements = {k: v for k, v in self._announcements.items() if k[0] != content_digest}
         self._announcements.setdefault((content_digest, incarnation), _Announcement(now_s, now_s))
         if len(self._announcements) > MAX_ANNOUNCEMENTS:
             del self._announcements[next(iter(self._announcements))]
 
     def collect_due(self, now_s: float) -> list[CrashNotice]:
-        """Return the notices to send now."""
+        """Return the notices to send now and schedule their next resend."""
         found = []
         for key, announcement in list(self._announcements.items()):
             resend_duration_s = CRASH_RESEND_DURATION_S if key[1] else ANSWER_RESEND_DURATION_S
@@ -68,7 +66,7 @@
         return found
 
     def on_notice(self, notice: CrashNotice, now_s: float) -> None:
-        """Take a notice; one from another region is announced in this one."""
+        """Pass a received notice to the listener; announce a notice from another region in this region."""
         self.listener(notice.content, notice.life)
         if notice.to_region and (notice.content, notice.life) not in self._announcements:
             self.announce(notice.content, notice.life, now_s)
--- a/src/wallwell/standalone/cluster/limits.py
+++ b/src/wallwell/standalone/cluster/limits.py
@@ -1,12 +1,12 @@
-"""A tenant's rate limit shared between nodes.
+"""Divides each tenant's rate limit between the nodes of the fleet.
 
-Each node earns its share of the rate: an equal part per zone of the configuration, divided by the live nodes
-of the zone. Tokens move between nodes only by being taken out of one bucket before they are put into another,
-so the sum over connected nodes cannot exceed the limit, and a lost grant only loses tokens. A zone that is
-cut off keeps to its own share. Shares follow the *configured* zones, not the reachable ones: a partition must
-not make both sides believe that they own the whole limit.
+Each node's token bucket refills at its share of the rate: an equal part per configured zone, divided by the live
+nodes of its zone. A node grants tokens to another by removing them from its own bucket first, so the sum over
+connected nodes cannot exceed the limit, and a lost grant only loses tokens. A zone that is cut off keeps its own
+share. Shares depend on the *configured* zones, not the reachable ones, since otherwise both sides of a partition
+would use the whole limit.
 
-Owns this node's buckets and the tokens it has asked for. Pure: times are on the caller's clock.
+Keeps this node's buckets and its open token requests. Does no I/O; times are in seconds on the caller's clock.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from wallwell.standalone.routing.limits import TokenBucket
 
 CONCURRENCY_RETRY_AFTER_S = 0.1
-"""Retry-After while a tenant's concurrency is used up: any of its requests may end."""
+"""Seconds of Retry-After when a tenant is at its concurrency limit. Short, since any of its requests may end."""
 TENANT_IDLE_TIMEOUT_S = 300.0
-"""Seconds after which a tenant that was not seen is forgotten."""
+"""Seconds after which the state of a tenant without requests is removed."""
 TOKEN_REQUEST_INTERVAL_S = 0.25
-"""Least time between two requests for tokens of one tenant: four datagrams a second at most."""
+"""Minimum seconds between two token requests for one tenant: at most four datagrams a second."""
 _MAX_GRANT_FRACTION = 0.5
-"""Greatest fraction of its tokens that a node grants, so that its own next requests still find some."""
+"""Maximum fraction of its tokens that a node grants, so that tokens remain for its own next requests."""
 _MIN_GRANT_TOKENS = 1.0
-"""Tokens; a smaller grant would admit no request."""
+"""Minimum tokens of a grant; a smaller one would not admit a request."""
 _MAX_OPEN_REQUESTS = 256
-"""Requests for tokens whose grants are still accepted; older grants are dropped, which only loses tokens."""
+"""Maximum open token requests; grants of older ones are dropped, which only loses tokens."""
 
 
 @dataclass
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class TenantRateLimit:
-    """The limit of one tenant over the whole fleet."""
+    """Limits of one tenant over the whole fleet: rate, bucket capacity and concurrent requests."""
 
     requests_per_s: float
     burst: float
@@ -51,7 +51,7 @@
 
 @dataclass
 class SharedLimits:
-    """This node's shares of all tenants' limits. State exists only for tenants seen here lately."""
+    """This node's shares of tenants' limits; keeps state only of tenants with recent requests at this node."""
 
     rng: random.Random
     _shares: dict[str, _TenantShare] = field(default_factory=dict)
@@ -61,7 +61,7 @@
     _refused_tenants: set[str] = field(default_factory=set)
 
     def set_fraction(self, configured_zones: int, live_nodes_in_zone: int) -> None:
-        """Set this node's fraction of every limit."""
+        """Set this node's fraction of every limit from the number of zones and of nodes in its zone."""
         self._fraction = 1.0 / (max(1, configured_zones) * max(1, live_nodes_in_zone))
 
     @property
@@ -83,7 +83,7 @@
         return share
 
     def admit(self, tenant: str, limit: TenantRateLimit, now_s: float) -> float | None:
-        """Admit one request; returns None, or the seconds after which to try again."""
+        """Admit one request and return None, or refuse it and return the seconds after which to retry."""
         share = self._share(tenant, limit, now_s)
         if share.in_flight >= share.concurrency:
             return CONCURRENCY_RETRY_AFTER_S
@@ -95,18 +95,18 @@
         return None
 
     def finish(self, tenant: str) -> None:
-        """A request admitted earlier ended."""
+        """Count the end of an admitted request, which frees its concurrency."""
         share = self._shares.get(tenant)
         if share is not None:
             share.in_flight = max(0, share.in_flight - 1)
 
     @property
     def has_demand(self) -> bool:
-        """Whether a tenant was refused since tokens were last asked for."""
+        """Whether a tenant was refused for lack of tokens since tokens were last requested for it."""
         return bool(self._refused_tenants)
 
     def tick(self, now_s: float, peers: list[str]) -> list[Action]:
-        """Ask one peer for tokens for each tenant that was refused; ``peers`` are cluster addresses."""
+        """Request tokens from one peer for each refused tenant; ``peers`` are cluster addresses."""
         actions: list[Action] = []
         for tenant in list(self._refused_tenants):
             share = self._shares[tenant]
@@ -125,7 +125,7 @@
     def on_token_request(
         self, message: TokenRequest, sender_address: str, limit: TenantRateLimit, now_s: float
     ) -> list[Action]:
-        """Grant some of what this node has, unless it was short of the tenant's tokens itself."""
+        """Grant part of this node's tokens, unless it refused the tenant's requests itself for lack of tokens."""
         share = self._share(message.tenant, limit, now_s)
         available = share.bucket.tokens * _MAX_GRANT_FRACTION if share.demand <= 0 else 0.0
         amount = min(message.amount, available)
@@ -135,7 +135,7 @@
         return [Send(sender_address, TokenGrant(message.sequence, message.tenant, amount))]
 
     def on_token_grant(self, message: TokenGrant) -> None:
-        """Add granted tokens once; a duplicated or very late datagram is ignored."""
+        """Add granted tokens to the bucket; ignores a duplicate grant and one for a request that is too old."""
         if message.sequence not in self._open_requests:
             return
         self._open_requests.discard(message.sequence)
@@ -144,14 +144,14 @@
             share.bucket.tokens += message.amount
 
     def forget_idle(self, now_s: float, idle_timeout_s: float = TENANT_IDLE_TIMEOUT_S) -> None:
-        """Drop tenants that were not seen for a while."""
+        """Remove the state of tenants that have had no requests for ``idle_timeout_s``."""
         for tenant, share in list(self._shares.items()):
             if share.in_flight == 0 and now_s - share.bucket.updated_s > idle_timeout_s:
                 del self._shares[tenant]
                 self._refused_tenants.discard(tenant)
 
     def tokens(self, tenant: str) -> float:
-        """Tokens this node has for a tenant."""
+        """Return the tokens in this node's bucket of a tenant."""
         share = self._shares.get(tenant)
         return share.bucket.tokens if share else 0.0
 
--- a/src/wallwell/standalone/cluster/member_table.py
+++ b/src/wallwell/standalone/cluster/member_table.py
@@ -1,7 +1,7 @@
-"""What a node knows of the members of its region: records, loads and statuses, merged from every source.
+"""Table of the members of a node's region: their records, loads and statuses, merged from all messages.
 
-Owns the table and the statuses' order: of one member the higher incarnation wins, and within an incarnation the
-higher status. Pure: knows neither messages' paths nor timers; :mod:`.membership` and :mod:`.probing` drive it.
+Defines which of two statuses of a member wins: the one with the higher incarnation, and within an incarnation the
+higher status. Has no I/O and no timers; :mod:`.membership` and :mod:`.probing` update it.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
         self._changes: list[MemberChange] = []
         self._refutation_pending = False
         self._alive: list[str] | None = None
-        """Result of :meth:`alive`, None after a change."""
+        """Cached result of :meth:`alive`, None after a status change."""
 
     @property
     def node(self) -> str:
@@ -35,7 +35,7 @@
     # --- queries ---------------------------------------------------------------------------------------
 
     def alive(self) -> list[str]:
-        """Names of this node and of members not considered failed, sorted. The list must not be changed."""
+        """Return the sorted names of this node and of live or suspect members. Callers must not modify the list."""
         if self._alive is None:
             names = [name for name, member in self.others.items() if member.is_alive]
             names.append(self.node)
@@ -44,7 +44,7 @@
         return self._alive
 
     def member(self, name: str) -> GossipMember | None:
-        """Return a member, this node included."""
+        """Return a member or this node by name, None if it is unknown."""
         return self.own if name == self.node else self.others.get(name)
 
     def address_of(self, name: str) -> str:
@@ -53,7 +53,7 @@
         return member.record.address if member else ""
 
     def roster_hash(self) -> int:
-        """Return a hash of the set of live members, whatever their order."""
+        """Return a hash of the set of live members."""
         roster = 0
         for name in self.alive():
             roster ^= rendezvous_key(name)
@@ -65,14 +65,14 @@
         return changes
 
     def pop_refutation(self) -> bool:
-        """Return whether this node has refuted a suspicion since the last call."""
+        """Return whether this node refuted a suspicion since the last call, and reset the flag."""
         refuted, self._refutation_pending = self._refutation_pending, False
         return refuted
 
     # --- own state -------------------------------------------------------------------------------------
 
     def update_own_record(self, engines: tuple[EngineRecord, ...], leaving: tuple[str, ...]) -> bool:
-        """Publish this node's slowly changing state; returns whether it changed."""
+        """Update this node's member record, which gossip spreads; return whether it changed."""
         record = self.own.record
         if record.engines == engines and record.leaving == leaving:
             return False
@@ -82,7 +82,7 @@
         return True
 
     def update_own_load(self, config_head: int, waiting_ms: tuple[tuple[int, int], ...]) -> bool:
-        """Publish this node's fast changing state; returns whether it changed."""
+        """Update this node's load record, which gossip spreads; return whether it changed."""
         load = self.own.load
         version = self.own.record.version
         if (load.config_head, load.waiting_ms, load.record_version) == (config_head, waiting_ms, version):
@@ -95,7 +95,7 @@
     # --- merging ---------------------------------------------------------------------------------------
 
     def merge_record(self, record: MemberRecord, now_s: float) -> bool:
-        """Take over a newer record; returns whether its member was unknown."""
+        """Store a record if it is newer; return whether its member was unknown."""
         if record.node == self.node:
             return False
         member = self.others.get(record.node)
@@ -115,7 +115,7 @@
         self._alive = None
 
     def merge_load(self, load: LoadRecord) -> None:
-        """Take over a newer load of a known member."""
+        """Store a load record of a known member if it is newer."""
         member = self.others.get(load.node)
         if member is None:
             return
@@ -123,7 +123,7 @@
             member.load = load
 
     def merge_status(self, entry: DigestEntry, now_s: float) -> None:
-        """Take over a newer status of a known member; one about this node is refuted instead."""
+        """Store a newer status of a known member. A suspicion of this node is refuted instead."""
         if entry.node == self.node:
             self._refute(entry)
             return
@@ -134,7 +134,7 @@
             self._set_status(entry.node, MemberStatus(entry.status), entry.incarnation, now_s)
 
     def _refute(self, entry: DigestEntry) -> None:
-        """Answer a suspicion about this node with a higher incarnation."""
+        """Raise this node's incarnation above that of a suspicion or death report about it."""
         if self.own.status is MemberStatus.LEFT:
             return
         if entry.incarnation >= self.own.incarnation and entry.status != MemberStatus.ALIVE:
@@ -143,8 +143,8 @@
 
     # --- failures --------------------------------------------------------------------------------------
 
-    def suspect(self, name: str, now_s: float) -> GossipMember | None:
-        """Mark a live member suspect that answered no probe; returns it, None if it was not alive."""
+    def mark_suspect(self, name: str, now_s: float) -> GossipMember | None:
+        """Mark a live member that answered no probe as suspect; return it, or None if it was not alive."""
         member = self.others.get(name)
         if member is None or member.status is not MemberStatus.ALIVE:
             return None
@@ -152,7 +152,7 @@
         return member
 
     def expire(self, now_s: float) -> None:
-        """Consider suspects dead whose time to refute is over, and forget members that departed long ago."""
+        """Mark suspects dead after the suspicion timeout; remove dead and departed members after the retention."""
         suspicion_s = self._suspicion_timeout_s()
         for name, member in list(self.others.items()):
             elapsed_s = now_s - member.status_since_s
@@ -162,7 +162,7 @@
                 del self.others[name]
 
     def _suspicion_timeout_s(self) -> float:
-        """Return the time to refute a suspicion: a refutation takes rounds that grow with the group's logarithm."""
+        """Return the seconds to refute a suspicion; gossip needs rounds that grow with the group's logarithm."""
         return self._timings.suspicion_timeout_s * max(1.0, math.log10(len(self.others) + 1))
 
     def _set_status(self, name: str, status: MemberStatus, incarnation: int, now_s: float) -> None:
@@ -170,7 +170,7 @@
         if status is not member.status:
             self._changes.append(MemberChange(name, status))
             self._alive = None
-        # Refutations count as changes too, so that digests carry them first.
+        # Also set by a refutation that leaves the status unchanged, so that digests carry recent refutations.
         member.status_since_s = now_s
         member.status = status
         member.incarnation = incarnation
--- a/src/wallwell/standalone/cluster/members.py
+++ b/src/wallwell/standalone/cluster/members.py
@@ -1,5 +1,4 @@
-"""What a node keeps of each member of its region, and the intervals of membership. Owns no state; used by the
-modules of membership."""
+"""Types of the membership modules: a node's view of one member of its region, and the protocol's intervals."""
 
 from __future__ import annotations
 
@@ -10,23 +9,23 @@
 
 @dataclass(frozen=True)
 class MembershipTimings:
-    """Intervals in seconds."""
+    """Intervals of the membership protocol, in seconds."""
 
     sync_interval_s: float = 1.0
-    """Mean time between two rounds; each round probes one member and reconciles with it."""
+    """Mean time between two rounds; each round probes one member and exchanges state with it."""
     probe_timeout_s: float = 0.5
-    """How long a direct probe is waited for before others are asked to probe."""
+    """Time to wait for the answer to a direct probe before other members are asked to probe."""
     suspicion_timeout_s: float = 3.0
-    """How long a suspect may take to refute; in groups of more than ten, times log10 of the group's size."""
+    """Time in which a suspect may refute; multiplied by log10 of the group's size if it exceeds ten."""
     dead_retention_s: float = 7200.0
-    """How long failed and departed members are remembered, so that old news does not bring them back."""
+    """Time for which dead and departed members are kept, so that outdated gossip does not add them again."""
     rejoin_interval_s: float = 5.0
-    """Mean time between two tries to reach unknown seeds and members considered dead."""
+    """Mean time between two attempts to contact seeds that are not live members, and dead members."""
 
 
 @dataclass
 class GossipMember:
-    """One member as this node knows it."""
+    """This node's view of one member."""
 
     record: MemberRecord
     load: LoadRecord
@@ -36,11 +35,11 @@
 
     @property
     def is_alive(self) -> bool:
-        """Whether the member is not considered failed: a suspect still counts as alive."""
+        """Whether the member is alive or suspect; a suspect still counts as alive."""
         return self.status <= MemberStatus.SUSPECT
 
     def digest_entry(self) -> DigestEntry:
-        """Return the member's versions, without its state."""
+        """Return the member's status and versions, without its records."""
         return DigestEntry(
             self.record.node, self.incarnation, int(self.status), self.record.version, self.load.version
         )
@@ -48,7 +47,7 @@
 
 @dataclass(frozen=True)
 class MemberChange:
-    """A member's status changed."""
+    """A change of a member's status."""
 
     node: str
     status: MemberStatus
--- a/src/wallwell/standalone/cluster/membership.py
+++ b/src/wallwell/standalone/cluster/membership.py
@@ -1,12 +1,12 @@
-"""Gossip membership of one region: SWIM probing joined with reconciliation by digest.
+"""Gossip membership of one region: SWIM failure detection combined with anti-entropy. Does no I/O.
 
-Sans-I/O. Each round the node picks a member and sends a :class:`Sync` that carries a sample of what it knows.
-The answer acknowledges the probe and carries what the sender lacked. A member that answers neither directly
-nor through others becomes suspect, and dead unless it refutes with a higher incarnation. Only members of the
-same region share state; regions exchange summaries through delegates (see ``regions``).
+In each round the node sends one member a :class:`Sync` with a digest of a sample of member versions. The reply
+acknowledges the probe and carries the state that the sender lacked. A member that answers neither a direct nor an
+indirect probe becomes suspect, and dead unless it refutes with a higher incarnation. Only members of one region
+share state; regions exchange summaries through delegates (see ``regions``).
 
-Owns the timers of the rounds. What is known stands in :mod:`.member_table`, probes in flight in :mod:`.probing`;
-what a round's messages hold is decided in :mod:`.anti_entropy`.
+Owns the timers of the rounds. :mod:`.member_table` stores the members, :mod:`.probing` the probes in flight;
+:mod:`.anti_entropy` builds and merges the messages of a round.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from wallwell.standalone.cluster.probing import FailureDetector
 
 SYNC_INTERVAL_JITTER = (0.9, 1.1)
-"""Multiples of the sync interval, so that nodes which started together drift apart."""
+"""Range of random multiples of the sync interval, so that nodes that started together do not sync in step."""
 REJOIN_INTERVAL_JITTER = (0.8, 1.2)
-"""The same for tries to reach seeds again."""
+"""Range of random multiples of the rejoin interval, so that nodes do not rejoin in step."""
 CATCH_UP_FRACTION = 0.25
-"""Fraction of the sync interval after which a node that met an unknown member syncs again."""
+"""Fraction of the sync interval after which a node syncs again when a reply contained an unknown member."""
 EXPIRY_INTERVAL_S = 0.5
-"""Seconds between two checks for suspects and departed members whose time is over: how much later than its timeout
-a suspect counts as dead."""
+"""Seconds between two checks for expired suspects and departed members: a suspect is marked dead at most this
+much later than its timeout."""
 
 
 class Membership:
-    """The members of this node's region. Times are on the caller's clock, in seconds."""
+    """Membership protocol of this node's region. Times are on the caller's clock, in seconds."""
 
     def __init__(
         self,
@@ -52,16 +52,16 @@
         self._next_sync_s = 0.0
         self._next_rejoin_s = 0.0
 
-    # --- what is known ---------------------------------------------------------------------------------
+    # --- members ---------------------------------------------------------------------------------------
 
     @property
     def own(self) -> GossipMember:
-        """This node."""
+        """This node's own entry."""
         return self.table.own
 
     @property
     def members(self) -> Mapping[str, GossipMember]:
-        """Every other member by name, failed and departed ones too."""
+        """All other members by name, including dead and departed ones."""
         return self.table.others
 
     def alive(self) -> list[str]:
@@ -69,21 +69,21 @@
         return self.table.alive()
 
     def member(self, name: str) -> GossipMember | None:
-        """Return a member, this node included."""
+        """See :meth:`MemberTable.member`."""
         return self.table.member(name)
 
     def address_of(self, name: str) -> str:
-        """Return a member's cluster address, empty if the member is unknown."""
+        """See :meth:`MemberTable.address_of`."""
         return self.table.address_of(name)
 
     def roster_hash(self) -> int:
-        """Return a hash of the set of live members, whatever their order."""
+        """See :meth:`MemberTable.roster_hash`."""
         return self.table.roster_hash()
 
     # --- rounds ----------------------------------------------------------------------------------------
 
     def tick(self, now_s: float, config_head: int) -> list[Action]:
-        """Advance timers; returns what to send."""
+        """Process expired timers and start due rounds; return the messages to send."""
         actions = self.detector.expire(now_s)
         if now_s >= self._next_expiry_s:
             self._next_expiry_s = now_s + EXPIRY_INTERVAL_S
@@ -109,7 +109,7 @@
         return [Send(address, self._anti_entropy.make_sync(sequence, config_head, target))]
 
     def _try_rejoin(self, config_head: int) -> list[Action]:
-        """Contact a seed or a member considered dead, so that a healed partition is noticed."""
+        """Contact one seed or dead member, to detect that a partition has healed."""
         known = {member.record.address for member in self.members.values() if member.is_alive}
         known.add(self.own.record.address)
         lost = [m.record.address for m in self.members.values() if m.status is MemberStatus.DEAD]
@@ -119,11 +119,11 @@
         return self.start_sync([self._rng.choice(targets)], config_head)
 
     def join(self, config_head: int) -> list[Action]:
-        """Greet every seed at once; used at start and while no other member is known."""
+        """Start a sync with every seed; used at start and while no other member is known."""
         return self.start_sync(self.seeds, config_head)
 
     def start_sync(self, addresses: Iterable[str], config_head: int) -> list[Action]:
-        """Start a reconciliation with nodes known only by address."""
+        """Start a sync with nodes of which only the addresses are known."""
         own = self.own.record.address
         return [
             Send(address, self._anti_entropy.make_sync(0, config_head, ""))
@@ -132,23 +132,23 @@
         ]
 
     def leave(self) -> list[Action]:
-        """Announce a planned stop to a few members."""
+        """Mark this node as departed and announce its planned stop to a few members."""
         self.own.status = MemberStatus.LEFT
         return self.detector.announce(self.own.digest_entry())
 
     # --- messages --------------------------------------------------------------------------------------
 
     def on_sync(self, message: Sync, sender_address: str, now_s: float, config_head: int) -> list[Action]:
-        """Answer a digest with what the sender lacks and ask for what this node lacks."""
+        """Reply to a digest with state that the sender lacks and a request for state that this node lacks."""
         return [Send(sender_address, self._anti_entropy.reply_to(message, now_s, config_head))]
 
     def on_sync_reply(
         self, message: SyncReply, sender_address: str, now_s: float, config_head: int
     ) -> list[Action]:
-        """Merge an answer; send the third leg if the peer asked for records."""
+        """Merge a reply; send a follow-up if it requests records or names members unknown to this node."""
         self.detector.acknowledge(message.sequence)
         if self._anti_entropy.merge(message, now_s):
-            # Where one member was unknown others may be: the next round comes sooner.
+            # If one member was unknown, others may be too: start the next round sooner.
             soon_s = now_s + self._timings.sync_interval_s * CATCH_UP_FRACTION
             self._next_sync_s = min(self._next_sync_s, soon_s)
         answer = self._anti_entropy.follow_up_to(message, config_head)
--- a/src/wallwell/standalone/cluster/messages.py
+++ b/src/wallwell/standalone/cluster/messages.py
@@ -1,6 +1,6 @@
 """Messages between nodes. Encoded as JSON arrays, so that a datagram stays under ``MAX_DATAGRAM_BYTES``.
 
-Owns their fields, whose order and tags are the wire's; what they cause is decided in :mod:`.node`.
+The order of the fields and the tags are part of the wire format. :mod:`.node` processes the messages.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 import msgspec
 
 MAX_DATAGRAM_BYTES = 1200
-"""Largest datagram: with headers under the 1,280 bytes that every IPv6 link carries whole."""
+"""Maximum payload of a datagram: with headers under 1,280 bytes, which every IPv6 link carries unfragmented."""
 MAX_INTERACTIVE_RANK = 4
-"""Least urgent rank that counts as interactive in reported waits."""
+"""Least urgent rank (the largest number) that counts as interactive in published waiting times."""
 
 
 class MemberStatus(enum.IntEnum):
-    """What the group believes of a member; of one incarnation the higher status wins."""
+    """Status of a member in gossip; within one incarnation the higher status wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -25,7 +25,7 @@
 
 
 class EngineRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A serving engine as its reader knows it; ``weights`` pairs models with loaded versions."""
+    """A serving engine, published by the node that reads its events; ``weights``: ``(model, loaded version)``."""
 
     name: str
     incarnation: str
@@ -33,10 +33,10 @@
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Slowly changing state of one node; the node itself raises ``version`` with each change.
+    """Rarely changing state of one node, which increments ``version`` with each change.
 
-    ``engines`` are the serving engines whose events the node reads; ``leaving`` are addresses of back ends the
-    node knows to be leaving.
+    ``engines`` are the serving engines whose events the node reads; ``leaving`` are addresses of back ends that the
+    machine list or their own status declares leaving.
     """
 
     node: str
@@ -49,10 +49,10 @@
 
 
 class LoadRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Fast changing state of one node: the configuration in force and its engines' waiting time.
+    """Frequently changing state of one node: its configuration revision and its engines' waiting times.
 
-    ``waiting_ms`` follows the order of ``MemberRecord.engines`` of the record with ``record_version``; of each
-    engine it gives the wait of interactive work (ranks up to ``MAX_INTERACTIVE_RANK``) and of any work.
+    ``waiting_ms`` has the order of ``MemberRecord.engines`` in the record with version ``record_version``. Each
+    pair is the wait of interactive requests (ranks up to ``MAX_INTERACTIVE_RANK``) and of requests of any rank.
     """
 
     node: str
@@ -64,7 +64,7 @@
 
 
 class DigestEntry(msgspec.Struct, frozen=True, array_like=True):
-    """What the sender knows of one member."""
+    """The status and versions of one member that the sender has."""
 
     node: str
     incarnation: int
@@ -74,9 +74,9 @@
 
 
 class Sync(msgspec.Struct, frozen=True, array_like=True, tag="s"):
-    """Probe and digest: the receiver answers with what the sender lacks.
+    """Probe with a digest: the receiver replies with state that the sender lacks.
 
-    ``roster`` is a hash over the live members' names, so that equal views exchange no member lists.
+    ``roster`` is a hash of the names of live members; nodes with equal hashes do not exchange member lists.
     """
 
     sequence: int
@@ -88,7 +88,7 @@
 
 
 class SyncReply(msgspec.Struct, frozen=True, array_like=True, tag="r"):
-    """Answer to :class:`Sync`, or its third leg (``sequence`` 0). Doubles as the acknowledgement of the probe."""
+    """Reply to :class:`Sync`, which also acknowledges the probe. A ``sequence`` of 0 acknowledges no probe."""
 
     sequence: int
     sender: str
@@ -100,7 +100,7 @@
 
 
 class IndirectProbe(msgspec.Struct, frozen=True, array_like=True, tag="i"):
-    """Ask another member to probe ``address`` on the sender's behalf."""
+    """Asks another member to probe ``address`` on the sender's behalf."""
 
     sequence: int
     address: str
@@ -113,19 +113,19 @@
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag="a"):
-    """Answer to :class:`Ping`, relayed for :class:`IndirectProbe`."""
+    """Reply to :class:`Ping`; for an :class:`IndirectProbe` it is passed on to the member that asked."""
 
     sequence: int
 
 
 class ConfigHeadNotice(msgspec.Struct, frozen=True, array_like=True, tag="h"):
-    """The sender's configuration moved to ``config_head``."""
+    """The sender's configuration advanced to revision ``config_head``."""
 
     config_head: int
 
 
 class RegionSummary(msgspec.Struct, frozen=True, array_like=True):
-    """What other regions need of one region. ``stamp_ms`` orders summaries of the same region."""
+    """Summary of one region for other regions; of two with the same region the higher ``stamp_ms`` is newer."""
 
     region: str
     stamp_ms: int
@@ -134,28 +134,28 @@
 
 
 class RegionExchange(msgspec.Struct, frozen=True, array_like=True, tag="z"):
-    """Summaries exchanged by delegates of different regions."""
+    """Region summaries sent to a node of another region, which replies with its own if ``wants_answer`` is set."""
 
     summaries: tuple[RegionSummary, ...]
     wants_answer: bool
 
 
 class Lookup(msgspec.Struct, frozen=True, array_like=True, tag="l"):
-    """Ask a shard's owner who holds the checkpoints packed in ``hashes``."""
+    """Asks a shard's owner which engines hold the checkpoints packed in ``hashes``."""
 
     sequence: int
     hashes: str
 
 
 class LookupReply(msgspec.Struct, frozen=True, array_like=True, tag="k"):
-    """Holders: ``(engine, incarnation, number of leading checkpoints held)``."""
+    """Engines that hold a prefix of the chain: ``(engine, incarnation, number of leading checkpoints held)``."""
 
     sequence: int
     holders: tuple[tuple[str, str, int], ...]
 
 
 class DispatchReport(msgspec.Struct, frozen=True, array_like=True, tag="d"):
-    """The sender dispatched the chain it looked up as ``sequence`` to an engine, which is about to hold it."""
+    """The sender dispatched the chain of its lookup ``sequence`` to an engine, which will soon hold the chain."""
 
     sequence: int
     engine: str
@@ -163,7 +163,7 @@
 
 
 class BlockReport(msgspec.Struct, frozen=True, array_like=True, tag="b"):
-    """Checkpoints that entered or left one engine's cache, for the owner of their shard."""
+    """Checkpoints stored in and removed from one engine's cache, sent to the owner of their shard."""
 
     engine: str
     incarnation: str
@@ -172,7 +172,7 @@
 
 
 class TokenRequest(msgspec.Struct, frozen=True, array_like=True, tag="t"):
-    """Ask a peer for a share of a tenant's rate."""
+    """Asks a peer for ``amount`` tokens of a tenant's rate limit."""
 
     sequence: int
     tenant: str
@@ -180,7 +180,7 @@
 
 
 class TokenGrant(msgspec.Struct, frozen=True, array_like=True, tag="g"):
-    """Tokens taken out of the sender's bucket for the receiver."""
+    """Tokens that the sender removed from its bucket for the receiver."""
 
     sequence: int
     tenant: str
@@ -188,9 +188,10 @@
 
 
 class CrashNotice(msgspec.Struct, frozen=True, array_like=True, tag="c"):
-    """A life of a back end ended under a request; with an empty ``life``, the request has been answered.
+    """A back end crashed while it ran a request; if ``life`` is empty, the request was answered instead.
 
-    ``content`` is the digest of what the request holds. ``to_region``: the receiver announces it in its own region.
+    ``life`` identifies the crashed incarnation of the back end, ``content`` is the request's content digest. If
+    ``to_region`` is set, the receiver announces the notice in its own region.
     """
 
     content: str
@@ -217,14 +218,14 @@
 
 
 class Send(msgspec.Struct, frozen=True):
-    """A message to send to a node's cluster address (``IP:port``)."""
+    """Action: send a message to a node's cluster address (``IP:port``)."""
 
     address: str
     message: ClusterMessage
 
 
 class FetchConfig(msgspec.Struct, frozen=True):
-    """Fetch the configuration from ``address``, which has at least revision ``head``."""
+    """Action: fetch the configuration from ``address``, which has at least revision ``head``."""
 
     address: str
     head: int
--- a/src/wallwell/standalone/cluster/node.py
+++ b/src/wallwell/standalone/cluster/node.py
@@ -1,10 +1,10 @@
-"""One node's part in the cluster, as a single sans-I/O object.
+"""The cluster protocol of one node, as a single object that does no I/O.
 
-It joins membership, region exchange, configuration spread, directory shards and shared limits behind three
-calls: ``tick``, ``handle`` and the methods of the request path. The router drives it over sockets; tests
-drive the same object over an in-memory network in virtual time.
+Combines membership, region exchange, propagation of the configuration, directory shards and shared limits behind
+``tick``, ``handle`` and the methods that request handling calls. The router runs it over sockets; tests run the
+same object over an in-memory network in virtual time.
 
-Owns the parts and the highest configuration revision heard of; each part's module says what the part owns.
+Owns these components and the highest configuration revision that any node has announced.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 from wallwell.standalone.config.store import ConfigDelta, ConfigStore
 
 CONFIG_HEAD_FANOUT = 3
-"""Members that are sent a new configuration head at once; the others learn it from gossip."""
+"""Members notified of a new configuration revision at once; gossip informs the others."""
 LOAD_PUBLISH_INTERVAL_S = 1.0
-"""Seconds between two updates of the load that this node's digests carry."""
+"""Seconds between two updates of this node's load record."""
 
 
 @dataclass(frozen=True)
 class ClusterIdentity:
-    """Who and where a node is; ``incarnation`` rises with every start (milliseconds of wall time)."""
+    """Name and location of a node; ``incarnation`` rises with every start (milliseconds of wall time)."""
 
     node: str
     zone: str
@@ -49,7 +49,7 @@
 
 
 class ClusterNode:
-    """Cluster state of one node. Times are on the caller's clock, in seconds."""
+    """Cluster state of one node. Times are on the caller's clock, in seconds unless stated otherwise."""
 
     def __init__(
         self,
@@ -74,9 +74,9 @@
     # --- rounds ----------------------------------------------------------------------------------------
 
     def tick(self, now_s: float, now_ms: int) -> list[Action]:
-        """Advance timers; returns what to do. Call about ten times a second.
+        """Process expired timers and return the actions to perform. Call about ten times a second.
 
-        ``now_ms`` is wall time: it orders this region's summaries for other regions.
+        ``now_ms`` is wall time, by which other regions order this region's summaries.
         """
         head = self.config.head
         if now_s >= self._next_load_s:
@@ -99,7 +99,7 @@
         self.membership.table.update_own_load(self.config.head, self.engines.waiting_ms)
 
     def _broadcast(self, notice: msg.CrashNotice, alive: Sequence[str]) -> Iterator[Action]:
-        """Yield a notice for each member of the region and for one of each other region."""
+        """Yield sends of a notice to each member of the region and to one contact of each other region."""
         for address in self._peer_addresses(alive):
             yield Send(address, notice)
         forwarded = msg.CrashNotice(notice.content, notice.life, to_region=True)
@@ -125,7 +125,7 @@
     # --- messages --------------------------------------------------------------------------------------
 
     def handle(self, message: msg.ClusterMessage, sender: str, now_s: float) -> list[Action]:
-        """Process one message from the node at address ``sender``."""
+        """Process one message from the node at address ``sender``; return the actions to perform."""
         head = self.config.head
         membership = self.membership
         match message:
@@ -170,7 +170,7 @@
         return []
 
     def _join_own_region(self, message: msg.RegionExchange) -> list[Action]:
-        """A node that knows no member of its region learns of some from another region's node."""
+        """If no other member of the region is live, sync with the region's contacts in another region's message."""
         if len(self.membership.alive()) > 1:
             return []
         region = self.identity.region
@@ -184,25 +184,25 @@
         return [Send(sender, msg.RegionExchange(summaries, wants_answer=True))]
 
     def tenant_limit(self, tenant: str) -> TenantRateLimit | None:
-        """Return the configured limit of a tenant."""
+        """Return the configured limits of a tenant, None if it is not configured."""
         found = self.config.compiled.tenants.get(tenant)
         if found is None:
             return None
         return TenantRateLimit(found.spec.requests_per_s, found.spec.burst, found.spec.concurrency)
 
     def pop_member_changes(self) -> list[MemberChange]:
-        """Return members' status changes since the last call."""
+        """Return and clear the members' status changes since the last call."""
         return self.membership.table.pop_changes()
 
     # --- configuration ---------------------------------------------------------------------------------
 
     def _fetch_if_behind(self, head: int, sender: str) -> list[Action]:
-        """Fetch the configuration from a node that has a higher revision."""
+        """Fetch the configuration from ``sender`` if its revision ``head`` is higher than this node's."""
         self.highest_config_head = max(self.highest_config_head, head)
         return [FetchConfig(sender, head)] if head > self.config.head else []
 
     def advance_config(self, delta: ConfigDelta) -> list[Action]:
-        """Apply a delta from a peer or the platform; notifies a few members if this node moved up."""
+        """Apply a delta from a peer or the platform; notify a few members if the revision advanced."""
         if not self.config.apply(delta):
             return []
         self._publish_load()
@@ -210,11 +210,11 @@
         chosen = self.rng.sample(addresses, min(len(addresses), CONFIG_HEAD_FANOUT))
         return [Send(address, ConfigHeadNotice(self.config.head)) for address in chosen]
 
-    # --- engines, for callers and back ends ------------------------------------------------------------
+    # --- engines ---------------------------------------------------------------------------------------
 
     @property
     def readers(self) -> dict[str, EngineReader]:
-        """Readers of engines' cache events, by engine."""
+        """Readers of engines' cache events, by engine name."""
         return self.directory.readers
 
     @property
@@ -242,8 +242,6 @@
         """See :meth:`PublishedEngines.leaving_addresses`."""
         return self.engines.leaving_addresses()
 
-    def report_dispatch(
-        self, lookup_sequence: int, engine: str, incarnation: str, chain: Sequence[int]
-    ) -> list[Action]:
+    def report_dispatch(self, sequence: int, engine: str, incarnation: str, chain: Sequence[int]) -> list[Action]:
         """See :meth:`RegionDirectory.report_dispatch`."""
-        return self.directory.report_dispatch(lookup_sequence, engine, incarnation, chain)
+        return self.directory.report_dispatch(sequence, engine, incarnation, chain)
--- a/src/wallwell/standalone/cluster/probing.py
+++ b/src/wallwell/standalone/cluster/probing.py
@@ -1,7 +1,7 @@
-"""Probes of the members of a region, as in SWIM: one member a round, through others if it does not answer.
+"""SWIM failure detection in a region: probes one member per round, through other members if it does not answer.
 
-Owns the probes in flight, those done on behalf of others, and the order in which members are probed. Relies on
-:class:`.member_table.MemberTable` for statuses; a probe that fails twice makes its target a suspect there.
+Owns the probes in flight, those on behalf of other members, and the order in which members are probed. Statuses are
+in :class:`.member_table.MemberTable`; a member that answers neither a direct nor an indirect probe becomes suspect.
 """
 
 from __future__ import annotations
@@ -14,12 +14,11 @@
 from wallwell.standalone.cluster.messages import Ack, Action, DigestEntry, IndirectProbe, Ping, Send, SyncReply
 
 INDIRECT_PROBE_COUNT = 3
-"""Members asked to probe one that did not answer, as in SWIM: a single lossy path must not make a member
-suspect."""
+"""Members asked to probe a member that did not answer, so that a single lossy path does not make it suspect."""
 INDIRECT_TIMEOUT_FACTOR = 2
-"""Probe timeouts for which an indirect probe is waited for: it takes two round trips."""
+"""Timeout of an indirect probe, as a multiple of the probe timeout: it takes two round trips."""
 STATUS_FANOUT = 3
-"""Members that receive a suspicion, a refutation or a departure at once; the others learn it from digests."""
+"""Members that are sent a suspicion, a refutation or a departure at once; digests inform the others."""
 
 
 @dataclass
@@ -38,7 +37,7 @@
 
 
 class FailureDetector:
-    """Probes of one node. Times are on the caller's clock, in seconds."""
+    """Sends and tracks the probes of one node. Times are on the caller's clock, in seconds."""
 
     def __init__(self, table: MemberTable, timings: MembershipTimings, rng: random.Random) -> None:
         self._table = table
@@ -52,7 +51,7 @@
     # --- probes of this node ---------------------------------------------------------------------------
 
     def next_target(self) -> str | None:
-        """Round robin over a shuffled list, so that each member is probed within a bounded time."""
+        """Return the next member in a shuffled round robin, which bounds the time between its probes, or None."""
         while True:
             if not self._probe_order:
                 self._probe_order = [name for name in self._table.alive() if name != self._table.node]
@@ -65,17 +64,17 @@
                 return name
 
     def begin_probe(self, target: str, address: str, now_s: float) -> int:
-        """Expect an acknowledgement from a member; returns the sequence number that the probe must carry."""
+        """Register a probe of a member; return the sequence number that the probe must carry."""
         self._sequence += 1
         self._probes[self._sequence] = _Probe(target, address, now_s + self._timings.probe_timeout_s)
         return self._sequence
 
     def acknowledge(self, sequence: int) -> None:
-        """End a probe that was answered."""
+        """End a direct or indirect probe of this node that was answered."""
         self._probes.pop(sequence, None)
 
     def expire(self, now_s: float) -> list[Action]:
-        """Probe indirectly what did not answer in time, and suspect what did not answer that either."""
+        """Start indirect probes of members that missed the deadline; mark suspect those that missed the second."""
         actions: list[Action] = []
         for sequence, probe in list(self._probes.items()):
             if now_s < probe.deadline_s:
@@ -91,7 +90,7 @@
         return actions
 
     def _suspect(self, probe: _Probe, now_s: float) -> list[Action]:
-        member = self._table.suspect(probe.target, now_s)
+        member = self._table.mark_suspect(probe.target, now_s)
         if member is None:
             return []
         return self.announce(member.digest_entry(), extra_address=probe.address)
@@ -103,13 +102,13 @@
         return actions
 
     def announce(self, entry: DigestEntry, extra_address: str = "") -> list[Action]:
-        """Send one status to a few members at once, excluded waiting for the next round."""
+        """Send one status to a few random members and to ``extra_address`` without waiting for the next round."""
         addresses = self._sample_addresses(entry.node, STATUS_FANOUT)
         notice = SyncReply(0, self._table.node, 0, (entry,))
         return [Send(address, notice) for address in dict.fromkeys((*addresses, extra_address)) if address]
 
     def _sample_addresses(self, excluded: str, count: int) -> list[str]:
-        """Return addresses of ``count`` live members at most, this node and ``excluded`` left out."""
+        """Return the addresses of up to ``count`` random live members other than this node and ``excluded``."""
         names = [name for name in self._table.alive() if name not in (self._table.node, excluded)]
         chosen = self._rng.sample(names, min(len(names), count))
         return [self._table.others[name].record.address for name in chosen]
@@ -117,18 +116,18 @@
     # --- probes on behalf of others --------------------------------------------------------------------
 
     def on_ping(self, message: Ping, sender_address: str) -> list[Action]:
-        """Acknowledge."""
+        """Acknowledge a probe."""
         return [Send(sender_address, Ack(message.sequence))]
 
     def on_indirect_probe(self, message: IndirectProbe, sender_address: str, now_s: float) -> list[Action]:
-        """Probe the target for the sender."""
+        """Probe the target on behalf of the sender."""
         self._sequence += 1
         deadline_s = now_s + INDIRECT_TIMEOUT_FACTOR * self._timings.probe_timeout_s
         self._forwarded[self._sequence] = _ForwardedProbe(sender_address, message.sequence, deadline_s)
         return [Send(message.address, Ping(self._sequence))]
 
     def on_ack(self, message: Ack) -> list[Action]:
-        """End a probe, or pass the acknowledgement on to the member that asked for it."""
+        """End the acknowledged probe; pass the acknowledgement of a forwarded probe on to its requester."""
         self.acknowledge(message.sequence)
         forwarded = self._forwarded.pop(message.sequence, None)
         return [Send(forwarded.requester, Ack(forwarded.sequence))] if forwarded else []
--- a/src/wallwell/standalone/cluster/published_engines.py
+++ b/src/wallwell/standalone/cluster/published_engines.py
@@ -1,8 +1,8 @@
-"""Engines of the region as its nodes publish them: who reads which, which serve, which back ends are leaving.
+"""Engines of the region as its nodes publish them: their readers, which of them serve, and leaving back ends.
 
-Each engine's events are read by one node, found by rendezvous hashing over the live members; that node publishes
-the engine in its member record and the engine's waiting time in its load record. Owns what this node publishes;
-relies on :class:`.member_table.MemberTable` for what the others published.
+One node reads the events of each engine, chosen by rendezvous hashing over the live members. That node publishes
+the engine in its member record and the engine's waiting time in its load record. This module owns what this node
+publishes; the published state of other nodes is in :class:`.member_table.MemberTable`.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from wallwell.standalone.cluster.messages import EngineRecord
 
 WaitingMs = tuple[tuple[int, int], ...]
-"""Of each published engine the wait of interactive work and that of any work, in milliseconds."""
+"""Per published engine: the wait of interactive requests and of requests of any rank, in milliseconds."""
 
 
 class PeerWaiting(NamedTuple):
-    """Waiting time in ms of one engine that another node reads; ``version`` is that of its load record."""
+    """Waiting times of an engine that another node reads; ``version`` is the version of that node's load record."""
 
     engine: str
     interactive_ms: int
@@ -28,29 +28,29 @@
 
 
 class PublishedEngines:
-    """Engines of this node's region."""
+    """Publishes the engines that this node reads, and lists those of its region."""
 
     def __init__(self, table: MemberTable) -> None:
         self._table = table
         self.waiting_ms: WaitingMs = ()
-        """Waiting time of the engines this node reads, in the order of its record."""
+        """Waiting times of the engines that this node reads, in the order of its member record."""
         self.leaving_by_machine_list: set[str] = set()
-        """Addresses that the platform's machine list declares leaving; only delegates read it."""
+        """Addresses that the platform's machine list declares leaving; only delegates read the list."""
         self.leaving_by_engine_status: set[str] = set()
-        """Addresses of engines that report to this node that they are leaving."""
+        """Addresses of engines whose status, as read by this node, is leaving."""
         self._assigned: set[str] = set()
         self._assigned_valid_for: tuple[tuple[str, ...], frozenset[str]] = ((), frozenset())
-        """Live members and engines for which ``_assigned`` holds."""
+        """Live members and engines from which ``_assigned`` was computed."""
 
     def publish(self, engines: tuple[EngineRecord, ...], waiting_ms: WaitingMs) -> None:
-        """Publish the engines this node reads, with incarnations and waiting times."""
+        """Publish the engines that this node reads, with their incarnations and waiting times."""
         self._table.update_own_record(engines, tuple(sorted(self.own_leaving_addresses)))
         self.waiting_ms = waiting_ms
 
     def assigned_engines(self, engines: Iterable[str]) -> set[str]:
-        """Return the engines whose events this node reads, among the live members of its region.
+        """Return those of ``engines`` whose events this node is to read, by rendezvous hash over the live members.
 
-        Recomputed only when the members or the engines changed: it costs a hash per pair of both.
+        Recomputed only when members or engines have changed, since it costs a hash per member and engine.
         """
         alive = tuple(self._table.alive())
         names = frozenset(engines)
@@ -61,7 +61,7 @@
         return self._assigned
 
     def serving_engines(self) -> dict[str, EngineRecord]:
-        """Return every serving engine of the region as its reader last published it."""
+        """Return the serving engines of the region by name, as their readers last published them."""
         found: dict[str, EngineRecord] = {}
         for name in self._table.alive():
             member = self._table.member(name)
@@ -70,7 +70,7 @@
         return found
 
     def peer_waiting_ms(self) -> Iterator[PeerWaiting]:
-        """Yield the waiting times of engines that other nodes read, where load and record belong together."""
+        """Yield the waiting times of engines that other live nodes read, if their load and member records match."""
         for member in self._table.others.values():
             load = member.load
             if load.record_version != member.record.version or not member.is_alive:
@@ -80,11 +80,11 @@
 
     @property
     def own_leaving_addresses(self) -> set[str]:
-        """Addresses of back ends this node itself knows to be leaving."""
+        """Addresses of back ends that are leaving by the machine list or by the status of engines read here."""
         return self.leaving_by_machine_list | self.leaving_by_engine_status
 
     def leaving_addresses(self) -> set[str]:
-        """Return the addresses of back ends that any member, failed ones included, knew to be leaving."""
+        """Return the addresses of back ends that any member, including dead ones, published as leaving."""
         found = set(self.own_leaving_addresses)
         for member in self._table.others.values():
             found.update(member.record.leaving)
--- a/src/wallwell/standalone/cluster/region_directory.py
+++ b/src/wallwell/standalone/cluster/region_directory.py
@@ -1,7 +1,7 @@
-"""This node's part in the region's directory of cached prefixes: its shard, and the way to the others' shards.
+"""The region's sharded directory of cached prefixes: this node's shard, and access to the shards of other nodes.
 
-Owns the shard this node keeps, the readers of engines' cache events, lookups in flight and the cache of shard
-owners. Relies on :class:`.member_table.MemberTable` for the live nodes that the shards are spread over.
+Owns this node's shard, the readers of engines' cache events, lookups in flight and the cache of shard owners. The
+live nodes to which the shards are assigned are in :class:`.member_table.MemberTable`.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from wallwell.standalone.routing.directory import EngineIncarnation
 
 REPORT_INTERVAL_S = 0.25
-"""Seconds between two reports of stored and removed blocks to the owners of their shards: how long a new block
-stays unknown to them."""
+"""Seconds between two reports of stored and removed blocks to their shard owners: the maximum delay until an owner
+is informed of a new block."""
 MAX_CACHED_OWNERS = 4096
-"""Owners of chains remembered, so that rendezvous hashing is not done for each lookup."""
+"""Maximum chains whose shard owners are cached, which saves the rendezvous hashing of each lookup."""
 
 
 class RegionDirectory:
-    """Directory of one region as one node takes part in it. Times are on the caller's clock, in seconds."""
+    """One node's access to its region's directory. Times are on the caller's clock, in seconds."""
 
     def __init__(self, table: MemberTable, rng: random.Random) -> None:
         self._table = table
@@ -30,16 +30,16 @@
         self.shard = DirectoryShard(rng)
         self.readers: dict[str, EngineReader] = {}
         self.lookup_replies: dict[int, LookupReply | None] = {}
-        """Lookups in flight by sequence number, None until answered; whoever began one takes it out."""
+        """Replies by sequence number of the lookup, None until received; the caller of the lookup removes them."""
         self._lookup_sequence = 0
         self._next_report_s = 0.0
         self._last_report_s: float | None = None
         self._owners: dict[int, str] = {}
         self._owners_valid_for: list[str] = []
-        """The list of live members for which ``_owners`` holds."""
+        """The list of live members from which ``_owners`` was computed."""
 
     def owner_of(self, root: int) -> str:
-        """Return the node that keeps the chain with first block ``root``."""
+        """Return the node whose shard has the chain that begins with block hash ``root``."""
         alive = self._table.alive()
         if self._owners_valid_for is not alive:
             self._owners_valid_for = alive
@@ -54,7 +54,7 @@
     # --- reports ---------------------------------------------------------------------------------------
 
     def tick(self, now_s: float) -> list[Action]:
-        """Send what the readers collected, if that is due."""
+        """Return the reports of the readers' collected events, if the report interval has passed."""
         if now_s < self._next_report_s:
             return []
         self._next_report_s = now_s + REPORT_INTERVAL_S
@@ -75,10 +75,8 @@
                 actions.append(Send(self._table.address_of(name), report))
         return actions
 
-    def report_dispatch(
-        self, lookup_sequence: int, engine: str, incarnation: str, chain: Sequence[int]
-    ) -> list[Action]:
-        """Report to the chain's owner that ``engine`` is about to hold the chain of an earlier lookup."""
+    def report_dispatch(self, sequence: int, engine: str, incarnation: str, chain: Sequence[int]) -> list[Action]:
+        """Report to the chain's shard owner that ``engine`` will soon hold the chain of the lookup ``sequence``."""
         if not chain:
             return []
         owner = self.owner_of(chain[0])
@@ -86,22 +84,22 @@
             holder = EngineIncarnation(engine, incarnation)
             self.shard.directory.add(holder, lookup_hashes(chain), self._rng)
             return []
-        report = DispatchReport(lookup_sequence, engine, incarnation)
+        report = DispatchReport(sequence, engine, incarnation)
         return [Send(self._table.address_of(owner), report)]
 
     # --- lookups ---------------------------------------------------------------------------------------
 
     def begin_lookup(self) -> int:
-        """Return a sequence number for a lookup and expect its answer."""
+        """Register a lookup and return its sequence number."""
         self._lookup_sequence += 1
         self.lookup_replies[self._lookup_sequence] = None
         return self._lookup_sequence
 
     def on_lookup(self, message: Lookup, sender_address: str) -> list[Action]:
-        """Answer another node's lookup from this node's shard."""
+        """Reply to another node's lookup from this node's shard."""
         return [Send(sender_address, self.shard.on_lookup(message, sender_address))]
 
     def on_lookup_reply(self, message: LookupReply) -> None:
-        """Keep an answer that is still waited for; a late one is dropped."""
+        """Store the reply to a lookup in flight; drop a reply that arrives after its lookup has ended."""
         if message.sequence in self.lookup_replies:
             self.lookup_replies[message.sequence] = message
--- a/src/wallwell/standalone/cluster/shards.py
+++ b/src/wallwell/standalone/cluster/shards.py
@@ -1,11 +1,11 @@
-"""Directory shards: who keeps which chains, what event readers report, and lookups.
+"""Shards of the directory of cached prefixes: shard assignment, readers of engines' cache events, and lookups.
 
-A region's chains are spread over its live nodes by rendezvous hash of the chain's first block, so nested
-prefixes share a shard. Only checkpoints (the first block and every 32nd) are recorded, which thins the event
-stream by that factor where it is read. Lost reports and moved shards are repaired by re-announcing every
-checkpoint slowly; a shard is a hint, and the engine's own cache stays the truth.
+A region's block chains are assigned to its live nodes by rendezvous hash of the chain's first block, so nested
+prefixes share a shard. Only checkpoints (the first block and every 32nd) are recorded, so the reader of an engine's
+events reports only one block in 32. Slow periodic re-announcement of all checkpoints makes up for lost reports and
+moved shards. A shard is only a hint; the engine's own cache is authoritative.
 
-Owns the shard that a node keeps and what it has read of each engine. Pure: times come from the caller.
+Owns a node's shard and the checkpoints of the engines that it reads. Does no I/O: times come from the caller.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 from wallwell.standalone.routing.table import CompactTable
 
 MAX_LOOKUP_HASHES = 96
-"""Hashes in one lookup. Arithmetic: 96 of them take 1,024 of a datagram's 1,200 bytes, and cover some 49,000 tokens
-of prompt at 16 tokens a block."""
+"""Maximum hashes in one lookup: 96 take 1,024 of a datagram's 1,200 bytes, and cover some 49,000 tokens of prompt
+at 16 tokens a block."""
 MAX_REPORT_HASHES = 72
-"""Hashes in one report, stored and removed ones together. Arithmetic: they take 768 of a datagram's 1,200 bytes
-beside the names of engine and incarnation."""
+"""Maximum hashes in one report, stored and removed together: they take 768 of a datagram's 1,200 bytes, in addition
+to the names of engine and incarnation."""
 REANNOUNCE_PERIOD_S = 120.0
-"""Seconds in which everything known is announced once more, so that a lost report is made good."""
+"""Seconds in which each checkpoint is announced again once, which makes up for lost reports."""
 MAX_RECENT_LOOKUPS = 256
-"""Lookups of other nodes for which a dispatch report is still accepted; older ones are dropped."""
+"""Maximum recent lookups of other nodes for which a dispatch report is accepted; the oldest is dropped."""
 MAX_SHARD_ENTRIES = 200_000
-"""Checkpoints that one shard holds."""
+"""Maximum checkpoints in one shard."""
 
 
 class DirectoryShard:
-    """The chains this node keeps for its region."""
+    """This node's shard: which engines hold the checkpoints of the chains assigned to it."""
 
     def __init__(self, rng: random.Random, max_entries: int = MAX_SHARD_ENTRIES) -> None:
         self.directory = PrefixDirectory(max_entries)
@@ -45,7 +45,7 @@
         self._recent_lookups: OrderedDict[tuple[str, int], list[int]] = OrderedDict()
 
     def on_block_report(self, report: BlockReport) -> None:
-        """Record what a reader or a dispatcher reports."""
+        """Record the stored and removed checkpoints that an engine's reader reports."""
         holder = EngineIncarnation(report.engine, report.incarnation)
         if report.stored:
             self.directory.add(holder, unpack_hashes(report.stored), self._rng)
@@ -53,7 +53,7 @@
             self.directory.remove(holder, unpack_hashes(report.removed))
 
     def on_lookup(self, message: Lookup, sender: str) -> LookupReply:
-        """Answer who holds the leading checkpoints; the hashes are kept for the dispatch report that follows."""
+        """Return the holders of leading checkpoints; keep the hashes for the dispatch report that may follow."""
         hashes = unpack_hashes(message.hashes)
         self._recent_lookups[(sender, message.sequence)] = hashes
         if len(self._recent_lookups) > MAX_RECENT_LOOKUPS:
@@ -63,26 +63,26 @@
         return LookupReply(message.sequence, holders)
 
     def on_dispatch_report(self, message: DispatchReport, sender: str) -> None:
-        """Record that an engine is about to hold a chain looked up before; an old lookup is ignored."""
+        """Record that an engine will soon hold the chain of a recent lookup; ignore reports of older lookups."""
         hashes = self._recent_lookups.pop((sender, message.sequence), None)
         if hashes is not None:
             self.directory.add(EngineIncarnation(message.engine, message.incarnation), hashes, self._rng)
 
 
 def lookup_hashes(chain: Sequence[int]) -> list[int]:
-    """Return the checkpoints of a chain that a lookup carries."""
+    """Return the hashes of a chain's leading checkpoints, as many as a lookup carries."""
     return [chain[depth] for depth in checkpoint_depths(len(chain))][:MAX_LOOKUP_HASHES]
 
 
 def blocks_of_checkpoints(count: int) -> int:
-    """Return the blocks covered by the first ``count`` checkpoints of a chain."""
+    """Return the number of blocks covered by the first ``count`` checkpoints of a chain."""
     if count <= 1:
         return count
     return (count - 1) * CHECKPOINT_STRIDE
 
 
 def shard_owner(root: int, alive: Sequence[str]) -> str:
-    """Return the node that keeps the chain with first block ``root``."""
+    """Return the node whose shard has the chain that begins with block hash ``root``."""
     return owner(alive, root)
 
 
@@ -93,10 +93,10 @@
 
 
 class EngineReader:
-    """Thins one engine's cache events into checkpoint reports for the shards' owners.
+    """Filters one engine's cache events to checkpoints and collects them in reports for the shard owners.
 
-    State: one 16-byte slot (24 bytes at the usual load) a checkpoint the engine holds, whatever the number of
-    its blocks. The value is the chain's first block, from which the owner follows.
+    Stores one 16-byte slot (24 bytes at the usual load factor) per checkpoint that the engine holds, independent of
+    its number of blocks. The value is the chain's first block, which determines the shard owner.
     """
 
     def __init__(self, engine: str, incarnation: str, sequence: int) -> None:
@@ -116,11 +116,11 @@
 
     @property
     def nbytes(self) -> int:
-        """Bytes of the checkpoint table."""
+        """Size of the checkpoint table in bytes."""
         return self._checkpoints.nbytes
 
     def on_event(self, line: CacheLine) -> bool:
-        """Take one event; returns False if events before it were lost."""
+        """Apply one cache event; return False if events before it were lost."""
         if line.sequence <= self.sequence:
             return True
         contiguous = line.sequence == self.sequence + 1
@@ -150,7 +150,7 @@
                 self._batches.setdefault(root, _Batch()).removed.append(block)
 
     def apply_snapshot(self, sequence: int, entries: Sequence[tuple[int, int, int]]) -> None:
-        """Adopt a snapshot of ``(root, depth, block)`` after a gap; what is no longer held is reported removed."""
+        """Replace the checkpoints after a gap by a snapshot of ``(root, depth, block)``; report the differences."""
         held = {block: root for root, depth, block in entries if is_checkpoint(depth)}
         removed_blocks = [block for block, _ in self._checkpoints.items() if block not in held]
         self._remove(removed_blocks)
@@ -161,7 +161,7 @@
         self.needs_snapshot = False
 
     def flush(self, owner_of: Callable[[int], str]) -> list[tuple[str, BlockReport]]:
-        """Return ``(owner, report)`` for everything collected since the last call."""
+        """Return ``(shard owner, report)`` pairs for the checkpoints collected since the last call."""
         by_owner: dict[str, _Batch] = {}
         for root, batch in self._batches.items():
             target = by_owner.setdefault(owner_of(root), _Batch())
@@ -181,7 +181,7 @@
             yield BlockReport(self.engine, self.incarnation, stored, removed)
 
     def queue_reannouncements(self, elapsed_s: float) -> None:
-        """Queue the share of all checkpoints that ``elapsed_s`` of an announcement period allows."""
+        """Queue the fraction of all checkpoints that corresponds to ``elapsed_s`` of the re-announcement period."""
         self._reannounce_credit += len(self._checkpoints) * elapsed_s / REANNOUNCE_PERIOD_S
         if self._reannouncing is None:
             self._reannouncing = iter(list(self._checkpoints.items()))
--- a/src/wallwell/standalone/cluster/sync_reply.py
+++ b/src/wallwell/standalone/cluster/sync_reply.py
@@ -1,7 +1,4 @@
-"""Reconciliation by digest: what one node must send so that another one has what it lacks, within one datagram.
-
-Owns the bound on a datagram's size. Pure.
-"""
+"""Builds the reply to a digest: the state that the peer lacks, as far as it fits into one datagram. Does no I/O."""
 
 from __future__ import annotations
 
@@ -20,14 +17,14 @@
 )
 
 _RESERVED_BYTES = 160
-"""Bytes of a datagram left for its header and authentication code: the code takes 17."""
+"""Bytes of a datagram reserved for the message header and the authentication code, which takes 17."""
 _JSON_STRING_OVERHEAD_BYTES = 3
-"""Bytes that a name takes in JSON beside its own."""
+"""Bytes of a string in JSON in addition to its text: two quotes and a comma."""
 _PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - _RESERVED_BYTES
 
 
 class SyncReplyBuilder:
-    """Collects statuses, records and loads up to the size of a datagram."""
+    """Collects statuses, records and loads for a reply until the datagram is full."""
 
     def __init__(self, entries: list[DigestEntry], wanted: Sequence[str]) -> None:
         self._entries = entries
@@ -37,7 +34,7 @@
         self._size = sum(len(name) + _JSON_STRING_OVERHEAD_BYTES for name in wanted) + _encoded_size(entries)
 
     def add_members(self, members: Iterable[GossipMember], peer_digest: Mapping[str, DigestEntry]) -> None:
-        """Add what ``members`` have beyond what the peer is ``peer_digest`` to have, until the datagram is full."""
+        """Add state of ``members`` that is newer than in ``peer_digest``, until the datagram is full."""
         for member in members:
             peer = peer_digest.get(member.record.node)
             if member.status is MemberStatus.LEFT and peer is None:
@@ -60,7 +57,7 @@
         return True
 
     def build(self, sequence: int, sender: str, config_head: int) -> SyncReply:
-        """Return the message."""
+        """Return the reply with the collected state."""
         return SyncReply(
             sequence,
             sender,
@@ -77,7 +74,7 @@
 
 
 def is_newer(first: DigestEntry, second: DigestEntry) -> bool:
-    """Whether ``first`` has anything newer than ``second``."""
+    """Whether any version in ``first`` is newer than in ``second``."""
     if first.incarnation != second.incarnation:
         return first.incarnation > second.incarnation
     return (
--- a/src/wallwell/standalone/cluster/transport.py
+++ b/src/wallwell/standalone/cluster/transport.py
@@ -1,6 +1,6 @@
-"""Sockets of the cluster protocol: UDP datagrams, and TCP for configuration too large for a datagram.
+"""Sockets of the cluster protocol: UDP for messages, TCP for configuration, which may exceed a datagram.
 
-Owns the sockets, the send budget and the waits for lookups; what to send is decided by :class:`.node.ClusterNode`.
+Owns the sockets, the send budget and the pending lookups; :class:`.node.ClusterNode` decides what to send.
 """
 
 from __future__ import annotations
@@ -27,22 +27,21 @@
 from wallwell.standalone.settings import Listener
 
 TICK_INTERVAL_S = 0.1
-"""Seconds between two ticks of the state machines: the resolution of their timers."""
+"""Seconds between two ticks of the cluster node: the resolution of its timers."""
 LOOKUP_TIMEOUT_S = 0.005
-"""Seconds to wait for a directory lookup, which each request pays at most: zones of a region are a few milliseconds
-apart."""
+"""Maximum seconds that a directory lookup adds to a request; zones of a region are a few milliseconds apart."""
 CONFIG_FETCH_TIMEOUT_S = 2.0
-"""Seconds for a configuration delta from a peer over TCP."""
+"""Maximum seconds to transfer a configuration delta over TCP, as client and as server."""
 MAX_LINE_BYTES = 64 * 1024 * 1024
-"""Largest line over TCP, a whole configuration: far above any known one."""
+"""Maximum line over TCP, which may be a whole configuration: far larger than any known configuration."""
 MAX_CONCURRENT_CONFIG_REPLIES = 4
-"""Deltas served at once, so that nodes that start together do not take the processor from requests."""
+"""Maximum deltas sent at a time, so that nodes starting together do not take processor time from requests."""
 SEND_BUDGET_BURST_S = 2.0
-"""Seconds of the send budget that may go out at once."""
+"""Burst of the send budget, in seconds of its rate."""
 
 
 class ConfigDeltaRequest(msgspec.Struct, frozen=True):
-    """Ask a peer for the configuration after a revision."""
+    """Asks a peer for the changes of the configuration after a revision."""
 
     after: int
 
@@ -56,14 +55,14 @@
 
 
 class LookupResult(NamedTuple):
-    """Holders of a chain, and the lookup's number for the dispatch report."""
+    """Prefixes of a chain that engines hold, and the lookup's sequence number for the dispatch report."""
 
     sequence: int
     held_prefixes: list[HeldPrefix]
 
 
 class TrafficCounter:
-    """Bytes and messages a node sent and received for control."""
+    """Bytes and messages of the cluster protocol that a node sent, received and dropped."""
 
     def __init__(self) -> None:
         self.sent_bytes = 0
@@ -92,7 +91,7 @@
         self.node: ClusterNode | None = None
 
     async def bind(self) -> str:
-        """Open both sockets on one port; returns ``IP:port``. Raises :class:`AddressInUseError`."""
+        """Open both sockets on one port; return ``IP:port``. Raises :class:`AddressInUseError` if it is in use."""
         host = self._listener.host
         try:
             self._server = await asyncio.start_server(self._serve, host, self._listener.port, limit=MAX_LINE_BYTES)
@@ -108,12 +107,12 @@
         return self.address
 
     def run(self, node: ClusterNode) -> None:
-        """Start the node's rounds."""
+        """Start to tick the node periodically and to pass received messages to it."""
         self.node = node
         self._tasks.begin(self._tick_forever(node))
 
     async def close(self) -> None:
-        """Stop rounds and close sockets."""
+        """Cancel all tasks and close both sockets."""
         for task in list(self._tasks):
             task.cancel()
         if self._datagrams is not None:
@@ -148,7 +147,7 @@
                 waiter.set_result(None)
 
     def perform(self, actions: Sequence[Action]) -> None:
-        """Carry out what the node decided."""
+        """Carry out actions that the node returned."""
         for action in actions:
             if isinstance(action, Send):
                 self._send(action)
@@ -160,7 +159,7 @@
             return
         data = self._codec.encode(action.message)
         if not self._budget.try_take(boot_time_s(), len(data)):
-            self.traffic.dropped_messages += 1  # As a lost datagram: what matters is sent again.
+            self.traffic.dropped_messages += 1  # Like a lost datagram: the protocol resends what matters.
             return
         host, _, port = action.address.rpartition(":")
         self.traffic.sent_bytes += len(data)
@@ -168,7 +167,7 @@
         self._datagrams.sendto(data, (host, int(port)))
 
     async def lookup(self, chain: Sequence[int]) -> LookupResult:
-        """Ask the owner of a chain's shard who holds it; no holders if it does not answer in time."""
+        """Look up the holders of a chain at its shard owner; return none if the owner does not reply in time."""
         node = self.node
         if node is None or not chain:
             return LookupResult(0, [])
@@ -184,7 +183,7 @@
             async with bounded(LOOKUP_TIMEOUT_S):
                 await waiter
         except TimeoutError:
-            # Usual on a busy link; the node then goes by its own recent dispatches, and hit-rate metrics show it.
+            # Common on a busy link. Routing then uses this node's recent dispatches; hit-rate metrics show it.
             return LookupResult(sequence, [])
         finally:
             del self._lookup_waiters[sequence]
@@ -215,7 +214,7 @@
             self._fetching.discard(address)
 
     def apply_config_delta(self, delta: ConfigDelta) -> bool:
-        """Apply a delta and notify others; returns whether this node moved up."""
+        """Apply a delta and notify a few members; return whether this node's revision advanced."""
         assert self.node is not None
         before = self.node.config.head
         self.perform(self.node.advance_config(delta))
@@ -225,7 +224,7 @@
         return True
 
     async def fetch_config(self, address: str, after: int) -> ConfigDelta:
-        """Ask one peer for a delta. Raises :class:`PeerUnavailableError`."""
+        """Fetch the changes after revision ``after`` from a peer. Raises :class:`PeerUnavailableError`."""
         host, _, port = address.rpartition(":")
         request = self._codec.encode(ConfigDeltaRequest(after))
         writer: asyncio.StreamWriter | None = None
--- a/tests/unit/standalone/cluster/test_claims.py
+++ b/tests/unit/standalone/cluster/test_claims.py
@@ -1,4 +1,4 @@
-"""A key runs at most once, whatever the table service loses and whoever else claims."""
+"""A call with an idempotency key runs at most once, even if the table service loses answers and routers compete."""
 
 import itertools
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("script", list(itertools.product(FAULTS, repeat=4)))
-def test_two_claimants_never_both_get_the_key(script, run_async):
+def test_two_claimants_are_never_both_granted_a_key(script, run_async):
     async def scenario():
         table = FaultyTable(faults=script)
         granted = 0
@@ -31,25 +31,25 @@
 
 
 @pytest.mark.parametrize("script", [[OK, LOST_AFTER], [OK, LOST_BEFORE], [LOST_BEFORE, OK, LOST_AFTER]])
-def test_a_lost_answer_is_resolved_by_the_own_claim_id(script, run_async):
+def test_after_a_lost_answer_the_claimant_finds_its_own_claim_id(script, run_async):
     claim = run_async(ClaimTable(FaultyTable(faults=script)).claim("t", "k", "d", "mine"))
     assert claim.result is ClaimResult.GRANTED
 
 
-def test_recorded_released_and_reused_keys(run_async):
+def test_claims_of_open_released_recorded_and_reused_keys(run_async):
     async def scenario():
         claims = ClaimTable(FaultyTable())
         first = await claims.claim("t", "k", "d", "one")
         open_elsewhere = await claims.claim("t", "k", "d", "two")
         await claims.release(first)
-        again = await claims.claim("t", "k", "d", "three")
-        await claims.record(first, 200, "late holder of a released claim")
-        await claims.record(again, 201, "answer")
+        reclaimed = await claims.claim("t", "k", "d", "three")
+        await claims.record(first, 200, "answer from the holder of a released claim")
+        await claims.record(reclaimed, 201, "answer")
         recorded = await claims.claim("t", "k", "d", "four")
         with pytest.raises(KeyReusedError):
             await claims.claim("t", "k", "another body", "five")
         other_tenant = await claims.claim("u", "k", "another body", "six")
-        return open_elsewhere.result, again.result, (recorded.status, recorded.body), other_tenant.result
+        return open_elsewhere.result, reclaimed.result, (recorded.status, recorded.body), other_tenant.result
 
     assert run_async(scenario()) == (
         ClaimResult.OPEN_ELSEWHERE,
@@ -59,7 +59,7 @@
     )
 
 
-def test_a_table_that_is_down_means_not_run(run_async):
+def test_a_claim_fails_with_outcome_not_run_if_the_table_service_is_down(run_async):
     table = FaultyTable()
     table.down = True
     with pytest.raises(ClaimUnavailableError) as error:
@@ -68,16 +68,16 @@
 
 
 def run_without_waiting(work):
-    """Run a coroutine that never really waits."""
+    """Return the result of a coroutine that must not suspend."""
     try:
         work.send(None)
     except StopIteration as done:
         return done.value
-    raise AssertionError("the coroutine waited")
+    raise AssertionError("the coroutine suspended")
 
 
 class ClaimsMachine(RuleBasedStateMachine):
-    """Routers claim, run, die, pause and settle one key in any order while the table loses answers."""
+    """Routers claim a key, run, crash, pause and settle in any order while the table service loses answers."""
 
     def __init__(self):
         super().__init__()
@@ -106,13 +106,13 @@
             run_without_waiting(self.claims.record(claim, 200, "answer"))
 
     @rule()
-    def run_and_die(self):
+    def run_and_crash(self):
         if self.holders:
             self.holders.pop()
             self.runs += 1
 
     @rule(faults=st.lists(st.sampled_from(FAULTS), max_size=4))
-    def refuse_and_release(self, faults):
+    def release_without_running(self, faults):
         if self.holders:
             claim = self.holders.pop()
             self.table.faults.extend(faults)
--- a/tests/unit/standalone/cluster/test_member_table.py
+++ b/tests/unit/standalone/cluster/test_member_table.py
@@ -1,4 +1,4 @@
-"""What a node knows of its region's members: which of two statements about one member holds."""
+"""Statuses merge in any order; suspicion, refutation, expiry and probes change them as in the SWIM protocol."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         ((1, LEFT), (2, ALIVE), (2, ALIVE)),
     ],
 )
-def test_a_higher_incarnation_wins_and_of_one_incarnation_the_higher_status(before, received, after):
+def test_the_higher_incarnation_wins_and_within_an_incarnation_the_higher_status(before, received, after):
     members = make_table("other")
     for incarnation, status in (before, received):
         members.merge_status(make_entry(status, incarnation), now_s=1.0)
@@ -55,15 +55,15 @@
 
 
 @given(st.permutations([(each, status) for each in (1, 2, 3) for status in MemberStatus]))
-def test_the_order_of_statements_does_not_matter(statements):
+def test_the_merged_status_does_not_depend_on_the_order_of_entries(entries):
     members = make_table("other")
-    for incarnation, status in statements:
+    for incarnation, status in entries:
         members.merge_status(make_entry(status, incarnation), now_s=1.0)
     found = members.member("other")
     assert (found.incarnation, found.status) == (3, LEFT)
 
 
-def test_a_suspicion_about_this_node_is_refuted_once_unless_it_leaves():
+def test_a_suspicion_of_this_node_is_refuted_once_unless_the_node_has_left():
     members = make_table()
     members.merge_status(make_entry(SUSPECT, 1, "own"), now_s=1.0)
     assert members.own.incarnation == 2
@@ -75,10 +75,10 @@
     assert not members.pop_refutation()
 
 
-def test_a_suspect_is_dead_after_its_timeout_and_forgotten_after_the_retention():
+def test_a_suspect_is_dead_after_its_timeout_and_removed_after_the_retention():
     members = make_table("other")
-    assert members.suspect("other", now_s=10.0) is members.member("other")
-    assert members.suspect("other", now_s=10.0) is None
+    assert members.mark_suspect("other", now_s=10.0) is members.member("other")
+    assert members.mark_suspect("other", now_s=10.0) is None
     members.expire(10.0 + TIMINGS.suspicion_timeout_s - 0.01)
     assert members.alive() == ["other", "own"]
     died_s = 10.0 + TIMINGS.suspicion_timeout_s
@@ -89,29 +89,29 @@
     assert members.member("other") is None
 
 
-def test_large_groups_have_longer_to_refute():
+def test_the_suspicion_timeout_is_longer_in_large_groups():
     members = make_table(*(f"n{number}" for number in range(99)))
-    members.suspect("n0", now_s=0.0)
+    members.mark_suspect("n0", now_s=0.0)
     members.expire(2 * TIMINGS.suspicion_timeout_s - 0.01)
     assert "n0" in members.alive()
     members.expire(2 * TIMINGS.suspicion_timeout_s)
     assert "n0" not in members.alive()
 
 
-def test_a_member_is_suspected_after_a_direct_and_an_indirect_probe_without_answer():
+def test_a_member_becomes_suspect_after_unanswered_direct_and_indirect_probes():
     members = make_table("a", "b", "c", "d", "e")
     detector = FailureDetector(members, TIMINGS, random.Random(1))
     sequence = detector.begin_probe("a", "a:1", now_s=0.0)
     assert detector.expire(TIMINGS.probe_timeout_s - 0.01) == []
-    asked = detector.expire(TIMINGS.probe_timeout_s)
-    assert len(asked) == INDIRECT_PROBE_COUNT + 1
-    assert asked[-1].message == Ping(sequence)
+    sent = detector.expire(TIMINGS.probe_timeout_s)
+    assert len(sent) == INDIRECT_PROBE_COUNT + 1
+    assert sent[-1].message == Ping(sequence)
     assert members.member("a").status is ALIVE
     detector.expire((1 + INDIRECT_TIMEOUT_FACTOR) * TIMINGS.probe_timeout_s)
     assert members.member("a").status is SUSPECT
 
 
-def test_a_probe_that_was_answered_suspects_nobody():
+def test_an_answered_probe_makes_no_member_suspect():
     members = make_table("a")
     detector = FailureDetector(members, TIMINGS, random.Random(1))
     detector.acknowledge(detector.begin_probe("a", "a:1", now_s=0.0))
--- a/tests/unit/standalone/cluster/test_network.py
+++ b/tests/unit/standalone/cluster/test_network.py
@@ -1,4 +1,4 @@
-"""Hundreds of cluster nodes over a lossy network in virtual time."""
+"""Up to 120 cluster nodes exchange messages over a simulated lossy network in virtual time."""
 
 import random
 
@@ -13,7 +13,7 @@
 
 
 def node_identity(number, regions):
-    """Node ``number`` of a fleet with two zones a region, filled evenly."""
+    """Return the identity of node ``number`` in a fleet with two equally large zones per region."""
     zone = number % (regions * 2)
     address = f"10.{number // 62500}.{number // 250 % 250}.{number % 250}:8082"
     incarnation = 1_700_000_000_000 + number
@@ -21,7 +21,7 @@
 
 
 def tenant_change(tenant, revision):
-    """One accepted change of a tenant's limit."""
+    """Return a configuration delta that changes one tenant's limit."""
     rate = float(100 + revision % 900)
     spec = TenantSpec((f"{tenant:064x}",), ("model-0",), (), ("interactive",), "interactive", rate)
     key = FileKey(Kind.TENANT, f"tenant-{tenant:04d}")
@@ -57,13 +57,13 @@
 
 @pytest.mark.parametrize("faults", [LinkFaults(), LOSSY], ids=["clean", "lossy"])
 @pytest.mark.parametrize(("nodes", "regions"), [(3, 1), (30, 1), (70, 1), (60, 3)])
-def test_every_node_learns_its_region_and_only_it(nodes, regions, faults):
+def test_every_node_finds_the_members_of_its_region_and_no_others(nodes, regions, faults):
     network = make_network(nodes, regions, faults=faults)
     assert network.run_until(lambda: all_regions_converged(network), limit_s=30) is not None
 
 
 @pytest.mark.parametrize("faults", [LinkFaults(), LOSSY], ids=["clean", "lossy"])
-def test_a_dead_node_is_out_and_a_restarted_one_back_within_a_bound(faults):
+def test_a_dead_node_is_removed_and_a_restarted_one_rejoins_within_a_bound(faults):
     network = make_network(30, faults=faults)
     network.run_until(lambda: all_regions_converged(network), limit_s=30)
     victim = network.nodes()[7]
@@ -87,7 +87,7 @@
     assert dead == []
 
 
-def test_a_paused_node_comes_back_by_refuting():
+def test_a_paused_node_rejoins_by_refuting_its_suspicion():
     network = make_network(20)
     network.run_until(lambda: all_regions_converged(network), limit_s=30)
     paused = network.nodes()[3]
@@ -97,7 +97,7 @@
     assert network.run_until(lambda: all_regions_converged(network), limit_s=45) is not None
 
 
-def test_a_healed_partition_is_one_group_again():
+def test_a_partitioned_group_converges_again_once_healed():
     network = make_network(24)
     network.run_until(lambda: all_regions_converged(network), limit_s=30)
     addresses = list(network.hosts)
@@ -108,7 +108,7 @@
     assert network.run_until(lambda: all_regions_converged(network), limit_s=60) is not None
 
 
-def test_a_planned_leave_is_known_without_suspicion():
+def test_a_planned_leave_is_announced_without_waiting_for_suspicion():
     network = make_network(20)
     network.run_until(lambda: all_regions_converged(network), limit_s=30)
     leaver = network.nodes()[0]
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize(("nodes", "regions"), [(3, 1), (30, 3), (120, 6)])
-def test_a_change_is_everywhere_within_six_seconds_and_never_reverts(nodes, regions):
+def test_a_configuration_change_is_everywhere_within_six_seconds_and_never_reverts(nodes, regions):
     network = make_network(nodes, regions, faults=LinkFaults(loss=0.05, duplication=0.05))
     network.run_until(lambda: all_regions_converged(network), limit_s=40)
     network.run(5)
@@ -127,12 +127,12 @@
         writer = network.rng.choice(network.nodes())
         network.perform(writer, writer.advance_config(tenant_change(revision, revision)))
         heads = [node.config.head for node in network.nodes()]
-        in_force = lambda r=revision: all(node.config.head >= r for node in network.nodes())  # noqa: E731
-        assert network.run_until(in_force, limit_s=6) is not None
+        is_applied = lambda r=revision: all(node.config.head >= r for node in network.nodes())  # noqa: E731
+        assert network.run_until(is_applied, limit_s=6) is not None
         assert all(node.config.head >= before for node, before in zip(network.nodes(), heads, strict=True))
 
 
-def test_a_zone_cut_off_catches_up_and_brings_nothing_back():
+def test_a_partitioned_group_catches_up_and_does_not_revert_the_configuration():
     network = make_network(24)
     network.run_until(lambda: all_regions_converged(network), limit_s=30)
     addresses = list(network.hosts)
@@ -147,7 +147,7 @@
     assert network.run_until(lambda: {n.config.head for n in network.nodes()} == {2}, limit_s=30) is not None
 
 
-def test_datagrams_stay_under_the_bound():
+def test_datagrams_do_not_exceed_the_maximum_size():
     network = make_network(70)
     sizes = []
     original = network._receive
@@ -162,7 +162,7 @@
     assert max(sizes) <= MAX_DATAGRAM_BYTES
 
 
-def test_the_same_seed_gives_the_same_run():
+def test_the_same_seed_gives_the_same_traffic():
     def trace():
         network = make_network(12, seed=5, faults=LOSSY)
         network.run(20)
