--- a/src/wallwell/standalone/cluster/anti_entropy.py
+++ b/src/wallwell/standalone/cluster/anti_entropy.py
@@ -85,7 +85,7 @@
 
     # --- processing of a reply -------------------------------------------------------------------------
 
-    def merge(self, message: SyncReply, now_s: float) -> bool:
+    def merge_reply(self, message: SyncReply, now_s: float) -> bool:
         """Merge a reply; return whether it contained a record of a member new to this node."""
         found_new = False
         for record in message.records:
--- a/src/wallwell/standalone/cluster/claims.py
+++ b/src/wallwell/standalone/cluster/claims.py
@@ -110,10 +110,10 @@
                 return Claim(ClaimResult.GRANTED, row_key, claim_id, content_digest, row.version)
             if body.state is ClaimState.OPEN:
                 return Claim(ClaimResult.OPEN_ELSEWHERE, row_key, claim_id, content_digest, row.version)
-        version = await self._write(row_key, row, ClaimBody(claim_id, content_digest, ClaimState.OPEN))
+        version = await self._write_row(row_key, row, ClaimBody(claim_id, content_digest, ClaimState.OPEN))
         return Claim(ClaimResult.GRANTED, row_key, claim_id, content_digest, version)
 
-    async def _write(self, row_key: str, row: Row | None, body: ClaimBody) -> int:
+    async def _write_row(self, row_key: str, row: Row | None, body: ClaimBody) -> int:
         condition = Condition(row_key, row.version if row else 0)
         put = Put(row_key, msgspec.json.encode(body).decode())
         return await self._table.transact(Transaction((condition,), (put,)))
@@ -138,7 +138,7 @@
                 current = msgspec.json.decode(row.value, type=ClaimBody)
                 if current.claim_id != claim.claim_id or current.state is not ClaimState.OPEN:
                     return True  # Settled by an earlier attempt, or claimed by another after a release.
-                await self._write(claim.row_key, row, body)
+                await self._write_row(claim.row_key, row, body)
                 return True
             except (PlatformUnavailableError, TableConflictError) as error:
                 emit(Event.CLAIM_RETRIED, claim=claim.claim_id, reason=str(error))
--- a/src/wallwell/standalone/cluster/limits.py
+++ b/src/wallwell/standalone/cluster/limits.py
@@ -69,7 +69,7 @@
         """This node's fraction of every limit."""
         return self._fraction
 
-    def _share(self, tenant: str, limit: TenantRateLimit, now_s: float) -> _TenantShare:
+    def _updated_share(self, tenant: str, limit: TenantRateLimit, now_s: float) -> _TenantShare:
         share = self._shares.get(tenant)
         capacity = max(1.0, limit.burst * self._fraction)
         rate = limit.requests_per_s * self._fraction
@@ -84,7 +84,7 @@
 
     def admit(self, tenant: str, limit: TenantRateLimit, now_s: float) -> float | None:
         """Admit one request and return None, or refuse it and return the seconds after which to retry."""
-        share = self._share(tenant, limit, now_s)
+        share = self._updated_share(tenant, limit, now_s)
         if share.in_flight >= share.concurrency:
             return CONCURRENCY_RETRY_AFTER_S
         if not share.bucket.try_take(now_s):
@@ -126,7 +126,7 @@
         self, message: TokenRequest, sender_address: str, limit: TenantRateLimit, now_s: float
     ) -> list[Action]:
         """Grant part of this node's tokens, unless it refused the tenant's requests itself for lack of tokens."""
-        share = self._share(message.tenant, limit, now_s)
+        share = self._updated_share(message.tenant, limit, now_s)
         available = share.bucket.tokens * _MAX_GRANT_FRACTION if share.demand <= 0 else 0.0
         amount = min(message.amount, available)
         if amount < _MIN_GRANT_TOKENS:
--- a/src/wallwell/standalone/cluster/membership.py
+++ b/src/wallwell/standalone/cluster/membership.py
@@ -147,7 +147,7 @@
     ) -> list[Action]:
         """Merge a reply; send a follow-up if it requests records or names members unknown to this node."""
         self.detector.acknowledge(message.sequence)
-        if self._anti_entropy.merge(message, now_s):
+        if self._anti_entropy.merge_reply(message, now_s):
             # If one member was unknown, others may be too: start the next round sooner.
             soon_s = now_s + self._timings.sync_interval_s * CATCH_UP_FRACTION
             self._next_sync_s = min(self._next_sync_s, soon_s)
--- a/src/wallwell/standalone/cluster/shards.py
+++ b/src/wallwell/standalone/cluster/shards.py
@@ -87,7 +87,7 @@
 
 
 @dataclass
-class _Batch:
+class _ReportBatch:
     stored: list[int] = field(default_factory=list)
     removed: list[int] = field(default_factory=list)
 
@@ -107,7 +107,7 @@
         self.needs_snapshot = False
         self.gap_count = 0
         self._checkpoints = CompactTable()
-        self._batches: dict[int, _Batch] = {}
+        self._batches: dict[int, _ReportBatch] = {}
         self._reannouncing: Iterator[tuple[int, int]] | None = None
         self._reannounce_credit = 0.0
 
@@ -140,14 +140,14 @@
         for offset, block in enumerate(hashes):
             if is_checkpoint(depth + offset):
                 self._checkpoints.set(block, root or 1)
-                self._batches.setdefault(root, _Batch()).stored.append(block)
+                self._batches.setdefault(root, _ReportBatch()).stored.append(block)
 
     def _remove(self, hashes: Sequence[int]) -> None:
         for block in hashes:
             root = self._checkpoints.get(block)
             if root:
                 self._checkpoints.delete(block)
-                self._batches.setdefault(root, _Batch()).removed.append(block)
+                self._batches.setdefault(root, _ReportBatch()).removed.append(block)
 
     def apply_snapshot(self, sequence: int, entries: Sequence[tuple[int, int, int]]) -> None:
         """Replace the checkpoints after a gap by a snapshot of ``(root, depth, block)``; report the differences."""
@@ -162,18 +162,18 @@
 
     def flush(self, owner_of: Callable[[int], str]) -> list[tuple[str, BlockReport]]:
         """Return ``(shard owner, report)`` pairs for the checkpoints collected since the last call."""
-        by_owner: dict[str, _Batch] = {}
+        by_owner: dict[str, _ReportBatch] = {}
         for root, batch in self._batches.items():
-            target = by_owner.setdefault(owner_of(root), _Batch())
+            target = by_owner.setdefault(owner_of(root), _ReportBatch())
             target.stored.extend(batch.stored)
             target.removed.extend(batch.removed)
         self._batches.clear()
         reports: list[tuple[str, BlockReport]] = []
         for name, batch in by_owner.items():
-            reports.extend((name, report) for report in self._split(batch))
+            reports.extend((name, report) for report in self._split_batch(batch))
         return reports
 
-    def _split(self, batch: _Batch) -> Iterator[BlockReport]:
+    def _split_batch(self, batch: _ReportBatch) -> Iterator[BlockReport]:
         for start in range(0, max(len(batch.stored), len(batch.removed)), MAX_REPORT_HASHES // 2):
             end = start + MAX_REPORT_HASHES // 2
             stored = pack_hashes(batch.stored[start:end])
@@ -193,4 +193,4 @@
                 return
             block, root = entry
             if self._checkpoints.get(block):
-                self._batches.setdefault(root, _Batch()).stored.append(block)
+                self._batches.setdefault(root, _ReportBatch()).stored.append(block)
--- a/src/wallwell/standalone/cluster/transport.py
+++ b/src/wallwell/standalone/cluster/transport.py
@@ -106,7 +106,7 @@
         self.address = f"{host}:{port}"
         return self.address
 
-    def run(self, node: ClusterNode) -> None:
+    def start(self, node: ClusterNode) -> None:
         """Start to tick the node periodically and to pass received messages to it."""
         self.node = node
         self._tasks.begin(self._tick_forever(node))
--- a/src/wallwell/standalone/router_node.py
+++ b/src/wallwell/standalone/router_node.py
@@ -84,7 +84,7 @@
         callers, operators = CallersApp(self.context).app(), OperatorsApp(self.context).app()
         self.callers_address = await self.listeners.listen(callers, settings.callers_listener)
         self.operators_address = await self.listeners.listen(operators, settings.operators_listener)
-        self.transport.run(self.context.node)
+        self.transport.start(self.context.node)
         self.transport.perform(self.context.node.membership.join(0))
         self._tasks = [asyncio.create_task(self._supervise(loop)) for loop in self._loops()]
         emit(
