--- a/src/wallwell/standalone/cluster/claims.py
+++ b/src/wallwell/standalone/cluster/claims.py
@@ -119,14 +119,14 @@
         return await self._table.transact(Transaction((condition,), (put,)))
 
     async def record(self, claim: Claim, status: int, body: str) -> bool:
-        """Record the answer of a granted claim; return whether the table service confirmed it."""
+        """Record the answer of a granted claim; return False if the claim may still be open."""
         stored = body if len(body) <= MAX_RECORDED_BODY_CHARS else ""
         return await self._settle(
             claim, ClaimBody(claim.claim_id, claim.content_digest, ClaimState.DONE, status, stored)
         )
 
     async def release(self, claim: Claim) -> bool:
-        """Release a claim whose call provably did not run; return whether the table service confirmed it."""
+        """Release a claim whose call provably did not run; return False if it may still be open."""
         return await self._settle(claim, ClaimBody(claim.claim_id, claim.content_digest, ClaimState.RELEASED))
 
     async def _settle(self, claim: Claim, body: ClaimBody) -> bool:
