--- a/src/wallwell/standalone/cluster/anti_entropy.py
+++ b/src/wallwell/standalone/cluster/anti_entropy.py
@@ -1,7 +1,6 @@
-"""Reconciliation between two members: a sample of what one knows, and what the other one answers.
+"""Anti-entropy between two members: one sends a digest of sampled member versions, the other replies with updates.
 
-Owns nothing but the figures of a sample. Relies on :class:`.member_table.MemberTable` for what is known, and on
-:mod:`.reconcile` for what fits into a datagram.
+Stateless: reads and updates :class:`.member_table.MemberTable`. :mod:`.sync_reply` limits a reply to one datagram.
 """
 
 from __future__ import annotations
@@ -12,93 +11,93 @@
 
 from wallwell.standalone.cluster.member_table import MemberTable
 from wallwell.standalone.cluster.messages import DigestEntry, MemberStatus, Sync, SyncReply
-from wallwell.standalone.cluster.reconcile import ReplyContent, is_newer
+from wallwell.standalone.cluster.sync_reply import SyncReplyBuilder, is_newer
 
-DIGEST_SAMPLE = 20
-"""Members in one digest beside the sender and the target, so that a datagram does not grow with the fleet."""
-DIGEST_RECENT = 6
-"""Of these, members whose status changed last, so that each digest carries news."""
-ROSTER_SAMPLE = 12
-"""Statuses of further members sent to a node whose set of live members differs; the rest follows in its next
-syncs."""
+DIGEST_SAMPLE_SIZE = 20
+"""Maximum members in a digest, in addition to sender and target; keeps datagrams small in a large fleet."""
+DIGEST_RECENT_CHANGES = 6
+"""How many of the sampled members are those whose status changed last, so that digests spread recent changes."""
+ROSTER_SAMPLE_SIZE = 12
+"""Maximum additional member statuses in the reply to a node whose set of live members differs; its next syncs bring
+the rest."""
 
 
 class AntiEntropy:
-    """Digests and answers of one node."""
+    """Builds and processes one node's anti-entropy messages."""
 
     def __init__(self, table: MemberTable, region: str, rng: random.Random) -> None:
         self._table = table
         self._region = region
         self._rng = rng
 
-    # --- first leg -------------------------------------------------------------------------------------
+    # --- sync ------------------------------------------------------------------------------------------
 
-    def sync(self, sequence: int, config_head: int, target: str) -> Sync:
-        """Return the message that asks ``target`` (empty: a node known by address only) for what is missing."""
+    def make_sync(self, sequence: int, config_head: int, target: str) -> Sync:
+        """Return the message that asks ``target`` for newer state; an empty name stands for an unknown node."""
         digest = tuple(self._digest_sample(target))
         return Sync(sequence, self._region, self._table.node, config_head, self._table.roster_hash(), digest)
 
     def _digest_sample(self, target: str) -> list[DigestEntry]:
-        """Return this node, the target, the latest changes of status, and a random sample of the rest.
+        """Return entries of this node, the target, the latest status changes and a random sample of live members.
 
-        A change back to alive counts as a change: a refutation must outrun the suspicion it answers.
+        A change back to alive counts as a change, since a refutation must spread faster than the suspicion.
         """
         members = self._table.others
-        entries = [self._table.own.digest()]
+        entries = [self._table.own.digest_entry()]
         others = [member for name, member in members.items() if name != target]
         if target in members:
-            entries.append(members[target].digest())
-        latest = heapq.nlargest(DIGEST_RECENT, others, key=lambda member: member.status_since_s)
-        usual = [member for member in others if member.is_alive and member not in latest]
-        sample = latest + self._rng.sample(usual, min(len(usual), DIGEST_SAMPLE - len(latest)))
-        entries.extend(member.digest() for member in sample)
+            entries.append(members[target].digest_entry())
+        latest = heapq.nlargest(DIGEST_RECENT_CHANGES, others, key=lambda member: member.status_since_s)
+        unchanged = [member for member in others if member.is_alive and member not in latest]
+        sample = latest + self._rng.sample(unchanged, min(len(unchanged), DIGEST_SAMPLE_SIZE - len(latest)))
+        entries.extend(member.digest_entry() for member in sample)
         return entries
 
-    # --- second leg ------------------------------------------------------------------------------------
+    # --- reply to a sync -------------------------------------------------------------------------------
 
     def reply_to(self, message: Sync, now_s: float, config_head: int) -> SyncReply:
-        """Merge a digest; returns what its sender lacks and the names of which this node lacks something."""
+        """Merge a digest; return newer state that its sender lacks and the names of members to request from it."""
         newer: list[str] = [self._table.node]
         wanted: list[str] = []
         for entry in message.digest:
             self._table.merge_status(entry, now_s)
-            self._compare(entry, newer, wanted)
-        known = {entry.node: entry for entry in message.digest}
-        unlisted = self._unlisted_sample(known) if message.roster != self._table.roster_hash() else []
-        return self._reply(message.sequence, config_head, newer, known, unlisted, wanted)
-
-    def _compare(self, entry: DigestEntry, newer: list[str], wanted: list[str]) -> None:
-        mine = self._table.member(entry.node)
-        if mine is None:
+            self._compare_versions(entry, newer, wanted)
+        peer_digest = {entry.node: entry for entry in message.digest}
+        unlisted = self._unlisted_sample(peer_digest) if message.roster != self._table.roster_hash() else []
+        return self._reply(message.sequence, config_head, newer, peer_digest, unlisted, wanted)
+
+    def _compare_versions(self, entry: DigestEntry, newer: list[str], wanted: list[str]) -> None:
+        own = self._table.member(entry.node)
+        if own is None:
             if entry.status <= MemberStatus.SUSPECT:
                 wanted.append(entry.node)
             return
-        if is_newer(mine.digest(), entry):
+        if is_newer(own.digest_entry(), entry):
             newer.append(entry.node)
-        if is_newer(entry, mine.digest()):
+        if is_newer(entry, own.digest_entry()):
             wanted.append(entry.node)
 
     def _unlisted_sample(self, listed: Mapping[str, DigestEntry]) -> list[DigestEntry]:
         members = self._table.others
         unlisted = [name for name in members if name not in listed]
-        sample = self._rng.sample(unlisted, min(len(unlisted), ROSTER_SAMPLE))
-        return [members[name].digest() for name in sample]
+        sample = self._rng.sample(unlisted, min(len(unlisted), ROSTER_SAMPLE_SIZE))
+        return [members[name].digest_entry() for name in sample]
 
-    # --- third leg -------------------------------------------------------------------------------------
+    # --- processing of a reply -------------------------------------------------------------------------
 
-    def merge(self, message: SyncReply, now_s: float) -> bool:
-        """Merge an answer; returns whether a member in it was unknown."""
-        found_unknown = False
+    def merge_reply(self, message: SyncReply, now_s: float) -> bool:
+        """Merge a reply; return whether it contained a record of a member new to this node."""
+        found_new = False
         for record in message.records:
-            found_unknown |= self._table.merge_record(record, now_s)
+            found_new |= self._table.merge_record(record, now_s)
         for load in message.loads:
             self._table.merge_load(load)
         for entry in message.entries:
             self._table.merge_status(entry, now_s)
-        return found_unknown
+        return found_new
 
-    def answer_to(self, message: SyncReply, config_head: int) -> SyncReply | None:
-        """Return the records the sender asked for and ask for members still unknown; None if there are neither."""
+    def follow_up_to(self, message: SyncReply, config_head: int) -> SyncReply | None:
+        """Return a reply with the requested records and a request for unknown members; None if both are empty."""
         unknown = [
             entry.node
             for entry in message.entries
@@ -113,11 +112,11 @@
         sequence: int,
         config_head: int,
         names: Iterable[str],
-        known: Mapping[str, DigestEntry],
+        peer_digest: Mapping[str, DigestEntry],
         entries: Sequence[DigestEntry],
         wanted: Sequence[str],
     ) -> SyncReply:
         members = [member for member in map(self._table.member, dict.fromkeys(names)) if member is not None]
-        content = ReplyContent(list(entries), wanted)
-        content.collect(members, known)
-        return content.message(sequence, self._table.node, config_head)
+        builder = SyncReplyBuilder(list(entries), wanted)
+        builder.add_members(members, peer_digest)
+        return builder.build(sequence, self._table.node, config_head)
--- a/src/wallwell/standalone/cluster/membership.py
+++ b/src/wallwell/standalone/cluster/membership.py
@@ -1,12 +1,12 @@
-"""Gossip membership of one region: SWIM probing joined with reconciliation by digest.
+"""Gossip membership of one region: SWIM failure detection combined with anti-entropy. Does no I/O.
 
-Sans-I/O. Each round the node picks a member and sends a :class:`Sync` that carries a sample of what it knows.
-The answer acknowledges the probe and carries what the sender lacked. A member that answers neither directly
-nor through others becomes suspect, and dead unless it refutes with a higher incarnation. Only members of the
-same region share state; regions exchange summaries through delegates (see ``regions``).
+In each round the node sends one member a :class:`Sync` with a digest of a sample of member versions. The reply
+acknowledges the probe and carries the state that the sender lacked. A member that answers neither a direct nor an
+indirect probe becomes suspect, and dead unless it refutes with a higher incarnation. Only members of one region
+share state; regions exchange summaries through delegates (see ``regions``).
 
-Owns the timers of the rounds. What is known stands in :mod:`.member_table`, probes in flight in :mod:`.probing`;
-what a round's messages hold is decided in :mod:`.anti_entropy`.
+Owns the timers of the rounds. :mod:`.member_table` stores the members, :mod:`.probing` the probes in flight;
+:mod:`.anti_entropy` builds and merges the messages of a round.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 from wallwell.standalone.cluster.messages import Action, MemberStatus, Send, Sync, SyncReply
 from wallwell.standalone.cluster.probing import FailureDetector
 
-SYNC_SPREAD = (0.9, 1.1)
-"""Multiples of the sync interval, so that nodes which started together drift apart."""
-REJOIN_SPREAD = (0.8, 1.2)
-"""The same for tries to reach seeds again."""
-CATCH_UP_FACTOR = 0.25
-"""Fraction of the sync interval after which a node that met an unknown member syncs again."""
+SYNC_INTERVAL_JITTER = (0.9, 1.1)
+"""Range of random multiples of the sync interval, so that nodes that started together do not sync in step."""
+REJOIN_INTERVAL_JITTER = (0.8, 1.2)
+"""Range of random multiples of the rejoin interval, so that nodes do not rejoin in step."""
+CATCH_UP_FRACTION = 0.25
+"""Fraction of the sync interval after which a node syncs again when a reply contained an unknown member."""
 EXPIRY_INTERVAL_S = 0.5
-"""Seconds between two checks for suspects and departed members whose time is over: how much later than its timeout
-a suspect counts as dead."""
+"""Seconds between two checks for expired suspects and departed members: a suspect is marked dead at most this
+much later than its timeout."""
 
 
 class Membership:
-    """The members of this node's region. Times are on the caller's clock, in seconds."""
+    """Membership protocol of this node's region. Times are on the caller's clock, in seconds."""
 
     def __init__(
         self,
@@ -45,23 +45,23 @@
         self.seeds = seeds
         self.table = MemberTable(own, timings)
         self.detector = FailureDetector(self.table, timings, rng)
-        self._reconciliation = AntiEntropy(self.table, region, rng)
+        self._anti_entropy = AntiEntropy(self.table, region, rng)
         self._timings = timings
         self._rng = rng
         self._next_expiry_s = 0.0
         self._next_sync_s = 0.0
         self._next_rejoin_s = 0.0
 
-    # --- what is known ---------------------------------------------------------------------------------
+    # --- members ---------------------------------------------------------------------------------------
 
     @property
     def own(self) -> GossipMember:
-        """This node."""
+        """This node's own entry."""
         return self.table.own
 
     @property
     def members(self) -> Mapping[str, GossipMember]:
-        """Every other member by name, failed and departed ones too."""
+        """All other members by name, including dead and departed ones."""
         return self.table.others
 
     def alive(self) -> list[str]:
@@ -69,32 +69,34 @@
         return self.table.alive()
 
     def member(self, name: str) -> GossipMember | None:
-        """Return a member, this node included."""
+        """See :meth:`MemberTable.member`."""
         return self.table.member(name)
 
     def address_of(self, name: str) -> str:
-        """Return a member's cluster address, empty if the member is unknown."""
+        """See :meth:`MemberTable.address_of`."""
         return self.table.address_of(name)
 
     def roster_hash(self) -> int:
-        """Return a hash of the set of live members, whatever their order."""
+        """See :meth:`MemberTable.roster_hash`."""
         return self.table.roster_hash()
 
     # --- rounds ----------------------------------------------------------------------------------------
 
     def tick(self, now_s: float, config_head: int) -> list[Action]:
-        """Advance timers; returns what to send."""
+        """Process expired timers and start due rounds; return the messages to send."""
         actions = self.detector.expire(now_s)
         if now_s >= self._next_expiry_s:
             self._next_expiry_s = now_s + EXPIRY_INTERVAL_S
             self.table.expire(now_s)
-        if self.table.take_refutation():
-            actions.extend(self.detector.announce(self.own.digest()))
+        if self.table.pop_refutation():
+            actions.extend(self.detector.announce(self.own.digest_entry()))
         if now_s >= self._next_sync_s:
-            self._next_sync_s = now_s + self._timings.sync_interval_s * self._rng.uniform(*SYNC_SPREAD)
+            self._next_sync_s = now_s + self._timings.sync_interval_s * self._rng.uniform(*SYNC_INTERVAL_JITTER)
             actions.extend(self._start_round(now_s, config_head))
         if now_s >= self._next_rejoin_s:
-            self._next_rejoin_s = now_s + self._timings.rejoin_interval_s * self._rng.uniform(*REJOIN_SPREAD)
+            self._next_rejoin_s = now_s + self._timings.rejoin_interval_s * self._rng.uniform(
+                *REJOIN_INTERVAL_JITTER
+            )
             actions.extend(self._try_rejoin(config_head))
         return actions
 
@@ -103,49 +105,51 @@
         if target is None:
             return self.join(config_head)
         address = self.members[target].record.address
-        sequence = self.detector.begin(target, address, now_s)
-        return [Send(address, self._reconciliation.sync(sequence, config_head, target))]
+        sequence = self.detector.begin_probe(target, address, now_s)
+        return [Send(address, self._anti_entropy.make_sync(sequence, config_head, target))]
 
     def _try_rejoin(self, config_head: int) -> list[Action]:
-        """Contact a seed or a member considered dead, so that a healed partition is noticed."""
+        """Contact one seed or dead member, to detect that a partition has healed."""
         known = {member.record.address for member in self.members.values() if member.is_alive}
         known.add(self.own.record.address)
         lost = [m.record.address for m in self.members.values() if m.status is MemberStatus.DEAD]
         targets = [address for address in (*self.seeds, *lost) if address not in known]
         if not targets:
             return []
-        return self.greet([self._rng.choice(targets)], config_head)
+        return self.start_sync([self._rng.choice(targets)], config_head)
 
     def join(self, config_head: int) -> list[Action]:
-        """Greet every seed at once; used at start and while no other member is known."""
-        return self.greet(self.seeds, config_head)
+        """Start a sync with every seed; used at start and while no other member is known."""
+        return self.start_sync(self.seeds, config_head)
 
-    def greet(self, addresses: Iterable[str], config_head: int) -> list[Action]:
-        """Start a reconciliation with nodes known only by address."""
+    def start_sync(self, addresses: Iterable[str], config_head: int) -> list[Action]:
+        """Start a sync with nodes of which only the addresses are known."""
         own = self.own.record.address
         return [
-            Send(address, self._reconciliation.sync(0, config_head, "")) for address in addresses if address != own
+            Send(address, self._anti_entropy.make_sync(0, config_head, ""))
+            for address in addresses
+            if address != own
         ]
 
     def leave(self) -> list[Action]:
-        """Announce a planned stop to a few members."""
+        """Mark this node as departed and announce its planned stop to a few members."""
         self.own.status = MemberStatus.LEFT
-        return self.detector.announce(self.own.digest())
+        return self.detector.announce(self.own.digest_entry())
 
     # --- messages --------------------------------------------------------------------------------------
 
     def on_sync(self, message: Sync, sender_address: str, now_s: float, config_head: int) -> list[Action]:
-        """Answer a digest with what the sender lacks and ask for what this node lacks."""
-        return [Send(sender_address, self._reconciliation.reply_to(message, now_s, config_head))]
+        """Reply to a digest with state that the sender lacks and a request for state that this node lacks."""
+        return [Send(sender_address, self._anti_entropy.reply_to(message, now_s, config_head))]
 
     def on_sync_reply(
         self, message: SyncReply, sender_address: str, now_s: float, config_head: int
     ) -> list[Action]:
-        """Merge an answer; send the third leg if the peer asked for records."""
+        """Merge a reply; send a follow-up if it requests records or names members unknown to this node."""
         self.detector.acknowledge(message.sequence)
-        if self._reconciliation.merge(message, now_s):
-            # Where one member was unknown others may be: the next round comes sooner.
-            soon_s = now_s + self._timings.sync_interval_s * CATCH_UP_FACTOR
+        if self._anti_entropy.merge_reply(message, now_s):
+            # If one member was unknown, others may be too: start the next round sooner.
+            soon_s = now_s + self._timings.sync_interval_s * CATCH_UP_FRACTION
             self._next_sync_s = min(self._next_sync_s, soon_s)
-        answer = self._reconciliation.answer_to(message, config_head)
+        answer = self._anti_entropy.follow_up_to(message, config_head)
         return [Send(sender_address, answer)] if answer is not None else []
--- a/src/wallwell/standalone/cluster/transport.py
+++ b/src/wallwell/standalone/cluster/transport.py
@@ -1,6 +1,6 @@
-"""Sockets of the cluster protocol: UDP datagrams, and TCP for configuration too large for a datagram.
+"""Sockets of the cluster protocol: UDP for messages, TCP for configuration, which may exceed a datagram.
 
-Owns the sockets, the send budget and the waits for lookups; what to send is decided by :class:`.node.ClusterNode`.
+Owns the sockets, the send budget and the pending lookups; :class:`.node.ClusterNode` decides what to send.
 """
 
 from __future__ import annotations
@@ -27,27 +27,26 @@
 from wallwell.standalone.settings import Listener
 
 TICK_INTERVAL_S = 0.1
-"""Seconds between two ticks of the state machines: the resolution of their timers."""
-LOOKUP_DEADLINE_S = 0.005
-"""Seconds to wait for a directory lookup, which each request pays at most: zones of a region are a few milliseconds
-apart."""
-FETCH_TIMEOUT_S = 2.0
-"""Seconds for a configuration delta from a peer over TCP."""
+"""Seconds between two ticks of the cluster node: the resolution of its timers."""
+LOOKUP_TIMEOUT_S = 0.005
+"""Maximum seconds that a directory lookup adds to a request; zones of a region are a few milliseconds apart."""
+CONFIG_FETCH_TIMEOUT_S = 2.0
+"""Maximum seconds to transfer a configuration delta over TCP, as client and as server."""
 MAX_LINE_BYTES = 64 * 1024 * 1024
-"""Largest line over TCP, a whole configuration: far above any known one."""
-MAX_CONCURRENT_STATE_REQUESTS = 4
-"""Deltas served at once, so that nodes that start together do not take the processor from requests."""
-BUDGET_BURST_S = 2.0
-"""Seconds of the send budget that may go out at once."""
+"""Maximum line over TCP, which may be a whole configuration: far larger than any known configuration."""
+MAX_CONCURRENT_CONFIG_REPLIES = 4
+"""Maximum deltas sent at a time, so that nodes starting together do not take processor time from requests."""
+SEND_BUDGET_BURST_S = 2.0
+"""Burst of the send budget, in seconds of its rate."""
 
 
-class FetchRevisions(msgspec.Struct, frozen=True):
-    """Ask a peer for the configuration after a revision."""
+class ConfigDeltaRequest(msgspec.Struct, frozen=True):
+    """Asks a peer for the changes of the configuration after a revision."""
 
     after: int
 
 
-class _Datagrams(asyncio.DatagramProtocol):
+class _DatagramProtocol(asyncio.DatagramProtocol):
     def __init__(self, receive: Callable[[bytes, str], None]) -> None:
         self._receive = receive
 
@@ -56,14 +55,14 @@
 
 
 class LookupResult(NamedTuple):
-    """Holders of a chain, and the lookup's number for the dispatch report."""
+    """Prefixes of a chain that engines hold, and the lookup's sequence number for the dispatch report."""
 
     sequence: int
-    held: list[HeldPrefix]
+    held_prefixes: list[HeldPrefix]
 
 
 class TrafficCounter:
-    """Bytes and messages a node sent and received for control."""
+    """Bytes and messages of the cluster protocol that a node sent, received and dropped."""
 
     def __init__(self) -> None:
         self.sent_bytes = 0
@@ -77,29 +76,29 @@
     """Runs one :class:`ClusterNode` over sockets."""
 
     def __init__(self, codec: LineCodec, listener: Listener, budget_bytes_per_s: float) -> None:
-        burst = budget_bytes_per_s * BUDGET_BURST_S
+        burst = budget_bytes_per_s * SEND_BUDGET_BURST_S
         self._budget = TokenBucket(budget_bytes_per_s, burst, burst, boot_time_s())
         self._codec = codec
         self._listener = listener
         self._server: asyncio.Server | None = None
         self._datagrams: asyncio.DatagramTransport | None = None
         self._tasks = BackgroundTasks()
-        self._waiters: dict[int, asyncio.Future[None]] = {}
+        self._lookup_waiters: dict[int, asyncio.Future[None]] = {}
         self._fetching: set[str] = set()
-        self._state_requests = asyncio.Semaphore(MAX_CONCURRENT_STATE_REQUESTS)
+        self._config_reply_slots = asyncio.Semaphore(MAX_CONCURRENT_CONFIG_REPLIES)
         self.traffic = TrafficCounter()
         self.address = ""
         self.node: ClusterNode | None = None
 
     async def bind(self) -> str:
-        """Open both sockets on one port; returns ``IP:port``. Raises :class:`AddressInUseError`."""
+        """Open both sockets on one port; return ``IP:port``. Raises :class:`AddressInUseError` if it is in use."""
         host = self._listener.host
         try:
             self._server = await asyncio.start_server(self._serve, host, self._listener.port, limit=MAX_LINE_BYTES)
             port = self._server.sockets[0].getsockname()[1]
             loop = asyncio.get_running_loop()
             transport, _ = await loop.create_datagram_endpoint(
-                lambda: _Datagrams(self._on_datagram), local_addr=(host, port)
+                lambda: _DatagramProtocol(self._on_datagram), local_addr=(host, port)
             )
         except OSError as error:
             raise AddressInUseError(f"{host}:{self._listener.port}: {error}") from error
@@ -107,13 +106,13 @@
         self.address = f"{host}:{port}"
         return self.address
 
-    def run(self, node: ClusterNode) -> None:
-        """Start the node's rounds."""
+    def start(self, node: ClusterNode) -> None:
+        """Start to tick the node periodically and to pass received messages to it."""
         self.node = node
         self._tasks.begin(self._tick_forever(node))
 
     async def close(self) -> None:
-        """Stop rounds and close sockets."""
+        """Cancel all tasks and close both sockets."""
         for task in list(self._tasks):
             task.cancel()
         if self._datagrams is not None:
@@ -143,12 +142,12 @@
 
     def _wake_lookups(self) -> None:
         assert self.node is not None
-        for sequence, waiter in list(self._waiters.items()):
+        for sequence, waiter in list(self._lookup_waiters.items()):
             if self.node.directory.lookup_replies.get(sequence) is not None and not waiter.done():
                 waiter.set_result(None)
 
     def perform(self, actions: Sequence[Action]) -> None:
-        """Carry out what the node decided."""
+        """Carry out actions that the node returned."""
         for action in actions:
             if isinstance(action, Send):
                 self._send(action)
@@ -160,7 +159,7 @@
             return
         data = self._codec.encode(action.message)
         if not self._budget.try_take(boot_time_s(), len(data)):
-            self.traffic.dropped_messages += 1  # As a lost datagram: what matters is sent again.
+            self.traffic.dropped_messages += 1  # Like a lost datagram: the protocol resends what matters.
             return
         host, _, port = action.address.rpartition(":")
         self.traffic.sent_bytes += len(data)
@@ -168,33 +167,33 @@
         self._datagrams.sendto(data, (host, int(port)))
 
     async def lookup(self, chain: Sequence[int]) -> LookupResult:
-        """Ask the owner of a chain's shard who holds it; no holders if it does not answer in time."""
+        """Look up the holders of a chain at its shard owner; return none if the owner does not reply in time."""
         node = self.node
         if node is None or not chain:
             return LookupResult(0, [])
         owner = node.directory.owner_of(chain[0])
         if owner == node.identity.node:
             return LookupResult(0, node.directory.shard.directory.lookup_chain(chain))
-        sequence = node.directory.next_lookup()
+        sequence = node.directory.begin_lookup()
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self._waiters[sequence] = waiter
+        self._lookup_waiters[sequence] = waiter
         lookup = Lookup(sequence, pack_hashes(lookup_hashes(chain)))
         self._send(Send(node.membership.address_of(owner), lookup))
         try:
-            async with bounded(LOOKUP_DEADLINE_S):
+            async with bounded(LOOKUP_TIMEOUT_S):
                 await waiter
         except TimeoutError:
-            # Usual on a busy link; the node then goes by its own recent dispatches, and hit-rate metrics show it.
+            # Common on a busy link. Routing then uses this node's recent dispatches; hit-rate metrics show it.
             return LookupResult(sequence, [])
         finally:
-            del self._waiters[sequence]
+            del self._lookup_waiters[sequence]
             reply = node.directory.lookup_replies.pop(sequence, None)
         holders = reply.holders if reply is not None else ()
-        held = [
+        held_prefixes = [
             HeldPrefix(EngineIncarnation(engine, incarnation), blocks_of_checkpoints(count))
             for engine, incarnation, count in holders
         ]
-        return LookupResult(sequence, held)
+        return LookupResult(sequence, held_prefixes)
 
     # --- configuration over TCP ------------------------------------------------------------------------
 
@@ -208,14 +207,14 @@
         assert self.node is not None
         try:
             delta = await self.fetch_config(address, self.node.config.head)
-            self.adopt(delta)
+            self.apply_config_delta(delta)
         except PeerUnavailableError as error:
             emit(Event.CONFIG_FETCH_FAILED, peer=address, reason=str(error))
         finally:
             self._fetching.discard(address)
 
-    def adopt(self, delta: ConfigDelta) -> bool:
-        """Apply a delta and notify others; returns whether this node moved up."""
+    def apply_config_delta(self, delta: ConfigDelta) -> bool:
+        """Apply a delta and notify a few members; return whether this node's revision advanced."""
         assert self.node is not None
         before = self.node.config.head
         self.perform(self.node.advance_config(delta))
@@ -225,12 +224,12 @@
         return True
 
     async def fetch_config(self, address: str, after: int) -> ConfigDelta:
-        """Ask one peer for a delta. Raises :class:`PeerUnavailableError`."""
+        """Fetch the changes after revision ``after`` from a peer. Raises :class:`PeerUnavailableError`."""
         host, _, port = address.rpartition(":")
-        request = self._codec.encode(FetchRevisions(after))
+        request = self._codec.encode(ConfigDeltaRequest(after))
         writer: asyncio.StreamWriter | None = None
         try:
-            async with bounded(FETCH_TIMEOUT_S):
+            async with bounded(CONFIG_FETCH_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(host, int(port), limit=MAX_LINE_BYTES)
                 writer.write(request)
                 line = await reader.readline()
@@ -246,8 +245,8 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            async with bounded(FETCH_TIMEOUT_S), self._state_requests:
-                request = self._codec.decode_as(await reader.readline(), FetchRevisions)
+            async with bounded(CONFIG_FETCH_TIMEOUT_S), self._config_reply_slots:
+                request = self._codec.decode_as(await reader.readline(), ConfigDeltaRequest)
                 if self.node is None:
                     return
                 line = self._codec.encode(self.node.config.delta_after(request.after))
--- a/src/wallwell/standalone/router_node.py
+++ b/src/wallwell/standalone/router_node.py
@@ -84,7 +84,7 @@
         callers, operators = CallersApp(self.context).app(), OperatorsApp(self.context).app()
         self.callers_address = await self.listeners.listen(callers, settings.callers_listener)
         self.operators_address = await self.listeners.listen(operators, settings.operators_listener)
-        self.transport.run(self.context.node)
+        self.transport.start(self.context.node)
         self.transport.perform(self.context.node.membership.join(0))
         self._tasks = [asyncio.create_task(self._supervise(loop)) for loop in self._loops()]
         emit(
@@ -139,7 +139,7 @@
             services=ServiceClient(),
             table=table,
             claims=ClaimTable(table),
-            committer=ConfigCommitter(table, node.config, self.transport.adopt),
+            committer=ConfigCommitter(table, node.config, self.transport.apply_config_delta),
             metrics=NodeMetrics(),
             crashes=CrashMemory(settings.node, node.crash_notices),
         )
@@ -167,7 +167,7 @@
             self._log_member_changes()
             await asyncio.sleep(HOUSEKEEPING_S)
             node = self.context.node
-            for engine in node.engines.serving().values():
+            for engine in node.engines.serving_engines().values():
                 node.directory.shard.directory.observe_incarnation(engine.name, engine.incarnation)
                 self.context.selector.on_incarnation(engine.name, engine.incarnation)
             node.directory.shard.directory.sweep()
@@ -175,7 +175,7 @@
             node.limits.forget_idle(boot_time_s())
 
     def _log_member_changes(self) -> None:
-        for change in self.context.node.take_member_changes():
+        for change in self.context.node.pop_member_changes():
             emit(MEMBER_EVENTS[change.status], node=self.settings.node, member=change.node)
 
     # --- stop ------------------------------------------------------------------------------------------
