--- a/src/wallwell/routing/selection/kv_store_choice.py
+++ b/src/wallwell/routing/selection/kv_store_choice.py
@@ -6,7 +6,7 @@
 
 Streams continue while their engine changes weights. KV cache computed at that moment mixes two weights versions and
 must not be used for the older one. An engine that is about to change weights therefore saves nothing (see
-``SETTLE_S`` of the weights roll), and neither does a node whose view of the store is too old to exclude a change.
+``ORDER_DELAY_S`` of the weights roll), nor does a node whose view of the store is too old to exclude a change.
 """
 
 from __future__ import annotations
