--- a/src/wallwell/rollout/reports.py
+++ b/src/wallwell/rollout/reports.py
@@ -80,7 +80,7 @@
     total: ServiceTally = field(default_factory=lambda: ServiceTally(0))
 
     def add_counts(self, node_key: tuple[str, int], counts: RolloutCounts) -> None:
-        """Replace the totals of ``node_run`` (node and ``life``) where ``counts`` are newer."""
+        """Replace the totals of ``node_key`` (node and ``life``) where ``counts`` are newer."""
         current, target = self.requests.get(node_key, (0, 0))
         newest = max(current, counts.current_requests), max(target, counts.target_requests)
         self.requests[node_key] = newest
