--- a/src/wallwell/platform/callers.py
+++ b/src/wallwell/platform/caller_listener.py
@@ -27,19 +27,19 @@
 from wallwell.node.node import FleetNode
 from wallwell.platform import names
 from wallwell.platform.replies import HttpReply, encode_error
-from wallwell.platform.request_parsing import expects_continue, parse_request, request_id_of
+from wallwell.platform.request_parsing import expects_continue, parse_request, require_request_id
 from wallwell.serving.messages import CallerRequest
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
 """Bytes of a body that are read at all, which bounds the node's memory: well above the 4 MB that operators allow by
 default, whose limit is checked once the route is known."""
-MAX_FIELD_BYTES = 32 * 1024
+MAX_HEADER_LINE_BYTES = 32 * 1024
 """Bytes of a request line or a header: four times aiohttp's default, since one header lists every part of a
 prompt."""
 KEEPALIVE_S = 75.0
 """Seconds for which a caller's idle connection is kept: longer than the 60 s of idle time that operators allow
 callers by default, so that the caller closes first."""
-INTERIM_ANSWER = b"HTTP/1.1 100 Continue\r\n\r\n"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class PlatformLastAnswers:
@@ -57,7 +57,7 @@
         return last_answer(error, headers, encode_error(error))
 
 
-class CallersListener:
+class CallerListener:
     """Turns HTTP requests into the node's typed requests."""
 
     def __init__(self, node: FleetNode) -> None:
@@ -69,7 +69,7 @@
 
     # --- servers -------------------------------------------------------------------------------------------
 
-    def server(self) -> CallersServer:
+    def callers_server(self) -> CallersServer:
         """Return the callers' server."""
         return CallersServer(
             self._handle,
@@ -77,8 +77,8 @@
             request_factory=self._make_request,
             handler_cancellation=True,
             keepalive_timeout=KEEPALIVE_S,
-            max_field_size=MAX_FIELD_BYTES,
-            max_line_size=MAX_FIELD_BYTES,
+            max_field_size=MAX_HEADER_LINE_BYTES,
+            max_line_size=MAX_HEADER_LINE_BYTES,
             auto_decompress=False,
             access_log=None,
         )
@@ -136,19 +136,19 @@
 
     async def _serve(self, request: web.BaseRequest, reply: HttpReply, arrived_s: float) -> None:
         try:
-            caller_request = await _read(request, arrived_s)
+            caller_request = await _read_request(request, arrived_s)
         except RequestError as error:
             await reply.refuse(error)
         else:
             await self._node.serve(caller_request, reply)
 
 
-async def _read(request: web.BaseRequest, arrived_s: float) -> CallerRequest:
+async def _read_request(request: web.BaseRequest, arrived_s: float) -> CallerRequest:
     """Read and parse one request. Raises :class:`RequestError`."""
     headers = request.headers
-    request_id_of(headers)  # Refused before its body is read.
+    require_request_id(headers)  # Refused before its body is read.
     if expects_continue(headers) and request.transport is not None:
-        request.transport.write(INTERIM_ANSWER)
+        request.transport.write(CONTINUE_RESPONSE)
     try:
         body = await request.read()
     except web.HTTPRequestEntityTooLarge as error:
--- a/src/wallwell/platform/names.py
+++ b/src/wallwell/platform/names.py
@@ -63,7 +63,7 @@
 _KV_BACKUP = "X-Kv-Backup"
 _KV_FROM = "Kv-From"
 
-SET_BY_ROUTER = frozenset(
+RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
         REQUEST_ID,
@@ -89,7 +89,7 @@
 )
 """Headers, in lower case, that a caller cannot set on a worker's request: they are dropped as it arrives."""
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -106,7 +106,7 @@
 )
 """Headers, in lower case, that concern one connection only and are passed on in neither direction."""
 
-END_TO_END = frozenset((MODEL.lower(), TOKEN_USAGE.lower(), PROMPT_PARTS.lower(), "host"))
+END_TO_END_HEADERS = frozenset((MODEL.lower(), TOKEN_USAGE.lower(), PROMPT_PARTS.lower(), "host"))
 """Headers, in lower case, that travel on even if the caller's ``Connection`` header names them."""
 
 EVENT_STREAM = "text/event-stream"
@@ -128,10 +128,10 @@
 OPERATOR_TABLE = "op"
 BACKENDS_TABLE = "servers"
 """Entries of workers by incarnation; the platform alone writes them."""
-OWN_TABLE = "wallwell"
+ROUTER_TABLE = "wallwell"
 STATUS_TABLE = "status"
 """What wallwell writes for operators."""
-WHOLE_TABLE = ""
+NO_PARTITION = ""
 """The store's ``part`` of every row that wallwell uses: none of its tables is split into parts."""
 CONFIG_KEY = "config"
 VERSION_KEY_PREFIX = "version/"
--- a/src/wallwell/platform/replies.py
+++ b/src/wallwell/platform/replies.py
@@ -18,7 +18,7 @@
 from wallwell.socket_options import has_hung_up
 
 
-class ErrorReply(msgspec.Struct, frozen=True):
+class ErrorBody(msgspec.Struct, frozen=True):
     """Body of the router's own answers."""
 
     code: str
@@ -29,17 +29,17 @@
 
 def encode_error(error: RequestError) -> bytes:
     """Return the body of an answer that is a typed error."""
-    return msgspec.json.encode(ErrorReply(error.code, type(error).__name__, error.outcome))
+    return msgspec.json.encode(ErrorBody(error.code, type(error).__name__, error.outcome))
 
 
 class HttpReply:
     """A :class:`wallwell.serving.messages.CallerReply` over one aiohttp request."""
 
-    def __init__(self, request: web.BaseRequest, request_id: str, closing: Callable[[], bool]) -> None:
-        """``closing`` says whether the caller should use another connection for its next request."""
+    def __init__(self, request: web.BaseRequest, request_id: str, is_closing: Callable[[], bool]) -> None:
+        """``is_closing`` says whether the caller should use another connection for its next request."""
         self._request = request
         self._request_id = request_id
-        self._closing = closing
+        self._is_closing = is_closing
         self.response: web.StreamResponse | None = None
         """The answer once its head is being sent."""
 
@@ -91,6 +91,6 @@
 
     async def _prepare(self, response: web.StreamResponse) -> None:
         self.response = response
-        if self._closing():
+        if self._is_closing():
             response.force_close()
         await response.prepare(self._request)
--- a/src/wallwell/platform/request_parsing.py
+++ b/src/wallwell/platform/request_parsing.py
@@ -21,21 +21,21 @@
 def parse_request(method: str, target: str, headers: Headers, body: bytes, arrived_s: float) -> CallerRequest:
     """Return a request whose body has been read. ``target`` is the path and query exactly as sent."""
     return CallerRequest(
-        request_id=request_id_of(headers),
+        request_id=require_request_id(headers),
         host=headers.get("Host", "").partition(":")[0].lower(),
         method=method,
         target=target,
-        headers=_headers_to_pass_on(headers),
+        headers=_forwarded_headers(headers),
         body=body,
         credential=headers.get(names.CREDENTIAL, ""),
-        caller_timeout_s=_allowance_s(headers.get(names.DEADLINE_MS, "")),
+        caller_timeout_s=_parse_caller_timeout_s(headers.get(names.DEADLINE_MS, "")),
         arrived_s=arrived_s,
-        generation=_generation(headers),
-        declared_tokens=_declared_tokens(headers.get(names.TOKEN_USAGE, "")),
+        generation=_parse_generation(headers),
+        declared_tokens=_parse_declared_tokens(headers.get(names.TOKEN_USAGE, "")),
     )
 
 
-def request_id_of(headers: Headers) -> str:
+def require_request_id(headers: Headers) -> str:
     """Return the request's id. Raises :class:`MalformedRequestError` if there is none."""
     request_id = headers.get(names.REQUEST_ID, "")
     if not request_id:
@@ -48,7 +48,7 @@
     return headers.get("Expect", "").lower() == "100-continue"
 
 
-def _declared_tokens(text: str) -> int | None:
+def _parse_declared_tokens(text: str) -> int | None:
     """Return the tokens of prompt and largest output together, None unless both are declared."""
     counts = [count.strip() for count in text.split(",")]
     if len(counts) != 2 or not all(count.isdecimal() for count in counts):
@@ -56,7 +56,7 @@
     return sum(int(count) for count in counts)
 
 
-def _allowance_s(text: str) -> float | None:
+def _parse_caller_timeout_s(text: str) -> float | None:
     """Return how long the caller waits; None without a usable figure, and the route's time-out bounds the
     request."""
     try:
@@ -66,25 +66,25 @@
     return value / 1000 if math.isfinite(value) and value > 0 else None
 
 
-def _headers_to_pass_on(headers: Headers) -> tuple[tuple[str, str], ...]:
+def _forwarded_headers(headers: Headers) -> tuple[tuple[str, str], ...]:
     """Return the caller's end-to-end headers without those that the router sets itself."""
-    of_connection = {
+    connection_headers = {
         name.strip().lower() for value in headers.getall("Connection", ()) for name in value.split(",")
     }
-    dropped = names.HOP_BY_HOP | names.SET_BY_ROUTER | (of_connection - names.END_TO_END)
+    dropped = names.HOP_BY_HOP_HEADERS | names.RESERVED_HEADERS | (connection_headers - names.END_TO_END_HEADERS)
     return tuple((name, value) for name, value in headers.items() if name.lower() not in dropped)
 
 
-def _generation(headers: Headers) -> Generation | None:
+def _parse_generation(headers: Headers) -> Generation | None:
     model = headers.get(names.MODEL)
     if not model:
         return None
     resume_after = headers.get(names.RESUME_AFTER, "")
-    parts = tuple(_prompt_part(text) for text in headers.get(names.PROMPT_PARTS, "").split(",") if text)
+    parts = tuple(_parse_prompt_part(text) for text in headers.get(names.PROMPT_PARTS, "").split(",") if text)
     return Generation(model, parts, int(resume_after) if resume_after.isdigit() else None)
 
 
-def _prompt_part(text: str) -> PromptPart:
+def _parse_prompt_part(text: str) -> PromptPart:
     """Return a part from ``ID:TOKENS``; without a usable count it has no tokens."""
     identity, _, tokens = text.strip().partition(":")
     return PromptPart(identity, int(tokens) if tokens.isdigit() else 0)
--- a/src/wallwell/platform/rollouts.py
+++ b/src/wallwell/platform/rollouts.py
@@ -15,12 +15,12 @@
 from wallwell.platform import names
 from wallwell.platform.rows import encode_rollout_status
 from wallwell.platform.store import PlatformStore
-from wallwell.platform.store_wire import TransactBody, condition, put
+from wallwell.platform.store_wire import TransactBody, condition_entry, put_entry
 from wallwell.rollout.model import RolloutRecord
 from wallwell.rollout.store import LEASE_NAME, RECORD_PREFIX, StoredRollout
 
 
-class PlatformRollouts:
+class PlatformRolloutStore:
     """See :class:`wallwell.rollout.store.RolloutStore`."""
 
     def __init__(self, store: PlatformStore) -> None:
@@ -28,15 +28,15 @@
 
     async def read(self, service: str) -> StoredRollout:
         """See :class:`RolloutStore`. A record that cannot be decoded is logged, counts as none and is replaced."""
-        own, status = await asyncio.gather(
-            self._store.get_row(names.OWN_TABLE, RECORD_PREFIX + service),
+        record_row, status_row = await asyncio.gather(
+            self._store.get_row(names.ROUTER_TABLE, RECORD_PREFIX + service),
             self._store.get_row(names.STATUS_TABLE, names.ROLLOUT_KEY_PREFIX + service),
         )
         return StoredRollout(
-            record=_decode_record(own.value) if own is not None else None,
-            record_version=own.version if own is not None else 0,
-            status=status.value if status is not None else "",
-            status_version=status.version if status is not None else 0,
+            record=_decode_record(record_row.value) if record_row is not None else None,
+            record_version=record_row.version if record_row is not None else 0,
+            status=status_row.value if status_row is not None else "",
+            status_version=status_row.version if status_row is not None else 0,
         )
 
     async def write(self, record: RolloutRecord, seen: StoredRollout, lease_version: int) -> StoredRollout:
@@ -45,13 +45,13 @@
         status_key = names.ROLLOUT_KEY_PREFIX + record.service
         status = encode_rollout_status(record)
         status_changed = status != seen.status
-        puts = [put(names.OWN_TABLE, record_key, msgspec.json.encode(record).decode())]
+        puts = [put_entry(names.ROUTER_TABLE, record_key, msgspec.json.encode(record).decode())]
         if status_changed:
-            puts.append(put(names.STATUS_TABLE, status_key, status))
+            puts.append(put_entry(names.STATUS_TABLE, status_key, status))
         conditions = (
-            condition(names.OWN_TABLE, LEASE_PREFIX + LEASE_NAME, lease_version),
-            condition(names.OWN_TABLE, record_key, seen.record_version),
-            condition(names.STATUS_TABLE, status_key, seen.status_version),
+            condition_entry(names.ROUTER_TABLE, LEASE_PREFIX + LEASE_NAME, lease_version),
+            condition_entry(names.ROUTER_TABLE, record_key, seen.record_version),
+            condition_entry(names.STATUS_TABLE, status_key, seen.status_version),
         )
         version = await self._store.transact_rows(TransactBody(conditions, tuple(puts), ()))
         return StoredRollout(record, version, status, version if status_changed else seen.status_version)
--- a/src/wallwell/platform/rows.py
+++ b/src/wallwell/platform/rows.py
@@ -28,13 +28,13 @@
 
 READY_STATE: Literal["ready"] = "ready"
 """State of a back end that takes new requests; the other one means that it is leaving."""
-LARGEST_PORT = 65535
+MAX_PORT = 65535
 """A TCP port has 16 bits."""
 RUNNING_STATE = "running"
 """State of a rollout that has not ended, whatever its phase."""
 
 
-class SplitRow(msgspec.Struct, frozen=True):
+class RouteSplitRow(msgspec.Struct, frozen=True):
     """One service of a route that is split between services."""
 
     service: str
@@ -53,7 +53,7 @@
     name: str = ""
     service: str = ""
     """Used if ``backends`` names none."""
-    backends: tuple[SplitRow, ...] = ()
+    backends: tuple[RouteSplitRow, ...] = ()
     """Services, not back ends."""
     slo_ms: float = 1000.0
     """Time within which an answer earns full credit; of a stream, its first event."""
@@ -139,22 +139,22 @@
     tenants: tuple[TenantRow, ...] = ()
 
 
-class VersionRow(msgspec.Struct, frozen=True):
+class WeightsVersionRow(msgspec.Struct, frozen=True):
     """A weights version that operators name, to be brought to every engine of a model."""
 
     model: str
     version: int
 
 
-NameText = Annotated[str, msgspec.Meta(min_length=1)]
-WholeNumber = Annotated[int, msgspec.Meta(ge=0)]
+NonEmptyText = Annotated[str, msgspec.Meta(min_length=1)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class RolloutOrderRow(msgspec.Struct, frozen=True):
     """An order to replace the software version of a service."""
 
-    service: NameText
-    target_version: NameText
+    service: NonEmptyText
+    target_version: NonEmptyText
     """A version of the software, not of weights."""
     duration_s: Annotated[float, msgspec.Meta(gt=0)]
     """Time within which the rollout shall have ended."""
@@ -179,18 +179,18 @@
 class BackendRow(msgspec.Struct, frozen=True):
     """A back end's own entry."""
 
-    service: NameText
+    service: NonEmptyText
     addr: str
     """``IP:PORT``."""
     zone: str = ""
-    slots: WholeNumber = 1
+    slots: NonNegativeInt = 1
     state: Literal["ready", "draining"] = READY_STATE
     version: str = ""
     """Version of its software, not of weights."""
     cold_left_ms: float = 0.0
     """How much longer it stays slow after its start, as of the entry's writing."""
     models: tuple[LoadedModelRow, ...] = ()
-    born: WholeNumber | msgspec.UnsetType = msgspec.UNSET
+    born: NonNegativeInt | msgspec.UnsetType = msgspec.UNSET
     """Unix milliseconds of the start that the entry speaks of: a worker may start again under its id."""
 
 
@@ -210,15 +210,15 @@
     row = _decode_row(value, ConfigRow)
     return DeploymentConfig(
         version=row.version,
-        routes=tuple(_route(route) for route in row.routes),
-        services=tuple(_service(service) for service in row.services),
-        tenants=tuple(_tenant(tenant) for tenant in row.tenants),
+        routes=tuple(_to_route(route) for route in row.routes),
+        services=tuple(_to_service(service) for service in row.services),
+        tenants=tuple(_to_tenant(tenant) for tenant in row.tenants),
         bounds=CallerBounds(row.limits.max_body_bytes, row.limits.idle_timeout_ms / 1000),
     )
 
 
-def _route(row: RouteRow) -> Route:
-    services = tuple(WeightedService(each.service, each.weight) for each in row.backends if each.weight > 0)
+def _to_route(row: RouteRow) -> Route:
+    services = tuple(WeightedService(split.service, split.weight) for split in row.backends if split.weight > 0)
     return Route(
         name=row.name or f"{row.host}{row.path_prefix}",
         host=row.host,
@@ -235,14 +235,14 @@
     )
 
 
-def _tenant(row: TenantRow) -> TenantAccess:
+def _to_tenant(row: TenantRow) -> TenantAccess:
     limit = None
     if row.rate_per_s > 0:
         limit = TenantLimit(row.rate_per_s, row.burst, row.unit == TOKENS_UNIT, row.plain_tokens)
     return TenantAccess(row.name, row.api_keys, row.priority, row.isolated, limit)
 
 
-def _service(row: ServiceRow) -> Service:
+def _to_service(row: ServiceRow) -> Service:
     engines = None
     if row.engine is not None:
         models = tuple(model.name for model in row.engine.models)
@@ -250,9 +250,9 @@
     return Service(row.name, row.max_conns, engines, row.kv_store_addr, row.zone)
 
 
-def decode_version(value: bytes) -> tuple[str, int]:
+def decode_weights_version(value: bytes) -> tuple[str, int]:
     """Return the model and the weights version that operators name for it."""
-    row = _decode_row(value, VersionRow)
+    row = _decode_row(value, WeightsVersionRow)
     return row.model, row.version
 
 
@@ -274,7 +274,7 @@
     """Decode a back end's entry."""
     row = _decode_row(value, BackendRow)
     host, _, port = row.addr.rpartition(":")
-    if not host or not (port.isascii() and port.isdecimal()) or not 0 < int(port) <= LARGEST_PORT:
+    if not host or not (port.isascii() and port.isdecimal()) or not 0 < int(port) <= MAX_PORT:
         raise msgspec.ValidationError("the address is no IP:PORT")
     return BackendRecord(
         incarnation=incarnation,
--- a/src/wallwell/platform/settings.py
+++ b/src/wallwell/platform/settings.py
@@ -27,14 +27,14 @@
     """For the platform's readiness check."""
 
 
-class ProviderAddress(msgspec.Struct, frozen=True):
+class StoreAddress(msgspec.Struct, frozen=True):
     """Where the platform's store answers."""
 
     addr: str
     """``IP:PORT``."""
 
 
-class Bounds(msgspec.Struct, frozen=True):
+class OperatorBounds(msgspec.Struct, frozen=True):
     """Bounds that operators set for the whole fleet; a default holds where the file names none."""
 
     revoke_ms: float = 5000
@@ -63,7 +63,7 @@
     """How long after its 50th bad answer a bad version may still get requests."""
 
 
-class Limits(msgspec.Struct, frozen=True):
+class ProcessLimits(msgspec.Struct, frozen=True):
     """What the machine grants this process."""
 
     link_mbps: float = 0.0
@@ -84,10 +84,10 @@
     node: str
     zone: str
     listen: ListenAddresses
-    provider: ProviderAddress
+    provider: StoreAddress
     """The platform's store."""
-    bounds: Bounds = Bounds()
-    limits: Limits = Limits()
+    bounds: OperatorBounds = OperatorBounds()
+    limits: ProcessLimits = ProcessLimits()
     metrics: str = ""
     """``PORT/PATH`` of the metrics; empty if none are wanted."""
     ip: str = ""
--- a/src/wallwell/platform/stop_deadline.py
+++ b/src/wallwell/platform/stop_deadline.py
@@ -17,18 +17,18 @@
 EXIT_MARGIN_S = 0.25
 """Seconds before the end of the grace time at which the process is ended: time for the system to release its memory
 and sockets."""
-CLOCK_CHECK_S = 0.1
+CLOCK_CHECK_INTERVAL_S = 0.1
 """Longest wait, in seconds, between two readings of the clock. A suspension of the machine lengthens a wait,
 which so ends at most this much too late."""
 
 
-class StopTimer(threading.Thread):
+class BootClockTimer(threading.Thread):
     """Calls a function at a time of the boot clock, unless it is cancelled before."""
 
-    def __init__(self, due_s: float, call: Callable[[], object]) -> None:
+    def __init__(self, deadline_s: float, callback: Callable[[], object]) -> None:
         super().__init__(daemon=True)
-        self.due_s = due_s
-        self._call = call
+        self.deadline_s = deadline_s
+        self._callback = callback
         self._cancelled = threading.Event()
 
     def cancel(self) -> None:
@@ -37,14 +37,14 @@
 
     def run(self) -> None:
         """Wait and call."""
-        while (left_s := self.due_s - boot_time_s()) > 0:
-            if self._cancelled.wait(min(left_s, CLOCK_CHECK_S)):
+        while (remaining_s := self.deadline_s - boot_time_s()) > 0:
+            if self._cancelled.wait(min(remaining_s, CLOCK_CHECK_INTERVAL_S)):
                 return
         if not self._cancelled.is_set():
-            self._call()
+            self._callback()
 
 
-def end_process_after(grace_s: float, exit_process: Callable[[int], object] = os._exit) -> StopTimer:
+def exit_within(grace_s: float, exit_process: Callable[[int], object] = os._exit) -> BootClockTimer:
     """End the process with status 0 just before ``grace_s`` are over, unless the timer is cancelled."""
 
     def end() -> None:
@@ -53,12 +53,12 @@
         finally:
             exit_process(0)
 
-    timer = StopTimer(boot_time_s() + grace_s - EXIT_MARGIN_S, end)
+    timer = BootClockTimer(boot_time_s() + grace_s - EXIT_MARGIN_S, end)
     timer.start()
     return timer
 
 
-def end_process(exit_process: Callable[[int], object] = os._exit) -> None:
+def exit_now(exit_process: Callable[[int], object] = os._exit) -> None:
     """End the process with status 0, now.
 
     Python takes apart what a process holds before it ends, for up to a second on a busy machine, and stops other
--- a/src/wallwell/platform/store.py
+++ b/src/wallwell/platform/store.py
@@ -24,9 +24,9 @@
     RowsAnswer,
     TransactBody,
     decode_answer,
-    feed_row,
-    own_transaction,
-    table_row,
+    to_feed_row,
+    to_table_row,
+    transaction_body,
 )
 from wallwell.storage.feed import FeedPage, FeedRow
 from wallwell.storage.table import Row, Scan, Transaction
@@ -41,7 +41,7 @@
 """Idle connections kept: three feeds are held open at the same time, and as many other calls."""
 MAX_LOGGED_CHARS = 40
 """Characters that are logged of a header that cannot be read."""
-AFTER_KEY = "\x00"
+NEXT_KEY_SUFFIX = "\x00"
 """Appended to the last key of a page, it makes the smallest key that follows: keys are ordered by their bytes."""
 
 
@@ -53,7 +53,7 @@
     era: int
 
 
-class RowsRead(NamedTuple):
+class RowsInEra(NamedTuple):
     """An answer about rows; versions in it are those of the era."""
 
     rows: RowsAnswer
@@ -110,7 +110,7 @@
         self.era.observe(era, boot_time_s())
         return era
 
-    async def read(self, path: str, query: dict[str, str], timeout_s: float) -> RowsRead:
+    async def read_rows(self, path: str, query: dict[str, str], timeout_s: float) -> RowsInEra:
         """Read rows. Raises :class:`HistoryLostError`, or :class:`PlatformUnavailableError`, also for a late answer
         of an earlier era."""
         answer = await self.call("GET", f"{path}?{urlencode(query)}", b"", timeout_s)
@@ -120,7 +120,7 @@
             raise PlatformUnavailableError(f"status {answer.status}")
         if self.era.is_after(answer.era):
             raise PlatformUnavailableError("the answer is from before the store came back from a copy")
-        return RowsRead(decode_answer(answer.body), answer.era)
+        return RowsInEra(decode_answer(answer.body), answer.era)
 
     async def transact_rows(self, body: TransactBody) -> int:
         """Carry out a transaction over rows of any tables and return the version of what it wrote.
@@ -138,26 +138,26 @@
 
     async def get_row(self, table: str, key: str) -> Row | None:
         """Return a row of a table, None if there is none. Raises :class:`PlatformUnavailableError`."""
-        query = {"table": table, "part": names.WHOLE_TABLE, "from": key, "limit": "1"}
-        answer, _ = await self.read(names.ROWS_READ_PATH, query, CALL_TIMEOUT_S)
+        query = {"table": table, "part": names.NO_PARTITION, "from": key, "limit": "1"}
+        answer, _ = await self.read_rows(names.ROWS_READ_PATH, query, CALL_TIMEOUT_S)
         # The store answers the first row from this key on, which may be a later one.
         found = next((row for row in answer.rows if row.key == key), None)
-        return table_row(found) if found is not None else None
+        return to_table_row(found) if found is not None else None
 
     # --- TableService, over wallwell's own table -------------------------------------------------------------
 
     async def transact(self, transaction: Transaction) -> int:
         """See :class:`wallwell.storage.table.TableService`."""
-        return await self.transact_rows(own_transaction(transaction))
+        return await self.transact_rows(transaction_body(transaction))
 
     async def get(self, key: str) -> Row | None:
         """See :class:`wallwell.storage.table.TableService`."""
-        return await self.get_row(names.OWN_TABLE, key)
+        return await self.get_row(names.ROUTER_TABLE, key)
 
     async def scan(self, prefix: str, after_version: int) -> Scan:
         """See :class:`wallwell.storage.table.TableService`. Reads the whole table, which holds a few rows a
         node."""
-        page = await TableRows(self, names.OWN_TABLE).read_all()
+        page = await TableRows(self, names.ROUTER_TABLE).read_all()
         rows = [row for row in page.rows if row.key.startswith(prefix) and row.version > after_version]
         return Scan(page.version, tuple(Row(row.key, (row.value or b"").decode(), row.version) for row in rows))
 
@@ -176,33 +176,33 @@
         the feed again, and none is missed.
         """
         first, era = await self._read_page("")
-        rows: list[FeedRow] = [feed_row(row) for row in first.rows]
+        rows: list[FeedRow] = [to_feed_row(row) for row in first.rows]
         answer = first
         while answer.more and answer.rows:
-            answer, later_era = await self._read_page(answer.rows[-1].key + AFTER_KEY)
-            _require_same(era, later_era)
-            rows.extend(feed_row(row) for row in answer.rows)
+            answer, later_era = await self._read_page(answer.rows[-1].key + NEXT_KEY_SUFFIX)
+            _require_same_era(era, later_era)
+            rows.extend(to_feed_row(row) for row in answer.rows)
         return FeedPage(tuple(rows), first.ver, first.now_ms / 1000, era=era)
 
-    async def _read_page(self, from_key: str) -> RowsRead:
-        query = {"table": self._table, "part": names.WHOLE_TABLE, "limit": str(PAGE_ROWS)}
+    async def _read_page(self, from_key: str) -> RowsInEra:
+        query = {"table": self._table, "part": names.NO_PARTITION, "limit": str(PAGE_ROWS)}
         if from_key:
             query["from"] = from_key
-        return await self._store.read(names.ROWS_READ_PATH, query, CALL_TIMEOUT_S)
+        return await self._store.read_rows(names.ROWS_READ_PATH, query, CALL_TIMEOUT_S)
 
     async def changes(self, after: StorePosition, wait_s: float) -> FeedPage:
         """See :class:`wallwell.storage.feed.RowSource`."""
         query = {"table": self._table, "after": str(after.version), "wait_ms": str(round(wait_s * 1000))}
-        answer, era = await self._store.read(names.ROWS_FEED_PATH, query, wait_s + CALL_TIMEOUT_S)
-        _require_same(after.era, era)
-        return FeedPage(tuple(feed_row(row) for row in answer.rows), answer.ver, answer.now_ms / 1000, era=era)
+        answer, era = await self._store.read_rows(names.ROWS_FEED_PATH, query, wait_s + CALL_TIMEOUT_S)
+        _require_same_era(after.era, era)
+        return FeedPage(tuple(to_feed_row(row) for row in answer.rows), answer.ver, answer.now_ms / 1000, era=era)
 
 
-def _log_restore(era: int, before: int) -> None:
-    emit(Event.STORE_RESTORED, era=era, before=before)
+def _log_restore(era: int, previous_era: int) -> None:
+    emit(Event.STORE_RESTORED, era=era, before=previous_era)
 
 
-def _require_same(era: int, later_era: int) -> None:
+def _require_same_era(era: int, later_era: int) -> None:
     """Raise :class:`HistoryLostError` if rows of two eras would be joined."""
     if era != later_era:
         raise HistoryLostError("the store has come back from a copy")
--- a/src/wallwell/platform/store_wire.py
+++ b/src/wallwell/platform/store_wire.py
@@ -77,23 +77,23 @@
     delete: tuple[DeleteEntry, ...]
 
 
-def condition(table: str, key: str, version: int) -> ConditionEntry:
+def condition_entry(table: str, key: str, version: int) -> ConditionEntry:
     """Return the condition that a row has a version; 0 if it must not exist."""
-    return ConditionEntry(table, names.WHOLE_TABLE, key, version)
+    return ConditionEntry(table, names.NO_PARTITION, key, version)
 
 
-def put(table: str, key: str, text: str) -> PutEntry:
+def put_entry(table: str, key: str, text: str) -> PutEntry:
     """Return the writing of a row."""
-    return PutEntry(table, names.WHOLE_TABLE, key, encode_value(text))
+    return PutEntry(table, names.NO_PARTITION, key, encode_value(text))
 
 
-def own_transaction(transaction: Transaction) -> TransactBody:
+def transaction_body(transaction: Transaction) -> TransactBody:
     """Return a transaction over wallwell's own table as it travels."""
-    table = names.OWN_TABLE
+    table = names.ROUTER_TABLE
     return TransactBody(
-        expect_rev=tuple(condition(table, each.key, each.version) for each in transaction.conditions),
-        put=tuple(put(table, each.key, each.value) for each in transaction.puts),
-        delete=tuple(DeleteEntry(table, names.WHOLE_TABLE, key) for key in transaction.deletes),
+        expect_rev=tuple(condition_entry(table, each.key, each.version) for each in transaction.conditions),
+        put=tuple(put_entry(table, each.key, each.value) for each in transaction.puts),
+        delete=tuple(DeleteEntry(table, names.NO_PARTITION, key) for key in transaction.deletes),
     )
 
 
@@ -105,7 +105,7 @@
         raise PlatformUnavailableError(f"answer cannot be decoded: {error}") from error
 
 
-def feed_row(row: StoredRow) -> FeedRow:
+def to_feed_row(row: StoredRow) -> FeedRow:
     """Return a row of the feed; its value is None if the row was removed.
 
     Rows hold texts, which nodes pass on to each other as such. What another writer has left is passed on empty if
@@ -121,7 +121,7 @@
     return FeedRow(row.key, value, row.ver)
 
 
-def table_row(row: StoredRow) -> Row:
+def to_table_row(row: StoredRow) -> Row:
     """Return a row with its value as text."""
     return Row(row.key, _decode_value(row.value).decode(), row.ver)
 
--- a/src/wallwell/platform/workers.py
+++ b/src/wallwell/platform/worker_client.py
@@ -15,8 +15,13 @@
 from wallwell.clock import boot_time_s
 from wallwell.http_connection import ConnectFailedError, ConnectionPool
 from wallwell.platform import names
-from wallwell.platform.worker_notices import hand_on_notice
-from wallwell.platform.worker_requests import answer_head, attempt_failure, encode_request, has_answer_body
+from wallwell.platform.worker_notices import deliver_notice
+from wallwell.platform.worker_requests import (
+    attempt_failure,
+    encode_request,
+    expects_answer_body,
+    parse_answer_head,
+)
 from wallwell.routing.health.backend_notice import BackendNotices
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.messages import AnswerHead, AttemptError, Dispatch
@@ -24,14 +29,14 @@
 CONNECT_TIMEOUT_S = 0.25
 """Seconds for a new connection. Covers 40 ms of round trip to another region and the queue of the link between
 regions; each request that meets an unresponsive worker loses this much of its time."""
-USER_TIMEOUT_S = 1.0
+TCP_USER_TIMEOUT_S = 1.0
 """Seconds for which sent bytes may stay unacknowledged before the connection ends: several retransmissions of TCP,
 and shorter than what most callers wait."""
 
 
-def worker_pool() -> ConnectionPool:
+def make_worker_pool() -> ConnectionPool:
     """Return a new pool of connections to workers, whose answers are matched by the request's id."""
-    return ConnectionPool(names.REQUEST_ID, CONNECT_TIMEOUT_S, USER_TIMEOUT_S)
+    return ConnectionPool(names.REQUEST_ID, CONNECT_TIMEOUT_S, TCP_USER_TIMEOUT_S)
 
 
 class WorkerAnswer:
@@ -85,8 +90,10 @@
         failure = attempt_failure(message, head)
         if failure is None or failure.event is not TransportEvent.FOREIGN_ANSWER:
             # An answer that is not the worker's own states nothing about it.
-            is_sure_sender = failure is None or failure.event is TransportEvent.BACKEND_OVERLOADED
-            hand_on_notice(self._notices, message, dispatch.backend.incarnation, sent_s if is_sure_sender else None)
+            answers_request = failure is None or failure.event is TransportEvent.BACKEND_OVERLOADED
+            deliver_notice(
+                self._notices, message, dispatch.backend.incarnation, sent_s if answers_request else None
+            )
         if failure is not None:
             # A refusal's body may never come. The connection is kept if it came together with the head.
             answer.close()
@@ -109,9 +116,9 @@
         request = dispatch.request
         try:
             message = await connection.round_trip(
-                request.request_id, encode_request(dispatch), has_body=has_answer_body(request)
+                request.request_id, encode_request(dispatch), has_body=expects_answer_body(request)
             )
-            return message, answer_head(message)
+            return message, parse_answer_head(message)
         except ConnectionBrokenError as error:
             self._pool.release(dispatch.backend.address, connection)
             raise AttemptError(TransportEvent.RESET_AFTER_SEND, str(error)) from error
--- a/src/wallwell/platform/worker_notices.py
+++ b/src/wallwell/platform/worker_notices.py
@@ -18,30 +18,30 @@
 
 BACKOFF_STATUSES = frozenset((HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE))
 """Statuses on which ``names.RETRY_AFTER`` asks this node to send the worker nothing, as HTTP defines both."""
-IS_LEAVING = "1"
+LEAVING_VALUE = "1"
 """Value of ``names.LEAVING`` by which a worker says that it leaves."""
 
 
-def hand_on_notice(
+def deliver_notice(
     notices: BackendNotices, message: RawResponseMessage, incarnation: str, sent_s: float | None = None
 ) -> None:
     """Hand on what an answer to a call of ``incarnation`` states about it, unless that is nothing.
 
     ``sent_s`` is when the request was sent that it answers, None for other calls.
     """
-    notice = backend_notice(message, incarnation, sent_s)
+    notice = parse_notice(message, incarnation, sent_s)
     if notice != NO_NOTICE:
         notices.on_notice(incarnation, notice)
 
 
-def backend_notice(message: RawResponseMessage, incarnation: str, sent_s: float | None = None) -> BackendNotice:
+def parse_notice(message: RawResponseMessage, incarnation: str, sent_s: float | None = None) -> BackendNotice:
     """Return what an answer to a call of ``incarnation`` states about it; nothing if another one has answered.
 
-    ``sent_s`` as for :func:`hand_on_notice`.
+    ``sent_s`` as for :func:`deliver_notice`.
     """
     if message.headers.get(names.INSTANCE_ID, incarnation) != incarnation:
         return NO_NOTICE
-    leaving = message.headers.get(names.LEAVING) == IS_LEAVING
+    leaving = message.headers.get(names.LEAVING) == LEAVING_VALUE
     return BackendNotice(leaving, _backoff_s(message, incarnation), _limit_statement(message, incarnation, sent_s))
 
 
--- a/src/wallwell/platform/worker_orders.py
+++ b/src/wallwell/platform/worker_orders.py
@@ -17,17 +17,17 @@
 from wallwell.http_connection import ConnectFailedError, ConnectionPool
 from wallwell.placement.weights_roll import EngineReport, OrderReply, WeightsOrder
 from wallwell.platform import names
-from wallwell.platform.worker_notices import hand_on_notice
+from wallwell.platform.worker_notices import deliver_notice
 from wallwell.routing.health.backend_notice import BackendNotices
 
 CONTROL_TIMEOUT_S = 1.0
 """Seconds for one call, connecting included: a third of the lease under which orders are given, and workers answer
 reports and orders without waiting for a slot."""
-LOAD_WEIGHTS = "version"
+LOAD_WEIGHTS_OP = "version"
 """The order to load a version of a model's weights."""
-STREAMS_GO_ON = "retain"
+KEEP_STREAMS_MODE = "retain"
 """Mode of orders under which streams in progress continue, under the new weights."""
-MAX_FAILING_KNOWN = 1000
+MAX_FAILING_WORKERS = 1000
 """Failing workers remembered, so that each outage is logged once; entries of ended workers are dropped this way."""
 
 
@@ -39,7 +39,7 @@
     """Version of the model's weights."""
 
 
-class ReportRow(msgspec.Struct, frozen=True):
+class ReportBody(msgspec.Struct, frozen=True):
     """A worker's report, some hundred milliseconds old."""
 
     models: tuple[ReportedModel, ...] = ()
@@ -92,12 +92,12 @@
             return None
         status, data = answer
         if status != HTTPStatus.OK:
-            self._on_failure(backend, names.REPORT_PATH, f"status {status}")
+            self._log_failure(backend, names.REPORT_PATH, f"status {status}")
             return None
         try:
-            row = msgspec.json.decode(data, type=ReportRow)
+            row = msgspec.json.decode(data, type=ReportBody)
         except msgspec.MsgspecError as error:
-            self._on_failure(backend, names.REPORT_PATH, f"report cannot be decoded: {error}")
+            self._log_failure(backend, names.REPORT_PATH, f"report cannot be decoded: {error}")
             return None
         self._failing.pop(backend.incarnation, None)
         versions = {model.name: model.version for model in row.models}
@@ -106,10 +106,10 @@
     async def send_order(self, backend: BackendRecord, order: WeightsOrder) -> OrderReply:
         """Order new weights; ``UNKNOWN`` if the order may have been taken or may take effect later."""
         body = OrderBody(
-            op=LOAD_WEIGHTS,
+            op=LOAD_WEIGHTS_OP,
             model=order.model,
             version=order.version,
-            mode=STREAMS_GO_ON,
+            mode=KEEP_STREAMS_MODE,
             holder=order.holder,
             fence=order.fence,
             expect_rev=order.expected_orders,
@@ -119,7 +119,7 @@
             return OrderReply.UNKNOWN
         status, _ = answer
         if status not in _ORDER_REPLIES:
-            self._on_failure(backend, names.ORDER_PATH, f"status {status}")
+            self._log_failure(backend, names.ORDER_PATH, f"status {status}")
             return OrderReply.UNKNOWN
         return _ORDER_REPLIES[status]
 
@@ -131,20 +131,20 @@
             head += "Content-Type: application/json\r\n"
 
         def on_head(message: RawResponseMessage) -> None:
-            hand_on_notice(self._notices, message, backend.incarnation)
+            deliver_notice(self._notices, message, backend.incarnation)
 
         request = head.encode() + b"\r\n" + body
         try:
             return await self._pool.fetch(backend.address, request, CONTROL_TIMEOUT_S, on_head)
         except (ConnectFailedError, ConnectionBrokenError, TimeoutError) as error:
-            self._on_failure(backend, path, f"{type(error).__name__}: {error}")
+            self._log_failure(backend, path, f"{type(error).__name__}: {error}")
             return None
 
-    def _on_failure(self, backend: BackendRecord, path: str, reason: str) -> None:
+    def _log_failure(self, backend: BackendRecord, path: str, reason: str) -> None:
         """Log the first failure after a report: a weights roll asks an unresponsive worker about once a second."""
         if backend.incarnation in self._failing:
             return
         self._failing[backend.incarnation] = None
-        if len(self._failing) > MAX_FAILING_KNOWN:
+        if len(self._failing) > MAX_FAILING_WORKERS:
             del self._failing[next(iter(self._failing))]
         emit(Event.ENGINE_CONTROL_FAILED, backend=backend.incarnation, call=path, error=reason)
--- a/src/wallwell/platform/worker_probes.py
+++ b/src/wallwell/platform/worker_probes.py
@@ -9,9 +9,9 @@
 from wallwell.deployment.topology import SINGLE_REGION, Distance, Topology
 from wallwell.http_connection import ConnectFailedError, ConnectionPool
 
-REACHABLE_TIMEOUT_S = 0.12
+SAME_REGION_TIMEOUT_S = 0.12
 """Seconds for a machine to answer a connection's first packet; more than the longest round trip within a region."""
-FAR_REACHABLE_TIMEOUT_S = 0.25
+OTHER_REGION_TIMEOUT_S = 0.25
 """The same in another region: 40 ms of round trip, and what may wait in the queue of the link between them."""
 
 
@@ -37,7 +37,7 @@
     async def _open_connection(self, backend: BackendRecord) -> ConnectFailedError | None:
         """Make a connection for the next request; returns why there is none."""
         is_far = self._topology.distance_to(backend.zone) is Distance.OTHER_REGION
-        timeout_s = FAR_REACHABLE_TIMEOUT_S if is_far else REACHABLE_TIMEOUT_S
+        timeout_s = OTHER_REGION_TIMEOUT_S if is_far else SAME_REGION_TIMEOUT_S
         try:
             await self._pool.open_idle(backend.address, timeout_s)
         except ConnectFailedError as error:
--- a/src/wallwell/platform/worker_requests.py
+++ b/src/wallwell/platform/worker_requests.py
@@ -39,14 +39,14 @@
     request = dispatch.request
     lines = [f"{request.method} {request.target} HTTP/1.1"]
     lines.extend(f"{name}: {value}" for name, value in request.headers)
-    lines.extend(f"{name}: {value}" for name, value in _headers_of_router(dispatch))
+    lines.extend(f"{name}: {value}" for name, value in _router_headers(dispatch))
     if request.body or request.method in METHODS_WITH_BODY:
         lines.append(f"Content-Length: {len(request.body)}")
     # The caller's bytes outside UTF-8 arrive as surrogates and leave as they came.
     return "\r\n".join(lines).encode("utf-8", "surrogateescape") + b"\r\n\r\n" + request.body
 
 
-def _headers_of_router(dispatch: Dispatch) -> Iterator[tuple[str, object]]:
+def _router_headers(dispatch: Dispatch) -> Iterator[tuple[str, object]]:
     request = dispatch.request
     yield names.REQUEST_ID, request.request_id
     yield names.DEADLINE_MS, max(MIN_DEADLINE_MS, int(dispatch.remaining_s * 1000))
@@ -71,17 +71,17 @@
         yield names.KV_SAVE, cache.save_to
 
 
-def has_answer_body(request: CallerRequest) -> bool:
+def expects_answer_body(request: CallerRequest) -> bool:
     """Whether the answer to a request has a body."""
     return request.method != "HEAD"
 
 
-def answer_head(message: RawResponseMessage) -> AnswerHead:
+def parse_answer_head(message: RawResponseMessage) -> AnswerHead:
     """Return the head of a worker's answer, without the headers of its connection and its instance."""
     headers = tuple(
         (name, value)
         for name, value in message.headers.items()
-        if name.lower() not in names.HOP_BY_HOP and name.lower() != names.INSTANCE_ID.lower()
+        if name.lower() not in names.HOP_BY_HOP_HEADERS and name.lower() != names.INSTANCE_ID.lower()
     )
     version = message.headers.get(names.WEIGHT_VERSION, "")
     content_type = message.headers.get("Content-Type", "")
--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -10,10 +10,10 @@
 import yarl
 from aiohttp import web
 
-from tests.platform.stand_ins import StoreStandIn, WorkerStandIn
-from wallwell.platform.callers import CallersListener
+from tests.platform.fakes import FakeStore, FakeWorker
+from wallwell.platform.caller_listener import CallerListener
 from wallwell.platform.main import build_node
-from wallwell.platform.settings import Bounds, ListenAddresses, PlatformSettings, ProviderAddress
+from wallwell.platform.settings import ListenAddresses, OperatorBounds, PlatformSettings, StoreAddress
 
 HOST = "h.example"
 
@@ -42,8 +42,8 @@
     """The listener of one node for callers, on a port the system chose."""
 
     def __init__(self, node):
-        self.listener = CallersListener(node)
-        self.server = self.listener.server()
+        self.listener = CallerListener(node)
+        self.server = self.listener.callers_server()
         self.runner = web.ServerRunner(self.server, shutdown_timeout=0.01)
 
     async def start(self):
@@ -57,9 +57,9 @@
     """A store, workers, one node with its listener, and a caller."""
 
     def __init__(self, workers=2, bounds=None):
-        self.store = StoreStandIn()
-        self.workers = [WorkerStandIn(f"i-{index}") for index in range(workers)]
-        self.bounds = bounds or Bounds(strict_revoke=True)
+        self.store = FakeStore()
+        self.workers = [FakeWorker(f"i-{index}") for index in range(workers)]
+        self.bounds = bounds or OperatorBounds(strict_revoke=True)
 
     async def start(self, configuration=None):
         await self.store.start()
@@ -69,7 +69,7 @@
         if configuration is not False:
             self.store.put("op", "config", configuration or config())
         addresses = ListenAddresses("127.0.0.1:0", "127.0.0.1:0")
-        settings = PlatformSettings("n1", "z1", addresses, ProviderAddress(self.store.address), self.bounds)
+        settings = PlatformSettings("n1", "z1", addresses, StoreAddress(self.store.address), self.bounds)
         self.node = build_node(settings)
         # A node that has just started repeats little; these tests are about one that has run for a while.
         self.node.state.started_s = float("-inf")
--- a/tests/platform/stand_ins.py
+++ b/tests/platform/fakes.py
@@ -10,18 +10,18 @@
 from wallwell.emulator.platform_worker import PlatformWorkerEmulator
 from wallwell.platform.names import SEAL
 
-__all__ = ["SEAL", "StoreStandIn", "WorkerStandIn"]
+__all__ = ["SEAL", "FakeStore", "FakeWorker"]
 PAGE_ROWS = 3
 
 
-class StoreStandIn(PlatformStoreEmulator):
+class FakeStore(PlatformStoreEmulator):
     """A store that gives few rows at a time, so that whole readings take several calls."""
 
     def __init__(self):
         super().__init__(page_rows=PAGE_ROWS)
 
 
-class WorkerStandIn(PlatformWorkerEmulator):
+class FakeWorker(PlatformWorkerEmulator):
     """A worker that answers as it is told and records what reached it."""
 
     def __init__(self, incarnation, service="svc", software=""):
--- a/tests/platform/test_cache_events.py
+++ b/tests/platform/test_cache_events.py
@@ -7,7 +7,7 @@
 
 from wallwell.errors import CacheEventsRefusedError, CacheStoreSilentError
 from wallwell.platform.cache_events import CacheEventsClient
-from wallwell.platform.workers import worker_pool
+from wallwell.platform.worker_client import make_worker_pool
 from wallwell.routing.selection.kv_store import CacheEntry, CachePosition
 
 EVENTS = {
@@ -16,7 +16,7 @@
     "lost": False,
     "events": [[11, "+", "s", "a", 800, "m"], [12, "-", "s", "b", 128, "m"]],
 }
-PATIENCE_S = 30.0
+GENEROUS_TIMEOUT_S = 30.0
 """A busy machine must not decide whether an answer on it comes in time."""
 LISTING = {"epoch": 7, "next_token": 12, "held": [["s", "a", 800, "m"]]}
 
@@ -25,7 +25,7 @@
 def with_store(run_async, monkeypatch):
     """Run a scenario on a store that gives the listed answers; returns what it was asked."""
 
-    monkeypatch.setattr("wallwell.platform.cache_events.LISTING_TIMEOUT_S", PATIENCE_S)
+    monkeypatch.setattr("wallwell.platform.cache_events.LISTING_TIMEOUT_S", GENEROUS_TIMEOUT_S)
 
     def run(answers, scenario):
         asked = []
@@ -42,7 +42,7 @@
             await runner.setup()
             site = web.TCPSite(runner, "127.0.0.1", 0)
             await site.start()
-            pool = worker_pool()
+            pool = make_worker_pool()
             try:
                 address = f"127.0.0.1:{site._server.sockets[0].getsockname()[1]}"
                 await scenario(CacheEventsClient(pool), address)
@@ -58,7 +58,7 @@
 
 def test_events_after_a_position(with_store):
     async def scenario(client, address):
-        page = await client.events(address, CachePosition(7, 10), PATIENCE_S)
+        page = await client.events(address, CachePosition(7, 10), GENEROUS_TIMEOUT_S)
         assert page.position == CachePosition(7, 12)
         assert page.entries == (CacheEntry(11, "s", "a", 800), CacheEntry(12, "s", "b", 128))
         assert not page.whole
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize("change", [{"lost": True}, {"epoch": 8}], ids=["gap", "restart"])
 def test_everything_is_listed_when_events_do_not_join(with_store, change):
     async def scenario(client, address):
-        page = await client.events(address, CachePosition(7, 10), PATIENCE_S)
+        page = await client.events(address, CachePosition(7, 10), GENEROUS_TIMEOUT_S)
         assert page.whole
         assert page.entries == (CacheEntry(12, "s", "a", 800),)
 
@@ -82,7 +82,7 @@
 def test_an_answer_without_events_tells_that_the_store_lives(with_store, answer):
     async def scenario(client, address):
         with pytest.raises(CacheEventsRefusedError):
-            await client.events(address, CachePosition(7, 10), PATIENCE_S)
+            await client.events(address, CachePosition(7, 10), GENEROUS_TIMEOUT_S)
 
     with_store({"/api/kv-events": answer}, scenario)
 
--- a/tests/platform/test_caller_gone.py
+++ b/tests/platform/test_caller_gone.py
@@ -13,7 +13,7 @@
 from wallwell.backend_connection import BackendConnection
 from wallwell.clock import boot_time_s
 from wallwell.events import Event
-from wallwell.platform import callers
+from wallwell.platform import caller_listener
 from wallwell.serving import request_reports
 
 STOPS_WITHIN_S = 0.5
@@ -224,7 +224,9 @@
 def test_a_caller_that_leaves_during_an_attempt_is_logged(on_platform, monkeypatch):
     """Its request had no line at all, so that nobody could tell it from one that never came."""
     logged = []
-    monkeypatch.setattr(callers, "emit", lambda event, **fields: logged.append((event, fields["request_id"])))
+    monkeypatch.setattr(
+        caller_listener, "emit", lambda event, **fields: logged.append((event, fields["request_id"]))
+    )
 
     async def scenario(harness):
         for worker in harness.workers:
--- a/tests/platform/test_crashing_request.py
+++ b/tests/platform/test_crashing_request.py
@@ -18,11 +18,11 @@
 from aiohttp import web
 
 from tests.platform.conftest import PlatformHarness, config, route
-from tests.platform.stand_ins import WorkerStandIn
+from tests.platform.fakes import FakeWorker
 from tests.platform.test_peers import second_node
 from tests.unit.serving.fakes import event
 from wallwell.clock import boot_time_s
-from wallwell.platform.callers import CallersListener
+from wallwell.platform.caller_listener import CallerListener
 
 NODES, WORKERS, SENDINGS = 3, 5, 10
 CRASHES_TO_KNOW = 3
@@ -39,7 +39,7 @@
 UNSAFE = {"kind": "unsafe", "attempts": 1}
 
 
-class CrashingWorker(WorkerStandIn):
+class CrashingWorker(FakeWorker):
     """Ends soon after it has begun to run the crashing request; a new incarnation takes its place at once."""
 
     def __init__(self, harness, incarnation):
@@ -102,7 +102,7 @@
         """Start one more node and its listener; return its port."""
         node = await second_node(self, name)
         node.state.started_s = float("-inf")
-        runner = web.ServerRunner(CallersListener(node).server(), shutdown_timeout=0.01)
+        runner = web.ServerRunner(CallerListener(node).callers_server(), shutdown_timeout=0.01)
         await runner.setup()
         site = web.TCPSite(runner, "127.0.0.1", 0)
         await site.start()
--- a/tests/platform/test_ends_of_connections.py
+++ b/tests/platform/test_ends_of_connections.py
@@ -20,7 +20,7 @@
 from wallwell import callers_server
 from wallwell.callers_server import LAST_REQUEST_S, LINGER_S
 from wallwell.errors import ConnectionEndedError
-from wallwell.platform import callers
+from wallwell.platform import caller_listener
 
 GRACE_S = 1.2
 CONNECTIONS = 100
@@ -339,7 +339,7 @@
     on_platform, monkeypatch
 ):
     """The close of a connection that had been idle for long was as wordless as that of a stop."""
-    monkeypatch.setattr(callers, "KEEPALIVE_S", 0.2)
+    monkeypatch.setattr(caller_listener, "KEEPALIVE_S", 0.2)
 
     async def scenario(harness):
         reader, writer = await keep_connection(harness, "first")
@@ -354,7 +354,7 @@
 
 def test_an_idle_connection_that_is_used_in_time_stays_open(on_platform, monkeypatch):
     """The time of an idle connection begins again with each answer."""
-    monkeypatch.setattr(callers, "KEEPALIVE_S", 1.0)
+    monkeypatch.setattr(caller_listener, "KEEPALIVE_S", 1.0)
 
     async def scenario(harness):
         reader, writer = await keep_connection(harness, "first")
@@ -371,7 +371,7 @@
 
 def test_an_idle_connection_on_which_something_has_just_arrived_is_looked_at_again(on_platform, monkeypatch):
     """One that is left open at its time for bytes that come to no request would stay open for good."""
-    monkeypatch.setattr(callers, "KEEPALIVE_S", 0.2)
+    monkeypatch.setattr(caller_listener, "KEEPALIVE_S", 0.2)
     arrived = [True]
     monkeypatch.setattr(callers_server, "has_unread_bytes", lambda _transport: bool(arrived) and arrived.pop())
 
--- a/tests/platform/test_node.py
+++ b/tests/platform/test_node.py
@@ -13,7 +13,7 @@
 from wallwell.errors import HistoryLostError, PlatformUnavailableError, SettingsError, TableConflictError
 from wallwell.events import Event
 from wallwell.platform.main import reload_settings
-from wallwell.platform.settings import Bounds, load_platform_settings
+from wallwell.platform.settings import OperatorBounds, load_platform_settings
 from wallwell.platform.store import PlatformStore, TableRows
 from wallwell.storage.table import Condition, Put, Transaction
 
@@ -64,7 +64,7 @@
         await harness.until(harness.node.is_ready)
         return accepted, status, headers.get("Connection"), (await harness.call())[0]
 
-    bounds = Bounds(strict_revoke=True, revoke_ms=2500)
+    bounds = OperatorBounds(strict_revoke=True, revoke_ms=2500)
     assert on_platform(scenario, bounds=bounds) == (200, 503, "close", 200)
 
 
@@ -104,7 +104,7 @@
         await harness.until(lambda: all(worker.version == 2 for worker in harness.workers))
         return [order for worker in harness.workers for order in worker.orders]
 
-    orders = on_platform(scenario, bounds=Bounds(strict_revoke=True, version_ms=300))
+    orders = on_platform(scenario, bounds=OperatorBounds(strict_revoke=True, version_ms=300))
     assert len(orders) == 2
     for order in orders:
         assert (order["op"], order["model"], order["version"], order["holder"]) == ("version", "m", 2, "n1")
@@ -164,23 +164,23 @@
 
 
 def with_store(run_async, scenario):
-    from tests.platform.stand_ins import StoreStandIn
+    from tests.platform.fakes import FakeStore
 
     async def work():
-        stand_in = StoreStandIn()
-        await stand_in.start()
-        store = PlatformStore(stand_in.address)
+        fake_store = FakeStore()
+        await fake_store.start()
+        store = PlatformStore(fake_store.address)
         try:
-            return await scenario(stand_in, store)
+            return await scenario(fake_store, store)
         finally:
             store.close()
-            await stand_in.stop()
+            await fake_store.stop()
 
     return run_async(work())
 
 
 def test_conditions_and_whole_readings(run_async):
-    async def scenario(stand_in, store):
+    async def scenario(fake_store, store):
         for index in range(8):
             await store.transact(Transaction((Condition(f"k{index}", 0),), (Put(f"k{index}", f"v{index}"),)))
         with pytest.raises(TableConflictError):
@@ -195,19 +195,19 @@
 
 @pytest.mark.parametrize("status", [429, 500, 503])
 def test_refusals_are_unavailability(run_async, status):
-    async def scenario(stand_in, store):
-        stand_in.refuse_status = status
+    async def scenario(fake_store, store):
+        fake_store.refuse_status = status
         with pytest.raises(PlatformUnavailableError):
             await store.get("k")
         with pytest.raises(PlatformUnavailableError):
-            await TableRows(store, "op").changes(StorePosition(stand_in.era, 0), 0.1)
+            await TableRows(store, "op").changes(StorePosition(fake_store.era, 0), 0.1)
 
     with_store(run_async, scenario)
 
 
 def test_a_write_whose_answer_is_lost_may_have_been_done(run_async):
-    async def scenario(stand_in, store):
-        stand_in.lose_writes = 1
+    async def scenario(fake_store, store):
+        fake_store.lose_writes = 1
         with pytest.raises(PlatformUnavailableError):
             await store.transact(Transaction((), (Put("k", "v"),)))
         return (await store.get("k")).value
@@ -216,11 +216,11 @@
 
 
 def test_forgotten_history_is_told_apart(run_async):
-    async def scenario(stand_in, store):
-        stand_in.put("op", "a", {"x": 1})
-        stand_in.forget_history()
+    async def scenario(fake_store, store):
+        fake_store.put("op", "a", {"x": 1})
+        fake_store.forget_history()
         with pytest.raises(HistoryLostError):
-            await TableRows(store, "op").changes(StorePosition(stand_in.era, 0), 0.1)
+            await TableRows(store, "op").changes(StorePosition(fake_store.era, 0), 0.1)
 
     with_store(run_async, scenario)
 
--- a/tests/platform/test_peers.py
+++ b/tests/platform/test_peers.py
@@ -10,14 +10,14 @@
 
 from tests.platform.conftest import config, route
 from wallwell.platform.main import build_node
-from wallwell.platform.settings import ListenAddresses, PlatformSettings, ProviderAddress
+from wallwell.platform.settings import ListenAddresses, PlatformSettings, StoreAddress
 
 LOOPBACK = "127.0.0.1"
 
 
 async def second_node(harness, name="n2", zone="z1"):
     addresses = ListenAddresses(f"{LOOPBACK}:0", f"{LOOPBACK}:0")
-    settings = PlatformSettings(name, zone, addresses, ProviderAddress(harness.store.address), harness.bounds)
+    settings = PlatformSettings(name, zone, addresses, StoreAddress(harness.store.address), harness.bounds)
     node = build_node(settings)
     await node.listen_for_peers(LOOPBACK, [0])
     node.start()
@@ -131,5 +131,5 @@
 )
 def test_the_ports_left_for_nodes_come_from_the_settings(ip, port_range, ports):
     addresses = ListenAddresses("10.0.0.1:1", "10.0.0.1:2")
-    settings = PlatformSettings("n", "z", addresses, ProviderAddress("10.0.0.9:1"), ip=ip, port_range=port_range)
+    settings = PlatformSettings("n", "z", addresses, StoreAddress("10.0.0.9:1"), ip=ip, port_range=port_range)
     assert list(settings.peer_ports()) == ports
--- a/tests/platform/test_reachability.py
+++ b/tests/platform/test_reachability.py
@@ -7,14 +7,14 @@
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.topology import Topology
 from wallwell.http_connection import ConnectFailedError
-from wallwell.platform.worker_probes import FAR_REACHABLE_TIMEOUT_S, REACHABLE_TIMEOUT_S, WorkerProbes
-from wallwell.platform.workers import worker_pool
+from wallwell.platform.worker_client import make_worker_pool
+from wallwell.platform.worker_probes import OTHER_REGION_TIMEOUT_S, SAME_REGION_TIMEOUT_S, WorkerProbes
 
 
 @pytest.fixture
 def patient(monkeypatch):
     """A busy machine must not decide whether a connection on it is answered in time."""
-    monkeypatch.setattr("wallwell.platform.worker_probes.REACHABLE_TIMEOUT_S", 30.0)
+    monkeypatch.setattr("wallwell.platform.worker_probes.SAME_REGION_TIMEOUT_S", 30.0)
 
 
 def record(address):
@@ -33,7 +33,7 @@
     async def work():
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        pool = worker_pool()
+        pool = make_worker_pool()
         assert await WorkerProbes(pool).is_reachable(record(address))
         answer = await pool.fetch(address, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", 5.0)
         pool.close()
@@ -52,14 +52,14 @@
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         server.close()
         await server.wait_closed()
-        return await WorkerProbes(worker_pool()).is_reachable(record(address))
+        return await WorkerProbes(make_worker_pool()).is_reachable(record(address))
 
     assert run_async(work())
 
 
 @pytest.mark.parametrize(("timed_out", "reachable"), [(True, False), (False, True)])
 def test_only_silence_counts_as_unreachable(run_async, monkeypatch, timed_out, reachable):
-    pool = worker_pool()
+    pool = make_worker_pool()
     asked = []
 
     async def fail(address, timeout_s):
@@ -68,15 +68,15 @@
 
     monkeypatch.setattr(pool, "open_idle", fail)
     assert run_async(WorkerProbes(pool).is_reachable(record("10.0.0.1:80"))) is reachable
-    assert asked == [("10.0.0.1:80", REACHABLE_TIMEOUT_S)]
+    assert asked == [("10.0.0.1:80", SAME_REGION_TIMEOUT_S)]
 
 
 @pytest.mark.parametrize(
     ("zone", "timeout_s"),
-    [("z", REACHABLE_TIMEOUT_S), ("far", FAR_REACHABLE_TIMEOUT_S), ("new", REACHABLE_TIMEOUT_S)],
+    [("z", SAME_REGION_TIMEOUT_S), ("far", OTHER_REGION_TIMEOUT_S), ("new", SAME_REGION_TIMEOUT_S)],
 )
 def test_a_machine_of_another_region_is_given_the_time_of_the_way(run_async, monkeypatch, zone, timeout_s):
-    pool = worker_pool()
+    pool = make_worker_pool()
     probes = WorkerProbes(pool, Topology("z", {"z": "east", "far": "west"}))
     waited = []
 
@@ -94,7 +94,7 @@
     async def work():
         server = await asyncio.start_server(lambda reader, writer: writer.transport.abort(), "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        pool = worker_pool()
+        pool = make_worker_pool()
         accepts = await WorkerProbes(pool).refuses_connections(record(address))
         server.close()
         await server.wait_closed()
@@ -113,7 +113,7 @@
     async def work():
         server = await asyncio.start_server(lambda reader, writer: accepted.append(writer), "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        pool = worker_pool()
+        pool = make_worker_pool()
         refused = [await WorkerProbes(pool).refuses_connections(record(address)) for _ in range(3)]
         pool.close()
         for writer in accepted:
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("timed_out", [True, False])
 def test_silence_and_other_failures_are_no_refusal(run_async, monkeypatch, timed_out):
-    pool = worker_pool()
+    pool = make_worker_pool()
 
     async def fail(address, timeout_s):
         raise ConnectFailedError(timed_out, "scripted")
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -9,7 +9,7 @@
 from aiohttp import web
 
 from tests.platform.conftest import config, route
-from tests.platform.stand_ins import SEAL
+from tests.platform.fakes import SEAL
 from tests.unit.serving.fakes import event
 from wallwell.clock import boot_time_s
 
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -15,7 +15,7 @@
 import pytest
 
 from tests.platform.conftest import CallersPort, config, route
-from tests.platform.stand_ins import PAGE_ROWS
+from tests.platform.fakes import PAGE_ROWS
 from tests.platform.test_node import with_store
 from tests.platform.test_peers import both_know_each_other, second_node
 from wallwell.deployment.store_era import StorePosition
@@ -94,18 +94,18 @@
 
 
 def test_pages_of_two_eras_are_not_joined_to_one_reading(run_async):
-    async def scenario(stand_in, store):
+    async def scenario(fake_store, store):
         for number in range(PAGE_ROWS + 1):
-            stand_in.put("op", f"k{number}", "before")
-        copy = stand_in.copy()
-        read_page = store.read
+            fake_store.put("op", f"k{number}", "before")
+        copy = fake_store.copy()
+        read_page = store.read_rows
 
         async def restore_after_the_first_page(*args):
             page = await read_page(*args)
-            stand_in.restore(copy)
+            fake_store.restore(copy)
             return page
 
-        store.read = restore_after_the_first_page
+        store.read_rows = restore_after_the_first_page
         with pytest.raises(HistoryLostError):
             await TableRows(store, "op").read_all()
 
@@ -115,15 +115,15 @@
 def test_a_reading_held_over_a_restore_is_not_continued_though_the_count_has_passed_it(run_async):
     """The store gives out the version again that the reading goes on from, so it does not answer 410."""
 
-    async def scenario(stand_in, store):
-        copy = stand_in.copy()
-        stand_in.put("op", "k", "lost")
-        after = StorePosition(stand_in.era, stand_in.version)
+    async def scenario(fake_store, store):
+        copy = fake_store.copy()
+        fake_store.put("op", "k", "lost")
+        after = StorePosition(fake_store.era, fake_store.version)
         held = asyncio.create_task(TableRows(store, "op").changes(after, 1.0))
         await asyncio.sleep(0.1)
-        stand_in.restore(copy)
-        stand_in.put("op", "k", "missed")
-        stand_in.put("op", "k", "read")
+        fake_store.restore(copy)
+        fake_store.put("op", "k", "missed")
+        fake_store.put("op", "k", "read")
         with pytest.raises(HistoryLostError):
             await held
 
@@ -131,13 +131,13 @@
 
 
 def test_an_era_that_cannot_be_read_is_logged_once_and_taken_as_before(run_async, monkeypatch):
-    async def scenario(stand_in, store):
+    async def scenario(fake_store, store):
         events = []
         monkeypatch.setattr(platform_store, "emit", lambda event, **fields: events.append((event, fields["era"])))
-        stand_in.put("wallwell", "k", "v")
-        stand_in.era = 3
+        fake_store.put("wallwell", "k", "v")
+        fake_store.era = 3
         await store.get("k")
-        stand_in.era = "three"
+        fake_store.era = "three"
         values = [(await store.get("k")).value for _ in range(3)]
         return values, store.era.observed_era, events
 
@@ -145,9 +145,9 @@
 
 
 def test_a_late_answer_of_an_earlier_era_counts_as_none(run_async):
-    async def scenario(stand_in, store):
-        stand_in.put("wallwell", "k", "v")
-        store.era.observe(stand_in.era + 1, 0.0)
+    async def scenario(fake_store, store):
+        fake_store.put("wallwell", "k", "v")
+        store.era.observe(fake_store.era + 1, 0.0)
         with pytest.raises(PlatformUnavailableError):
             await store.get("k")
 
--- a/tests/platform/test_rollouts.py
+++ b/tests/platform/test_rollouts.py
@@ -8,11 +8,11 @@
 import pytest
 
 from tests.platform.conftest import config
-from tests.platform.stand_ins import WorkerStandIn
+from tests.platform.fakes import FakeWorker
 from tests.platform.test_peers import two_nodes
 from wallwell.cluster.leases import LeaseKeeper
 from wallwell.errors import PlatformUnavailableError, TableConflictError
-from wallwell.platform.rollouts import PlatformRollouts
+from wallwell.platform.rollouts import PlatformRolloutStore
 from wallwell.platform.store import PlatformStore
 from wallwell.rollout.model import Phase, RolloutRecord
 from wallwell.rollout.store import LEASE_NAME, RECORD_PREFIX
@@ -41,7 +41,7 @@
     """Return rollouts on the harness's store, and the version of a lease on them."""
     store = PlatformStore(harness.store.address)
     lease = await LeaseKeeper(LEASE_NAME, "n9", 5.0, store).try_acquire(0.0)
-    return PlatformRollouts(store), lease.version
+    return PlatformRolloutStore(store), lease.version
 
 
 async def refused(rollouts, record, seen, lease_version):
@@ -115,7 +115,7 @@
 async def add_workers(harness, count=2, respond=None):
     """Start workers of the version v2 and list them."""
     for index in range(count):
-        worker = WorkerStandIn(f"new-{index}", software="v2")
+        worker = FakeWorker(f"new-{index}", software="v2")
         worker.respond = respond(worker) if respond is not None else worker.answer_ok
         await worker.start()
         harness.workers.append(worker)
--- a/tests/platform/test_send_progress.py
+++ b/tests/platform/test_send_progress.py
@@ -5,10 +5,10 @@
 import msgspec
 import pytest
 
-from tests.platform.stand_ins import WorkerStandIn
+from tests.platform.fakes import FakeWorker
 from tests.unit.serving.fakes import make_request
 from wallwell.deployment.backends import BackendRecord
-from wallwell.platform.workers import WorkerClient, worker_pool
+from wallwell.platform.worker_client import WorkerClient, make_worker_pool
 from wallwell.routing.health.backend_notice import BackendNotices
 from wallwell.serving.messages import Dispatch
 
@@ -16,7 +16,7 @@
 @pytest.mark.parametrize("comes_up", [True, False])
 def test_a_request_is_connecting_until_its_connection_is_up(run_async, comes_up):
     async def work():
-        worker, pool = WorkerStandIn("i-1"), worker_pool()
+        worker, pool = FakeWorker("i-1"), make_worker_pool()
         await worker.start()
         worker.respond = worker.hang
         if not comes_up:
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -15,10 +15,10 @@
 import pytest
 
 from tests.platform.conftest import HOST, config, route
-from tests.platform.stand_ins import StoreStandIn, WorkerStandIn
+from tests.platform.fakes import FakeStore, FakeWorker
 from wallwell.clock import boot_time_s
 from wallwell.platform.names import SETTINGS_VARIABLE
-from wallwell.platform.stop_deadline import end_process_after
+from wallwell.platform.stop_deadline import exit_within
 
 GRACE_S = 3.0
 ROOT = Path(__file__).parents[2]
@@ -149,7 +149,7 @@
     """Connections of callers rest or wait for a worker that hangs, a peer says nothing, the store is silent."""
 
     async def scenario():
-        store, worker = StoreStandIn(), WorkerStandIn("i-1")
+        store, worker = FakeStore(), FakeWorker("i-1")
         await store.start()
         await worker.start()
         worker.respond = worker.hang
@@ -236,10 +236,10 @@
 
 def test_the_deadline_ends_the_process_with_success_just_before_the_grace_time():
     ended = []
-    timer = end_process_after(0.0, ended.append)
+    timer = exit_within(0.0, ended.append)
     timer.join(10.0)
     assert ended == [0]
-    later = end_process_after(60.0, ended.append)
-    assert 59.0 < later.due_s - boot_time_s() < 60.0
+    later = exit_within(60.0, ended.append)
+    assert 59.0 < later.deadline_s - boot_time_s() < 60.0
     assert later.daemon
     later.cancel()
--- a/tests/platform/test_time_of_day.py
+++ b/tests/platform/test_time_of_day.py
@@ -14,7 +14,7 @@
 
 from tests.platform.conftest import config
 from tests.unit.serving.fakes import event
-from wallwell.platform.settings import Bounds
+from wallwell.platform.settings import OperatorBounds
 
 SOURCES = Path(__file__).parents[2] / "src"
 IMPORTED_LATER = ("wallwell.node.metrics",)
@@ -132,6 +132,6 @@
         answers = [(await harness.call(X_Credential=key))[0] for key in ("k2", "k1", "k2")]
         return answers, harness.node.is_ready(), next(jumps)
 
-    answers, ready, looked = on_platform(scenario, bounds=Bounds(strict_revoke=True, version_ms=300))
+    answers, ready, looked = on_platform(scenario, bounds=OperatorBounds(strict_revoke=True, version_ms=300))
     assert (answers, ready) == ([200, 401, 200], True)
     assert looked > 1
--- a/tests/unit/node/test_unreadable_rows.py
+++ b/tests/unit/node/test_unreadable_rows.py
@@ -14,7 +14,7 @@
 from wallwell.http_connection import ConnectionPool
 from wallwell.node.backend_rows import MAX_UNREADABLE_LOGGED, BackendRows
 from wallwell.platform.rows import decode_backend
-from wallwell.platform.store_wire import StoredRow, encode_value, feed_row
+from wallwell.platform.store_wire import StoredRow, encode_value, to_feed_row
 from wallwell.storage.feed import FeedPage, FollowedPage
 
 INVALID_BASE64, INVALID_UTF8, INVALID_JSON = "%", "/w==", encode_value("{")
@@ -40,7 +40,7 @@
         stored = []
         for key, value in values.items():
             self.version += 1
-            stored.append(feed_row(StoredRow(key, value, self.version)))
+            stored.append(to_feed_row(StoredRow(key, value, self.version)))
         self.rows.apply(FollowedPage(FeedPage(tuple(stored), self.version, 0.0), is_snapshot, 0.0, 0.0))
 
     def names(self):
--- a/tests/unit/platform/test_foreign_rows.py
+++ b/tests/unit/platform/test_foreign_rows.py
@@ -10,8 +10,8 @@
 from wallwell.cluster.row_messages import reply_with_rows, unpack_rows
 from wallwell.deployment.backends import BackendRecord
 from wallwell.deployment.routes import DeploymentConfig
-from wallwell.platform.rows import decode_backend, decode_config, decode_rollout_order, decode_version
-from wallwell.platform.store_wire import StoredRow, feed_row
+from wallwell.platform.rows import decode_backend, decode_config, decode_rollout_order, decode_weights_version
+from wallwell.platform.store_wire import StoredRow, to_feed_row
 from wallwell.rollout.model import RolloutOrder
 from wallwell.storage.feed import FeedPage
 
@@ -25,7 +25,7 @@
 DECODERS = {
     "backend": (lambda value: decode_backend("i-1", value), BackendRecord),
     "configuration": (decode_config, DeploymentConfig),
-    "weights version": (decode_version, tuple),
+    "weights version": (decode_weights_version, tuple),
     "rollout": (lambda value: decode_rollout_order("rollout/svc", value, 1), RolloutOrder),
 }
 
@@ -95,6 +95,6 @@
 
 @given(text=st.text(max_size=40) | st.binary(max_size=30).map(lambda data: base64.b64encode(data).decode()))
 def test_a_value_that_is_no_base64_or_no_text_is_passed_on_as_one_that_cannot_be_decoded(text):
-    row = feed_row(StoredRow(key="i-1", ver=3, value=text))
+    row = to_feed_row(StoredRow(key="i-1", ver=3, value=text))
     assert row.value is not None and row.version == 3
     assert unpack_rows(reply_with_rows(FeedPage((row,), 3, 0.0)), "peer") == (row,)
--- a/tests/unit/platform/test_worker_notices.py
+++ b/tests/unit/platform/test_worker_notices.py
@@ -12,8 +12,8 @@
 from loguru import logger
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from wallwell.platform.worker_notices import backend_notice
-from wallwell.platform.worker_requests import answer_head, attempt_failure
+from wallwell.platform.worker_notices import parse_notice
+from wallwell.platform.worker_requests import attempt_failure, parse_answer_head
 from wallwell.routing.health.backend_notice import NO_NOTICE, BackendNotice
 from wallwell.routing.health.request_limit import NO_LIMIT_PER_S, LimitStatement
 
@@ -27,7 +27,7 @@
 
 
 def notice_of(status, headers):
-    return backend_notice(message(status, **headers), "i-1")
+    return parse_notice(message(status, **headers), "i-1")
 
 
 @pytest.mark.parametrize(
@@ -68,7 +68,7 @@
 def test_the_longest_of_several_times_is_taken():
     headers = CIMultiDict([("Retry-After", "1"), ("Retry-After", "4"), ("Retry-After", "x")])
     refusal = RawResponseMessage(HttpVersion11, 503, "", CIMultiDictProxy(headers), (), False, None, False, False)
-    assert backend_notice(refusal, "i-1").backoff_s == 4.0
+    assert parse_notice(refusal, "i-1").backoff_s == 4.0
 
 
 def test_what_cannot_be_understood_is_logged_in_part():
@@ -96,23 +96,23 @@
     ],
 )
 def test_an_answer_to_a_request_states_a_limit_or_that_there_is_none(status, headers, expected):
-    assert backend_notice(message(status, **headers), "i-1", 7.0).limit == expected
+    assert parse_notice(message(status, **headers), "i-1", 7.0).limit == expected
 
 
 def test_an_answer_to_another_call_states_a_limit_but_not_that_there_is_none():
-    assert backend_notice(message(200, **{"Server-Limit": "3"}), "i-1").limit == LimitStatement(3.0)
-    assert backend_notice(message(200), "i-1").limit is None
+    assert parse_notice(message(200, **{"Server-Limit": "3"}), "i-1").limit == LimitStatement(3.0)
+    assert parse_notice(message(200), "i-1").limit is None
 
 
 def test_the_lowest_of_several_limits_is_taken():
     headers = CIMultiDict([("Server-Limit", "4"), ("Server-Limit", "2.5")])
     answer = RawResponseMessage(HttpVersion11, 200, "", CIMultiDictProxy(headers), (), False, None, False, False)
-    assert backend_notice(answer, "i-1").limit == LimitStatement(2.5)
+    assert parse_notice(answer, "i-1").limit == LimitStatement(2.5)
 
 
 @given(st.text(max_size=60))
 def test_any_text_as_a_limit_states_a_number_or_nothing(text):
-    limit = backend_notice(message(200, **{"Server-Limit": text}), "i-1").limit
+    limit = parse_notice(message(200, **{"Server-Limit": text}), "i-1").limit
     assert limit is None or 0 <= limit.per_s < math.inf
 
 
@@ -122,4 +122,4 @@
 )
 def test_a_refusals_line_in_the_log_names_the_time(headers, detail):
     answer = message(503, **{**headers, "Retry-After": "3"})
-    assert attempt_failure(answer, answer_head(answer)).detail == detail
+    assert attempt_failure(answer, parse_answer_head(answer)).detail == detail
--- a/tests/unit/platform/test_worker_orders.py
+++ b/tests/unit/platform/test_worker_orders.py
@@ -110,7 +110,7 @@
 
 
 def test_failing_workers_that_have_ended_are_not_remembered_for_good(run_async, failures, monkeypatch):
-    monkeypatch.setattr(worker_orders, "MAX_FAILING_KNOWN", 2)
+    monkeypatch.setattr(worker_orders, "MAX_FAILING_WORKERS", 2)
     control = WorkerControl(ScriptedPool(*[TimeoutError()] * 4), BackendNotices())
 
     async def work():
--- a/tests/unit/test_suspended_machine.py
+++ b/tests/unit/test_suspended_machine.py
@@ -36,7 +36,7 @@
 from wallwell.late_loop import is_done_within
 from wallwell.node.loop_lag import LoopLag
 from wallwell.outcomes import Outcome
-from wallwell.platform.stop_deadline import StopTimer
+from wallwell.platform.stop_deadline import BootClockTimer
 from wallwell.routing.retry.attempt_outcome import TransportEvent as T
 from wallwell.serving.pipeline import RequestPipeline
 
@@ -278,7 +278,7 @@
 def test_the_end_of_a_planned_stop_is_not_put_off(monkeypatch):
     now_s = boot_time_s()
     ended = []
-    timer = StopTimer(now_s + 30.0, lambda: ended.append(True))
+    timer = BootClockTimer(now_s + 30.0, lambda: ended.append(True))
     timer.start()
     monkeypatch.setattr("wallwell.platform.stop_deadline.boot_time_s", lambda: now_s + 31.0)
     timer.join(10.0)
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -48,14 +48,14 @@
 from wallwell.placement.weights_roll_driver import LoadProgress
 from wallwell.platform import rows
 from wallwell.platform.cache_events import CacheEventsClient, EventsBody, ListingBody
-from wallwell.platform.callers import CallersListener
+from wallwell.platform.caller_listener import CallerListener
 from wallwell.platform.main import build_node
-from wallwell.platform.rollouts import PlatformRollouts
+from wallwell.platform.rollouts import PlatformRolloutStore
 from wallwell.platform.settings import PlatformSettings, load_platform_settings, settings_path
 from wallwell.platform.store import PlatformStore, TableRows
 from wallwell.platform.store_wire import RowsAnswer, TransactBody
-from wallwell.platform.worker_orders import OrderBody, ReportRow, WorkerControl
-from wallwell.platform.workers import WorkerClient, worker_pool
+from wallwell.platform.worker_client import WorkerClient, make_worker_pool
+from wallwell.platform.worker_orders import OrderBody, ReportBody, WorkerControl
 from wallwell.rollout.model import Phase, RolloutRecord
 from wallwell.rollout.reports import CountsAcknowledged
 from wallwell.rollout.store import StoredRollout
@@ -102,13 +102,13 @@
     "rollout record row": RolloutRecord,
     "rollout status row": rows.RolloutStatusRow,
     "rollout order row": rows.RolloutOrderRow,
-    "weights version row": rows.VersionRow,
+    "weights version row": rows.WeightsVersionRow,
     "back end row": rows.BackendRow,
     "operators' configuration row": rows.ConfigRow,
     "store transaction": TransactBody,
     "store answer": RowsAnswer,
     "worker order": OrderBody,
-    "worker report": ReportRow,
+    "worker report": ReportBody,
     "cache events answer": EventsBody,
     "cache listing answer": ListingBody,
     "table transaction": Transaction,
@@ -566,7 +566,7 @@
 
 async def _write_rollout(node: Any, store: Any) -> None:
     record = RolloutRecord("svc", "v2", 12, 5.0, 60.0, Phase.SWITCHING, 0.5, "why", 3, 4, ("v0",), 6.0)
-    rollouts = PlatformRollouts(store)
+    rollouts = PlatformRolloutStore(store)
     await rollouts.read("svc")
     await rollouts.write(record, StoredRollout(None, 2, "", 3), 8)
 
@@ -762,7 +762,7 @@
         backend = BackendRecord("inc-1", "svc", self._address, "z1", 1)
         cache = CachePlan(**self._dispatch["cache"]) if "cache" in self._dispatch else None
         given = {name: value for name, value in self._dispatch.items() if name != "cache"}
-        answer = await WorkerClient(worker_pool(), BackendNotices()).send(
+        answer = await WorkerClient(make_worker_pool(), BackendNotices()).send(
             Dispatch(backend, request, cache=cache, **given)
         )
         body = b"".join([chunk async for chunk in answer.chunks()])
@@ -779,7 +779,7 @@
         heard: list[bytes] = []
         worker, address = await _server(answered, heard)
         node = _OneDispatch(error, dispatch, address)  # type: ignore[arg-type]
-        answer = await _ask(CallersListener(node).server(), asked)  # type: ignore[arg-type]
+        answer = await _ask(CallerListener(node).callers_server(), asked)  # type: ignore[arg-type]
         worker.close()
         sent = _head_lines(heard[0], ()) if heard else []
         told = _lower_names(_head_lines(answer, ("date:", "server:")))
@@ -807,7 +807,7 @@
     node = _OneDispatch(None, {} if ready else {"x": 1}, "")
 
     async def act() -> bytes:
-        listener = CallersListener(node)  # type: ignore[arg-type]
+        listener = CallerListener(node)  # type: ignore[arg-type]
         server = listener.ready_server() if which == "ready" else listener.metrics_server("/figures")
         return await _ask(server, f"GET {path} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n".encode())
 
@@ -823,7 +823,7 @@
         request = CallerRequest("r1", "h", "GET", "/", (), b"", "", None, 0.0)
         backend = BackendRecord("inc-1", "svc", address, "z1", 1)
         try:
-            await WorkerClient(worker_pool(), BackendNotices()).send(Dispatch(backend, request, "", 1.0, 5))
+            await WorkerClient(make_worker_pool(), BackendNotices()).send(Dispatch(backend, request, "", 1.0, 5))
         except AttemptError as error:
             return error.event.value, error.detail, error.weights_version
         finally:
