--- a/src/wallwell/platform/__init__.py
+++ b/src/wallwell/platform/__init__.py
@@ -1,6 +1,6 @@
-"""Adapter to the platform on which the router runs: its settings, wire formats and names, and its own types.
+"""Adapter to the platform on which the router runs: settings, wire formats, names, and conversion to router types.
 
-Owns every name of the platform's protocol and decodes it once. Takes no decision, keeps no state machine and
-retries nothing; those stand in ``routing``, ``serving``, ``placement`` and ``rollout``, which know none of these
-names. Besides its entry point, only ``soak`` and ``emulator`` import this package.
+Defines the names of the platform's protocol and decodes its messages. The package makes no routing decision, has no
+state machine and retries nothing: ``routing``, ``serving``, ``placement`` and ``rollout`` do, and use none of these
+names. Only its entry point, ``soak`` and ``emulator`` import this package.
 """
--- a/src/wallwell/platform/cache_events.py
+++ b/src/wallwell/platform/cache_events.py
@@ -1,7 +1,7 @@
-"""Client of the cache events and listings of the platform's KV stores.
+"""Client for the cache events and listings of the platform's KV stores.
 
-Owns the wire format and the timeouts. Events since a position are read with a held call; after a gap or a restart
-of the store the whole listing takes their place. See :class:`wallwell.node.kv_store_watch.CacheEventSource`.
+Owns the wire format and the timeouts. Events after a position are read by long polling; after a gap in the events
+or a restart of the store, the complete listing is read instead.
 """
 
 from __future__ import annotations
@@ -18,43 +18,43 @@
 from wallwell.routing.selection.kv_store import CacheEntry, CachePage, CachePosition
 
 ANSWER_MARGIN_S = 0.6
-"""Seconds beyond the agreed wait after which a held call counts as unanswered: covers connecting and a round trip
-to another region."""
+"""Seconds added to the requested wait before a long poll times out: covers connecting and a round trip to another
+region."""
 LISTING_TIMEOUT_S = 1.5
-"""Seconds for a listing: it holds every cached part and may be some megabytes."""
+"""Timeout of a listing in seconds; it contains every cached prompt part and may be several megabytes."""
 
 Body = TypeVar("Body", bound=msgspec.Struct)
 
 EventFields = tuple[int, str, str, str, int, str]
-"""Number, sign, scope of the cache, part, tokens kept now, model."""
+"""Event number, sign, cache scope, prompt part, tokens now cached, model."""
 ListedFields = tuple[str, str, int, str]
-"""Scope of the cache, part, tokens, model."""
+"""Cache scope, prompt part, cached tokens, model."""
 
 
 class EventsBody(msgspec.Struct, frozen=True):
-    """Answer to a call for events."""
+    """Answer of a KV store to a request for events."""
 
     epoch: int
     """Changes with each start of the store."""
     next_token: int
-    """Position for the next call, not a number of tokens."""
+    """Position to send in the next call, not a number of tokens."""
     lost: bool
-    """Whether events after the position asked for are no longer known."""
+    """Whether the store no longer has all events after the requested position."""
     events: tuple[EventFields, ...] = ()
 
 
 class ListingBody(msgspec.Struct, frozen=True):
-    """Answer to a call for all that is cached."""
+    """Answer of a KV store to a request for its complete content."""
 
     epoch: int
     """Changes with each start of the store."""
     next_token: int
-    """Position of the events that follow this listing, not a number of tokens."""
+    """Position from which events continue this listing, not a number of tokens."""
     held: tuple[ListedFields, ...] = ()
 
 
 class CacheEventsClient:
-    """Calls KV stores; see :class:`wallwell.node.kv_store_watch.CacheEventSource`."""
+    """Client of KV stores. Implements :class:`wallwell.node.kv_store_watch.CacheEventSource`."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self._pool = pool
@@ -66,7 +66,7 @@
         body = await self._get(address, target, wait_line, EventsBody, wait_s + ANSWER_MARGIN_S)
         if body.lost or body.epoch != position.epoch:
             return await self.listing(address)
-        # The sign is not needed: a part that was dropped or shortened comes with the tokens that are left.
+        # The sign is not needed: the event of a removed or shortened part states the tokens that remain cached.
         entries = tuple(
             CacheEntry(number, scope, part, tokens) for number, _, scope, part, tokens, _ in body.events
         )
--- a/src/wallwell/platform/caller_listener.py
+++ b/src/wallwell/platform/caller_listener.py
@@ -1,7 +1,7 @@
 """The node's HTTP servers: for callers, for the platform's readiness check, and for metrics.
 
-Owns these servers; callers' connections belong to :mod:`wallwell.callers_server`. Requests are parsed in
-:mod:`wallwell.platform.request_parsing`, answered in :mod:`wallwell.platform.replies` and served by the node.
+Creates these servers. :mod:`wallwell.callers_server` manages callers' connections, :mod:`.request_parsing` parses
+requests, the node serves them, and :mod:`.replies` writes the answers.
 """
 
 from __future__ import annotations
@@ -31,19 +31,19 @@
 from wallwell.serving.messages import CallerRequest
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
-"""Bytes of a body that are read at all, which bounds the node's memory: well above the 4 MB that operators allow by
-default, whose limit is checked once the route is known."""
+"""Largest request body that is read, which bounds the node's memory. Well above the 4 MB that operators allow by
+default; the operators' limit is checked once the route of the request is known."""
 MAX_HEADER_LINE_BYTES = 32 * 1024
-"""Bytes of a request line or a header: four times aiohttp's default, since one header lists every part of a
+"""Largest request line or header in bytes: four times aiohttp's default, since one header lists every part of a
 prompt."""
 KEEPALIVE_S = 75.0
-"""Seconds for which a caller's idle connection is kept: longer than the 60 s of idle time that operators allow
-callers by default, so that the caller closes first."""
+"""Seconds after which a caller's idle connection is closed. Longer than the 60 s of idle time that operators allow
+callers by default, so that the caller normally closes first."""
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class PlatformLastAnswers:
-    """The answers with which connections end, as the platform's errors."""
+    """Encodes the final answers of closing connections as errors in the platform's format."""
 
     def ended(self) -> bytes:
         """See :class:`wallwell.callers_server.LastAnswers`."""
@@ -58,19 +58,19 @@
 
 
 class CallerListener:
-    """Turns HTTP requests into the node's typed requests."""
+    """Creates the node's HTTP servers, and passes parsed requests of callers to the node."""
 
     def __init__(self, node: FleetNode) -> None:
         self._node = node
 
     async def close_idle(self, server: CallersServer) -> None:
-        """Close every connection without a request in flight; the others close after their answer."""
+        """Close connections that have no request in flight; the others close after their answer."""
         server.start_closing()
 
     # --- servers -------------------------------------------------------------------------------------------
 
     def callers_server(self) -> CallersServer:
-        """Return the callers' server."""
+        """Return the server for callers."""
         return CallersServer(
             self._handle,
             PlatformLastAnswers(),
@@ -84,11 +84,11 @@
         )
 
     def ready_server(self) -> web.Server:
-        """Return the server of the readiness address. It answers every path, since the platform asks one only."""
+        """Return the server for readiness checks; it ignores the path, since the platform requests only one."""
         return web.Server(self._handle_ready, access_log=None)
 
     def metrics_server(self, path: str) -> web.Server:
-        """Return the server of the node's metrics at ``path``."""
+        """Return the server that serves the node's metrics at ``path`` and answers 404 to other paths."""
 
         async def handle(request: web.BaseRequest) -> web.StreamResponse:
             if request.path != path:
@@ -144,9 +144,9 @@
 
 
 async def _read_request(request: web.BaseRequest, arrived_s: float) -> CallerRequest:
-    """Read and parse one request. Raises :class:`RequestError`."""
+    """Read and parse one request. Raises :class:`RequestError` if it is malformed or its body too large."""
     headers = request.headers
-    require_request_id(headers)  # Refused before its body is read.
+    require_request_id(headers)  # Raises before the body of an invalid request is read.
     if expects_continue(headers) and request.transport is not None:
         request.transport.write(CONTINUE_RESPONSE)
     try:
--- a/src/wallwell/platform/main.py
+++ b/src/wallwell/platform/main.py
@@ -1,7 +1,7 @@
-"""Entry point of a router on the platform: wires the node, opens its listeners, and carries out a planned stop.
+"""Entry point of a router on the platform: builds the node, opens its listeners, and performs a planned stop.
 
-Owns the process: signals, listeners, and the order in which a stop closes them. Everything else is the node's
-(:class:`wallwell.node.node.FleetNode`).
+Owns the process's signal handlers, its listeners, and the order in which a stop closes them. The rest is done by
+:class:`wallwell.node.node.FleetNode`.
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 from wallwell.routing.health.backend_notice import BackendNotices
 
 SHUTDOWN_TIMEOUT_S = 0.1
-"""Seconds for which a listener waits for handlers as it closes: by then the node has waited for open requests, and
-this time is taken from its grace period."""
+"""Seconds for which a closing listener waits for its handlers. Short, since the node has already waited for open
+requests and this time counts against the grace period."""
 ACCEPT_BACKLOG = 512
-"""Connections that the system keeps until the event loop accepts them. aiohttp's 128 overflow when all callers of a
-lost node connect again while the loop has little processor time, and an overflow costs a caller a second."""
+"""Connections that the kernel queues until the event loop accepts them. aiohttp's default of 128 overflows when all
+callers of a failed node reconnect while the loop is short of CPU time; an overflow delays a caller by a second."""
 STARTUP_ERROR_EXIT_CODE = 2
-"""Exit status if the node could not start with its settings."""
+"""Exit status of the process if the node could not start with its settings."""
 
 
 def build_node(settings: PlatformSettings) -> FleetNode:
-    """Wire a node to the platform's store and workers."""
+    """Return a node that uses the platform's store and workers. It is not started yet."""
     store = PlatformStore(settings.provider.addr)
     topology = settings.topology()
     pool = make_worker_pool()
@@ -80,7 +80,7 @@
 
 
 async def listen(server: web.Server, address: str) -> web.ServerRunner:
-    """Serve at ``IP:PORT``. Raises OSError if the address cannot be bound."""
+    """Serve at ``IP:PORT`` and return the runner. Raises OSError if the address cannot be bound."""
     runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
     await runner.setup()
     host, _, port = address.rpartition(":")
@@ -89,7 +89,7 @@
 
 
 async def _start_metrics_listener(listener: CallerListener, settings: PlatformSettings) -> web.ServerRunner | None:
-    """Serve the node's metrics where the settings name a port and a path for them."""
+    """Serve the node's metrics at the address in the settings; return None if the settings name none."""
     address = settings.metrics_address()
     if address is None:
         return None
@@ -97,7 +97,7 @@
 
 
 def reload_settings(path: str) -> None:
-    """Check the settings file again; the values in use stay until the next start. A file with errors is logged."""
+    """Validate the settings file and log the result; new values take effect only at the next start."""
     try:
         load_platform_settings(path)
     except WallwellError as error:
@@ -107,7 +107,7 @@
 
 
 def _handle_signals(settings_file: str) -> asyncio.Event:
-    """Handle the process's signals; the event returned is set once it is to stop."""
+    """Install handlers for SIGTERM, SIGINT and SIGHUP; return an event that is set when the process must stop."""
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stop_requested.set)
@@ -117,7 +117,7 @@
 
 
 async def run(path: str) -> None:
-    """Run until a planned stop has ended. Raises :class:`SettingsError` and OSError."""
+    """Run until a planned stop is complete. Raises :class:`SettingsError`, or OSError if a port cannot be bound."""
     stop_requested = _handle_signals(path)
     settings = load_platform_settings(path)
     node = build_node(settings)
@@ -146,7 +146,7 @@
     grace_s = settings.grace_s
     exit_within(grace_s)
     await node.drain(grace_s, close_listener)
-    # Together, since aiohttp waits at each server for connections that are still open.
+    # Concurrently, since aiohttp waits at each server for connections that are still open.
     await asyncio.gather(
         *(runner.cleanup() for runner in (callers_runner, ready_runner, metrics_runner) if runner is not None)
     )
@@ -160,7 +160,7 @@
 
 
 def main() -> int:
-    """Run the process; it ends with status 0 after a planned stop, and this returns only if it could not start."""
+    """Run the router. A planned stop exits the process with status 0, so this returns only if the start failed."""
     configure_logging("INFO", json_lines=True)
     try:
         uvloop.run(_run_and_exit(settings_path()))
--- a/src/wallwell/platform/names.py
+++ b/src/wallwell/platform/names.py
@@ -1,6 +1,6 @@
-"""Header names, paths, tables and keys of the platform's protocol, the only place where they are spelled.
+"""Header names, paths, tables and keys of the platform's protocol, which are spelled out only here.
 
-A constant is called after what it holds in wallwell's words; a comment says where the platform's name misleads.
+Each constant is named after its meaning in wallwell's terms; a comment explains a platform name that misleads.
 """
 
 from __future__ import annotations
@@ -8,55 +8,55 @@
 # --- headers that callers send ---------------------------------------------------------------------------
 
 REQUEST_ID = "X-Request-Id"
-"""Differs with each try of a caller, so it names one request, not its content."""
+"""New for each retry by a caller, so it identifies one request and not its content."""
 DEADLINE_MS = "X-Deadline-Ms"
-"""A remaining time in milliseconds, not a point of time."""
+"""Remaining time in milliseconds, not a point in time."""
 CREDENTIAL = "X-Credential"
 MODEL = "X-Model"
 PROMPT_PARTS = "X-Prefix-Hash"
-"""Not one hash: the parts of the prompt in order, each as ``ID:TOKENS``, separated by commas."""
+"""Not a single hash: the parts of the prompt in order, each as ``ID:TOKENS``, separated by commas."""
 TOKEN_USAGE = "X-Token-Usage"
-"""Not a usage so far: tokens of the prompt and the most tokens of the answer, separated by a comma."""
+"""Not past usage: the prompt's tokens and the maximum tokens of the answer, separated by a comma."""
 RESUME_AFTER = "Last-Event-Id"
-"""Number of the last event the caller has; the answer continues with the next one."""
+"""Number of the last event that the caller received; the answer continues with the next one."""
 
 # --- headers that the router adds to requests ----------------------------------------------------------------
 
 TENANT = "X-Tenant"
 EXPECT_INSTANCE = "X-Expect-Instance"
-"""Precondition: any other incarnation answers 421 without running the request."""
+"""Precondition: a worker of any other incarnation answers 421 without running the request."""
 EXPECT_VERSION = "X-Expect-Version"
-"""Precondition on the version of the weights, not of the software."""
+"""Precondition on the weights version, not on the software version."""
 PRIORITY = "X-Request-Priority"
-"""0 to 9, 0 is served first."""
+"""0 to 9; 0 is served first."""
 CACHE_SALT = "X-Cache-Salt"
-"""Scope of the cache: workers find a cached part only under the text under which it was stored."""
+"""Cache scope: workers find a cached prompt part only with the scope with which it was stored."""
 KV_FETCH = "X-Kv-Fetch"
 KV_SAVE = "X-Kv-Save"
 WAIT_MS = "Wait-Ms"
-"""How long a call for cache events may be held until there are some."""
+"""Milliseconds for which a KV store may hold a request for cache events until there is one."""
 
 # --- headers of answers ----------------------------------------------------------------------------------
 
 WEIGHT_VERSION = "X-Weight-Versions"
-"""One whole number despite the plural: the version of the weights that answer."""
+"""A single integer despite the plural: the version of the weights that produced the answer."""
 NOT_RUN = "X-Not-Run"
-"""Present if the worker did not run the request, whatever the status."""
+"""Present if the worker did not run the request, whatever the status code."""
 SEAL = "X-Response-Seal"
-"""The worker's signature; a 2xx without it does not come from the worker."""
+"""The worker's signature; a 2xx answer without it was not sent by the worker."""
 INSTANCE_ID = "X-Instance-Id"
 RETRY_AFTER = "Retry-After"
-"""Seconds; fractions are allowed here. From a worker: for how long it wants nothing from this node."""
+"""Seconds; may be fractional here. From a worker: how long this node should send it no requests."""
 LEAVING = "Server-Leaving"
-"""``1`` on every answer of a worker that is about to end; "server" is the platform's other name of a worker."""
+"""``1`` on every answer of a worker that is about to exit. The platform also calls a worker a "server"."""
 REQUEST_LIMIT = "Server-Limit"
-"""Requests a second, a decimal number, that a worker takes from all nodes together while its answers name it."""
+"""Requests per second (decimal) that a worker accepts from all nodes together, while its answers state it."""
 
 STORE_ERA = "Store-Era"
-"""On every answer of the store: a number that rises by one each time the store comes back from an older copy. What
-was written after the copy was made is lost then, and versions of rows are given out again."""
+"""On every answer of the store: a number that increases by one each time the store is restored from an older copy.
+Writes made after that copy are lost, and the store assigns their row versions again."""
 
-# --- headers that are not wallwell's to use --------------------------------------------------------------------
+# --- headers that wallwell does not use ------------------------------------------------------------------------
 
 _PIN_MS = "X-Pin-Ms"
 _HOLD = "X-Hold"
@@ -87,7 +87,7 @@
         _KV_FROM,
     )
 )
-"""Headers, in lower case, that a caller cannot set on a worker's request: they are dropped as it arrives."""
+"""Lower-case names of headers that callers may not pass to workers; removed from their requests."""
 
 HOP_BY_HOP_HEADERS = frozenset(
     (
@@ -104,13 +104,13 @@
         "expect",
     )
 )
-"""Headers, in lower case, that concern one connection only and are passed on in neither direction."""
+"""Lower-case names of headers that apply to one connection and are forwarded in neither direction."""
 
 END_TO_END_HEADERS = frozenset((MODEL.lower(), TOKEN_USAGE.lower(), PROMPT_PARTS.lower(), "host"))
-"""Headers, in lower case, that travel on even if the caller's ``Connection`` header names them."""
+"""Lower-case names of headers that are forwarded even if the caller's ``Connection`` header lists them."""
 
 EVENT_STREAM = "text/event-stream"
-"""Content type of answers that come as a series of events."""
+"""Content type of answers streamed as server-sent events."""
 
 # --- paths ---------------------------------------------------------------------------------------------------
 
@@ -127,17 +127,17 @@
 
 OPERATOR_TABLE = "op"
 BACKENDS_TABLE = "servers"
-"""Entries of workers by incarnation; the platform alone writes them."""
+"""Table of workers' entries by incarnation; only the platform writes to it."""
 ROUTER_TABLE = "wallwell"
 STATUS_TABLE = "status"
-"""What wallwell writes for operators."""
+"""Table that wallwell writes for operators to read."""
 NO_PARTITION = ""
-"""The store's ``part`` of every row that wallwell uses: none of its tables is split into parts."""
+"""Value of the store's ``part`` field in all rows that wallwell uses; none of these tables is partitioned."""
 CONFIG_KEY = "config"
 VERSION_KEY_PREFIX = "version/"
-"""Keys of named weights versions in the operators' table, before the model's name."""
+"""Key prefix of announced weights versions in the operators' table; the model's name follows."""
 ROLLOUT_KEY_PREFIX = "rollout/"
-"""Keys of orders in the operators' table and of their states in the status table, before the service's name."""
+"""Key prefix of rollout orders in the operators' table and of their status rows; the service's name follows."""
 
 SETTINGS_VARIABLE = "WALLWELL_BOOT"
-"""Environment variable that names the settings file."""
+"""Environment variable that holds the path of the settings file."""
--- a/src/wallwell/platform/replies.py
+++ b/src/wallwell/platform/replies.py
@@ -1,6 +1,6 @@
-"""Answers to callers: a worker's answer passed on unchanged, or the router's own error.
+"""Answers to callers: a worker's answer forwarded unchanged, or an error of the router itself.
 
-Owns the form of the router's own answers. Relies on aiohttp for the HTTP message.
+Owns the body format of the router's errors. aiohttp encodes the HTTP messages.
 """
 
 from __future__ import annotations
@@ -19,33 +19,33 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Body of the router's own answers."""
+    """JSON body of the router's error answers."""
 
     code: str
     error: str
-    """Name of the error's class."""
+    """Class name of the error."""
     outcome: Outcome
 
 
 def encode_error(error: RequestError) -> bytes:
-    """Return the body of an answer that is a typed error."""
+    """Return the JSON body of the answer for an error."""
     return msgspec.json.encode(ErrorBody(error.code, type(error).__name__, error.outcome))
 
 
 class HttpReply:
-    """A :class:`wallwell.serving.messages.CallerReply` over one aiohttp request."""
+    """Writes the answer to one aiohttp request. Implements :class:`wallwell.serving.messages.CallerReply`."""
 
     def __init__(self, request: web.BaseRequest, request_id: str, is_closing: Callable[[], bool]) -> None:
-        """``is_closing`` says whether the caller should use another connection for its next request."""
+        """``is_closing`` returns whether to close the caller's connection after the answer."""
         self._request = request
         self._request_id = request_id
         self._is_closing = is_closing
         self.response: web.StreamResponse | None = None
-        """The answer once its head is being sent."""
+        """The response, from the start of sending its head; None before."""
 
     @property
     def started(self) -> bool:
-        """Whether the head has been sent."""
+        """Whether sending of the head has begun."""
         return self.response is not None
 
     def is_caller_gone(self) -> bool:
@@ -53,11 +53,11 @@
         return has_hung_up(self._request.transport)
 
     async def answer(self, head: AnswerHead, body: bytes) -> None:
-        """Send a worker's whole answer."""
+        """Send a complete answer of a worker."""
         await self._send(web.Response(status=head.status, headers=CIMultiDict(head.headers), body=body))
 
     async def refuse(self, error: RequestError) -> None:
-        """Send a typed error."""
+        """Send an error of the router, with ``Retry-After`` if the error has a retry delay."""
         headers = {names.REQUEST_ID: self._request_id}
         if error.retry_after_ms:
             headers[names.RETRY_AFTER] = f"{error.retry_after_ms / 1000:g}"
@@ -71,12 +71,12 @@
         await self._prepare(web.StreamResponse(status=head.status, headers=CIMultiDict(head.headers)))
 
     async def write(self, data: bytes) -> None:
-        """Send bytes of a streamed answer; waits while the caller is slow."""
+        """Send bytes of a streamed answer; waits while the caller reads slowly."""
         assert self.response is not None
         await self.response.write(data)
 
     async def finish(self) -> None:
-        """End a streamed answer as complete."""
+        """End a streamed answer that is complete."""
         assert self.response is not None
         await self.response.write_eof()
 
--- a/src/wallwell/platform/request_parsing.py
+++ b/src/wallwell/platform/request_parsing.py
@@ -1,7 +1,7 @@
-"""A caller's request in the platform's protocol, parsed into :class:`CallerRequest`. No I/O.
+"""Parses a caller's request in the platform's protocol into a :class:`CallerRequest`. No I/O.
 
-Relies on aiohttp for the HTTP message itself. A header that cannot be understood counts as absent, as the
-platform's callers expect; only a missing request id is refused.
+aiohttp parses the HTTP message itself. A header with an invalid value is treated as absent, as the platform's
+callers expect; only a missing request id is an error.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def parse_request(method: str, target: str, headers: Headers, body: bytes, arrived_s: float) -> CallerRequest:
-    """Return a request whose body has been read. ``target`` is the path and query exactly as sent."""
+    """Parse a request; ``target`` is its path and query as sent. Raises :class:`MalformedRequestError`."""
     return CallerRequest(
         request_id=require_request_id(headers),
         host=headers.get("Host", "").partition(":")[0].lower(),
@@ -36,7 +36,7 @@
 
 
 def require_request_id(headers: Headers) -> str:
-    """Return the request's id. Raises :class:`MalformedRequestError` if there is none."""
+    """Return the request's id. Raises :class:`MalformedRequestError` if the header is missing or empty."""
     request_id = headers.get(names.REQUEST_ID, "")
     if not request_id:
         raise MalformedRequestError(f"{names.REQUEST_ID} is required")
@@ -44,12 +44,12 @@
 
 
 def expects_continue(headers: Headers) -> bool:
-    """Whether the caller sends its body only after an interim answer."""
+    """Whether the caller waits for ``100 Continue`` before it sends the body."""
     return headers.get("Expect", "").lower() == "100-continue"
 
 
 def _parse_declared_tokens(text: str) -> int | None:
-    """Return the tokens of prompt and largest output together, None unless both are declared."""
+    """Return the prompt's tokens plus the maximum output tokens; None unless both are declared."""
     counts = [count.strip() for count in text.split(",")]
     if len(counts) != 2 or not all(count.isdecimal() for count in counts):
         return None
@@ -57,17 +57,16 @@
 
 
 def _parse_caller_timeout_s(text: str) -> float | None:
-    """Return how long the caller waits; None without a usable figure, and the route's time-out bounds the
-    request."""
+    """Return how many seconds the caller waits; None if absent or invalid, so that the route's timeout applies."""
     try:
         value = float(text)
     except ValueError:
-        return None  # Absent or no number: no line for each request of such a caller.
+        return None  # Absent or not a number; not logged, since it would recur with each request.
     return value / 1000 if math.isfinite(value) and value > 0 else None
 
 
 def _forwarded_headers(headers: Headers) -> tuple[tuple[str, str], ...]:
-    """Return the caller's end-to-end headers without those that the router sets itself."""
+    """Return the caller's end-to-end headers without those that only the router may set."""
     connection_headers = {
         name.strip().lower() for value in headers.getall("Connection", ()) for name in value.split(",")
     }
@@ -85,6 +84,6 @@
 
 
 def _parse_prompt_part(text: str) -> PromptPart:
-    """Return a part from ``ID:TOKENS``; without a usable count it has no tokens."""
+    """Parse a prompt part from ``ID:TOKENS``; the token count is 0 if it is missing or invalid."""
     identity, _, tokens = text.strip().partition(":")
     return PromptPart(identity, int(tokens) if tokens.isdigit() else 0)
--- a/src/wallwell/platform/rollouts.py
+++ b/src/wallwell/platform/rollouts.py
@@ -1,7 +1,7 @@
-"""Rows of rollouts in the platform's store: wallwell's own record, and the status that operators read.
+"""Reads and writes a rollout's rows in the platform's store: the router's record, and the status for operators.
 
-Owns how the two rows of a service are read together and written in one transaction under the lease. Relies on
-:class:`wallwell.platform.store.PlatformStore` and on :mod:`wallwell.platform.rows` for the status row's form.
+Both rows of a service are written in one transaction, on condition that the writer holds the rollout lease. Uses
+:class:`wallwell.platform.store.PlatformStore`; :mod:`wallwell.platform.rows` encodes the status row.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 
 class PlatformRolloutStore:
-    """See :class:`wallwell.rollout.store.RolloutStore`."""
+    """Implements :class:`wallwell.rollout.store.RolloutStore` with the platform's store."""
 
     def __init__(self, store: PlatformStore) -> None:
         self._store = store
 
     async def read(self, service: str) -> StoredRollout:
-        """See :class:`RolloutStore`. A record that cannot be decoded is logged, counts as none and is replaced."""
+        """See :class:`RolloutStore`. An undecodable record is logged and treated as missing; writes replace it."""
         record_row, status_row = await asyncio.gather(
             self._store.get_row(names.ROUTER_TABLE, RECORD_PREFIX + service),
             self._store.get_row(names.STATUS_TABLE, names.ROLLOUT_KEY_PREFIX + service),
@@ -40,7 +40,7 @@
         )
 
     async def write(self, record: RolloutRecord, seen: StoredRollout, lease_version: int) -> StoredRollout:
-        """See :class:`RolloutStore`. Conditions on the lease and on both rows keep a former holder from writing."""
+        """See :class:`RolloutStore`. Conditions on the lease and both rows prevent writes by a former holder."""
         record_key = RECORD_PREFIX + record.service
         status_key = names.ROLLOUT_KEY_PREFIX + record.service
         status = encode_rollout_status(record)
--- a/src/wallwell/platform/rows.py
+++ b/src/wallwell/platform/rows.py
@@ -1,8 +1,8 @@
-"""Values of the rows that operators and workers write to the platform's store, decoded to wallwell's types.
+"""Decodes the rows that operators and workers write to the platform's store into wallwell's types.
 
-Classes ending in ``Row`` have the platform's field names; a comment says what a field holds where its name
-misleads. The ``decode_`` functions return types of ``deployment`` and ``rollout``, with times in seconds, and
-raise ``msgspec.MsgspecError``, whatever another writer has put into the row; whoever applies it logs that.
+Classes whose names end in ``Row`` have the platform's field names; a comment explains a field whose name misleads.
+The ``decode_`` functions return types of ``deployment`` and ``rollout``, with times in seconds. For any invalid
+value they raise ``msgspec.MsgspecError``, which the code that applies the row logs.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 from wallwell.rollout.model import RolloutOrder, RolloutRecord
 
 READY_STATE: Literal["ready"] = "ready"
-"""State of a back end that takes new requests; the other one means that it is leaving."""
+"""State of a back end that accepts new requests; the only other state, ``draining``, means that it is leaving."""
 MAX_PORT = 65535
-"""A TCP port has 16 bits."""
+"""Largest TCP port number: ports have 16 bits."""
 RUNNING_STATE = "running"
 """State of a rollout that has not ended, whatever its phase."""
 
 
 class RouteSplitRow(msgspec.Struct, frozen=True):
-    """One service of a route that is split between services."""
+    """One of the services among which a route's requests are split."""
 
     service: str
     weight: float = 1.0
-    """Relative to the other services; a service of weight 0 gets nothing."""
+    """Weight relative to the route's other services; a service of weight 0 gets no requests."""
 
 
 class RouteRow(msgspec.Struct, frozen=True):
@@ -49,24 +49,24 @@
     path_prefix: str
     kind: RouteKind
     timeout_ms: float
-    """The longest time a request is held."""
+    """Longest time in milliseconds that the router works on a request."""
     name: str = ""
     service: str = ""
-    """Used if ``backends`` names none."""
+    """The route's only service; used if ``backends`` lists no service with a positive weight."""
     backends: tuple[RouteSplitRow, ...] = ()
-    """Services, not back ends."""
+    """Services among which requests are split; not back ends."""
     slo_ms: float = 1000.0
-    """Time within which an answer earns full credit; of a stream, its first event."""
+    """Milliseconds within which an answer, or a stream's first event, earns full credit."""
     priority: int = 5
-    """0 is served first."""
+    """Priority of the route's requests; 0 is served first."""
     attempts: int = 1
-    """Back ends that one request may be sent to, the first one included."""
+    """Maximum number of attempts per request, including the first."""
     public: bool = False
-    """Whether requests need no credential."""
+    """Whether requests are accepted without a credential."""
     can_resume: bool = False
-    """Whether a stream may be continued at another back end."""
+    """Whether a broken stream may be continued at another back end."""
     gap_slo_ms: float = 500.0
-    """Longest pause between events that keeps a stream in time."""
+    """Longest pause between events, in milliseconds, with which a stream meets its objective."""
 
 
 class EngineModelRow(msgspec.Struct, frozen=True):
@@ -79,9 +79,9 @@
     """The engines of a service."""
 
     slots: int = 1
-    """Requests that one engine works on at the same time."""
+    """Requests that one engine processes concurrently."""
     kv_capacity: int = 0
-    """Tokens that one engine's memory holds, of running requests and cached parts together."""
+    """Tokens that fit into one engine's memory, for running requests and cached prompt parts together."""
     models: tuple[EngineModelRow, ...] = ()
 
 
@@ -93,13 +93,13 @@
     """Connections that one back end accepts from all callers together."""
     engine: EngineRow | None = None
     kv_store_addr: str = ""
-    """``IP:PORT`` of a KV store; such a service takes no requests."""
+    """``IP:PORT`` if this service is a KV store, which accepts no requests."""
     zone: str = ""
-    """Zone of a KV store."""
+    """Zone of the KV store."""
 
 
 TOKENS_UNIT = "tokens"
-"""Unit of a limit that counts tokens. Any other counts requests, so that an unknown one is no error."""
+"""Unit of a limit that counts tokens. With any other unit, also an unknown one, a limit counts requests."""
 
 
 class TenantRow(msgspec.Struct, frozen=True):
@@ -108,31 +108,31 @@
     name: str
     api_keys: tuple[str, ...] = ()
     priority: int | None = None
-    """Takes precedence over the route's."""
+    """Overrides the route's priority."""
     isolated: bool = False
-    """Whether its cached parts are shared with no other tenant."""
+    """Whether its cached prompt parts are not shared with other tenants."""
     rate_per_s: float = 0.0
-    """Limit over all nodes, in ``unit`` a second; 0 for none."""
+    """Limit over all nodes together, in ``unit`` per second; 0 for no limit."""
     burst: float = 0.0
-    """What may be saved up from quieter times, in ``unit``."""
+    """Burst that the limit permits after a quieter time, in ``unit``."""
     unit: str = ""
     plain_tokens: int = 1
-    """Tokens that a request without a token count of its own costs."""
+    """Tokens charged for a request that declares no token count."""
 
 
 class LimitsRow(msgspec.Struct, frozen=True):
-    """Bounds of what callers may send."""
+    """Limits on what callers may send and how long their connections may be idle."""
 
     max_body_bytes: int = 4 * 1024 * 1024
     idle_timeout_ms: float = 60_000
-    """How long callers may leave a connection idle."""
+    """Milliseconds for which callers may leave a connection idle."""
 
 
 class ConfigRow(msgspec.Struct, frozen=True):
-    """The operators' whole configuration."""
+    """The operators' complete configuration."""
 
     version: int
-    """Rises with each change, in uneven steps."""
+    """Increases with each change, not always by one."""
     routes: tuple[RouteRow, ...] = ()
     services: tuple[ServiceRow, ...] = ()
     limits: LimitsRow = LimitsRow()
@@ -140,7 +140,7 @@
 
 
 class WeightsVersionRow(msgspec.Struct, frozen=True):
-    """A weights version that operators name, to be brought to every engine of a model."""
+    """A weights version that operators announce and that every engine of the model must load."""
 
     model: str
     version: int
@@ -155,13 +155,13 @@
 
     service: NonEmptyText
     target_version: NonEmptyText
-    """A version of the software, not of weights."""
+    """A software version, not a weights version."""
     duration_s: Annotated[float, msgspec.Meta(gt=0)]
-    """Time within which the rollout shall have ended."""
+    """Seconds within which the rollout must end."""
 
 
 class RolloutStatusRow(msgspec.Struct, frozen=True):
-    """What operators read of a rollout."""
+    """Status of a rollout, for operators."""
 
     state: str
     """``running``, ``complete`` or ``rolled_back``."""
@@ -170,14 +170,14 @@
 
 
 class LoadedModelRow(msgspec.Struct, frozen=True):
-    """A model and its weights version at a back end."""
+    """A model that a back end has loaded, and its weights version."""
 
     name: str
     version: int = 0
 
 
 class BackendRow(msgspec.Struct, frozen=True):
-    """A back end's own entry."""
+    """Entry that a back end has in the platform's table."""
 
     service: NonEmptyText
     addr: str
@@ -186,19 +186,19 @@
     slots: NonNegativeInt = 1
     state: Literal["ready", "draining"] = READY_STATE
     version: str = ""
-    """Version of its software, not of weights."""
+    """Software version, not a weights version."""
     cold_left_ms: float = 0.0
-    """How much longer it stays slow after its start, as of the entry's writing."""
+    """Milliseconds for which it is still slow after its start, as of when the entry was written."""
     models: tuple[LoadedModelRow, ...] = ()
     born: NonNegativeInt | msgspec.UnsetType = msgspec.UNSET
-    """Unix milliseconds of the start that the entry speaks of: a worker may start again under its id."""
+    """Start time in Unix milliseconds; differs between starts of a worker under the same id."""
 
 
 RowType = TypeVar("RowType", bound=msgspec.Struct)
 
 
 def _decode_row(value: bytes, row_type: type[RowType]) -> RowType:
-    """Decode a row's value, whatever another writer put there."""
+    """Decode a row's value. Raises ``msgspec.MsgspecError`` for any invalid value."""
     try:
         return msgspec.json.decode(value, type=row_type)
     except RecursionError as error:
@@ -206,7 +206,7 @@
 
 
 def decode_config(value: bytes) -> DeploymentConfig:
-    """Decode the operators' configuration."""
+    """Decode the operators' configuration. Raises ``msgspec.MsgspecError``."""
     row = _decode_row(value, ConfigRow)
     return DeploymentConfig(
         version=row.version,
@@ -251,16 +251,16 @@
 
 
 def decode_weights_version(value: bytes) -> tuple[str, int]:
-    """Return the model and the weights version that operators name for it."""
+    """Return a model and the weights version announced for it. Raises ``msgspec.MsgspecError``."""
     row = _decode_row(value, WeightsVersionRow)
     return row.model, row.version
 
 
 def decode_rollout_order(key: str, value: bytes, version: int) -> RolloutOrder:
-    """Decode an order to replace a service's software."""
+    """Decode a rollout order and check it against its key. Raises ``msgspec.MsgspecError``."""
     row = _decode_row(value, RolloutOrderRow)
     if key != names.ROLLOUT_KEY_PREFIX + row.service:
-        raise msgspec.ValidationError(f"the order names the service {row.service}, its key another one")
+        raise msgspec.ValidationError(f"the order is for service {row.service}, but its key names another service")
     return RolloutOrder(row.service, row.target_version, row.duration_s, version)
 
 
@@ -271,11 +271,11 @@
 
 
 def decode_backend(incarnation: str, value: bytes) -> BackendRecord:
-    """Decode a back end's entry."""
+    """Decode a back end's entry and check its address. Raises ``msgspec.MsgspecError``."""
     row = _decode_row(value, BackendRow)
     host, _, port = row.addr.rpartition(":")
     if not host or not (port.isascii() and port.isdecimal()) or not 0 < int(port) <= MAX_PORT:
-        raise msgspec.ValidationError("the address is no IP:PORT")
+        raise msgspec.ValidationError("the address is not IP:PORT")
     return BackendRecord(
         incarnation=incarnation,
         service=row.service,
--- a/src/wallwell/platform/settings.py
+++ b/src/wallwell/platform/settings.py
@@ -1,7 +1,7 @@
-"""The settings file of a process on the platform: its form, its checks, and its figures in wallwell's units.
+"""Reads and validates the settings file of a process on the platform, and converts its values to wallwell's units.
 
-Field names are the platform's. Unknown fields are ignored, since the platform adds some over time. Nothing else
-reads the file; the rest of the program gets :class:`FleetBounds` and :class:`Topology`.
+Field names are the platform's. Unknown fields are ignored, since the platform adds fields over time. Only this
+module reads the file; the rest of the program gets :class:`FleetBounds` and :class:`Topology`.
 """
 
 from __future__ import annotations
@@ -19,59 +19,59 @@
 
 
 class ListenAddresses(msgspec.Struct, frozen=True):
-    """``IP:PORT`` of the listeners."""
+    """Addresses (``IP:PORT``) at which the node listens."""
 
     front: str
-    """For callers."""
+    """Address for callers."""
     ready: str
-    """For the platform's readiness check."""
+    """Address for the platform's readiness check."""
 
 
 class StoreAddress(msgspec.Struct, frozen=True):
-    """Where the platform's store answers."""
+    """Address of the platform's store."""
 
     addr: str
     """``IP:PORT``."""
 
 
 class OperatorBounds(msgspec.Struct, frozen=True):
-    """Bounds that operators set for the whole fleet; a default holds where the file names none."""
+    """Bounds that operators set for the whole fleet, with the defaults for those that the file omits."""
 
     revoke_ms: float = 5000
-    """How long after its removal a credential may still be accepted."""
+    """Milliseconds after its removal for which a credential may still be accepted."""
     strict_revoke: bool = False
-    """Whether that holds without exception, so that a node refuses once it cannot confirm credentials."""
+    """Whether this bound has no exceptions: a node that cannot confirm credentials refuses requests."""
     retry_budget_ratio: float = 0.2
-    """Attempts beyond the first that a service may get, over all nodes, as a fraction of its requests."""
+    """Retries that a service may get from all nodes together, as a fraction of its requests."""
     retry_budget_extra: float = 50
-    """Attempts beyond that fraction, for each window."""
+    """Retries allowed per window in addition to that fraction."""
     budget_window_s: float = 10
-    """The window in which both are counted."""
+    """Seconds of the window in which requests and retries are counted."""
     lease_ms: float = 3000
-    """How long a lease lasts without a renewal."""
+    """Milliseconds after which a lease expires unless it is renewed."""
     contact_ms: float = 3000
-    """How long a node must have been connected without disruption before other bounds hold for it."""
+    """Milliseconds that a node must have been connected without disruption before other bounds apply to it."""
     version_ms: float = 8000
-    """How long after its naming a weights version may be missing on an engine that gets generations."""
+    """Milliseconds after the announcement of a weights version until only engines that have it get generations."""
     grace_s: float = 8
-    """Time from the signal to stop until the process is killed."""
+    """Seconds from the stop signal until the platform kills the process."""
     exposure_share: float = 0.1
-    """Fraction of a service's requests that a bad software version may get during its rollout."""
+    """Fraction of a service's requests that a faulty software version may get during its rollout."""
     exposure_slack: float = 50
-    """Requests beyond that fraction."""
+    """Requests that such a version may get in addition to that fraction."""
     rollback_ms: float = 5000
-    """How long after its 50th bad answer a bad version may still get requests."""
+    """Milliseconds after its 50th failed answer for which a faulty version may still get requests."""
 
 
 class ProcessLimits(msgspec.Struct, frozen=True):
-    """What the machine grants this process."""
+    """Resources of the machine that this process may use."""
 
     link_mbps: float = 0.0
-    """Bandwidth in megabits a second; 0 if it is not named."""
+    """Network bandwidth in megabits per second; 0 if not specified."""
 
 
 class MetricsAddress(msgspec.Struct, frozen=True):
-    """Where metrics are served."""
+    """Address and path at which metrics are served."""
 
     address: str
     """``IP:PORT``."""
@@ -79,7 +79,7 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
-    """One process's settings."""
+    """Settings of one router process."""
 
     node: str
     zone: str
@@ -89,27 +89,27 @@
     bounds: OperatorBounds = OperatorBounds()
     limits: ProcessLimits = ProcessLimits()
     metrics: str = ""
-    """``PORT/PATH`` of the metrics; empty if none are wanted."""
+    """``PORT/PATH`` at which metrics are served; empty for none."""
     ip: str = ""
-    """Address of the machine, at which peers reach this node; empty if they cannot."""
+    """IP address at which peers reach this node; empty if they cannot reach it."""
     port_range: tuple[int, ...] = ()
-    """First and last port that are free for connections between nodes."""
+    """First and last port that may be used for connections between nodes."""
     region: str = ""
-    """Region of the node's zone, empty if there are none."""
+    """Region of the node's zone; empty if there are no regions."""
     zones: dict[str, str] = {}
     """Region of each zone, by the zone's name."""
 
     @property
     def grace_s(self) -> float:
-        """Time from the signal to stop until the process is killed."""
+        """Seconds from the stop signal until the platform kills the process."""
         return self.bounds.grace_s
 
     def peer_ports(self) -> range:
-        """Return the ports on which peers may be served; none if the settings leave none free."""
+        """Return the ports on which to listen for peers; empty if the settings name no IP address or no ports."""
         return range(self.port_range[0], self.port_range[-1] + 1) if self.ip and self.port_range else range(0)
 
     def metrics_address(self) -> MetricsAddress | None:
-        """Return where metrics are served, at the readiness listener's IP; None if none are wanted."""
+        """Return the address for metrics, at the readiness listener's IP; None if ``metrics`` names no port."""
         port, _, path = self.metrics.partition("/")
         if not port.isdigit():
             return None
@@ -117,11 +117,11 @@
         return MetricsAddress(f"{host}:{port}", f"/{path}")
 
     def topology(self) -> Topology:
-        """Return how far zones are from the node."""
+        """Return the topology, which gives each zone's distance from the node."""
         return Topology(self.zone, self.zones, self.region)
 
     def fleet_bounds(self) -> FleetBounds:
-        """Return the bounds in wallwell's units."""
+        """Return the operators' bounds in wallwell's units."""
         bounds = self.bounds
         return FleetBounds(
             revocation_s=bounds.revoke_ms / 1000,
@@ -137,7 +137,7 @@
 
 
 def settings_path() -> str:
-    """Return the settings file's path, from the environment. Raises :class:`SettingsError`."""
+    """Return the settings file's path from the environment. Raises :class:`SettingsError` if it is not set."""
     path = os.environ.get(SETTINGS_VARIABLE)
     if not path:
         raise SettingsError(f"the variable {SETTINGS_VARIABLE} is not set")
@@ -145,7 +145,7 @@
 
 
 def load_platform_settings(path: str) -> PlatformSettings:
-    """Read and check the file. Raises :class:`SettingsError`."""
+    """Read and validate the settings file. Raises :class:`SettingsError` if it is unreadable or invalid."""
     try:
         with open(path, "rb") as file:
             return msgspec.convert(tomllib.load(file), PlatformSettings)
--- a/src/wallwell/platform/stop_deadline.py
+++ b/src/wallwell/platform/stop_deadline.py
@@ -1,8 +1,8 @@
-"""The end of a planned stop that nothing can delay.
+"""Ends the process before the grace period of a planned stop is over, whatever still runs in it.
 
-The platform kills a process that outlives its grace time, and counts that as a crash. A task that ignores its
-cancellation, a host name being resolved in a thread, or an event loop without processor time can each keep a
-process that long. So a thread of its own ends the process in time.
+The platform kills a process that exceeds its grace period, and counts that as a crash. A task that ignores its
+cancellation, a host name lookup in a thread, or an event loop that gets no CPU time can each delay the exit for
+that long. So a separate thread ends the process in time.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from wallwell.events import Event, emit
 
 EXIT_MARGIN_S = 0.25
-"""Seconds before the end of the grace time at which the process is ended: time for the system to release its memory
-and sockets."""
+"""Seconds before the end of the grace period at which the process exits, so that the system has time to release its
+memory and sockets."""
 CLOCK_CHECK_INTERVAL_S = 0.1
-"""Longest wait, in seconds, between two readings of the clock. A suspension of the machine lengthens a wait,
-which so ends at most this much too late."""
+"""Maximum seconds between two readings of the clock. A wait does not count the time while the machine is suspended,
+so the timer fires at most this much late."""
 
 
 class BootClockTimer(threading.Thread):
-    """Calls a function at a time of the boot clock, unless it is cancelled before."""
+    """Calls a function at a deadline on the boot clock, unless it is cancelled before."""
 
     def __init__(self, deadline_s: float, callback: Callable[[], object]) -> None:
         super().__init__(daemon=True)
@@ -32,11 +32,11 @@
         self._cancelled = threading.Event()
 
     def cancel(self) -> None:
-        """Never call."""
+        """Do not call the function, unless the call has already begun."""
         self._cancelled.set()
 
     def run(self) -> None:
-        """Wait and call."""
+        """Wait until the deadline, then call the function."""
         while (remaining_s := self.deadline_s - boot_time_s()) > 0:
             if self._cancelled.wait(min(remaining_s, CLOCK_CHECK_INTERVAL_S)):
                 return
@@ -45,7 +45,7 @@
 
 
 def exit_within(grace_s: float, exit_process: Callable[[int], object] = os._exit) -> BootClockTimer:
-    """End the process with status 0 just before ``grace_s`` are over, unless the timer is cancelled."""
+    """Exit the process with status 0 just before ``grace_s`` seconds are over; return the timer that does it."""
 
     def end() -> None:
         try:
@@ -59,9 +59,9 @@
 
 
 def exit_now(exit_process: Callable[[int], object] = os._exit) -> None:
-    """End the process with status 0, now.
+    """Exit the process with status 0 immediately, without the interpreter's cleanup.
 
-    Python takes apart what a process holds before it ends, for up to a second on a busy machine, and stops other
-    threads before that, the one that ends the process in time among them. Log lines have been written by then.
+    The cleanup takes up to a second on a busy machine, and first stops other threads, also the one that would end
+    the process in time. Log lines have been written by then.
     """
     exit_process(0)
--- a/src/wallwell/platform/store.py
+++ b/src/wallwell/platform/store.py
@@ -1,7 +1,7 @@
-"""Client of the platform's store: wallwell's interfaces of tables and feeds over the store's calls.
+"""Client of the platform's store. Implements wallwell's table and feed interfaces with the store's HTTP API.
 
-Owns the connections to the store. Sends each call once: who calls decides whether to try again, since a call
-without an answer may have taken effect. The wire format stands in :mod:`wallwell.platform.store_wire`.
+Owns the connections to the store. Sends each request once, since a request without an answer may have taken effect:
+the calling code decides whether to retry. :mod:`wallwell.platform.store_wire` has the wire format.
 """
 
 from __future__ import annotations
@@ -32,21 +32,21 @@
 from wallwell.storage.table import Row, Scan, Transaction
 
 CALL_TIMEOUT_S = 1.5
-"""Seconds for one call, connecting included: two calls fit into the 3 s of a lease."""
+"""Timeout of one call in seconds, including connecting: two calls fit into the 3 s of a lease."""
 CONNECT_TIMEOUT_S = 1.0
-"""Seconds for a new connection: leaves a third of the call's time for its answer."""
+"""Timeout of connecting in seconds; leaves a third of ``CALL_TIMEOUT_S`` for the answer."""
 PAGE_ROWS = 500
-"""Rows in one page: the most that the store's protocol allows."""
+"""Rows requested per page: the maximum that the store's protocol allows."""
 MAX_IDLE_CONNECTIONS = 6
-"""Idle connections kept: three feeds are held open at the same time, and as many other calls."""
+"""Maximum number of idle connections: enough for three concurrent feeds and as many other calls."""
 MAX_LOGGED_CHARS = 40
-"""Characters that are logged of a header that cannot be read."""
+"""Maximum number of characters that are logged of an invalid header value."""
 NEXT_KEY_SUFFIX = "\x00"
-"""Appended to the last key of a page, it makes the smallest key that follows: keys are ordered by their bytes."""
+"""Appended to the last key of a page, this gives the smallest possible next key, as keys are ordered by bytes."""
 
 
 class StoreAnswer(NamedTuple):
-    """An answer of the store, whatever its status."""
+    """An answer of the store with any status, and the era that it states."""
 
     status: int
     body: bytes
@@ -54,23 +54,23 @@
 
 
 class RowsInEra(NamedTuple):
-    """An answer about rows; versions in it are those of the era."""
+    """Rows that the store answered, and the era to which their versions belong."""
 
     rows: RowsAnswer
     era: int
 
 
 class PlatformStore:
-    """The store at one address, one connection for each call in progress.
+    """Client of the store at one address, with one connection for each concurrent call.
 
-    Implements :class:`wallwell.storage.table.TableService` over wallwell's own table.
+    Implements :class:`wallwell.storage.table.TableService` for the router's own table.
     """
 
     def __init__(self, address: str) -> None:
         self._address = address
         self._pool = ConnectionPool("", CONNECT_TIMEOUT_S, CALL_TIMEOUT_S, max_idle=MAX_IDLE_CONNECTIONS)
         self.era = StoreEra(_log_restore)
-        """Kept up to date by every answer, whatever its status."""
+        """Newest era of the store; updated by every answer, whatever its status."""
         self._unreadable_era = ""
 
     def close(self) -> None:
@@ -78,7 +78,7 @@
         self._pool.close()
 
     async def call(self, method: str, path: str, body: bytes, timeout_s: float) -> StoreAnswer:
-        """Make one call. Raises :class:`PlatformUnavailableError`."""
+        """Send one request and return the answer. Raises :class:`PlatformUnavailableError` without an answer."""
         head = f"{method} {path} HTTP/1.1\r\nHost: {self._address}\r\n"
         if body:
             head += "Content-Type: application/json\r\n"
@@ -98,12 +98,12 @@
             raise PlatformUnavailableError(f"no answer within {timeout_s:g} s") from error
 
     def _observe_era(self, message: RawResponseMessage) -> int:
-        """Return the era that an answer states; one that cannot be read is logged and taken as before."""
+        """Record and return the era that an answer states. Logs an invalid value and returns the current era."""
         text = message.headers.get(names.STORE_ERA, str(UNKNOWN_ERA))
         try:
             era = int(text)
         except ValueError:
-            if text != self._unreadable_era:  # Logged once, not with each call.
+            if text != self._unreadable_era:  # Logged once, not for each call.
                 emit(Event.STORE_ERA_UNREADABLE, era=text[:MAX_LOGGED_CHARS])
             self._unreadable_era = text
             return self.era.current
@@ -111,40 +111,40 @@
         return era
 
     async def read_rows(self, path: str, query: dict[str, str], timeout_s: float) -> RowsInEra:
-        """Read rows. Raises :class:`HistoryLostError`, or :class:`PlatformUnavailableError`, also for a late answer
-        of an earlier era."""
+        """Read rows. Raises :class:`HistoryLostError` or :class:`PlatformUnavailableError`, the latter also for a
+        late answer of an earlier era."""
         answer = await self.call("GET", f"{path}?{urlencode(query)}", b"", timeout_s)
         if answer.status == HTTPStatus.GONE:
             raise HistoryLostError("the store no longer has the changes after that version")
         if answer.status != HTTPStatus.OK:
             raise PlatformUnavailableError(f"status {answer.status}")
         if self.era.is_after(answer.era):
-            raise PlatformUnavailableError("the answer is from before the store came back from a copy")
+            raise PlatformUnavailableError("the answer is from before the store was restored from a copy")
         return RowsInEra(decode_answer(answer.body), answer.era)
 
     async def transact_rows(self, body: TransactBody) -> int:
-        """Carry out a transaction over rows of any tables and return the version of what it wrote.
+        """Execute a transaction on rows of any tables and return the version of the rows that it wrote.
 
-        Raises :class:`TableConflictError` (nothing written) or :class:`PlatformUnavailableError` (not known whether
-        it was written).
+        Raises :class:`TableConflictError` (nothing written) or :class:`PlatformUnavailableError` (unknown whether
+        written).
         """
         payload = msgspec.json.encode(body)
         answer = await self.call("POST", names.ROWS_TRANSACT_PATH, payload, CALL_TIMEOUT_S)
         if answer.status == HTTPStatus.PRECONDITION_FAILED:
-            raise TableConflictError("a condition does not hold")
+            raise TableConflictError("a condition of the transaction is not met")
         if answer.status != HTTPStatus.OK:
             raise PlatformUnavailableError(f"status {answer.status}")
         return decode_answer(answer.body).ver
 
     async def get_row(self, table: str, key: str) -> Row | None:
-        """Return a row of a table, None if there is none. Raises :class:`PlatformUnavailableError`."""
+        """Return a row of a table, None if it does not exist. Raises :class:`PlatformUnavailableError`."""
         query = {"table": table, "part": names.NO_PARTITION, "from": key, "limit": "1"}
         answer, _ = await self.read_rows(names.ROWS_READ_PATH, query, CALL_TIMEOUT_S)
-        # The store answers the first row from this key on, which may be a later one.
+        # The store returns the first row whose key is not smaller, which may have another key.
         found = next((row for row in answer.rows if row.key == key), None)
         return to_table_row(found) if found is not None else None
 
-    # --- TableService, over wallwell's own table -------------------------------------------------------------
+    # --- TableService for the router's own table -------------------------------------------------------------
 
     async def transact(self, transaction: Transaction) -> int:
         """See :class:`wallwell.storage.table.TableService`."""
@@ -155,15 +155,14 @@
         return await self.get_row(names.ROUTER_TABLE, key)
 
     async def scan(self, prefix: str, after_version: int) -> Scan:
-        """See :class:`wallwell.storage.table.TableService`. Reads the whole table, which holds a few rows a
-        node."""
+        """See :class:`wallwell.storage.table.TableService`. Reads the whole table: a few rows per node."""
         page = await TableRows(self, names.ROUTER_TABLE).read_all()
         rows = [row for row in page.rows if row.key.startswith(prefix) and row.version > after_version]
         return Scan(page.version, tuple(Row(row.key, (row.value or b"").decode(), row.version) for row in rows))
 
 
 class TableRows:
-    """One table of the store as a :class:`wallwell.storage.feed.RowSource`."""
+    """Reads one table of the store. Implements :class:`wallwell.storage.feed.RowSource`."""
 
     def __init__(self, store: PlatformStore, table: str) -> None:
         self._store = store
@@ -172,8 +171,8 @@
     async def read_all(self) -> FeedPage:
         """See :class:`wallwell.storage.feed.RowSource`.
 
-        Version and time are those of the first page: a change made while later pages are read is then read from
-        the feed again, and none is missed.
+        The returned version and time are those of the first page, so that the feed repeats every change made while
+        later pages are read, and none is missed.
         """
         first, era = await self._read_page("")
         rows: list[FeedRow] = [to_feed_row(row) for row in first.rows]
@@ -203,6 +202,6 @@
 
 
 def _require_same_era(era: int, later_era: int) -> None:
-    """Raise :class:`HistoryLostError` if rows of two eras would be joined."""
+    """Raise :class:`HistoryLostError` if the eras differ, since rows of two eras must not be combined."""
     if era != later_era:
-        raise HistoryLostError("the store has come back from a copy")
+        raise HistoryLostError("the store was restored from a copy")
--- a/src/wallwell/platform/store_wire.py
+++ b/src/wallwell/platform/store_wire.py
@@ -1,7 +1,7 @@
-"""Wire format of the platform's store: rows, answers and transactions, and their decoding.
+"""Wire format of the platform's store: rows, answers and transactions, with their encoding and decoding.
 
-Field names are the store's; each comment says what the field holds. Relies on :mod:`wallwell.platform.names` for
-tables. A value travels as base64 of bytes.
+Field names are the store's; a comment explains a field whose name misleads. Row values are sent as Base64. Table
+names are in :mod:`wallwell.platform.names`.
 """
 
 from __future__ import annotations
@@ -17,37 +17,37 @@
 
 
 class StoredRow(msgspec.Struct, frozen=True):
-    """A row as the store answers it."""
+    """A row in an answer of the store."""
 
     key: str
     value: str = ""
     """Base64 of the row's bytes."""
     ver: int = 0
-    """Number of the transaction that wrote the row last, from the counter of the whole store."""
+    """Number of the transaction that last wrote the row; the whole store counts transactions together."""
     gone: bool = False
-    """Whether the row was removed; its value is empty then."""
+    """Whether the row was deleted; its value is then empty."""
 
 
 class RowsAnswer(msgspec.Struct, frozen=True):
-    """Answer to every call about rows."""
+    """Answer of the store to any read, feed or write of rows."""
 
     ver: int
-    """Newest transaction of the store as of the answer, not a version of these rows."""
+    """Number of the store's newest transaction at the time of the answer, not a version of these rows."""
     now_ms: float = 0.0
-    """The store's steady clock, which is comparable with other answers of the store only."""
+    """The store's monotonic clock in milliseconds, comparable only with other answers of the store."""
     rows: tuple[StoredRow, ...] = ()
     more: bool = False
-    """Whether rows after the last one were left out."""
+    """Whether more rows follow after the last one."""
 
 
 class ConditionEntry(msgspec.Struct, frozen=True):
-    """A row and the version that it must have for a transaction to be carried out."""
+    """A condition of a transaction: a row and the version that it must have."""
 
     table: str
     part: str
     key: str
     ver: int
-    """Version of the row; 0 if it must not exist."""
+    """Required version of the row; 0 if the row must not exist."""
 
 
 class PutEntry(msgspec.Struct, frozen=True):
@@ -61,7 +61,7 @@
 
 
 class DeleteEntry(msgspec.Struct, frozen=True):
-    """A row to remove."""
+    """A row to delete."""
 
     table: str
     part: str
@@ -69,26 +69,26 @@
 
 
 class TransactBody(msgspec.Struct, frozen=True):
-    """A transaction: all of its writes or none."""
+    """A transaction, of which all writes are made or none."""
 
     expect_rev: tuple[ConditionEntry, ...]
-    """Conditions on rows of any table, not one revision."""
+    """Conditions on rows of any tables, not a single revision."""
     put: tuple[PutEntry, ...]
     delete: tuple[DeleteEntry, ...]
 
 
 def condition_entry(table: str, key: str, version: int) -> ConditionEntry:
-    """Return the condition that a row has a version; 0 if it must not exist."""
+    """Return the condition that a row has this version; 0 if the row must not exist."""
     return ConditionEntry(table, names.NO_PARTITION, key, version)
 
 
 def put_entry(table: str, key: str, text: str) -> PutEntry:
-    """Return the writing of a row."""
+    """Return the entry of a transaction that writes a row."""
     return PutEntry(table, names.NO_PARTITION, key, encode_value(text))
 
 
 def transaction_body(transaction: Transaction) -> TransactBody:
-    """Return a transaction over wallwell's own table as it travels."""
+    """Convert a transaction on the router's own table to the store's format."""
     table = names.ROUTER_TABLE
     return TransactBody(
         expect_rev=tuple(condition_entry(table, each.key, each.version) for each in transaction.conditions),
@@ -98,7 +98,7 @@
 
 
 def decode_answer(data: bytes) -> RowsAnswer:
-    """Decode an answer about rows. Raises :class:`PlatformUnavailableError` if it is not one."""
+    """Decode an answer with rows. Raises :class:`PlatformUnavailableError` if it is invalid."""
     try:
         return msgspec.json.decode(data, type=RowsAnswer)
     except msgspec.MsgspecError as error:
@@ -106,10 +106,10 @@
 
 
 def to_feed_row(row: StoredRow) -> FeedRow:
-    """Return a row of the feed; its value is None if the row was removed.
+    """Convert a stored row to a feed row; its value is None if the row was deleted.
 
-    Rows hold texts, which nodes pass on to each other as such. What another writer has left is passed on empty if
-    it is no base64 or no text, and refused where the row is decoded.
+    Nodes forward values to each other as text. A value of another writer that is not Base64 of UTF-8 text becomes
+    empty, which the code that decodes the row then rejects.
     """
     if row.gone:
         return FeedRow(row.key, None, row.ver)
@@ -122,12 +122,12 @@
 
 
 def to_table_row(row: StoredRow) -> Row:
-    """Return a row with its value as text."""
+    """Convert a stored row to a table row, whose value is text. Raises ValueError if the value is not text."""
     return Row(row.key, _decode_value(row.value).decode(), row.ver)
 
 
 def encode_value(text: str) -> str:
-    """Return a row's value as it travels."""
+    """Return a row's value in Base64, as the store expects it."""
     return base64.b64encode(text.encode()).decode()
 
 
--- a/src/wallwell/platform/worker_client.py
+++ b/src/wallwell/platform/worker_client.py
@@ -1,8 +1,8 @@
-"""Sends requests to workers and passes their answers on.
+"""Sends requests to workers and returns their answers.
 
-Owns no connections: they come from a pool that probes, orders and cache events share. Bytes are made and
-understood in :mod:`wallwell.platform.worker_requests`; here each failure of the transport becomes an
-:class:`AttemptError` that says whether the request can have reached the worker.
+Uses connections of a pool that probes, orders and cache events share. :mod:`.worker_requests` encodes requests and
+interprets answers. A transport failure is raised as an :class:`AttemptError`, which states whether the request can
+have reached the worker.
 """
 
 from __future__ import annotations
@@ -16,31 +16,26 @@
 from wallwell.http_connection import ConnectFailedError, ConnectionPool
 from wallwell.platform import names
 from wallwell.platform.worker_notices import deliver_notice
-from wallwell.platform.worker_requests import (
-    attempt_failure,
-    encode_request,
-    expects_answer_body,
-    parse_answer_head,
-)
+from wallwell.platform.worker_requests import attempt_failure, encode_request, has_answer_body, parse_answer_head
 from wallwell.routing.health.backend_notice import BackendNotices
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.serving.messages import AnswerHead, AttemptError, Dispatch
 
 CONNECT_TIMEOUT_S = 0.25
-"""Seconds for a new connection. Covers 40 ms of round trip to another region and the queue of the link between
-regions; each request that meets an unresponsive worker loses this much of its time."""
+"""Timeout of connecting in seconds. Covers 40 ms of round trip to another region and queueing on the link between
+regions. Each request sent to an unresponsive worker loses this much of its time."""
 TCP_USER_TIMEOUT_S = 1.0
-"""Seconds for which sent bytes may stay unacknowledged before the connection ends: several retransmissions of TCP,
-and shorter than what most callers wait."""
+"""Seconds for which sent bytes may stay unacknowledged before the connection is closed: long enough for several TCP
+retransmissions, and shorter than most callers wait."""
 
 
 def make_worker_pool() -> ConnectionPool:
-    """Return a new pool of connections to workers, whose answers are matched by the request's id."""
+    """Return a new pool of connections to workers, which matches answers to requests by the request id."""
     return ConnectionPool(names.REQUEST_ID, CONNECT_TIMEOUT_S, TCP_USER_TIMEOUT_S)
 
 
 class WorkerAnswer:
-    """An answer whose head has arrived; its connection returns to the pool when the answer has ended."""
+    """An answer whose head has arrived. Closing it returns its connection to the pool."""
 
     def __init__(
         self,
@@ -71,10 +66,10 @@
 
 
 class WorkerClient:
-    """Sends attempts to workers; see :class:`wallwell.serving.messages.BackendClient`."""
+    """Sends attempts to workers. Implements :class:`wallwell.serving.messages.BackendClient`."""
 
     def __init__(self, pool: ConnectionPool, notices: BackendNotices) -> None:
-        """``notices`` receives what answers state about their workers."""
+        """``notices`` receives the notices that workers' answers contain."""
         self._pool = pool
         self._notices = notices
 
@@ -83,19 +78,17 @@
         connection = await self._connect(dispatch)
         if not dispatch.may_send():
             self._pool.put_back(dispatch.backend.address, connection)
-            raise AttemptError(TransportEvent.WITHDRAWN, "the back end has asked for no requests meanwhile")
+            raise AttemptError(TransportEvent.WITHDRAWN, "the back end asked for no more requests while connecting")
         sent_s = boot_time_s()
         message, head = await self._round_trip(connection, dispatch)
         answer = WorkerAnswer(head, connection, dispatch.backend.address, self._pool)
         failure = attempt_failure(message, head)
         if failure is None or failure.event is not TransportEvent.FOREIGN_ANSWER:
-            # An answer that is not the worker's own states nothing about it.
-            answers_request = failure is None or failure.event is TransportEvent.BACKEND_OVERLOADED
-            deliver_notice(
-                self._notices, message, dispatch.backend.incarnation, sent_s if answers_request else None
-            )
+            # A foreign answer contains no notice of the worker. Others may still not be certain to come from it.
+            from_worker = failure is None or failure.event is TransportEvent.BACKEND_OVERLOADED
+            deliver_notice(self._notices, message, dispatch.backend.incarnation, sent_s if from_worker else None)
         if failure is not None:
-            # A refusal's body may never come. The connection is kept if it came together with the head.
+            # Does not wait for the body, which may never arrive. The connection is reused if the body is complete.
             answer.close()
             raise failure
         return answer
@@ -116,13 +109,13 @@
         request = dispatch.request
         try:
             message = await connection.round_trip(
-                request.request_id, encode_request(dispatch), has_body=expects_answer_body(request)
+                request.request_id, encode_request(dispatch), has_body=has_answer_body(request)
             )
             return message, parse_answer_head(message)
         except ConnectionBrokenError as error:
             self._pool.release(dispatch.backend.address, connection)
             raise AttemptError(TransportEvent.RESET_AFTER_SEND, str(error)) from error
         except BaseException:
-            # A cancellation too: the connection is closed, and the worker stops working on the request.
+            # Also after a cancellation: closing the connection makes the worker stop processing the request.
             self._pool.release(dispatch.backend.address, connection)
             raise
--- a/src/wallwell/platform/worker_notices.py
+++ b/src/wallwell/platform/worker_notices.py
@@ -1,7 +1,7 @@
-"""What a worker's answer states about the worker: that it leaves, for how long it wants nothing, how much it takes.
+"""Parses a worker's statements about itself from its answers: whether it leaves, its back-off and request limit.
 
-Owns the meaning of the three headers. Decides nothing; what follows is decided in ``routing/health``. Relies on the
-caller to pass the head of each answer, also of those that are no answer to a request of a caller.
+Owns the meaning of these three headers; ``routing/health`` decides what follows from them. The calling code passes
+the head of every answer, including answers to reports and orders.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from wallwell.routing.health.request_limit import NO_LIMIT_PER_S, LimitStatement, parse_limit_headers
 
 BACKOFF_STATUSES = frozenset((HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE))
-"""Statuses on which ``names.RETRY_AFTER`` asks this node to send the worker nothing, as HTTP defines both."""
+"""Statuses with which ``names.RETRY_AFTER`` asks this node to send no requests meanwhile, as defined by HTTP."""
 LEAVING_VALUE = "1"
-"""Value of ``names.LEAVING`` by which a worker says that it leaves."""
+"""Value of the ``names.LEAVING`` header with which a worker states that it leaves."""
 
 
 def deliver_notice(
     notices: BackendNotices, message: RawResponseMessage, incarnation: str, sent_s: float | None = None
 ) -> None:
-    """Hand on what an answer to a call of ``incarnation`` states about it, unless that is nothing.
+    """Parse the notice in an answer to a call to ``incarnation``, and deliver it unless it is empty.
 
-    ``sent_s`` is when the request was sent that it answers, None for other calls.
+    ``sent_s`` is when the answered request was sent; None for calls that are not requests, such as reports.
     """
     notice = parse_notice(message, incarnation, sent_s)
     if notice != NO_NOTICE:
@@ -35,9 +35,9 @@
 
 
 def parse_notice(message: RawResponseMessage, incarnation: str, sent_s: float | None = None) -> BackendNotice:
-    """Return what an answer to a call of ``incarnation`` states about it; nothing if another one has answered.
+    """Return the notice in an answer to a call to ``incarnation``; empty if another incarnation answered.
 
-    ``sent_s`` as for :func:`deliver_notice`.
+    ``sent_s`` is as for :func:`deliver_notice`.
     """
     if message.headers.get(names.INSTANCE_ID, incarnation) != incarnation:
         return NO_NOTICE
@@ -46,7 +46,7 @@
 
 
 def _backoff_s(message: RawResponseMessage, incarnation: str) -> float:
-    """Return for how long the worker wants nothing, 0 if it does not say; what cannot be understood is logged."""
+    """Return the back-off in seconds that the worker asks for, 0 if none; invalid values are logged."""
     if message.code not in BACKOFF_STATUSES:
         return 0.0
     stated = parse_retry_after(message.headers.getall(names.RETRY_AFTER, ()))
@@ -56,7 +56,7 @@
 
 
 def _limit_statement(message: RawResponseMessage, incarnation: str, sent_s: float | None) -> LimitStatement | None:
-    """Return what an answer says of its worker's limit; that it names none means something for requests only."""
+    """Return the limit that an answer states. Only in answers to requests does a missing header mean no limit."""
     texts = message.headers.getall(names.REQUEST_LIMIT, ())
     per_s = parse_limit_headers(texts)
     if per_s is None:
--- a/src/wallwell/platform/worker_orders.py
+++ b/src/wallwell/platform/worker_orders.py
@@ -1,7 +1,7 @@
-"""Reports of workers and orders to them: which weights an engine has, and which it shall load.
+"""Client for workers' reports, which list their weights versions, and for orders to load other weights.
 
-Owns the wire format of both and their timeout. Sends each order once; the weights roll decides what follows. See
-:class:`wallwell.placement.weights_roll_driver.EngineControl`.
+Owns the wire format of reports and orders and their timeout. Sends each order once; the weights roll decides about
+further orders. See :class:`wallwell.placement.weights_roll_driver.EngineControl`.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from wallwell.routing.health.backend_notice import BackendNotices
 
 CONTROL_TIMEOUT_S = 1.0
-"""Seconds for one call, connecting included: a third of the lease under which orders are given, and workers answer
-reports and orders without waiting for a slot."""
+"""Timeout of one call in seconds, including connecting: a third of the lease under which orders are sent. Workers
+answer reports and orders without waiting for a slot."""
 LOAD_WEIGHTS_OP = "version"
-"""The order to load a version of a model's weights."""
+"""Operation (``op``) of an order to load a version of a model's weights."""
 KEEP_STREAMS_MODE = "retain"
-"""Mode of orders under which streams in progress continue, under the new weights."""
+"""Mode of an order with which streams in progress continue, using the new weights."""
 MAX_FAILING_WORKERS = 1000
-"""Failing workers remembered, so that each outage is logged once; entries of ended workers are dropped this way."""
+"""Maximum number of failing workers remembered to log each outage once; removes entries of ended workers."""
 
 
 class ReportedModel(msgspec.Struct, frozen=True):
@@ -40,29 +40,29 @@
 
 
 class ReportBody(msgspec.Struct, frozen=True):
-    """A worker's report, some hundred milliseconds old."""
+    """A worker's report. Its content may be some hundred milliseconds old."""
 
     models: tuple[ReportedModel, ...] = ()
     busy: bool = False
-    """Whether an order is being carried out; says nothing of the worker's load."""
+    """Whether the worker is executing an order; unrelated to its load."""
     seq: int = 0
-    """Orders taken since the worker's start, not a number of the report."""
+    """Number of orders accepted since the worker's start, not a sequence number of the report."""
 
 
 class OrderBody(msgspec.Struct, frozen=True):
-    """An order's body."""
+    """JSON body of an order."""
 
     op: str
     model: str
     version: int
     mode: str
-    """What becomes of streams in progress."""
+    """What the worker does with streams in progress."""
     holder: str
-    """Node that holds the lease under which the order is given."""
+    """Node that holds the lease under which the order is sent."""
     fence: int
-    """Fencing token of that lease; a worker refuses one lower than it has seen."""
+    """Fencing token of that lease; a worker refuses a token lower than the highest it has seen."""
     expect_rev: int
-    """Orders that the worker must have taken before this one: its report's ``seq``, not a revision."""
+    """Number of orders that the worker must have accepted so far: ``seq`` of its report, not a revision."""
 
 
 _ORDER_REPLIES: dict[int, OrderReply] = {
@@ -76,17 +76,17 @@
 
 
 class WorkerControl:
-    """Asks workers for reports and gives them orders."""
+    """Requests reports from workers and sends orders to them."""
 
     def __init__(self, pool: ConnectionPool, notices: BackendNotices) -> None:
-        """``notices`` receives what answers state about their workers."""
+        """``notices`` receives the notices that workers' answers contain."""
         self._pool = pool
         self._notices = notices
         self._failing: dict[str, None] = {}
-        """Incarnations whose last call failed, the longest known first."""
+        """Incarnations whose calls fail, ordered by their first failure."""
 
-    async def fetch_report(self, backend: BackendRecord) -> EngineReport | None:
-        """Return a worker's report, None without a usable answer, which is logged."""
+    async def report(self, backend: BackendRecord) -> EngineReport | None:
+        """Return a worker's report. Without a valid answer, log the failure and return None."""
         answer = await self._call("GET", names.REPORT_PATH, backend, b"")
         if answer is None:
             return None
@@ -103,8 +103,8 @@
         versions = {model.name: model.version for model in row.models}
         return EngineReport(versions, row.busy, row.seq)
 
-    async def send_order(self, backend: BackendRecord, order: WeightsOrder) -> OrderReply:
-        """Order new weights; ``UNKNOWN`` if the order may have been taken or may take effect later."""
+    async def order(self, backend: BackendRecord, order: WeightsOrder) -> OrderReply:
+        """Order new weights; ``UNKNOWN`` if the worker may have accepted the order or may still do so."""
         body = OrderBody(
             op=LOAD_WEIGHTS_OP,
             model=order.model,
@@ -124,7 +124,7 @@
         return _ORDER_REPLIES[status]
 
     async def _call(self, method: str, path: str, backend: BackendRecord, body: bytes) -> tuple[int, bytes] | None:
-        """Make one call and return status and body, None if there was no answer."""
+        """Send one request and return status and body; None if there was no answer."""
         head = f"{method} {path} HTTP/1.1\r\nHost: {backend.address}\r\nContent-Length: {len(body)}\r\n"
         head += f"{names.EXPECT_INSTANCE}: {backend.incarnation}\r\n"
         if body:
@@ -141,7 +141,7 @@
             return None
 
     def _log_failure(self, backend: BackendRecord, path: str, reason: str) -> None:
-        """Log the first failure after a report: a weights roll asks an unresponsive worker about once a second."""
+        """Log only the first failure since a report, as a weights roll polls a silent worker each second."""
         if backend.incarnation in self._failing:
             return
         self._failing[backend.incarnation] = None
--- a/src/wallwell/platform/worker_probes.py
+++ b/src/wallwell/platform/worker_probes.py
@@ -1,6 +1,6 @@
-"""Probes of workers by new connections, which cost a worker no slot.
+"""Probes workers by opening connections, which occupies no slot of a worker.
 
-Owns the timeouts of probes. A connection that a probe makes stays in the pool and carries the next request.
+Owns the timeouts of probes. The connection that a probe opens stays in the pool and is used for the next request.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from wallwell.http_connection import ConnectFailedError, ConnectionPool
 
 SAME_REGION_TIMEOUT_S = 0.12
-"""Seconds for a machine to answer a connection's first packet; more than the longest round trip within a region."""
+"""Seconds within which a machine must answer a SYN packet; more than the longest round trip within a region."""
 OTHER_REGION_TIMEOUT_S = 0.25
-"""The same in another region: 40 ms of round trip, and what may wait in the queue of the link between them."""
+"""The same for a machine in another region: 40 ms of round trip plus queueing on the link between regions."""
 
 
 class WorkerProbes:
-    """Finds out by new connections whether workers are reachable and whether their processes have ended."""
+    """Determines, by opening connections, whether workers are reachable and whether their processes have ended."""
 
     def __init__(self, pool: ConnectionPool, topology: Topology = SINGLE_REGION) -> None:
         self._pool = pool
@@ -30,12 +30,12 @@
     async def refuses_connections(self, backend: BackendRecord) -> bool:
         """See :class:`wallwell.node.crash_probe.CrashCheck`."""
         if self._pool.has_idle(backend.address):
-            return False  # The end of its process would have reset it.
+            return False  # If the process had ended, this connection would have been reset.
         failure = await self._open_connection(backend)
         return failure is not None and failure.refused
 
     async def _open_connection(self, backend: BackendRecord) -> ConnectFailedError | None:
-        """Make a connection for the next request; returns why there is none."""
+        """Open a connection for the next request; return the error if that fails, else None."""
         is_far = self._topology.distance_to(backend.zone) is Distance.OTHER_REGION
         timeout_s = OTHER_REGION_TIMEOUT_S if is_far else SAME_REGION_TIMEOUT_S
         try:
--- a/src/wallwell/platform/worker_requests.py
+++ b/src/wallwell/platform/worker_requests.py
@@ -1,7 +1,7 @@
-"""A request to a worker as it travels, and the meaning of the head of its answer. No I/O.
+"""Encodes requests to workers and interprets the heads of their answers. No I/O.
 
-Decides nothing but what the platform's protocol proves of an answer; whether to retry is decided in
-``routing/retry``, from the :class:`TransportEvent` named here.
+Decides only what an answer proves under the platform's protocol; ``routing/retry`` decides whether to retry, from
+the :class:`TransportEvent` that is determined here.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from wallwell.serving.messages import AnswerHead, AttemptError, CachePlan, CallerRequest, Dispatch
 
 MAX_PRIORITY = 9
-"""Least urgent priority of the platform's protocol, whose range is 0 to 9."""
+"""Lowest priority in the platform's protocol, whose range is 0 (first) to 9."""
 METHODS_WITH_BODY = ("POST", "PUT", "PATCH")
-"""Methods whose requests carry a length even if their body is empty."""
+"""Methods whose requests have a ``Content-Length`` even if the body is empty."""
 MIN_DEADLINE_MS = 1
-"""A request whose time has run out on its way still names a time; 0 could be read as no bound."""
+"""Smallest deadline that is sent, also if no time remains: a worker could read 0 as no deadline."""
 NOT_RUN_STATUSES = frozenset(
     (
         HTTPStatus.REQUEST_TIMEOUT,
@@ -30,19 +30,19 @@
         HTTPStatus.SERVICE_UNAVAILABLE,
     )
 )
-"""Statuses that state to a caller that nothing ran. From a worker they prove that only together with
-``names.NOT_RUN``, so without that header such an answer must not be passed on."""
+"""Statuses that tell a caller that its request did not run. From a worker they prove this only together with the
+``names.NOT_RUN`` header; without it, such an answer must not be forwarded."""
 
 
 def encode_request(dispatch: Dispatch) -> bytes:
-    """Return the whole request of an attempt as sent to the worker."""
+    """Return the complete HTTP request of an attempt, as sent to the worker."""
     request = dispatch.request
     lines = [f"{request.method} {request.target} HTTP/1.1"]
     lines.extend(f"{name}: {value}" for name, value in request.headers)
     lines.extend(f"{name}: {value}" for name, value in _router_headers(dispatch))
     if request.body or request.method in METHODS_WITH_BODY:
         lines.append(f"Content-Length: {len(request.body)}")
-    # The caller's bytes outside UTF-8 arrive as surrogates and leave as they came.
+    # Header bytes of the caller that are not UTF-8 were decoded to surrogates; this restores the original bytes.
     return "\r\n".join(lines).encode("utf-8", "surrogateescape") + b"\r\n\r\n" + request.body
 
 
@@ -71,13 +71,13 @@
         yield names.KV_SAVE, cache.save_to
 
 
-def expects_answer_body(request: CallerRequest) -> bool:
-    """Whether the answer to a request has a body."""
+def has_answer_body(request: CallerRequest) -> bool:
+    """Whether the answer to this request has a body; the answer to HEAD has none."""
     return request.method != "HEAD"
 
 
 def parse_answer_head(message: RawResponseMessage) -> AnswerHead:
-    """Return the head of a worker's answer, without the headers of its connection and its instance."""
+    """Return the head of a worker's answer, without hop-by-hop headers and the instance id."""
     headers = tuple(
         (name, value)
         for name, value in message.headers.items()
@@ -94,9 +94,9 @@
 
 
 def attempt_failure(message: RawResponseMessage, head: AnswerHead) -> AttemptError | None:
-    """Return how the attempt failed, None if this is the worker's answer to the request.
+    """Return how the attempt failed; None if the answer is to be forwarded to the caller.
 
-    A worker's own errors, such as 500 or 504, are its answer and are passed on.
+    Errors of the worker itself, such as 500 or 504, count as its answer and are forwarded.
     """
     if message.code == HTTPStatus.MISDIRECTED_REQUEST:
         return AttemptError(TransportEvent.PRECONDITION_REFUSED, str(message.code), head.weights_version)
@@ -112,6 +112,6 @@
 
 
 def _status_text(message: RawResponseMessage) -> str:
-    """Return the status for the log, with the back-off as the worker wrote it."""
+    """Return the status for the log, with the worker's ``Retry-After`` value, truncated."""
     backoff = message.headers.get(names.RETRY_AFTER)
     return str(message.code) if backoff is None else f"{message.code} retry after {backoff[:MAX_LOGGED_CHARS]}"
