--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -1,4 +1,4 @@
-"""One node on stand-ins of the platform, on ports the system chose."""
+"""Fixtures with one node, an emulated store and emulated workers, on ports chosen by the system."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class CallersPort:
-    """The listener of one node for callers, on a port the system chose."""
+    """One node's listener for callers, on a port chosen by the system."""
 
     def __init__(self, node):
         self.listener = CallerListener(node)
@@ -71,7 +71,7 @@
         addresses = ListenAddresses("127.0.0.1:0", "127.0.0.1:0")
         settings = PlatformSettings("n1", "z1", addresses, StoreAddress(self.store.address), self.bounds)
         self.node = build_node(settings)
-        # A node that has just started repeats little; these tests are about one that has run for a while.
+        # A node that has just started permits few retries; these tests need one that has run for a while.
         self.node.state.started_s = float("-inf")
         callers = CallersPort(self.node)
         self.node.start()
@@ -95,13 +95,13 @@
         await self.store.stop()
 
     async def until(self, condition, bound_s=10.0):
-        """Wait for something that is bound to happen, by looking often."""
+        """Poll until a condition holds. Raises TimeoutError after ``bound_s`` seconds."""
         async with asyncio.timeout(bound_s):
             while not condition():
                 await asyncio.sleep(0.005)
 
     def has_open_requests(self):
-        """Whether a request has been read, in part at least, that is not answered."""
+        """Whether a request has been read, at least in part, and not yet answered."""
         return any(not each.is_idle(allow_begun=False) for each in self.server.connections)
 
     def publish(self, worker):
@@ -112,19 +112,19 @@
         return {"Host": HOST, "X-Request-Id": "req-1", "X-Credential": "k1", "X-Deadline-Ms": "3000", **named}
 
     def request(self, path="/a", method="POST", body=b"body", port=None, **headers):
-        """Return a context manager of the caller's response; ``port`` is another node's."""
+        """Return a context manager for the caller's response; ``port`` selects another node."""
         url = yarl.URL(f"http://127.0.0.1:{port or self.port}{path}", encoded=True)
         return self.session.request(method, url, data=body, headers=self.headers(**headers))
 
     async def call(self, *args, **kwargs):
-        """Return status, headers and body of one request."""
+        """Send one request and return the answer's status, headers and body."""
         async with self.request(*args, **kwargs) as response:
             return response.status, response.headers, await response.read()
 
 
 @pytest.fixture
 def on_platform(run_async):
-    """Run a scenario on a started harness."""
+    """Return a function that runs a scenario on a started harness."""
 
     def run(scenario, configuration=None, loop=None, **harness_options):
         async def work():
--- a/tests/platform/fakes.py
+++ b/tests/platform/fakes.py
@@ -1,4 +1,4 @@
-"""The emulated store and workers as these tests use them: small pages, and answers told by the test."""
+"""Emulated store and workers for these tests: the store has small pages, and the test sets workers' answers."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class FakeStore(PlatformStoreEmulator):
-    """A store that gives few rows at a time, so that whole readings take several calls."""
+    """A store with few rows per page, so that reading a whole table takes several calls."""
 
     def __init__(self):
         super().__init__(page_rows=PAGE_ROWS)
 
 
 class FakeWorker(PlatformWorkerEmulator):
-    """A worker that answers as it is told and records what reached it."""
+    """A worker that answers with ``respond`` and records the requests it received."""
 
     def __init__(self, incarnation, service="svc", software=""):
         super().__init__(incarnation, service, software=software)
@@ -58,7 +58,7 @@
             for event in events:
                 await response.write(event)
             if break_off:
-                # A close and not a reset: a reset may drop what was written just before it.
+                # Closes instead of resetting, since a reset may drop bytes that were just written.
                 request.transport.close()
             return response
 
--- a/tests/platform/test_busy_node.py
+++ b/tests/platform/test_busy_node.py
@@ -1,4 +1,4 @@
-"""New connections at a node whose event loop has little processor time, and what it says of itself then."""
+"""New connections to a node whose event loop gets little CPU time, and the node's readiness meanwhile."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 CALLERS = 7
 CONTACT_S = 4.0
 QUEUED = 300
-"""Connections that come while the event loop stands still: more than the 128 that aiohttp lets wait by itself."""
+"""Connections opened while the event loop is blocked: more than aiohttp's default backlog of 128."""
 
 
 async def hog(turn_s):
-    """Take the processor in each turn of the event loop."""
+    """Block each iteration of the event loop for ``turn_s`` seconds."""
     while True:
         time.sleep(turn_s)
         await asyncio.sleep(0)
 
 
 @LOOPS
-def test_callers_who_connect_together_are_all_served_in_time_by_a_busy_node(on_platform, loop):
-    """Each turn of the loop, which workers and callers share here, takes 50 ms longer than its work."""
+def test_busy_node_serves_callers_that_connect_at_the_same_time(on_platform, loop):
+    """Each iteration of the loop, which workers and callers share here, is blocked for another 50 ms."""
 
     async def scenario(harness):
         await harness.call()
@@ -51,7 +51,7 @@
 
 
 @LOOPS
-def test_connections_come_up_while_the_event_loop_stands_still(run_async, loop):
+def test_connections_are_established_while_the_event_loop_is_blocked(run_async, loop):
     async def answer(request):
         return web.Response()
 
@@ -69,7 +69,7 @@
     assert run_async(scenario(), loop) == 200
 
 
-def test_a_starved_node_says_that_it_is_not_ready_until_it_has_recovered(on_platform):
+def test_starved_node_is_not_ready_until_it_has_recovered(on_platform):
     async def scenario(harness):
         runner = await listen(harness.listener.ready_server(), "127.0.0.1:0")
         url = f"http://127.0.0.1:{next(iter(runner.sites))._server.sockets[0].getsockname()[1]}/"
@@ -86,7 +86,7 @@
     assert on_platform(scenario) == [200, 200, 503, 200]
 
 
-def test_a_node_notices_that_its_loop_is_starved(on_platform):
+def test_node_detects_that_its_loop_is_starved(on_platform):
     async def scenario(harness):
         busy = asyncio.create_task(hog(LATE_TIMER_S + 0.1))
         await harness.until(lambda: harness.node.readiness.loop_lag.consecutive_late_timers >= 2, bound_s=30.0)
--- a/tests/platform/test_cache_events.py
+++ b/tests/platform/test_cache_events.py
@@ -1,4 +1,4 @@
-"""Cache events and listings over sockets: what is asked, and what becomes of answers that cannot be used."""
+"""Cache events and listings over sockets: the requests sent, and the handling of invalid answers."""
 
 import asyncio
 
@@ -17,13 +17,13 @@
     "events": [[11, "+", "s", "a", 800, "m"], [12, "-", "s", "b", 128, "m"]],
 }
 GENEROUS_TIMEOUT_S = 30.0
-"""A busy machine must not decide whether an answer on it comes in time."""
+"""Timeout long enough that a busy test machine does not cause failures."""
 LISTING = {"epoch": 7, "next_token": 12, "held": [["s", "a", 800, "m"]]}
 
 
 @pytest.fixture
 def with_store(run_async, monkeypatch):
-    """Run a scenario on a store that gives the listed answers; returns what it was asked."""
+    """Return a function that runs a scenario on a store with the given answers and returns the requests received."""
 
     monkeypatch.setattr("wallwell.platform.cache_events.LISTING_TIMEOUT_S", GENEROUS_TIMEOUT_S)
 
@@ -56,7 +56,7 @@
     return run
 
 
-def test_events_after_a_position(with_store):
+def test_events_after_a_position_are_returned(with_store):
     async def scenario(client, address):
         page = await client.events(address, CachePosition(7, 10), GENEROUS_TIMEOUT_S)
         assert page.position == CachePosition(7, 12)
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("change", [{"lost": True}, {"epoch": 8}], ids=["gap", "restart"])
-def test_everything_is_listed_when_events_do_not_join(with_store, change):
+def test_listing_is_read_after_a_gap_or_a_restart(with_store, change):
     async def scenario(client, address):
         page = await client.events(address, CachePosition(7, 10), GENEROUS_TIMEOUT_S)
         assert page.whole
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("answer", [(429, {}), (503, {}), (200, {"epoch": "x"})])
-def test_an_answer_without_events_tells_that_the_store_lives(with_store, answer):
+def test_answer_without_events_is_a_refusal_and_not_silence(with_store, answer):
     async def scenario(client, address):
         with pytest.raises(CacheEventsRefusedError):
             await client.events(address, CachePosition(7, 10), GENEROUS_TIMEOUT_S)
@@ -87,7 +87,7 @@
     with_store({"/api/kv-events": answer}, scenario)
 
 
-def test_silence_is_told_apart(with_store):
+def test_missing_answer_is_reported_as_silence(with_store):
     async def scenario(client, address):
         with pytest.raises(CacheStoreSilentError):
             await client.events(address, CachePosition(7, 10), 0.0)
--- a/tests/platform/test_caller_gone.py
+++ b/tests/platform/test_caller_gone.py
@@ -1,4 +1,4 @@
-"""A caller that leaves: nothing of it reaches a worker any more, and workers stop, within half a second."""
+"""A caller that disconnects: no further attempt is sent to a worker, and workers stop within half a second."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 @pytest.fixture
 def sent(monkeypatch):
-    """What the node writes to its workers; a worker may not see what is written just before a reset."""
+    """Request ids that the node has sent to workers. A worker may not see bytes written just before a reset."""
     round_trip, written = BackendConnection.round_trip, []
 
     def recorded(self, request_id, *args, **more):
-        if request_id:  # Calls of control carry none.
+        if request_id:  # Reports and orders have no request id.
             written.append(request_id)
         return round_trip(self, request_id, *args, **more)
 
@@ -46,7 +46,7 @@
 
 
 def count_stops(worker, respond):
-    """Count the requests that a worker no longer works on."""
+    """Count the requests that a worker has stopped processing."""
     worker.stopped = 0
 
     async def counted(request):
@@ -59,7 +59,7 @@
 
 
 async def leave(harness, asking):
-    """Close the caller's connection; return the seconds until no worker works for it."""
+    """Close the caller's connection; return the seconds until no worker processes its request."""
     asking.cancel()
     await asyncio.gather(asking, return_exceptions=True)
     left_s = boot_time_s()
@@ -78,8 +78,8 @@
     ],
     ids=["a call", "its prompt is read", "between pieces", "its repeat", "its continued stream"],
 )
-def test_workers_stop_when_the_caller_leaves(on_platform, configuration, headers, stage):
-    """The first attempt of a repeat is hung as well, or broke off; both have ended."""
+def test_workers_stop_when_the_caller_disconnects(on_platform, configuration, headers, stage):
+    """With a retry or a continued stream, the first attempt hangs too or breaks off; both attempts must end."""
 
     async def scenario(harness):
         async def pieces(request):
@@ -110,7 +110,7 @@
     assert later == 0
 
 
-def test_a_connection_that_comes_up_after_the_caller_left_carries_nothing(on_platform):
+def test_connection_established_after_the_caller_left_is_not_used(on_platform):
     async def scenario(harness):
         pool = harness.node._pool
         connect, asked, may_connect = pool._connect, asyncio.Event(), asyncio.Event()
@@ -141,11 +141,11 @@
 
 @pytest.mark.parametrize("loop", [asyncio.new_event_loop, uvloop.new_event_loop], ids=["asyncio", "uvloop"])
 @pytest.mark.parametrize("count", [1, 7])
-def test_requests_read_after_their_callers_left_reach_no_worker(on_platform, count, loop, sent):
-    """The event loop stands still from the connection to the close, as on a node without processor time."""
+def test_requests_read_after_their_callers_left_are_not_sent(on_platform, count, loop, sent):
+    """The event loop is blocked from the connection to its close, as on a node that gets no CPU time."""
 
     async def scenario(harness):
-        # Connections to workers rest from here on, so that a request could be sent on in the turn it is read.
+        # Opens idle connections to workers, so that a request could be sent in the same loop iteration.
         await asyncio.gather(*(harness.call() for _ in range(count)))
         sent.clear()
         for _ in range(count):
@@ -159,8 +159,8 @@
 
 
 @pytest.mark.parametrize("loop", [asyncio.new_event_loop, uvloop.new_event_loop], ids=["asyncio", "uvloop"])
-def test_a_caller_who_leaves_in_the_turn_that_handles_its_request_is_not_served(on_platform, loop, sent):
-    """The event loop has not told of the close yet, only the system knows; such turns are long on a busy node."""
+def test_caller_that_leaves_while_its_request_is_handled_is_not_served(on_platform, loop, sent):
+    """The kernel has seen the close, the event loop has not; its iterations are long on a busy node."""
 
     async def scenario(harness):
         await harness.call()
@@ -182,7 +182,7 @@
     assert on_platform(scenario, loop=loop, workers=1) == []
 
 
-def test_a_request_whose_body_never_came_reaches_no_worker(on_platform):
+def test_request_with_incomplete_body_is_not_sent(on_platform):
     async def scenario(harness):
         _, writer = await asyncio.open_connection("127.0.0.1", harness.port)
         writer.write(request_bytes(harness, b"part", length=9))
@@ -194,8 +194,8 @@
     assert on_platform(scenario) == 0
 
 
-def test_no_repeat_follows_a_failure_that_is_seen_after_the_caller_left(on_platform, sent):
-    """A worker breaks off while the node's event loop stands still and the caller leaves."""
+def test_no_retry_if_a_failure_is_seen_after_the_caller_left(on_platform, sent):
+    """A worker resets its connection, and the caller leaves, while the node's event loop is blocked."""
 
     async def scenario(harness):
         await asyncio.gather(*(harness.call() for _ in range(6)))
@@ -221,8 +221,8 @@
     assert on_platform(scenario, config(routes=[route(attempts=3)])) == 1
 
 
-def test_a_caller_that_leaves_during_an_attempt_is_logged(on_platform, monkeypatch):
-    """Its request had no line at all, so that nobody could tell it from one that never came."""
+def test_caller_that_leaves_during_an_attempt_is_logged(on_platform, monkeypatch):
+    """Guards against a request without any log line, which looks like a request that never arrived."""
     logged = []
     monkeypatch.setattr(
         caller_listener, "emit", lambda event, **fields: logged.append((event, fields["request_id"]))
@@ -239,8 +239,8 @@
     assert logged == [(Event.CALLER_GONE, "req-1")]
 
 
-def test_an_error_answer_that_is_retried_is_logged_and_counted(on_platform, monkeypatch):
-    """The attempt had no line and no count; the answer to the caller only said that there were two attempts."""
+def test_retried_error_answer_is_logged_and_counted(on_platform, monkeypatch):
+    """Guards against an attempt that is neither logged nor counted, only implied by a total of two attempts."""
     logged = []
 
     def note(event, **fields):
--- a/tests/platform/test_crashing_request.py
+++ b/tests/platform/test_crashing_request.py
@@ -1,10 +1,9 @@
-"""A request under which every worker that begins to run it crashes.
+"""A request that crashes every worker that begins to run it.
 
-Seen: ten and eleven engines of six, replaced as they fell, ended one after the other at the pace of two callers
-that came again and again; each took the streams of all other callers on it along.
-How it came about: the request came with a new id, mostly at another node, and every node sent it on as a new one.
-Cause: what a request did to its back ends was known of its id only, at one node, while it was under way.
-Proof: the same request over these three nodes ends a worker each time it comes, however often that is.
+Guards against a failure in which two callers that retried such a request crashed 10 and 11 engines in a fleet of six
+with replacements, and broke the streams of other callers on them. Each retry had a new id and mostly reached another
+node, and crashes were remembered only by request id, at one node, while the request was in progress. Without
+the fix, each arrival of the request at these three nodes crashes a worker.
 """
 
 from __future__ import annotations
@@ -24,15 +23,15 @@
 from wallwell.clock import boot_time_s
 from wallwell.platform.caller_listener import CallerListener
 
-NODES, WORKERS, SENDINGS = 3, 5, 10
-CRASHES_TO_KNOW = 3
+NODES, WORKERS, RETRIES = 3, 5, 10
+QUARANTINE_CRASHES = 3
 RETRIES_ALLOWED = 3
 CRASHING = b"crashing"
 HARMLESS = b"harmless"
 PAUSE_S = 0.05
-"""Time between two sendings of a request whose crash is known."""
+"""Seconds between two retries of a request whose crash is known to the nodes."""
 CONTACT_S = 3.0
-"""Time in which nodes have to learn of a crash from each other."""
+"""Seconds within which nodes must learn of a crash from each other."""
 STREAM = {"kind": "stream", "attempts": 1}
 RESUMABLE = {"kind": "stream", "attempts": 2, "can_resume": True}
 SAFE = {"kind": "safe", "attempts": 2}
@@ -40,7 +39,7 @@
 
 
 class CrashingWorker(FakeWorker):
-    """Ends soon after it has begun to run the crashing request; a new incarnation takes its place at once."""
+    """Crashes soon after it has begun to run the crashing request, and is then replaced by a new worker."""
 
     def __init__(self, harness, incarnation):
         super().__init__(incarnation)
@@ -80,7 +79,7 @@
         return CrashingWorker(self, f"i-{self._started}")
 
     def replace(self, worker):
-        """Take a crashed worker's entry away and start another one."""
+        """Start a replacement of a crashed worker and delete the crashed one's entry."""
         task = asyncio.create_task(self._replace(worker))
         self._tasks.add(task)
 
@@ -99,7 +98,7 @@
             await self.add_node(f"n{number}")
 
     async def add_node(self, name):
-        """Start one more node and its listener; return its port."""
+        """Start another node and its listener; return the listener's port."""
         node = await second_node(self, name)
         node.state.started_s = float("-inf")
         runner = web.ServerRunner(CallerListener(node).callers_server(), shutdown_timeout=0.01)
@@ -120,7 +119,7 @@
         await super().stop()
 
     async def slow(self, port, text):
-        """Send a request that is under way for some time, whatever becomes of it."""
+        """Send a request that takes some time; ignore a broken connection."""
         url = f"http://127.0.0.1:{port}/a"
         headers = self.headers(X_Request_Id=f"first {text}")
         with contextlib.suppress(aiohttp.ClientError):
@@ -128,15 +127,15 @@
                 await response.read()
 
     async def settle(self):
-        """Wait until every node counts the crashes so far, or for as long as they may take to learn of them."""
-        due = min(self.crashes, CRASHES_TO_KNOW)
+        """Wait until every node counts the crashes so far, for ``CONTACT_S`` at most."""
+        due = min(self.crashes, QUARANTINE_CRASHES)
         end_s = boot_time_s() + CONTACT_S
         while boot_time_s() < end_s and not all(most_crashes(node) >= due for node in (self.node, *self._others)):
             await asyncio.sleep(0.01)
         await asyncio.sleep(PAUSE_S)
 
     async def send(self, port, body, request_id, **headers):
-        """Return a request's status at one node, 0 if the connection broke."""
+        """Send a request to one node; return the status, 0 if the connection broke."""
         self.port = port
         try:
             status, _, _ = await self.call(body=body, X_Request_Id=request_id, **headers)
@@ -146,11 +145,11 @@
 
 
 def most_crashes(node):
-    """Return how many crashes the worst suspect of a node has."""
+    """Return the largest crash count among a node's suspect requests."""
     return max((len(each.crashed_incarnations) for each in node.state.quarantine._suspects.values()), default=0)
 
 
-def play(run_async, scenario, kind):
+def run_on_fleet(run_async, scenario, kind):
     async def work():
         fleet = CrashingFleet()
         await fleet.start(config(routes=[route(**kind)]))
@@ -164,75 +163,75 @@
 
 
 @pytest.mark.parametrize("kind", [STREAM, RESUMABLE, SAFE, UNSAFE], ids=["stream", "resumable", "safe", "unsafe"])
-def test_a_request_that_comes_again_and_again_ends_few_workers(run_async, kind):
+def test_retried_crashing_request_crashes_few_workers(run_async, kind):
     headers = {"X_Model": "m", "X_Prefix_Hash": "aa:100"} if kind["kind"] == "stream" else {}
 
     async def scenario(fleet):
         harmless = []
-        for number in range(SENDINGS):
+        for number in range(RETRIES):
             await fleet.send(fleet.ports[number % NODES], CRASHING, f"crash-{number}", **headers)
             await fleet.settle()
             harmless.append(await fleet.send(fleet.ports[0], HARMLESS, f"calm-{number}", **headers))
         return fleet.crashes, harmless
 
-    crashes, harmless = play(run_async, scenario, kind)
-    assert CRASHES_TO_KNOW <= crashes <= CRASHES_TO_KNOW + RETRIES_ALLOWED
-    assert harmless == [200] * SENDINGS
+    crashes, harmless = run_on_fleet(run_async, scenario, kind)
+    assert QUARANTINE_CRASHES <= crashes <= QUARANTINE_CRASHES + RETRIES_ALLOWED
+    assert harmless == [200] * RETRIES
 
 
-def test_a_node_that_starts_later_knows_it_at_once(run_async):
-    """What is known must outlast every node that has seen a crash, since a caller may come back for minutes."""
+def test_node_that_starts_later_refuses_the_crashing_request(run_async):
+    """Crashes must be remembered after the nodes that saw them have ended: callers may retry for minutes."""
 
     async def scenario(fleet):
-        for number in range(CRASHES_TO_KNOW):
+        for number in range(QUARANTINE_CRASHES):
             await fleet.send(fleet.ports[number % NODES], CRASHING, f"crash-{number}")
             await fleet.settle()
-        await fleet.until(lambda: sum(key.startswith("crash/") for _, key in fleet.store.rows) == CRASHES_TO_KNOW)
+        await fleet.until(lambda: sum(key.startswith("crash/") for _, key in fleet.store.rows) == QUARANTINE_CRASHES)
         port = await fleet.add_node("n9")
         crashes = fleet.crashes
         status = await fleet.send(port, CRASHING, "crash-late")
         return crashes, fleet.crashes, status, await fleet.send(port, HARMLESS, "calm")
 
-    before, after, status, calm = play(run_async, scenario, UNSAFE)
-    assert (before, after, status, calm) == (CRASHES_TO_KNOW, CRASHES_TO_KNOW, 503, 200)
+    before, after, status, calm = run_on_fleet(run_async, scenario, UNSAFE)
+    assert (before, after, status, calm) == (QUARANTINE_CRASHES, QUARANTINE_CRASHES, 503, 200)
 
 
-def test_while_the_store_takes_nothing_nodes_tell_each_other(run_async):
+def test_nodes_report_crashes_to_each_other_while_the_store_refuses_writes(run_async):
     async def scenario(fleet):
         await fleet.until(lambda: len(fleet.node.state.members) == NODES)
         fleet.store.refuse_status = 503
-        for number in range(SENDINGS):
+        for number in range(RETRIES):
             await fleet.send(fleet.ports[number % NODES], CRASHING, f"crash-{number}")
             await fleet.settle()
         return fleet.crashes
 
-    assert play(run_async, scenario, UNSAFE) == CRASHES_TO_KNOW
+    assert run_on_fleet(run_async, scenario, UNSAFE) == QUARANTINE_CRASHES
 
 
-def test_the_refusal_says_when_to_come_back_and_that_nothing_ran(run_async):
+def test_refusal_states_retry_after_and_that_nothing_ran(run_async):
     async def scenario(fleet):
-        for number in range(CRASHES_TO_KNOW):
+        for number in range(QUARANTINE_CRASHES):
             await fleet.send(fleet.ports[0], CRASHING, f"crash-{number}")
             await fleet.settle()
         return await fleet.call(body=CRASHING, X_Request_Id="again")
 
-    status, headers, body = play(run_async, scenario, UNSAFE)
+    status, headers, body = run_on_fleet(run_async, scenario, UNSAFE)
     assert (status, json.loads(body)["outcome"], headers["X-Request-Id"]) == (503, "not_run", "again")
     assert float(headers["Retry-After"]) > 60
 
 
-def test_other_callers_on_the_workers_that_crash_are_not_refused(run_async):
-    """Their requests are suspects too, until they are answered elsewhere or come again and are."""
+def test_other_requests_on_crashed_workers_are_not_refused(run_async):
+    """Their requests are suspect too, until an attempt or a retry of them is answered by another worker."""
 
     async def scenario(fleet):
         hung = [
             asyncio.create_task(fleet.slow(port, f"slow {number}")) for number, port in enumerate(fleet.ports * 8)
         ]
-        for number in range(CRASHES_TO_KNOW + 2):
+        for number in range(QUARANTINE_CRASHES + 2):
             await fleet.settle()
             await fleet.send(fleet.ports[number % NODES], CRASHING, f"crash-{number}")
         await asyncio.gather(*hung)
         port = fleet.ports[0]
         return [await fleet.send(port, f"slow {number}".encode(), f"again-{number}") for number in range(len(hung))]
 
-    assert set(play(run_async, scenario, UNSAFE)) == {200}
+    assert set(run_on_fleet(run_async, scenario, UNSAFE)) == {200}
--- a/tests/unit/platform/test_foreign_rows.py
+++ b/tests/unit/platform/test_foreign_rows.py
@@ -1,4 +1,4 @@
-"""Rows that another writer left in the store: whatever they hold, they name no back end and harm no other row."""
+"""Invalid rows of other writers in the store: they are rejected, define no back end and affect no other row."""
 
 import base64
 
@@ -64,19 +64,19 @@
     ],
     ids=lambda value: value[:90].decode(errors="replace"),
 )
-def test_an_entry_that_is_not_as_it_should_be_names_no_back_end(value):
+def test_invalid_back_end_entry_is_rejected(value):
     with pytest.raises(msgspec.MsgspecError):
         decode_backend("i-1", value)
 
 
 @pytest.mark.parametrize("changes", [{}, {"state": "draining"}, {"born": 0}, {"born": 2**63}, {"seq": 9}])
-def test_an_entry_that_is_as_it_should_be_names_one(changes):
+def test_valid_back_end_entry_is_decoded(changes):
     assert decode_backend("i-1", encoded(**changes)).address == "10.0.0.1:80"
 
 
 @pytest.mark.parametrize("kind", DECODERS)
 @given(value=st.binary(max_size=60) | JSON.map(msgspec.json.encode))
-def test_any_bytes_are_decoded_or_refused(kind, value):
+def test_any_bytes_are_decoded_or_rejected(kind, value):
     decode, expected = DECODERS[kind]
     try:
         assert isinstance(decode(value), expected)
@@ -85,7 +85,7 @@
 
 
 @given(changes=st.dictionaries(st.sampled_from(FIELDS), JSON, min_size=1, max_size=3))
-def test_any_field_of_an_entry_may_be_of_another_kind(changes):
+def test_entry_with_fields_of_any_type_is_decoded_or_rejected(changes):
     try:
         record = decode_backend("i-1", encoded(**changes))
     except msgspec.MsgspecError:
@@ -94,7 +94,7 @@
 
 
 @given(text=st.text(max_size=40) | st.binary(max_size=30).map(lambda data: base64.b64encode(data).decode()))
-def test_a_value_that_is_no_base64_or_no_text_is_passed_on_as_one_that_cannot_be_decoded(text):
+def test_value_that_is_not_base64_text_is_still_forwarded_to_peers(text):
     row = to_feed_row(StoredRow(key="i-1", ver=3, value=text))
     assert row.value is not None and row.version == 3
     assert unpack_rows(reply_with_rows(FeedPage((row,), 3, 0.0)), "peer") == (row,)
--- a/tests/unit/platform/test_request_parsing.py
+++ b/tests/unit/platform/test_request_parsing.py
@@ -1,4 +1,4 @@
-"""Callers' headers: what is understood of them, what is passed on, and what counts as absent."""
+"""Parsing of callers' requests: header values, forwarded headers, and invalid values that count as absent."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return parse_request("POST", "/a/b?c=%20d", proxy, b"body", 5.0)
 
 
-def test_a_request_keeps_target_body_and_arrival():
+def test_target_body_and_arrival_time_are_unchanged():
     request = parse(("Host", "H.Example:80"), ("X-Credential", "key"))
     assert (request.method, request.target, request.body, request.arrived_s) == (
         "POST",
@@ -26,13 +26,13 @@
     assert (request.request_id, request.host, request.credential) == ("r1", "h.example", "key")
 
 
-def test_a_request_without_an_id_is_refused():
+def test_request_without_id_is_refused():
     with pytest.raises(MalformedRequestError, match="X-Request-Id is required"):
         parse_request("GET", "/", CIMultiDictProxy(CIMultiDict()), b"", 0.0)
 
 
 @pytest.mark.parametrize(
-    ("text", "allowance_s"),
+    ("text", "timeout_s"),
     [
         ("1500", 1.5),
         ("0.5", 0.0005),
@@ -44,8 +44,8 @@
         ("nan", None),
     ],
 )
-def test_the_time_that_a_caller_waits(text, allowance_s):
-    assert parse(("X-Deadline-Ms", text)).caller_timeout_s == allowance_s
+def test_caller_timeout(text, timeout_s):
+    assert parse(("X-Deadline-Ms", text)).caller_timeout_s == timeout_s
 
 
 @pytest.mark.parametrize(
@@ -56,7 +56,7 @@
     assert parse(("X-Token-Usage", text)).declared_tokens == tokens
 
 
-def test_a_generation_names_model_parts_and_where_it_resumes():
+def test_generation_has_model_prompt_parts_and_resume_position():
     generation = parse(
         ("X-Model", "m"), ("X-Prefix-Hash", "5c:800, 91:410,x:many,"), ("Last-Event-Id", "12")
     ).generation
@@ -66,17 +66,17 @@
 
 
 @pytest.mark.parametrize("resume", ["", "-1", "last"])
-def test_an_event_number_that_is_none_resumes_nowhere(resume):
+def test_invalid_event_number_means_no_resumption(resume):
     generation = parse(("X-Model", "m"), ("Last-Event-Id", resume)).generation
     assert generation is not None
     assert generation.resume_after is None
 
 
-def test_a_call_has_no_generation():
+def test_request_without_model_has_no_generation():
     assert parse(("X-Prefix-Hash", "5c:800")).generation is None
 
 
-def test_headers_of_the_connection_and_of_the_router_stay_behind():
+def test_hop_by_hop_and_reserved_headers_are_not_forwarded():
     request = parse(
         ("Accept", "a"),
         ("Connection", "keep-alive, X-Own, X-Model"),
@@ -92,5 +92,5 @@
 
 
 @pytest.mark.parametrize(("text", "expected"), [("100-continue", True), ("100-Continue", True), ("", False)])
-def test_a_caller_that_waits_before_its_body(text, expected):
+def test_expect_100_continue_is_recognized(text, expected):
     assert expects_continue(CIMultiDictProxy(CIMultiDict({"Expect": text}))) is expected
--- a/tests/unit/platform/test_rows.py
+++ b/tests/unit/platform/test_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the store become the product's types."""
+"""Decoding of the store's rows into wallwell's types, and encoding of the rollout status."""
 
 import json
 
@@ -31,7 +31,7 @@
         ({"rate_per_s": 3}, TenantLimit(3, 0)),
     ],
 )
-def test_limit_of_a_tenant(fields, limit):
+def test_tenant_limit(fields, limit):
     assert tenant_of(**fields).limit == limit
 
 
@@ -40,7 +40,7 @@
     return decode_rollout_order(key, json.dumps(body).encode(), 7)
 
 
-def test_an_order_of_a_rollout():
+def test_rollout_order_is_decoded():
     assert rollout_order() == RolloutOrder("svc", "v2", 20.0, 7)
 
 
@@ -56,7 +56,7 @@
         {"duration_s": None},
     ],
 )
-def test_a_malformed_order_of_a_rollout_is_refused(fields):
+def test_malformed_rollout_order_is_rejected(fields):
     with pytest.raises(msgspec.ValidationError):
         rollout_order(**fields)
 
@@ -70,7 +70,7 @@
         (Phase.ROLLED_BACK, "rolled_back"),
     ],
 )
-def test_status_of_a_rollout(phase, state):
+def test_rollout_status(phase, state):
     record = RolloutRecord("svc", "v2", 7, 0.0, 20.0, phase)
     expected = {"state": state, "target_version": "v2", "service": "svc"}
     assert json.loads(encode_rollout_status(record)) == expected
--- a/tests/unit/platform/test_settings.py
+++ b/tests/unit/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""Regions are read from the settings file; a file without them means one region."""
+"""Regions in the settings file; without them, all zones are in one region."""
 
 import pytest
 
@@ -32,8 +32,8 @@
     ],
     ids=["absent", "region only", "both", "map only"],
 )
-def test_how_far_zones_are_is_read_from_the_settings(tmp_path, text, distances):
+def test_distance_of_zones_follows_the_settings(tmp_path, text, distances):
     path = tmp_path / "settings.toml"
     path.write_text(text)
-    places = load_platform_settings(str(path)).topology()
-    assert (places.distance_to("a2"), places.distance_to("b1")) == distances
+    topology = load_platform_settings(str(path)).topology()
+    assert (topology.distance_to("a2"), topology.distance_to("b1")) == distances
--- a/tests/unit/platform/test_worker_notices.py
+++ b/tests/unit/platform/test_worker_notices.py
@@ -1,4 +1,4 @@
-"""What the head of a worker's answer states about the worker itself."""
+"""Parsing of the notice in the head of a worker's answer: leaving, back-off and request limit."""
 
 from __future__ import annotations
 
@@ -56,22 +56,22 @@
         (503, {"X-Instance-Id": "i-2", "Retry-After": "3"}, NO_NOTICE),
     ],
 )
-def test_an_answer_states_whether_its_worker_leaves_and_wants_nothing(status, headers, expected):
+def test_notice_of_leaving_and_backoff(status, headers, expected):
     assert notice_of(status, headers) == expected
 
 
 @given(st.text(max_size=60))
-def test_any_text_in_retry_after_states_a_time_or_nothing(text):
+def test_backoff_is_never_negative_for_any_retry_after(text):
     assert notice_of(503, {"Retry-After": text}).backoff_s >= 0
 
 
-def test_the_longest_of_several_times_is_taken():
+def test_longest_of_several_backoffs_applies():
     headers = CIMultiDict([("Retry-After", "1"), ("Retry-After", "4"), ("Retry-After", "x")])
     refusal = RawResponseMessage(HttpVersion11, 503, "", CIMultiDictProxy(headers), (), False, None, False, False)
     assert parse_notice(refusal, "i-1").backoff_s == 4.0
 
 
-def test_what_cannot_be_understood_is_logged_in_part():
+def test_invalid_retry_after_is_logged_truncated():
     lines = []
     sink = logger.add(lambda line: lines.append(line.record["extra"]), level="INFO")
     notice_of(503, {"Retry-After": "x" * 100})
@@ -95,23 +95,23 @@
         (200, {"Server-Limit": "3", "X-Instance-Id": "i-2"}, None),
     ],
 )
-def test_an_answer_to_a_request_states_a_limit_or_that_there_is_none(status, headers, expected):
+def test_answer_to_a_request_states_a_limit_or_its_absence(status, headers, expected):
     assert parse_notice(message(status, **headers), "i-1", 7.0).limit == expected
 
 
-def test_an_answer_to_another_call_states_a_limit_but_not_that_there_is_none():
+def test_answer_to_another_call_states_a_limit_but_not_its_absence():
     assert parse_notice(message(200, **{"Server-Limit": "3"}), "i-1").limit == LimitStatement(3.0)
     assert parse_notice(message(200), "i-1").limit is None
 
 
-def test_the_lowest_of_several_limits_is_taken():
+def test_lowest_of_several_limits_applies():
     headers = CIMultiDict([("Server-Limit", "4"), ("Server-Limit", "2.5")])
     answer = RawResponseMessage(HttpVersion11, 200, "", CIMultiDictProxy(headers), (), False, None, False, False)
     assert parse_notice(answer, "i-1").limit == LimitStatement(2.5)
 
 
 @given(st.text(max_size=60))
-def test_any_text_as_a_limit_states_a_number_or_nothing(text):
+def test_limit_is_finite_or_absent_for_any_header(text):
     limit = parse_notice(message(200, **{"Server-Limit": text}), "i-1").limit
     assert limit is None or 0 <= limit.per_s < math.inf
 
@@ -120,6 +120,6 @@
     ("headers", "detail"),
     [(NOT_RUN, "503 retry after 3"), ({}, "503 without proof")],
 )
-def test_a_refusals_line_in_the_log_names_the_time(headers, detail):
+def test_failure_detail_of_a_refusal_contains_retry_after(headers, detail):
     answer = message(503, **{**headers, "Retry-After": "3"})
     assert attempt_failure(answer, parse_answer_head(answer)).detail == detail
--- a/tests/unit/platform/test_worker_orders.py
+++ b/tests/unit/platform/test_worker_orders.py
@@ -1,4 +1,4 @@
-"""Reports and orders of workers that do not answer as they should: what is understood, and what is logged."""
+"""Reports and orders to workers that fail or give invalid answers: the results, and what is logged."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class ScriptedPool:
-    """Answers calls from a list; an exception in it is raised."""
+    """Answers each call with the next item of a list; raises the item if it is an exception."""
 
     def __init__(self, *script):
         self.script = list(script)
@@ -45,15 +45,15 @@
 
 @pytest.fixture
 def failures():
-    """Fields of the lines about failed calls."""
+    """Log fields (back end, call, error) of each failed call."""
     lines = []
 
-    def keep(message):
+    def collect(message):
         fields = message.record["extra"]
         if fields.get("event") == Event.ENGINE_CONTROL_FAILED.number:
             lines.append((fields["backend"], fields["call"], fields["error"]))
 
-    sink = logger.add(keep, level="INFO", format="{message}")
+    sink = logger.add(collect, level="INFO", format="{message}")
     yield lines
     logger.remove(sink)
 
@@ -63,15 +63,15 @@
 
 
 @pytest.mark.parametrize("failure", FAILURES, ids=str)
-def test_a_failed_report_is_none_and_logged_with_its_reason(run_async, failures, failure):
-    assert run_async(WorkerControl(ScriptedPool(failure), BackendNotices()).fetch_report(record())) is None
+def test_failed_report_returns_none_and_logs_the_reason(run_async, failures, failure):
+    assert run_async(WorkerControl(ScriptedPool(failure), BackendNotices()).report(record())) is None
     ((backend, call, error),) = failures
     assert (backend, call) == ("i-1", "/api/report")
     assert error
 
 
 @pytest.mark.parametrize("failure", [*FAILURES[:4], (299, b"")], ids=str)
-def test_an_order_without_a_known_answer_may_have_been_taken(run_async, failures, failure):
+def test_order_without_a_valid_answer_is_unknown(run_async, failures, failure):
     assert (
         run_async(WorkerControl(ScriptedPool(failure), BackendNotices()).send_order(record(), ORDER))
         is OrderReply.UNKNOWN
@@ -90,14 +90,12 @@
         (421, OrderReply.REFUSED),
     ],
 )
-def test_an_answer_to_an_order_is_no_failure(run_async, failures, status, reply):
-    assert (
-        run_async(WorkerControl(ScriptedPool((status, b"")), BackendNotices()).send_order(record(), ORDER)) is reply
-    )
+def test_order_replies_are_not_logged_as_failures(run_async, failures, status, reply):
+    assert run_async(WorkerControl(ScriptedPool((status, b"")), BackendNotices()).order(record(), ORDER)) is reply
     assert failures == []
 
 
-def test_an_outage_is_logged_once_and_again_after_a_report(run_async, failures):
+def test_outage_is_logged_once_until_a_report_succeeds(run_async, failures):
     control = WorkerControl(ScriptedPool(TimeoutError(), TimeoutError(), REPORT, TimeoutError()), BackendNotices())
 
     async def work():
@@ -109,7 +107,7 @@
     assert len(failures) == 2
 
 
-def test_failing_workers_that_have_ended_are_not_remembered_for_good(run_async, failures, monkeypatch):
+def test_number_of_remembered_failing_workers_is_bounded(run_async, failures, monkeypatch):
     monkeypatch.setattr(worker_orders, "MAX_FAILING_WORKERS", 2)
     control = WorkerControl(ScriptedPool(*[TimeoutError()] * 4), BackendNotices())
 
@@ -123,17 +121,17 @@
 
 
 @pytest.mark.parametrize("call", ["report", "order"])
-def test_answers_to_reports_and_orders_state_something_too(run_async, failures, call):
-    """Also an answer that is no usable report."""
+def test_answers_to_reports_and_orders_deliver_notices(run_async, failures, call):
+    """Also if the answer is not a valid report."""
 
-    class StatingPool:
+    class NoticePool:
         async def fetch(self, address, request, timeout_s, on_head):
             headers = CIMultiDictProxy(CIMultiDict({"Server-Leaving": "1", "Retry-After": "2"}))
             on_head(RawResponseMessage(HttpVersion11, 503, "", headers, (), False, None, False, False))
             return 503, b""
 
-    notices, stated = BackendNotices(), []
-    notices.on_notice = lambda incarnation, notice: stated.append((incarnation, notice))
-    control = WorkerControl(StatingPool(), notices)
-    run_async(control.fetch_report(record()) if call == "report" else control.send_order(record(), ORDER))
-    assert stated == [("i-1", BackendNotice(leaving=True, backoff_s=2.0))]
+    notices, delivered = BackendNotices(), []
+    notices.on_notice = lambda incarnation, notice: delivered.append((incarnation, notice))
+    control = WorkerControl(NoticePool(), notices)
+    run_async(control.report(record()) if call == "report" else control.order(record(), ORDER))
+    assert delivered == [("i-1", BackendNotice(leaving=True, backoff_s=2.0))]
