--- a/deploy/router.py
+++ b/deploy/router.py
@@ -1,7 +1,7 @@
-"""Starts a router from a checkout, with the dependencies of ``deploy/requirements.lock`` on the path.
+"""Starts a router from a checkout; the dependencies of ``deploy/requirements.lock`` must be importable.
 
-Signals are handled before anything is imported that takes time (:mod:`wallwell.start_signals`); aiohttp is loaded
-before anything else imports it, see :mod:`wallwell.plain_http`.
+Installs signal handlers before the slow imports (:mod:`wallwell.start_signals`), and loads aiohttp before any other
+module imports it (:mod:`wallwell.plain_http`).
 """
 
 import os
--- a/tests/platform/test_cache_events.py
+++ b/tests/platform/test_cache_events.py
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def with_store(run_async, monkeypatch):
-    """Return a function that runs a scenario on a store with the given answers and returns the requests received."""
+    """Return a function that runs a scenario on a store with given answers and returns the received requests."""
 
     monkeypatch.setattr("wallwell.platform.cache_events.LISTING_TIMEOUT_S", GENEROUS_TIMEOUT_S)
 
--- a/tests/platform/test_crashing_request.py
+++ b/tests/platform/test_crashing_request.py
@@ -1,9 +1,9 @@
 """A request that crashes every worker that begins to run it.
 
-Guards against a failure in which two callers that retried such a request crashed 10 and 11 engines in a fleet of six
-with replacements, and broke the streams of other callers on them. Each retry had a new id and mostly reached another
-node, and crashes were remembered only by request id, at one node, while the request was in progress. Without
-the fix, each arrival of the request at these three nodes crashes a worker.
+Guards against a failure in which two callers that retried such a request crashed ten and eleven engines in a fleet
+of six, whose crashed engines were replaced, and broke other callers' streams on them. Each retry had a new id and
+mostly reached another node, and crashes were remembered only by request id, at one node, while the request was in
+progress. Without the fix, each arrival of the request at these three nodes crashes a worker.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from wallwell.platform.caller_listener import CallerListener
 
 NODES, WORKERS, RETRIES = 3, 5, 10
-QUARANTINE_CRASHES = 3
+MIN_CRASHES = 3
 RETRIES_ALLOWED = 3
 CRASHING = b"crashing"
 HARMLESS = b"harmless"
@@ -128,7 +128,7 @@
 
     async def settle(self):
         """Wait until every node counts the crashes so far, for ``CONTACT_S`` at most."""
-        due = min(self.crashes, QUARANTINE_CRASHES)
+        due = min(self.crashes, MIN_CRASHES)
         end_s = boot_time_s() + CONTACT_S
         while boot_time_s() < end_s and not all(most_crashes(node) >= due for node in (self.node, *self._others)):
             await asyncio.sleep(0.01)
@@ -175,7 +175,7 @@
         return fleet.crashes, harmless
 
     crashes, harmless = run_on_fleet(run_async, scenario, kind)
-    assert QUARANTINE_CRASHES <= crashes <= QUARANTINE_CRASHES + RETRIES_ALLOWED
+    assert MIN_CRASHES <= crashes <= MIN_CRASHES + RETRIES_ALLOWED
     assert harmless == [200] * RETRIES
 
 
@@ -183,17 +183,17 @@
     """Crashes must be remembered after the nodes that saw them have ended: callers may retry for minutes."""
 
     async def scenario(fleet):
-        for number in range(QUARANTINE_CRASHES):
+        for number in range(MIN_CRASHES):
             await fleet.send(fleet.ports[number % NODES], CRASHING, f"crash-{number}")
             await fleet.settle()
-        await fleet.until(lambda: sum(key.startswith("crash/") for _, key in fleet.store.rows) == QUARANTINE_CRASHES)
+        await fleet.until(lambda: sum(key.startswith("crash/") for _, key in fleet.store.rows) == MIN_CRASHES)
         port = await fleet.add_node("n9")
         crashes = fleet.crashes
         status = await fleet.send(port, CRASHING, "crash-late")
         return crashes, fleet.crashes, status, await fleet.send(port, HARMLESS, "calm")
 
     before, after, status, calm = run_on_fleet(run_async, scenario, UNSAFE)
-    assert (before, after, status, calm) == (QUARANTINE_CRASHES, QUARANTINE_CRASHES, 503, 200)
+    assert (before, after, status, calm) == (MIN_CRASHES, MIN_CRASHES, 503, 200)
 
 
 def test_nodes_report_crashes_to_each_other_while_the_store_refuses_writes(run_async):
@@ -205,12 +205,12 @@
             await fleet.settle()
         return fleet.crashes
 
-    assert run_on_fleet(run_async, scenario, UNSAFE) == QUARANTINE_CRASHES
+    assert run_on_fleet(run_async, scenario, UNSAFE) == MIN_CRASHES
 
 
 def test_refusal_states_retry_after_and_that_nothing_ran(run_async):
     async def scenario(fleet):
-        for number in range(QUARANTINE_CRASHES):
+        for number in range(MIN_CRASHES):
             await fleet.send(fleet.ports[0], CRASHING, f"crash-{number}")
             await fleet.settle()
         return await fleet.call(body=CRASHING, X_Request_Id="again")
@@ -227,7 +227,7 @@
         hung = [
             asyncio.create_task(fleet.slow(port, f"slow {number}")) for number, port in enumerate(fleet.ports * 8)
         ]
-        for number in range(QUARANTINE_CRASHES + 2):
+        for number in range(MIN_CRASHES + 2):
             await fleet.settle()
             await fleet.send(fleet.ports[number % NODES], CRASHING, f"crash-{number}")
         await asyncio.gather(*hung)
--- a/tests/platform/test_ends_of_connections.py
+++ b/tests/platform/test_ends_of_connections.py
@@ -1,4 +1,4 @@
-"""How callers' connections end, at a planned stop above all: each request gets an answer, and a true one."""
+"""How callers' connections are closed, mainly in a planned stop: each request gets an answer, and a correct one."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 
 
 async def answer(reader):
-    """Return status and body of the next answer; raises OSError or EOFError if there is none."""
+    """Return status and body of the next answer. Raises OSError or EOFError if there is none."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
     _, _, after = head.partition("content-length:")
     return int(head.split()[1]), await reader.readexactly(int(after.split()[0]))
 
 
 async def keep_connection(harness, name):
-    """Return a connection that has carried one request."""
+    """Return a kept-alive connection on which one request has been answered."""
     reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
     writer.write(request(name))
     assert (await answer(reader))[0] == HTTPStatus.OK
@@ -60,7 +60,7 @@
 
 
 class KeptConnections:
-    """Callers in a thread of their own: each keeps a connection and uses it once more at a drawn moment."""
+    """Callers in a separate thread: each keeps a connection open and uses it again at a random moment."""
 
     def __init__(self, port, seed):
         self.kept = threading.Event()
@@ -106,8 +106,8 @@
     [(0.0, {HTTPStatus.OK}), (0.02, {HTTPStatus.OK, HTTPStatus.GATEWAY_TIMEOUT})],
     ids=["calm", "slow turns"],
 )
-def test_no_request_on_a_kept_connection_goes_unanswered_through_a_stop(on_platform, turn_s, allowed):
-    """Requests that were read, waited in the socket or crossed the close of their connection got no answer."""
+def test_every_request_on_a_kept_connection_is_answered_during_a_stop(on_platform, turn_s, allowed):
+    """Guards against unanswered requests: already read, unread in the socket, or sent as the connection closes."""
 
     async def scenario(harness):
         callers = KeptConnections(harness.port, seed=1)
@@ -131,16 +131,16 @@
     unanswered, refused_and_run, statuses = on_platform(scenario, CALLS)
     assert (unanswered, refused_and_run) == ([], set())
     assert HTTPStatus.OK in statuses
-    assert statuses <= allowed  # On slow turns the grace time may end under a request: it may have run.
+    assert statuses <= allowed  # With slow iterations, the grace period may end during a request that may have run.
 
 
 @pytest.mark.parametrize("loop", [asyncio.new_event_loop, uvloop.new_event_loop], ids=["asyncio", "uvloop"])
-def test_a_connection_that_waits_to_be_accepted_as_the_listener_closes_is_answered(on_platform, loop):
-    """Guards against a close of the listening socket that resets what waits in it, with its request unread."""
+def test_connection_not_yet_accepted_as_the_listener_closes_is_answered(on_platform, loop):
+    """Guards against closing the listening socket, which resets queued connections with unread requests."""
 
     async def scenario(harness):
         waiting = []
-        for number in range(20):  # Without a turn of the loop, so that the system alone knows of them.
+        for number in range(20):  # No loop iteration in between, so that only the kernel knows of them.
             connection = socket.create_connection(("127.0.0.1", harness.port))
             connection.sendall(request(f"waiting-{number}"))
             connection.setblocking(False)
@@ -158,8 +158,8 @@
     assert on_platform(scenario, loop=loop) == [HTTPStatus.OK] * 20
 
 
-def test_a_request_that_crosses_the_close_is_told_that_it_has_not_run(on_platform):
-    """A request on its way as its idle connection was closed got no answer, so that its caller could not retry."""
+def test_request_sent_as_its_connection_is_closed_is_answered_as_not_run(on_platform):
+    """Guards against no answer to a request sent as its idle connection is closed, so that it cannot be retried."""
 
     async def scenario(harness):
         reader, writer = await keep_connection(harness, "first")
@@ -177,8 +177,8 @@
     assert (body["code"], body["outcome"]) == (ConnectionEndedError.code, "not_run")
 
 
-def test_a_request_that_waits_in_the_socket_as_connections_close_is_served(on_platform):
-    """A connection was closed with a whole request unread in its socket."""
+def test_request_unread_in_the_socket_as_connections_close_is_served(on_platform):
+    """Guards against closing a connection with a complete request unread in its socket."""
 
     async def scenario(harness):
         kept = [await keep_connection(harness, f"first-{number}") for number in range(20)]
@@ -193,8 +193,8 @@
     assert on_platform(scenario, CALLS) == [HTTPStatus.OK] * 20
 
 
-def test_a_connection_whose_answer_began_before_the_stop_is_ended_like_an_idle_one(on_platform):
-    """After an answer that could not say `Connection: close`, the next request met a close without an answer."""
+def test_connection_whose_answer_began_before_the_stop_closes_like_an_idle_one(on_platform):
+    """Guards against an unanswered next request after an answer sent without `Connection: close`."""
 
     async def scenario(harness):
         release = asyncio.Event()
@@ -222,8 +222,8 @@
 
 
 @pytest.mark.parametrize("sent", [b"", request("cut")[:40]], ids=["nothing yet", "part of a head"])
-def test_a_caller_that_sends_its_first_request_during_the_close_is_served(on_platform, sent):
-    """A connection accepted last, or with a head still on its way, was closed before its request was read."""
+def test_first_request_during_the_close_is_served(on_platform, sent):
+    """Guards against closing a new connection, or one with an incomplete head, before its request is read."""
 
     async def scenario(harness):
         reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
@@ -239,8 +239,8 @@
     assert on_platform(scenario, CALLS) == HTTPStatus.OK
 
 
-def test_connections_that_bring_nothing_end_in_time(on_platform):
-    """Callers that keep a connection, send half a head or do not close their side must not hold up the stop."""
+def test_connections_without_a_request_close_in_time(on_platform):
+    """Callers that keep a connection, send half a head or do not close their side must not delay the stop."""
 
     async def scenario(harness):
         writers = [(await keep_connection(harness, "first"))[1]]
@@ -257,12 +257,12 @@
             writer.close()
         return took_s
 
-    # A second over the times that the server names, for a busy machine.
+    # One second more than the server's own limits, for a busy machine.
     assert on_platform(scenario, CALLS) < LAST_REQUEST_S + LINGER_S + 1.0
 
 
-def test_a_drain_ends_in_time_though_connections_do_not(on_platform):
-    """The stop waits for connections that are being closed, and no longer than for requests."""
+def test_drain_ends_in_time_although_connections_do_not(on_platform):
+    """The stop waits for closing connections no longer than for requests."""
 
     async def scenario(harness):
         begun_s = time.monotonic()
@@ -272,8 +272,8 @@
     assert on_platform(scenario, CALLS) < GRACE_S
 
 
-def test_a_reset_connection_ends_the_close_like_any_other(on_platform):
-    """A caller that resets an ended connection leaves nothing behind that the stop waits for."""
+def test_close_completes_after_a_connection_reset(on_platform):
+    """A caller that resets a closing connection leaves no state for which the stop would wait."""
 
     async def scenario(harness):
         _, writer = await keep_connection(harness, "first")
@@ -289,8 +289,8 @@
     assert on_platform(scenario, CALLS) == 0
 
 
-def test_a_request_that_is_cut_at_the_end_of_the_stop_is_told_that_it_may_have_run(on_platform):
-    """What still ran at the end of the grace time found its connection closed without a word."""
+def test_request_cut_at_the_end_of_the_stop_is_answered_as_unknown(on_platform):
+    """Guards against closing connections without an answer to requests that run when the grace period ends."""
 
     async def scenario(harness):
         for worker in harness.workers:
@@ -308,8 +308,8 @@
     assert on_platform(scenario, CALLS) == (HTTPStatus.GATEWAY_TIMEOUT, "unknown", b"")
 
 
-def test_a_stream_that_is_cut_at_the_end_of_the_stop_does_not_look_complete(on_platform):
-    """No second answer may follow what has been sent of a stream."""
+def test_stream_cut_at_the_end_of_the_stop_does_not_look_complete(on_platform):
+    """No second answer may follow the part of a stream that has been sent."""
 
     async def scenario(harness):
         async def begin_and_hang(sent):
@@ -335,10 +335,8 @@
     assert not received.endswith(b"0\r\n\r\n")
 
 
-def test_a_request_that_crosses_the_end_of_a_long_idle_connection_is_told_that_it_has_not_run(
-    on_platform, monkeypatch
-):
-    """The close of a connection that had been idle for long was as wordless as that of a stop."""
+def test_request_sent_as_an_idle_connection_times_out_is_answered_as_not_run(on_platform, monkeypatch):
+    """Guards against closing a connection after its idle timeout without an answer to a request just sent."""
     monkeypatch.setattr(caller_listener, "KEEPALIVE_S", 0.2)
 
     async def scenario(harness):
@@ -352,8 +350,8 @@
     assert on_platform(scenario, CALLS) == (HTTPStatus.REQUEST_TIMEOUT, "not_run", False)
 
 
-def test_an_idle_connection_that_is_used_in_time_stays_open(on_platform, monkeypatch):
-    """The time of an idle connection begins again with each answer."""
+def test_connection_used_before_its_idle_timeout_stays_open(on_platform, monkeypatch):
+    """The idle timeout starts again with each answer."""
     monkeypatch.setattr(caller_listener, "KEEPALIVE_S", 1.0)
 
     async def scenario(harness):
@@ -369,8 +367,8 @@
     assert on_platform(scenario, CALLS) == [HTTPStatus.OK] * 4
 
 
-def test_an_idle_connection_on_which_something_has_just_arrived_is_looked_at_again(on_platform, monkeypatch):
-    """One that is left open at its time for bytes that come to no request would stay open for good."""
+def test_idle_connection_with_unread_bytes_is_checked_again(on_platform, monkeypatch):
+    """Guards against a connection that stays open forever as its bytes at the idle timeout form no request."""
     monkeypatch.setattr(caller_listener, "KEEPALIVE_S", 0.2)
     arrived = [True]
     monkeypatch.setattr(callers_server, "has_unread_bytes", lambda _transport: bool(arrived) and arrived.pop())
--- a/tests/platform/test_leaving_back_end.py
+++ b/tests/platform/test_leaving_back_end.py
@@ -1,11 +1,10 @@
-"""A back end whose answers say that it leaves, while the store does not.
+"""A back end whose answers state that it leaves, while its entry in the store does not.
 
-Seen: during a store outage of 13 s an engine said in each answer that it was leaving. Two nodes passed such answers
-on, and sent it new requests 10.7 and 12.4 s later; a back end of a plain service got 32 requests meanwhile.
-How it came about: the listing was as old as the outage, and was read again up to half a second after the
-configuration, from when on requests were accepted. The listing alone said who leaves.
-Cause: of an answer a node kept what it proves of the request, and nothing of what it states about its back end.
-Proof: with the store well, a back end whose entry stays ``ready`` goes on getting requests after any such answer.
+Guards against nodes that ignore this statement and rely on the store's listing alone. During a store outage of 13 s
+an engine stated in each answer that it was leaving; two nodes forwarded such answers and sent it new requests 10.7
+and 12.4 s later, and a back end of a plain service got 32 requests. The listing was as old as the outage, and was
+read up to half a second after the configuration, with which requests were accepted again. Without the fix, a back
+end whose entry stays ``ready`` in a working store gets requests after any such answer.
 """
 
 from __future__ import annotations
@@ -19,10 +18,10 @@
 from tests.unit.serving.fakes import event
 
 LATER_REQUESTS = 20
-"""Requests after the answer: with two back ends that are equally good, none of them reaches one by chance once in a
-million plays."""
+"""Requests after the answer: with two equally good back ends, chance alone sends none of them to one of the two in
+one of a million runs."""
 DRAIN_S = 2.0
-"""Seconds after which a back end that leaves must get nothing more."""
+"""Seconds after which a leaving back end must get no requests."""
 ANSWERS = {
     "a whole answer": lambda worker: worker.answer_ok,
     "its own error": lambda worker: worker.answer(500),
@@ -38,7 +37,7 @@
 
 
 @pytest.mark.parametrize("kind", ANSWERS)
-def test_a_back_end_that_said_it_leaves_gets_nothing_more(on_platform, kind):
+def test_back_end_that_stated_it_leaves_gets_no_requests(on_platform, kind):
     is_stream = kind == "a stream"
 
     async def scenario(harness):
@@ -59,7 +58,7 @@
     assert on_platform(scenario, config(routes=routes)) == 1
 
 
-def test_its_later_start_under_the_same_identity_is_used_again(on_platform):
+def test_back_end_restarted_under_the_same_id_gets_requests_again(on_platform):
     async def scenario(harness):
         (worker,) = harness.workers
         worker.leaving = True
--- a/tests/platform/test_node.py
+++ b/tests/platform/test_node.py
@@ -1,4 +1,4 @@
-"""A node and the store: start, changes, outages, weights, and a planned stop."""
+"""A node with the store: start, configuration changes, outages, weights rolls, and a planned stop."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from wallwell.storage.table import Condition, Put, Transaction
 
 
-def test_without_a_configuration_a_node_is_not_ready_and_says_so(on_platform):
+def test_node_without_a_configuration_is_not_ready(on_platform):
     async def scenario(harness):
         before = (harness.node.is_ready(), (await harness.call())[0])
         harness.store.put("op", "config", config())
@@ -28,7 +28,7 @@
     assert on_platform(scenario, configuration=False) == ((False, 503), 200)
 
 
-def test_a_change_is_in_force_at_once_and_never_reverts(on_platform):
+def test_configuration_change_applies_at_once_and_never_reverts(on_platform):
     async def scenario(harness):
         harness.store.put("op", "config", config(5, [route(prefix="/new/")]))
         await harness.until(lambda: harness.node.state.config.version == 5)
@@ -41,7 +41,7 @@
     assert on_platform(scenario) == (200, 404, 5)
 
 
-def test_a_credential_taken_away_is_refused(on_platform):
+def test_revoked_credential_is_refused(on_platform):
     async def scenario(harness):
         changed = config(2)
         changed["tenants"][0]["api_keys"] = ["k2"]
@@ -52,8 +52,8 @@
     assert on_platform(scenario) == (401, 200)
 
 
-def test_credentials_are_not_accepted_once_the_store_has_been_silent_too_long(on_platform):
-    """The bound is 0.9 s here: of that, a margin is kept."""
+def test_credentials_are_refused_once_the_store_has_been_silent_too_long(on_platform):
+    """The effective bound is 0.9 s here, after the margin is subtracted."""
 
     async def scenario(harness):
         harness.store.silent = True
@@ -68,7 +68,7 @@
     assert on_platform(scenario, bounds=bounds) == (200, 503, "close", 200)
 
 
-def test_forgotten_history_is_read_again(on_platform):
+def test_rows_are_reread_after_the_store_lost_its_history(on_platform):
     async def scenario(harness):
         harness.store.refuse_status = 503
         harness.store.put("op", "config", config(9))
@@ -83,7 +83,7 @@
     assert on_platform(scenario) == 1
 
 
-def test_a_draining_worker_gets_nothing_new(on_platform):
+def test_draining_worker_gets_no_new_requests(on_platform):
     async def scenario(harness):
         leaving, staying = harness.workers
         leaving.draining = True
@@ -96,7 +96,7 @@
     assert on_platform(scenario) == (0, 6)
 
 
-def test_named_weights_are_rolled_out_by_fenced_orders(on_platform):
+def test_announced_weights_are_rolled_out_by_fenced_orders(on_platform):
     async def scenario(harness):
         for worker in harness.workers:
             worker.respond = worker.stream(event(1))
@@ -112,7 +112,7 @@
         assert order["fence"] > 0
 
 
-def test_a_planned_stop_answers_what_is_open_and_closes_what_rests(on_platform):
+def test_planned_stop_answers_open_requests_and_closes_idle_connections(on_platform):
     async def scenario(harness):
         release = asyncio.Event()
 
@@ -122,7 +122,7 @@
 
         for worker in harness.workers:
             worker.respond = wait
-        resting_reader, resting_writer = await asyncio.open_connection("127.0.0.1", harness.port)
+        idle_reader, idle_writer = await asyncio.open_connection("127.0.0.1", harness.port)
         open_call = asyncio.create_task(harness.call())
         await harness.until(lambda: any(worker.requests for worker in harness.workers))
 
@@ -132,18 +132,18 @@
         stopping = asyncio.create_task(harness.node.drain(1.0, close_listener))
         await harness.until(lambda: not harness.node.is_ready())
         async with asyncio.timeout(5):
-            resting_closed = await resting_reader.read()
-        resting_writer.close()
+            idle_closed = await idle_reader.read()
+        idle_writer.close()
         release.set()
         status, headers, _ = await open_call
         await stopping
-        return resting_closed, status, headers["Connection"]
+        return idle_closed, status, headers["Connection"]
 
     assert on_platform(scenario) == (b"", 200, "close")
 
 
-def test_a_body_still_on_its_way_when_the_listener_closes_is_taken_in_full(on_platform):
-    """aiohttp drops bytes that arrive on a connection after it was told to close."""
+def test_body_still_arriving_when_the_listener_closes_is_read_completely(on_platform):
+    """By itself, aiohttp drops bytes that arrive on a connection after it was told to close."""
 
     async def scenario(harness):
         reader, writer = await asyncio.open_connection("127.0.0.1", harness.port)
@@ -179,7 +179,7 @@
     return run_async(work())
 
 
-def test_conditions_and_whole_readings(run_async):
+def test_transaction_conditions_and_reads_of_whole_tables(run_async):
     async def scenario(fake_store, store):
         for index in range(8):
             await store.transact(Transaction((Condition(f"k{index}", 0),), (Put(f"k{index}", f"v{index}"),)))
@@ -194,7 +194,7 @@
 
 
 @pytest.mark.parametrize("status", [429, 500, 503])
-def test_refusals_are_unavailability(run_async, status):
+def test_store_refusal_is_raised_as_unavailable(run_async, status):
     async def scenario(fake_store, store):
         fake_store.refuse_status = status
         with pytest.raises(PlatformUnavailableError):
@@ -205,7 +205,7 @@
     with_store(run_async, scenario)
 
 
-def test_a_write_whose_answer_is_lost_may_have_been_done(run_async):
+def test_write_with_a_lost_answer_may_have_taken_effect(run_async):
     async def scenario(fake_store, store):
         fake_store.lose_writes = 1
         with pytest.raises(PlatformUnavailableError):
@@ -215,7 +215,7 @@
     assert with_store(run_async, scenario) == "v"
 
 
-def test_forgotten_history_is_told_apart(run_async):
+def test_lost_history_is_raised_as_its_own_error(run_async):
     async def scenario(fake_store, store):
         fake_store.put("op", "a", {"x": 1})
         fake_store.forget_history()
@@ -242,7 +242,7 @@
 """
 
 
-def test_settings_are_read_and_unknown_fields_ignored(tmp_path):
+def test_settings_are_read_and_unknown_fields_are_ignored(tmp_path):
     path = tmp_path / "boot.toml"
     path.write_text(SETTINGS)
     bounds = load_platform_settings(str(path)).fleet_bounds()
@@ -250,7 +250,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "node = 1", "not toml [", SETTINGS.replace("zone", "zoned")])
-def test_unusable_settings_are_typed_errors_and_a_reload_ignores_them(tmp_path, text):
+def test_invalid_settings_raise_a_settings_error_and_a_reload_ignores_them(tmp_path, text):
     path = tmp_path / "boot.toml"
     path.write_text(text)
     with pytest.raises(SettingsError):
@@ -258,15 +258,15 @@
     reload_settings(str(path))
 
 
-def test_a_missing_settings_file_is_a_typed_error(tmp_path):
+def test_missing_settings_file_raises_a_settings_error(tmp_path):
     with pytest.raises(SettingsError):
         load_platform_settings(str(tmp_path / "none.toml"))
 
 
-# --- figures and logs ----------------------------------------------------------------------------------
+# --- metrics and logs ----------------------------------------------------------------------------------
 
 
-def test_figures_say_of_readiness_what_its_address_says(on_platform):
+def test_metrics_show_the_same_readiness_as_the_readiness_check(on_platform):
     async def scenario(harness):
         before = harness.node.metrics_text()
         harness.node.readiness.draining = True
@@ -277,7 +277,7 @@
     assert b"wallwell_ready 0.0" in draining
 
 
-def test_figures_tell_what_was_answered_and_refused(on_platform):
+def test_metrics_count_answered_and_refused_requests(on_platform):
     async def scenario(harness):
         await harness.call()
         await harness.call(X_Credential="wrong")
@@ -291,7 +291,7 @@
     assert "k1" not in text
 
 
-def test_figures_tell_how_tenants_stand_against_their_limits(on_platform):
+def test_metrics_show_tenants_limits_and_refusals(on_platform):
     async def scenario(harness):
         await harness.call(X_Token_Usage="1000,500")
         await harness.call(X_Token_Usage="1000,500")
@@ -305,7 +305,7 @@
     assert 'wallwell_limit_asked_per_second{tenant="t1"}' in text
 
 
-def test_every_request_has_a_last_line_and_no_line_holds_a_credential(on_platform):
+def test_every_request_has_a_final_log_line_and_no_line_contains_a_credential(on_platform):
     lines = []
 
     async def scenario(harness):
--- a/tests/platform/test_peers.py
+++ b/tests/platform/test_peers.py
@@ -1,4 +1,4 @@
-"""Two nodes on one store: one follows it for both, and the other one goes on when that one stops."""
+"""Two nodes with one store: one follows the store for both, and the other takes over when that node stops."""
 
 from __future__ import annotations
 
@@ -24,23 +24,23 @@
     return node
 
 
-def both_know_each_other(nodes):
+def all_know_each_other(nodes):
     addresses = [node._peer_server.address for node in nodes]
     return all({member.relay for member in node._order.members.values()} >= set(addresses) for node in nodes)
 
 
 async def two_nodes(harness):
-    """Return the node that follows the store and the one that follows it."""
+    """Return the node that follows the store, then the node that follows that node."""
     await harness.node.listen_for_peers(LOOPBACK, [0])
     nodes = [harness.node, await second_node(harness)]
-    await harness.until(lambda: both_know_each_other(nodes))
+    await harness.until(lambda: all_know_each_other(nodes))
     await harness.until(lambda: all(node.is_ready() for node in nodes))
     nodes.sort(key=lambda node: len(node._order.candidates(asyncio.get_running_loop().time())))
     await harness.until(lambda: all(len(rows.links) for rows in nodes[1]._followers.relayed_tables.values()))
     return nodes
 
 
-def test_a_change_reaches_both_nodes_and_survives_the_stop_of_the_first(on_platform):
+def test_changes_reach_both_nodes_and_the_other_node_after_the_relay_stops(on_platform):
     async def scenario(harness):
         relay, follower = await two_nodes(harness)
         harness.store.put("op", "config", config(2))
@@ -55,7 +55,7 @@
     assert on_platform(scenario)
 
 
-def test_a_planned_stop_sends_peers_elsewhere_at_once(on_platform):
+def test_follower_leaves_a_relay_that_stops_as_planned_at_once(on_platform):
     async def scenario(harness):
         relay, follower = await two_nodes(harness)
         harness.store.silent = True
@@ -74,7 +74,7 @@
     return None
 
 
-def test_both_nodes_learn_what_the_other_one_has_under_way(on_platform):
+def test_nodes_learn_each_others_requests_in_flight(on_platform):
     async def scenario(harness):
         relay, follower = await two_nodes(harness)
         for node, load in ((relay, 3), (follower, 5)):
@@ -86,7 +86,7 @@
     on_platform(scenario)
 
 
-def test_a_restarted_node_is_known_by_its_new_address(on_platform):
+def test_restarted_node_registers_its_new_address(on_platform):
     async def scenario(harness):
         first = await second_node(harness)
         await harness.until(
@@ -104,8 +104,8 @@
 
 
 @pytest.mark.parametrize("free_after", [1, None])
-def test_a_port_in_use_is_passed_over(on_platform, free_after):
-    """``free_after``: which of the ports is free; None if none is."""
+def test_port_in_use_is_skipped(on_platform, free_after):
+    """``free_after`` is the index of the free port; None if no port is free."""
 
     async def scenario(harness):
         with socket.socket() as taken:
@@ -129,7 +129,7 @@
         ("", (7340, 7342), []),
     ],
 )
-def test_the_ports_left_for_nodes_come_from_the_settings(ip, port_range, ports):
+def test_peer_ports_follow_the_settings(ip, port_range, ports):
     addresses = ListenAddresses("10.0.0.1:1", "10.0.0.1:2")
     settings = PlatformSettings("n", "z", addresses, StoreAddress("10.0.0.9:1"), ip=ip, port_range=port_range)
     assert list(settings.peer_ports()) == ports
--- a/tests/platform/test_reachability.py
+++ b/tests/platform/test_reachability.py
@@ -1,4 +1,4 @@
-"""Whether a back end's machine answers a new connection, and what becomes of that connection."""
+"""Probes of whether a back end's machine answers a new connection, and the later use of that connection."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def patient(monkeypatch):
-    """A busy machine must not decide whether a connection on it is answered in time."""
+    """Set a probe timeout long enough that a busy test machine does not cause failures."""
     monkeypatch.setattr("wallwell.platform.worker_probes.SAME_REGION_TIMEOUT_S", 30.0)
 
 
@@ -21,7 +21,7 @@
     return BackendRecord("i-1", "svc", address, "z", 8)
 
 
-def test_a_machine_that_answers_is_reachable_and_its_connection_serves_the_next_exchange(run_async, patient):
+def test_machine_that_answers_is_reachable_and_its_connection_is_reused(run_async, patient):
     connections = []
 
     async def serve(reader, writer):
@@ -46,7 +46,7 @@
     assert len(connections) == 1
 
 
-def test_a_refused_connection_is_an_answer(run_async, patient):
+def test_machine_that_refuses_a_connection_is_reachable(run_async, patient):
     async def work():
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(("timed_out", "reachable"), [(True, False), (False, True)])
-def test_only_silence_counts_as_unreachable(run_async, monkeypatch, timed_out, reachable):
+def test_only_a_connect_timeout_means_unreachable(run_async, monkeypatch, timed_out, reachable):
     pool = make_worker_pool()
     asked = []
 
@@ -75,7 +75,7 @@
     ("zone", "timeout_s"),
     [("z", SAME_REGION_TIMEOUT_S), ("far", OTHER_REGION_TIMEOUT_S), ("new", SAME_REGION_TIMEOUT_S)],
 )
-def test_a_machine_of_another_region_is_given_the_time_of_the_way(run_async, monkeypatch, zone, timeout_s):
+def test_probe_timeout_depends_on_the_region(run_async, monkeypatch, zone, timeout_s):
     pool = make_worker_pool()
     probes = WorkerProbes(pool, Topology("z", {"z": "east", "far": "west"}))
     waited = []
@@ -88,8 +88,8 @@
     assert waited == [timeout_s]
 
 
-def test_only_a_machine_that_says_so_refuses(run_async, patient):
-    """A process that has ended, one that accepts and resets, and a network that knows no way."""
+def test_only_a_refused_connection_means_that_the_process_has_ended(run_async, patient):
+    """A process that accepts and resets has not ended; one whose port refuses connections has."""
 
     async def work():
         server = await asyncio.start_server(lambda reader, writer: writer.transport.abort(), "127.0.0.1", 0)
@@ -107,7 +107,7 @@
     assert run_async(work()) == (False, True)
 
 
-def test_a_connection_that_rests_tells_without_another_one(run_async, patient):
+def test_idle_connection_makes_a_new_connection_unnecessary(run_async, patient):
     accepted = []
 
     async def work():
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("timed_out", [True, False])
-def test_silence_and_other_failures_are_no_refusal(run_async, monkeypatch, timed_out):
+def test_timeouts_and_other_failures_are_not_refusals(run_async, monkeypatch, timed_out):
     pool = make_worker_pool()
 
     async def fail(address, timeout_s):
--- a/tests/platform/test_requested_backoff.py
+++ b/tests/platform/test_requested_backoff.py
@@ -1,12 +1,10 @@
-"""A back end that answers 503 and says in ``Retry-After`` for how long it wants nothing.
-
-Seen: two of six engines refused everything for nine seconds and asked for three seconds of rest each time. They got
-up to nine requests of one node within such a time. One kind of request was refused by the nodes after 1 to 6 ms,
-96 times, while the other four engines were nearly idle.
-How it came about: each request went to its usual engine, was refused, went to the next one, was refused, until the
-retry budget was used up; then a single refusal ended it.
-Cause: a refusal proved that the request had not run, and taught the node nothing about the back end.
-Proof: with one back end that refuses so, every second request reaches it; none came there twice by itself.
+"""A back end that answers 503 and asks for a back-off in ``Retry-After``.
+
+Guards against nodes that ignore the back-off. Two of six engines refused everything for nine seconds and asked for
+a back-off of three seconds each time. Within such a back-off one node sent them up to nine requests. Requests went
+to one engine after another until the retry budget was used up; after that, nodes refused requests of one kind 96
+times, after 1 to 6 ms, while the other four engines were nearly idle. Without the fix, every second request reaches
+one such back end of two, although no request reaches it twice.
 """
 
 from __future__ import annotations
@@ -20,14 +18,14 @@
 BACKOFF_S = 1.5
 REQUEST_PERIOD_S = 0.03
 ARRIVALS_ALLOWED = 2
-"""Requests of a node that may reach a back end between ``SLACK_S`` after its refusal and the end of the
+"""Requests of one node that may reach a back end between ``SLACK_S`` after its refusal and the end of its
 back-off."""
 SLACK_S = 0.5
-"""Seconds in which requests arrive that were sent before the refusal was read."""
+"""Seconds within which requests may arrive that were sent before the refusal was read."""
 
 
 @pytest.mark.parametrize("refusing", [1, 2], ids=["one of two", "all"])
-def test_a_back_end_that_asked_for_backoff_is_left_alone_until_its_end(on_platform, refusing):
+def test_back_end_gets_no_requests_until_its_backoff_ends(on_platform, refusing):
     async def scenario(harness):
         arrivals = {worker.incarnation: [] for worker in harness.workers}
 
@@ -57,19 +55,19 @@
     for times in refused:
         late = [sum(SLACK_S < at_s - each < BACKOFF_S for at_s in times) for each in times]
         assert max(late) <= ARRIVALS_ALLOWED
-        assert times[-1] - times[0] > BACKOFF_S  # It is asked again once its time is over.
+        assert times[-1] - times[0] > BACKOFF_S  # It gets requests again once its back-off is over.
     assert set(statuses) == ({200} if refusing == 1 else {503})
 
 
 CONNECT_S = 0.2
-"""Seconds that a new connection takes: a little less than the router's time-out."""
+"""Seconds that a new connection takes: slightly less than the router's connect timeout."""
 
 
-def test_a_request_that_waits_for_its_connection_is_not_sent_to_a_back_end_that_then_asks_for_backoff(on_platform):
-    """Guards against a choice of back end that is made before a wait and carried out after it, whatever came."""
+def test_request_waiting_for_a_connection_is_not_sent_if_the_back_end_then_asks_for_backoff(on_platform):
+    """Guards against sending to a back end chosen before the wait without checking it again after the wait."""
 
     async def scenario(harness):
-        await harness.call()  # One connection is kept; the others have to be made.
+        await harness.call()  # Leaves one idle connection; the others must be opened.
         (worker,) = harness.workers
         arrived_s = []
         refused = worker.answer(503, X_Not_Run="1", Retry_After=str(BACKOFF_S))
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests through a node on the platform's stand-ins: what goes on, what comes back, what is refused."""
+"""Requests through a node with an emulated platform: what is forwarded, returned and refused."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return route(kind="stream", attempts=more.pop("attempts", 1), sticky=True, **more)
 
 
-def test_a_request_passes_unchanged_and_its_answer_too(on_platform):
+def test_request_and_answer_are_forwarded_unchanged(on_platform):
     async def scenario(harness):
         for worker in harness.workers:
             worker.respond = worker.answer(body=b"whole", X_Extra="kept")
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("name", FORGED)
-def test_a_caller_cannot_set_what_the_router_sets(on_platform, name):
+def test_caller_cannot_set_headers_of_the_router(on_platform, name):
     async def scenario(harness):
         await harness.call(**{name.replace("-", "_"): "forged"})
         return [request.headers.getall(name, []) for worker in harness.workers for request in worker.requests]
@@ -67,7 +67,7 @@
     assert "forged" not in values
 
 
-def test_headers_of_one_connection_are_dropped_but_not_those_the_route_needs(on_platform):
+def test_hop_by_hop_headers_are_dropped_except_those_needed_for_routing(on_platform):
     async def scenario(harness):
         await harness.call(Connection="X-Hop, X-Model", X_Hop="1", X_Model="m", X_Prefix_Hash=PARTS)
         return [request.headers for worker in harness.workers for request in worker.requests]
@@ -87,7 +87,7 @@
         ({"body": b"x" * 300}, 413),
     ],
 )
-def test_what_is_refused_reaches_no_worker(on_platform, changes, status):
+def test_refused_request_reaches_no_worker(on_platform, changes, status):
     async def scenario(harness):
         answer = await harness.call(**changes)
         return answer, sum(len(worker.requests) for worker in harness.workers)
@@ -135,7 +135,7 @@
 
 
 def stalled_shed(worker):
-    """A refusal whose head comes and whose body never does."""
+    """A refusal whose head arrives and whose body never does."""
 
     async def respond(request):
         headers = worker.headers(request, **{"X-Not-Run": "1", "Content-Length": "5"})
@@ -160,16 +160,16 @@
         ("unsafe", lambda worker: worker.answer(404, b"own"), 404, 1),
     ],
 )
-def test_what_a_workers_answer_leads_to(on_platform, kind, first, status, arrivals):
-    """The first worker asked answers as listed, the other one well."""
+def test_handling_of_each_kind_of_worker_answer(on_platform, kind, first, status, arrivals):
+    """The first attempt gets the listed answer, a second attempt gets a success."""
 
     async def scenario(harness):
         for worker in harness.workers:
-            bad, good = first(worker), worker.answer_ok
+            first_answer, later_answer = first(worker), worker.answer_ok
 
-            async def respond(request, bad=bad, good=good):
+            async def respond(request, first_answer=first_answer, later_answer=later_answer):
                 asked = sum(len(each.requests) for each in harness.workers)
-                return await (bad if asked == 1 else good)(request)
+                return await (first_answer if asked == 1 else later_answer)(request)
 
             worker.respond = respond
         answer = await harness.call()
@@ -178,7 +178,7 @@
     assert on_platform(scenario, config(routes=[route(kind=kind)])) == (status, arrivals)
 
 
-def test_a_success_without_seal_is_not_passed_on(on_platform):
+def test_success_without_seal_is_not_forwarded(on_platform):
     async def scenario(harness):
         for worker in harness.workers:
             worker.headers = lambda request, **more: {"X-Request-Id": request.headers["X-Request-Id"], **more}
@@ -188,7 +188,7 @@
     assert (status, b"ok" in body) == (504, False)
 
 
-def test_a_refusal_says_when_to_come_back(on_platform):
+def test_refusal_states_retry_after(on_platform):
     async def scenario(harness):
         for worker in harness.workers:
             worker.respond = shed(worker)
@@ -204,7 +204,7 @@
 STREAM_HEADERS = {"X_Model": "m", "X_Prefix_Hash": PARTS, "X_Token_Usage": "150,10"}
 
 
-def test_a_stream_is_continued_at_another_worker_inside_one_answer(on_platform):
+def test_broken_stream_is_continued_at_another_worker_in_one_answer(on_platform):
     async def scenario(harness):
         async def respond(request, worker):
             asked = sum(len(each.requests) for each in harness.workers)
@@ -227,7 +227,7 @@
     assert headers.getall(SEAL) == [headers[SEAL]]
 
 
-def test_a_stream_that_cannot_go_on_does_not_look_complete(on_platform):
+def test_broken_stream_does_not_look_complete(on_platform):
     async def scenario(harness):
         for worker in harness.workers:
             worker.respond = worker.stream(event(1), break_off=True)
@@ -237,7 +237,7 @@
     on_platform(scenario, config(routes=[generation_route()]))
 
 
-def test_a_vanished_caller_cancels_the_workers_request(on_platform):
+def test_caller_that_disconnects_cancels_the_workers_request(on_platform):
     async def scenario(harness):
         for worker in harness.workers:
             worker.respond = worker.hang
@@ -250,7 +250,7 @@
     on_platform(scenario, config(routes=[generation_route()]))
 
 
-def test_a_generation_carries_version_scope_and_rank(on_platform):
+def test_generation_carries_weights_version_cache_scope_and_priority(on_platform):
     async def scenario(harness):
         for worker in harness.workers:
             worker.respond = worker.stream(event(1))
@@ -274,8 +274,8 @@
     ("usage", "status"),
     [("1460,80", 429), (" 1 , 2 ", 200), ("1460", 200), ("", 200), ("a,b", 200), ("-5,80", 200), ("1e9,1", 200)],
 )
-def test_a_tenants_limit_counts_the_tokens_that_are_told(on_platform, usage, status):
-    """What cannot be understood counts as a request without tokens."""
+def test_tenant_limit_counts_the_declared_tokens(on_platform, usage, status):
+    """A request with an invalid header value counts as one that declares no tokens."""
 
     async def scenario(harness):
         await harness.until(lambda: harness.node.state.load.limits.levels(boot_time_s()).get("t1", 10) >= 9)
--- a/tests/platform/test_restored_store.py
+++ b/tests/platform/test_restored_store.py
@@ -1,11 +1,9 @@
-"""A store that is away for a moment and comes back from a copy some seconds old.
-
-Seen: three or four of seven nodes knew nothing of what was written after the store's return, for up to 2.2 s: an
-engine that had said that it leaves got requests, a route that had been added answered 404.
-How it came about: the store counts versions on from those of the copy, and a node passed on to its peers the
-highest version that it had ever seen, and only rows above it.
-Cause: versions were compared without regard to which life of the store gave them out.
-Proof: the nodes that missed rows learned of all of them at the first write beyond the count from before.
+"""A store that is unavailable for a moment and is then restored from a copy that is some seconds old.
+
+Guards against comparing row versions of different eras. After a restore, three or four of seven nodes missed rows
+for up to 2.2 s: a leaving engine got requests, and a newly added route answered 404. The store continues to count
+from the copy's versions, while a node forwarded to its peers only rows above the highest version that it had ever
+seen. Those nodes received all missed rows with the first write whose version exceeded the count before the restore.
 """
 
 from __future__ import annotations
@@ -17,7 +15,7 @@
 from tests.platform.conftest import CallersPort, config, route
 from tests.platform.fakes import PAGE_ROWS
 from tests.platform.test_node import with_store
-from tests.platform.test_peers import both_know_each_other, second_node
+from tests.platform.test_peers import all_know_each_other, second_node
 from wallwell.deployment.store_era import StorePosition
 from wallwell.errors import HistoryLostError, PlatformUnavailableError
 from wallwell.events import Event
@@ -25,27 +23,27 @@
 from wallwell.platform.store import TableRows
 
 SOON_S = 1.0
-"""Within which a change is known at each node: half of what operators allow."""
+"""Seconds within which every node must have a change: half of what operators allow."""
 AWAY_S = 0.6
-"""Seconds for which the store is away: long enough for every follower to notice."""
+"""Seconds for which the store is unavailable: long enough for every follower to notice."""
 FOLLOWED_S = 1.2
-"""After which each node has followed a write that concerns none of its tables."""
+"""Seconds after which each node has followed a write to a table that it does not read."""
 OPERATORS_LATE_CALLS = 150
-"""Calls, 20 ms apart, until operators write again what is lost: three times as long as nodes wait for them."""
+"""Calls, 20 ms apart, until operators rewrite the lost rows: three times as long as nodes wait for them."""
 LOST_WRITES = 40
-"""Transactions that the copy lacks: more than the test makes after the restore."""
+"""Transactions missing from the copy: more than the test makes after the restore."""
 
 
 async def three_nodes(harness):
     await harness.node.listen_for_peers("127.0.0.1", [0])
     nodes = [harness.node, *[await second_node(harness, name) for name in ("n2", "n3")]]
-    await harness.until(lambda: both_know_each_other(nodes))
+    await harness.until(lambda: all_know_each_other(nodes))
     await harness.until(lambda: all(node.is_ready() for node in nodes))
     return nodes
 
 
-async def lose_some_seconds(harness, away_s=AWAY_S):
-    """Restore the store from a copy that lacks ``LOST_WRITES`` transactions, which the nodes have all followed."""
+async def restore_older_copy(harness, away_s=AWAY_S):
+    """Restore the store from a copy that lacks ``LOST_WRITES`` transactions that all nodes have followed."""
     store = harness.store
     copy = store.copy()
     for number in range(LOST_WRITES):
@@ -63,10 +61,10 @@
 
 
 @pytest.mark.parametrize("settled_s", [0.0, 1.5], ids=["at once", "once nodes follow each other again"])
-def test_a_configuration_written_after_the_restore_is_in_force_at_every_node(on_platform, settled_s):
+def test_configuration_written_after_the_restore_applies_at_every_node(on_platform, settled_s):
     async def scenario(harness):
         nodes = await three_nodes(harness)
-        await lose_some_seconds(harness)
+        await restore_older_copy(harness)
         await asyncio.sleep(settled_s)
         harness.store.put("op", "config", config(7, [route(prefix="/new/")]))
         await asyncio.sleep(SOON_S)
@@ -78,10 +76,10 @@
 
 
 @pytest.mark.parametrize("settled_s", [0.0, 1.5], ids=["at once", "once nodes follow each other again"])
-def test_a_back_end_that_says_after_the_restore_that_it_leaves_gets_nothing_from_any_node(on_platform, settled_s):
+def test_back_end_that_leaves_after_the_restore_gets_no_requests_from_any_node(on_platform, settled_s):
     async def scenario(harness):
         nodes = await three_nodes(harness)
-        await lose_some_seconds(harness)
+        await restore_older_copy(harness)
         await asyncio.sleep(settled_s)
         leaving = harness.workers[0]
         harness.store.put("servers", leaving.incarnation, {**leaving.entry(), "state": "draining"})
@@ -93,7 +91,7 @@
     assert on_platform(scenario) == [True, True, True]
 
 
-def test_pages_of_two_eras_are_not_joined_to_one_reading(run_async):
+def test_pages_of_two_eras_are_not_combined(run_async):
     async def scenario(fake_store, store):
         for number in range(PAGE_ROWS + 1):
             fake_store.put("op", f"k{number}", "before")
@@ -112,8 +110,8 @@
     with_store(run_async, scenario)
 
 
-def test_a_reading_held_over_a_restore_is_not_continued_though_the_count_has_passed_it(run_async):
-    """The store gives out the version again that the reading goes on from, so it does not answer 410."""
+def test_feed_request_held_during_a_restore_raises_history_lost(run_async):
+    """The restored store assigns the requested version again and passes it, so it does not answer 410."""
 
     async def scenario(fake_store, store):
         copy = fake_store.copy()
@@ -130,7 +128,7 @@
     with_store(run_async, scenario)
 
 
-def test_an_era_that_cannot_be_read_is_logged_once_and_taken_as_before(run_async, monkeypatch):
+def test_invalid_era_is_logged_once_and_the_current_era_is_used(run_async, monkeypatch):
     async def scenario(fake_store, store):
         events = []
         monkeypatch.setattr(platform_store, "emit", lambda event, **fields: events.append((event, fields["era"])))
@@ -144,7 +142,7 @@
     assert with_store(run_async, scenario) == (["v"] * 3, 3, [(Event.STORE_ERA_UNREADABLE, "three")])
 
 
-def test_a_late_answer_of_an_earlier_era_counts_as_none(run_async):
+def test_late_answer_of_an_earlier_era_is_discarded(run_async):
     async def scenario(fake_store, store):
         fake_store.put("wallwell", "k", "v")
         store.era.observe(fake_store.era + 1, 0.0)
@@ -154,13 +152,13 @@
     with_store(run_async, scenario)
 
 
-def test_a_node_that_starts_on_the_copy_does_not_take_a_key_that_had_been_taken_away(on_platform):
-    """The copy still grants it; the operators write their configuration again half a second later."""
+def test_node_started_after_the_restore_refuses_a_revoked_key(on_platform):
+    """The copy still lists the key; the operators rewrite their configuration half a second later."""
 
     async def scenario(harness):
         copy = harness.store.copy()
-        taken = config(2, tenants=[{"name": "t1", "api_keys": ["k1"], "isolated": False}])
-        harness.store.put("op", "config", taken)
+        revoked = config(2, tenants=[{"name": "t1", "api_keys": ["k1"], "isolated": False}])
+        harness.store.put("op", "config", revoked)
         harness.store.restore(copy)
         late = await second_node(harness, "late")
         callers = CallersPort(late)
@@ -170,7 +168,7 @@
             status, *_ = await harness.call(port=callers.port, X_Credential="k2", X_Request_Id=f"req-{number}")
             statuses.add(status)
             if number == 25:
-                harness.store.put("op", "config", taken)
+                harness.store.put("op", "config", revoked)
             await asyncio.sleep(0.02)
         await harness.until(late.is_ready)
         last, *_ = await harness.call(port=callers.port, X_Credential="k2")
@@ -184,14 +182,14 @@
     assert (last, granted) == (401, 200)
 
 
-def test_a_key_that_peers_know_to_be_taken_away_is_not_accepted_before_operators_write_again(on_platform):
-    """Guards against a node that starts on the copy and takes it for the newest word: operators are late."""
+def test_key_revoked_according_to_peers_is_refused_until_operators_rewrite_the_configuration(on_platform):
+    """Guards against a node that starts after the restore and trusts the copy, as the operators are late."""
 
     async def scenario(harness):
         nodes = await three_nodes(harness)
         copy = harness.store.copy()
-        taken = config(2, tenants=[{"name": "t1", "api_keys": ["k1"], "isolated": False}])
-        harness.store.put("op", "config", taken)
+        revoked = config(2, tenants=[{"name": "t1", "api_keys": ["k1"], "isolated": False}])
+        harness.store.put("op", "config", revoked)
         await harness.until(lambda: all(node.state.config.version == 2 for node in nodes))
         harness.store.restore(copy)
         late = await second_node(harness, "late")
@@ -202,7 +200,7 @@
             status, *_ = await harness.call(port=callers.port, X_Credential="k2", X_Request_Id=f"req-{number}")
             statuses.add(status)
             await asyncio.sleep(0.02)
-        harness.store.put("op", "config", taken)
+        harness.store.put("op", "config", revoked)
         await harness.until(late.is_ready)
         granted, *_ = await harness.call(port=callers.port, X_Credential="k1")
         await callers.runner.cleanup()
@@ -214,13 +212,13 @@
     assert granted == 200
 
 
-def test_callers_notice_nothing_of_a_restore_after_some_seconds(on_platform):
-    """Credentials hold for the revocation bound after the last confirmation of before."""
+def test_callers_get_no_errors_from_an_outage_and_restore_of_some_seconds(on_platform):
+    """Credentials stay valid for the revocation bound after the last confirmation before the outage."""
 
     async def scenario(harness):
         await asyncio.sleep(1.5)
         statuses = set()
-        restoring = asyncio.create_task(lose_some_seconds(harness, away_s=2.0))
+        restoring = asyncio.create_task(restore_older_copy(harness, away_s=2.0))
         for number in range(250):
             status, *_ = await harness.call(X_Request_Id=f"req-{number}")
             statuses.add(status)
--- a/tests/platform/test_rollouts.py
+++ b/tests/platform/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts over the platform's interfaces: rows of orders and states, and a whole rollout at a real node."""
+"""Rollouts on the platform: rows of orders, records and status, and complete rollouts at a real node."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 RECORD = RolloutRecord("svc", "v2", 3, 10.0, 20.0, Phase.CANARY, 0.05, barred=("v0",), written_at_s=11.5)
 DURATION_S = 4.0
 CALL_PAUSE_S = 0.02
-"""Pause of the caller between two requests: some 40 a second, so that a rollout sees enough answers."""
+"""Seconds between two requests: some 40 requests per second, so that a rollout gets enough answers to decide."""
 
 
 def status(harness, service="svc"):
@@ -37,21 +37,21 @@
     harness.store.put("op", f"rollout/{service}", body)
 
 
-async def on_store(harness):
-    """Return rollouts on the harness's store, and the version of a lease on them."""
+async def rollouts_and_lease(harness):
+    """Return a rollout store on the harness's store, and the version of an acquired rollout lease."""
     store = PlatformStore(harness.store.address)
     lease = await LeaseKeeper(LEASE_NAME, "n9", 5.0, store).try_acquire(0.0)
     return PlatformRolloutStore(store), lease.version
 
 
-async def refused(rollouts, record, seen, lease_version):
+async def assert_write_conflicts(rollouts, record, seen, lease_version):
     with pytest.raises(TableConflictError):
         await rollouts.write(record, seen, lease_version)
 
 
-def test_record_and_status_are_written_together_and_read_back(on_platform):
+def test_record_and_status_are_written_and_read_back(on_platform):
     async def scenario(harness):
-        rollouts, lease_version = await on_store(harness)
+        rollouts, lease_version = await rollouts_and_lease(harness)
         written = await rollouts.write(RECORD, await rollouts.read("svc"), lease_version)
         return await rollouts.read("svc") == written, status(harness)
 
@@ -59,9 +59,9 @@
 
 
 @pytest.mark.parametrize("changed", ["record", "status", "lease"])
-def test_nothing_is_written_if_any_of_the_rows_has_changed(on_platform, changed):
+def test_nothing_is_written_if_any_row_has_changed(on_platform, changed):
     async def scenario(harness):
-        rollouts, lease_version = await on_store(harness)
+        rollouts, lease_version = await rollouts_and_lease(harness)
         seen = await rollouts.write(RECORD, await rollouts.read("svc"), lease_version)
         keys = {
             "record": ("wallwell", RECORD_PREFIX + "svc"),
@@ -71,15 +71,15 @@
         harness.store.put(*keys[changed], "{}")
         before = dict(harness.store.rows)
         final = RolloutRecord("svc", "v2", 3, 10.0, 20.0, Phase.COMPLETE)
-        await refused(rollouts, final, seen, lease_version)
+        await assert_write_conflicts(rollouts, final, seen, lease_version)
         return harness.store.rows == before
 
     assert on_platform(scenario)
 
 
-def test_a_record_written_again_leaves_an_unchanged_status_alone(on_platform):
+def test_unchanged_status_is_not_rewritten(on_platform):
     async def scenario(harness):
-        rollouts, lease_version = await on_store(harness)
+        rollouts, lease_version = await rollouts_and_lease(harness)
         seen = await rollouts.write(RECORD, await rollouts.read("svc"), lease_version)
         before = harness.store.rows[("status", "rollout/svc")]
         again = await rollouts.write(RECORD, seen, lease_version)
@@ -89,9 +89,9 @@
     assert on_platform(scenario)
 
 
-def test_a_write_whose_answer_was_lost_is_found_by_reading_back(on_platform):
+def test_write_with_a_lost_answer_is_found_by_reading_back(on_platform):
     async def scenario(harness):
-        rollouts, lease_version = await on_store(harness)
+        rollouts, lease_version = await rollouts_and_lease(harness)
         seen = await rollouts.read("svc")
         harness.store.lose_writes = 1
         with pytest.raises(PlatformUnavailableError):
@@ -101,9 +101,9 @@
     assert on_platform(scenario) == RECORD
 
 
-def test_a_record_that_cannot_be_read_is_replaced(on_platform):
+def test_undecodable_record_is_replaced(on_platform):
     async def scenario(harness):
-        rollouts, lease_version = await on_store(harness)
+        rollouts, lease_version = await rollouts_and_lease(harness)
         harness.store.put("wallwell", RECORD_PREFIX + "svc", "no record")
         seen = await rollouts.read("svc")
         await rollouts.write(RECORD, seen, lease_version)
@@ -113,7 +113,7 @@
 
 
 async def add_workers(harness, count=2, respond=None):
-    """Start workers of the version v2 and list them."""
+    """Start workers with software version v2 and add their entries to the store."""
     for index in range(count):
         worker = FakeWorker(f"new-{index}", software="v2")
         worker.respond = respond(worker) if respond is not None else worker.answer_ok
@@ -124,7 +124,7 @@
 
 
 async def call_until(harness, condition, bound_s=20.0):
-    """Send requests one after the other until a condition holds; returns their statuses."""
+    """Send requests one after another until a condition holds; return their statuses."""
     statuses = []
     async with asyncio.timeout(bound_s):
         while not condition():
@@ -137,7 +137,7 @@
     return sum(len(worker.requests) for worker in harness.workers if worker.software == software)
 
 
-def test_a_good_version_gets_a_canary_then_all_requests_and_the_status_says_complete(on_platform):
+def test_good_version_gets_canary_requests_then_all_requests(on_platform):
     async def scenario(harness):
         order(harness)
         await harness.until(lambda: state_of(harness) == "running")
@@ -152,7 +152,7 @@
     assert on_platform(scenario) == ({200}, True, "v2")
 
 
-def test_a_bad_version_is_rolled_back_and_gets_nothing_more(on_platform):
+def test_faulty_version_is_rolled_back_and_gets_no_requests(on_platform):
     async def scenario(harness):
         order(harness, duration_s=60)
         await add_workers(harness, respond=lambda worker: worker.answer(status=500))
@@ -164,7 +164,7 @@
     assert on_platform(scenario) == (True, True, {200})
 
 
-def test_both_nodes_count_and_follow_one_record(on_platform):
+def test_both_nodes_add_to_one_record_and_follow_it(on_platform):
     async def scenario(harness):
         first, second = await two_nodes(harness)
         order(harness, duration_s=60)
@@ -195,7 +195,7 @@
         {"service": "svc", "target_version": 7, "duration_s": 5},
     ],
 )
-def test_an_order_that_cannot_be_used_disturbs_nothing(on_platform, body):
+def test_invalid_order_has_no_effect(on_platform, body):
     async def scenario(harness):
         harness.store.put("op", "rollout/svc", body)
         harness.store.put("op", "config", config(2))
@@ -205,7 +205,7 @@
     assert on_platform(scenario) == (200, {}, None)
 
 
-def test_an_order_for_an_unknown_service_disturbs_nothing(on_platform):
+def test_order_for_an_unknown_service_has_no_effect(on_platform):
     async def scenario(harness):
         order(harness, "nowhere")
         harness.store.put("op", "config", config(2))
@@ -216,7 +216,7 @@
     assert on_platform(scenario) == (200, None)
 
 
-def test_settings_bound_what_a_bad_version_may_get(on_platform):
+def test_settings_bound_the_requests_of_a_faulty_version(on_platform):
     async def scenario(harness):
         return harness.node.state.bounds.rollout
 
@@ -224,7 +224,7 @@
     assert (bounds.exposure_share, bounds.exposure_requests, bounds.rollback_s) == (0.1, 50, 5.0)
 
 
-def test_figures_tell_phase_and_requests_by_side(on_platform):
+def test_metrics_show_phase_and_requests_by_side(on_platform):
     async def scenario(harness):
         order(harness, duration_s=60)
         await harness.until(lambda: "svc" in harness.node.state.rollouts.tally.by_service)
@@ -237,7 +237,7 @@
     assert 'wallwell_rollout_failures_total{service="svc",side="target"} 0.0' in text
 
 
-def test_a_node_is_not_ready_before_it_knows_which_versions_are_barred(on_platform):
+def test_node_is_not_ready_before_it_knows_the_excluded_versions(on_platform):
     async def scenario(harness):
         harness.node._member_rows._own_version = None
         return harness.node.is_ready()
--- a/tests/platform/test_send_progress.py
+++ b/tests/platform/test_send_progress.py
@@ -1,4 +1,4 @@
-"""The workers' client tells whether a request can have left: only once its connection is up."""
+"""The worker client reports whether a request can have been sent: only once its connection is established."""
 
 import asyncio
 
@@ -13,13 +13,13 @@
 from wallwell.serving.messages import Dispatch
 
 
-@pytest.mark.parametrize("comes_up", [True, False])
-def test_a_request_is_connecting_until_its_connection_is_up(run_async, comes_up):
+@pytest.mark.parametrize("connects", [True, False])
+def test_attempt_is_connecting_until_its_connection_is_established(run_async, connects):
     async def work():
         worker, pool = FakeWorker("i-1"), make_worker_pool()
         await worker.start()
         worker.respond = worker.hang
-        if not comes_up:
+        if not connects:
 
             async def never(*args):
                 await asyncio.sleep(3600)
@@ -28,11 +28,11 @@
         request = msgspec.structs.replace(make_request(), headers=(("Host", "h"),))
         dispatch = Dispatch(BackendRecord("i-1", "svc", worker.address, "z", 8), request, "", 5.0, 0)
         sending = asyncio.ensure_future(WorkerClient(pool, BackendNotices()).send(dispatch))
-        while not (worker.requests if comes_up else dispatch.progress.connecting):
+        while not (worker.requests if connects else dispatch.progress.connecting):
             await asyncio.sleep(0.001)
         sending.cancel()
         await asyncio.gather(sending, return_exceptions=True)
         await worker.stop()
         return dispatch.progress.connecting
 
-    assert run_async(work()) is not comes_up
+    assert run_async(work()) is not connects
--- a/tests/platform/test_stated_limit.py
+++ b/tests/platform/test_stated_limit.py
@@ -1,11 +1,10 @@
-"""A back end whose answers say how many requests a second it takes from all nodes together.
-
-Seen: an engine stated 3.1 requests a second, later 1.8. Seven nodes went on sending it 6 to 8, what the engine
-beside it got as well; up to 40 in some 4 s. It refused nothing, so no caller noticed.
-How it came about: the prompts that share a prefix go to the engine that holds it, from every node.
-Cause: what an answer says of a limit was not read, and nothing counted what all nodes together send to a back end.
-Proof: with the answers read and nothing else changed, 38 to 47 requests come in 4 s where 23 are allowed; with each
-node keeping the limit by itself still 26 and 30.
+"""A back end whose answers state how many requests per second it accepts from all nodes together.
+
+Guards against nodes that exceed the limit. An engine stated 3.1 requests per second, later 1.8; seven nodes sent it
+6 to 8 per second, as many as another engine got, and up to 40 in some 4 s. It refused none, so no caller noticed.
+Every node sends prompts with a shared prefix to the engine that has it cached; nodes did not read the limit, nor
+count the requests of all nodes to a back end. If only the reading of answers is added, 38 to 47 requests arrive in
+4 s where 23 are allowed; if each node applies the limit only to its own requests, 26 and 30.
 """
 
 from __future__ import annotations
@@ -17,37 +16,38 @@
 import pytest
 
 from tests.platform.conftest import CallersPort, config, route
-from tests.platform.test_peers import both_know_each_other, second_node
+from tests.platform.test_peers import all_know_each_other, second_node
 from tests.unit.serving.fakes import event
 from wallwell.clock import boot_time_s
 
 LIMIT_PER_S = 3.0
 CONTACT_S = 3.0
-"""Seconds from the first statement after which the limit must hold."""
+"""Seconds after the first statement of the limit from which all nodes must respect it."""
 WINDOW_S = 4.0
 OVERAGE_FACTOR = 1.5
 OVERAGE_REQUESTS = 5
-"""In a window at most this much more than ``OVERAGE_FACTOR`` times the limit."""
+"""Requests allowed in a window in addition to ``OVERAGE_FACTOR`` times the limit."""
 STATED_S = CONTACT_S + WINDOW_S + 1.0
 """Seconds for which the limit is stated."""
 ENDED_S = 3.0
-"""Seconds after its end in which the back end is used as before."""
+"""Seconds after the end of the limit within which the back end is used as before."""
 PREFIX_PERIOD_S = 0.1
-"""Seconds between two prompts that share a prefix, and so go to one back end."""
+"""Seconds between two prompts that share a prefix and therefore go to the same back end."""
 CALL_PERIOD_S = PREFIX_PERIOD_S / 3
-"""The same of calls, which are spread over three back ends: each gets three times its limit in both cases. With
-much more, a window that begins a second before the statement holds more than is allowed before a node can know."""
+"""Seconds between two calls, which are spread over three back ends: each gets three times its limit either way. At
+a much higher rate, a window that begins a second before the statement contains more requests than allowed before
+any node can know the limit."""
 OBJECTIVE_S = 0.4
 
 
 class LimitedFleet:
-    """Three nodes with callers; records what reaches each worker and what callers get."""
+    """Three nodes with callers; records the requests at each worker and the answers to callers."""
 
     def __init__(self, harness, is_stream):
         self.harness = harness
         self.arrivals = {worker.incarnation: [] for worker in harness.workers}
         self.outcomes = []
-        """Time, status, seconds to the answer and Retry-After of each request."""
+        """Sending time, status, seconds until the answer, and Retry-After of each request."""
         self._period_s = PREFIX_PERIOD_S if is_stream else CALL_PERIOD_S
         self._headers = {}
         if is_stream:
@@ -69,7 +69,7 @@
         await first.listen_for_peers("127.0.0.1", [0])
         others = [await second_node(self.harness, name) for name in ("n2", "n3")]
         self.nodes = [first, *others]
-        await self.harness.until(lambda: both_know_each_other(self.nodes))
+        await self.harness.until(lambda: all_know_each_other(self.nodes))
         await self.harness.until(lambda: all(node.is_ready() for node in self.nodes))
         self._others = [CallersPort(node) for node in others]
         for callers in self._others:
@@ -82,7 +82,7 @@
             await node.stop()
 
     async def call_for(self, seconds):
-        """Send requests to nodes drawn at random, without waiting for their answers in between."""
+        """Send requests to random nodes without waiting for answers in between."""
         rng = random.Random(1)
         ends_s = boot_time_s() + seconds
         async with asyncio.TaskGroup() as tasks:
@@ -100,7 +100,7 @@
 
 
 def largest_window(times, from_s):
-    """Return the most arrivals in a window that ends at ``from_s`` or later."""
+    """Return the largest number of arrivals in any window that ends at ``from_s`` or later."""
     return max(sum(end_s - WINDOW_S < at_s <= end_s for at_s in times) for end_s in times if end_s >= from_s)
 
 
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("is_stream", [False, True], ids=["calls", "prompts with one prefix"])
-def test_all_nodes_together_keep_the_limit_of_a_back_end_until_it_states_none(on_platform, is_stream):
+def test_all_nodes_together_respect_a_back_ends_limit_until_it_states_none(on_platform, is_stream):
     async def scenario(harness):
         fleet = LimitedFleet(harness, is_stream)
         await fleet.start()
@@ -134,13 +134,13 @@
     ended_s = stated_s + STATED_S
     while_stated = [at_s for at_s in times if at_s < ended_s]
     assert largest_window(while_stated, stated_s + CONTACT_S) <= ALLOWED
-    # It is still given work, about what it says that it takes, and all of its part once it says no more.
+    # It still gets requests at about its limit, and its full share once it states no limit.
     assert count_between(times, stated_s + CONTACT_S, ended_s) >= 0.5 * LIMIT_PER_S * (STATED_S - CONTACT_S)
     assert count_between(times, ended_s + ENDED_S / 2, ended_s + ENDED_S) > 2 * LIMIT_PER_S * ENDED_S / 2
     assert {status for _, status, _, _ in outcomes} == {200}
 
 
-def test_what_all_back_ends_together_do_not_take_is_refused_at_once(on_platform):
+def test_requests_beyond_the_limits_of_all_back_ends_are_refused_at_once(on_platform):
     async def scenario(harness):
         fleet = LimitedFleet(harness, is_stream=False)
         await fleet.start()
@@ -161,5 +161,5 @@
     assert len(served) + len(refused) == len(late)
     assert len(served) >= 0.5 * LIMIT_PER_S * len(arrivals) * (STATED_S - CONTACT_S)
     assert all(retry_after_s > 0 for *_, retry_after_s in refused)
-    # Held for half of the objective at most, and answered without another wait.
+    # Queued for at most half of the objective, then refused without further waiting.
     assert max(took_s for _, _, took_s, _ in refused) < OBJECTIVE_S
--- a/tests/platform/test_stop.py
+++ b/tests/platform/test_stop.py
@@ -1,4 +1,4 @@
-"""A process ends within its grace time, whatever hangs: callers, workers, peers, the store, its own tasks."""
+"""A process exits within its grace period, whatever hangs: callers, workers, peers, the store or its own tasks."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 threading.Thread(target=time.sleep, args=(600,)).start()
 {START}
 """
-STANDING_LOOP = f"""
+BLOCKED_LOOP = f"""
 import time
 from wallwell.node.node import FleetNode
 async def stop(self):
@@ -52,7 +52,7 @@
 FleetNode.stop = stop
 {START}
 """
-SLOW_END = f"""
+SLOW_EXIT = f"""
 import sys, time
 class SlowToTakeApart:
     def __del__(self):
@@ -100,10 +100,10 @@
 
 
 class LifeWatch(threading.Thread):
-    """Sees for how long a process lives on, and how long it waited for a processor meanwhile.
+    """Measures how long a process lives, and for how long it waits for a CPU meanwhile.
 
-    On a busy machine the end of a process is learned of seconds late, and a process that is ready to run may get no
-    processor for a second: neither is the router's.
+    On a busy machine the exit of a process may be reported seconds late, and a runnable process may get no CPU for
+    a second. Neither is a fault of the router.
     """
 
     def __init__(self, pid):
@@ -114,7 +114,7 @@
         self.lived_s = 0.0
         """Seconds until the process was last seen alive."""
         self.waited_s = 0.0
-        """Seconds of them for which one of its threads, the worst off, was ready to run and got no processor."""
+        """Seconds of ``lived_s`` for which the thread that waited longest was runnable but had no CPU."""
 
     def run(self):
         while self._is_alive():
@@ -131,7 +131,7 @@
             return False
 
     def _waited_s(self):
-        """Return the seconds that each thread has waited for a processor in its life."""
+        """Return the seconds that each thread has waited for a CPU since its start."""
         waited_s = {}
         with contextlib.suppress(OSError):  # The process has ended.
             for task in (self._process / "task").iterdir():
@@ -142,11 +142,11 @@
 
 @pytest.mark.parametrize(
     "code",
-    [START, HANGING_STOP, HANGING_THREAD, STANDING_LOOP, SLOW_END],
+    [START, HANGING_STOP, HANGING_THREAD, BLOCKED_LOOP, SLOW_EXIT],
     ids=["sockets", "task", "thread", "loop", "interpreter"],
 )
-def test_a_process_ends_within_its_grace_time(run_async, tmp_path, code):
-    """Connections of callers rest or wait for a worker that hangs, a peer says nothing, the store is silent."""
+def test_process_exits_within_its_grace_period(run_async, tmp_path, code):
+    """Callers' connections are idle or wait for a hanging worker, a peer is silent, the store does not answer."""
 
     async def scenario():
         store, worker = FakeStore(), FakeWorker("i-1")
@@ -207,8 +207,8 @@
     return {each for each in (signal.SIGTERM, signal.SIGHUP) if (caught | ignored) & 1 << (each - 1)}
 
 
-def test_signals_that_come_while_a_process_still_imports_its_modules_do_not_kill_it(run_async, tmp_path):
-    """SIGHUP took a starting node away, and SIGTERM ended it with a status that looked like a crash."""
+def test_signals_while_a_process_imports_its_modules_do_not_kill_it(run_async, tmp_path):
+    """Guards against SIGHUP killing a starting node, and SIGTERM ending it with a status like a crash."""
     (tmp_path / "uvloop.py").write_text("import time; time.sleep(600)")
 
     async def scenario():
@@ -234,7 +234,7 @@
     assert run_async(scenario()) == (None, 0)
 
 
-def test_the_deadline_ends_the_process_with_success_just_before_the_grace_time():
+def test_process_exits_with_success_just_before_the_grace_period_ends():
     ended = []
     timer = exit_within(0.0, ended.append)
     timer.join(10.0)
--- a/tests/platform/test_time_of_day.py
+++ b/tests/platform/test_time_of_day.py
@@ -1,4 +1,4 @@
-"""Nothing on the path of a request, a lease or a bound depends on the time of day, which may jump."""
+"""No request, lease or bound depends on the time of day, which may jump."""
 
 from __future__ import annotations
 
@@ -18,19 +18,20 @@
 
 SOURCES = Path(__file__).parents[2] / "src"
 IMPORTED_LATER = ("wallwell.node.metrics",)
-"""Modules that a node imports only where they are used."""
-OF_THE_DAY = {"time", "time_ns", "ctime", "localtime", "gmtime", "strftime", "asctime", "clock_gettime"}
-SEEDS = {("wallwell.node.node", "time_ns"): 1, ("wallwell.clock", "clock_gettime"): 1}
-"""The seed of a node's random generator, and the boot clock."""
-STOPPED_BY_SUSPENSION = {"monotonic", "monotonic_ns", "perf_counter", "timeout", "timeout_at", "wait_for"}
-"""The steady clock, and bounds on waiting that go by it."""
-UNTOUCHED_BY_SUSPENSION = {
+"""Modules that a node imports only on first use."""
+TIME_OF_DAY = {"time", "time_ns", "ctime", "localtime", "gmtime", "strftime", "asctime", "clock_gettime"}
+PERMITTED_TIME_OF_DAY_USES = {("wallwell.node.node", "time_ns"): 1, ("wallwell.clock", "clock_gettime"): 1}
+"""Permitted uses: the seed of a node's random generator, and the boot clock."""
+MONOTONIC_FUNCTIONS = {"monotonic", "monotonic_ns", "perf_counter", "timeout", "timeout_at", "wait_for"}
+"""The monotonic clock, and timeouts that use it; it stops while the machine is suspended."""
+PERMITTED_MONOTONIC_USES = {
     ("wallwell.clock", "monotonic"): 1,
     ("wallwell.clock", "timeout"): 1,
     ("wallwell.serving.liveness", "timeout"): 1,
     ("wallwell.log_writer", "monotonic"): 1,
 }
-"""The clock itself; an end that is set by hand and has no time; the rate of routine log lines."""
+"""Permitted uses: the clock module itself, a timeout without a time that is ended by hand, and the rate limit of
+routine log lines."""
 STANDALONE = (
     "standalone.backends.engine_client",
     "standalone.backends.engine_watch",
@@ -51,7 +52,7 @@
     "standalone.callers.service_calls",
     "standalone.placement.controller",
 )
-"""Modules with clocks that only the standalone router has."""
+"""Modules of the standalone router alone that use clocks."""
 LIST_MODULES = f"""
 import importlib, json, sys, wallwell.platform.main
 for name in {IMPORTED_LATER!r}:
@@ -60,16 +61,16 @@
 """
 
 
-def uses_of_the_day(module):
-    """Return the names of the time of day that a module's source uses, in any spelling."""
+def time_of_day_uses(module):
+    """Return the functions of the time of day that a module's source uses, however they are imported."""
     path = SOURCES / (module.replace(".", "/") + ".py")
     tree = ast.parse((path if path.exists() else SOURCES / module.replace(".", "/") / "__init__.py").read_text())
     used = []
     for node in ast.walk(tree):
         if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "time":
-            used += [node.attr] if node.attr in OF_THE_DAY else []
+            used += [node.attr] if node.attr in TIME_OF_DAY else []
         elif isinstance(node, ast.ImportFrom) and node.module in ("time", "datetime"):
-            used += [each.name for each in node.names if each.name in OF_THE_DAY or node.module == "datetime"]
+            used += [each.name for each in node.names if each.name in TIME_OF_DAY or node.module == "datetime"]
         elif isinstance(node, ast.Import):
             used += [
                 each.name for each in node.names if each.name == "datetime" or (each.name == "time" and each.asname)
@@ -83,39 +84,39 @@
     return json.loads(listed.stdout)
 
 
-def test_no_module_of_a_node_asks_for_the_time_of_day():
+def test_no_module_of_a_node_uses_the_time_of_day():
     modules = modules_of_a_node()
     assert {
         "wallwell.serving.pipeline",
         "wallwell.cluster.leases",
         "wallwell.routing.admission.fleet_limits",
     } <= set(modules)
-    found = [(module, name) for module in modules for name in uses_of_the_day(module)]
-    assert {each: found.count(each) for each in found} == SEEDS
+    found = [(module, name) for module in modules for name in time_of_day_uses(module)]
+    assert {each: found.count(each) for each in found} == PERMITTED_TIME_OF_DAY_USES
 
 
-def uses_of_stopped_clocks(module):
-    """Return the names of the steady clock and of bounds by it that a module's source uses."""
+def monotonic_clock_uses(module):
+    """Yield the functions of the monotonic clock, and timeouts that use it, in a module's source."""
     tree = ast.parse((SOURCES / (module.replace(".", "/") + ".py")).read_text())
     owners = ("time", "asyncio", "loop")
     for node in ast.walk(tree):
         if not isinstance(node, ast.Attribute) or not isinstance(node.value, ast.Name):
             continue
-        if node.value.id in owners and node.attr in STOPPED_BY_SUSPENSION:
+        if node.value.id in owners and node.attr in MONOTONIC_FUNCTIONS:
             yield node.attr
 
 
-def test_no_module_goes_by_a_clock_that_stands_still_while_the_machine_is_suspended():
-    """Of the router on the platform and of the standalone router alike."""
+def test_no_module_uses_a_clock_that_stops_while_the_machine_is_suspended():
+    """Checks the modules of the router on the platform and of the standalone router."""
     own = [f"wallwell.{each}" for each in STANDALONE]
     modules = [each for each in modules_of_a_node() if (SOURCES / (each.replace(".", "/") + ".py")).exists()]
-    found = [(module, name) for module in {*modules, *own} for name in uses_of_stopped_clocks(module)]
-    assert {each: found.count(each) for each in found} == UNTOUCHED_BY_SUSPENSION
+    found = [(module, name) for module in {*modules, *own} for name in monotonic_clock_uses(module)]
+    assert {each: found.count(each) for each in found} == PERMITTED_MONOTONIC_USES
 
 
 @pytest.mark.parametrize("step_s", [3600.0, -3600.0])
-def test_requests_and_leases_go_on_while_the_time_of_day_jumps(on_platform, monkeypatch, step_s):
-    """Each look at the clock finds it an hour further, or an hour back."""
+def test_requests_and_leases_continue_while_the_time_of_day_jumps(on_platform, monkeypatch, step_s):
+    """Each reading of the clock is an hour later, or an hour earlier, than the previous one."""
     base_s, jumps = time.time(), itertools.count()
 
     async def scenario(harness):
