--- a/src/wallwell/platform/rows.py
+++ b/src/wallwell/platform/rows.py
@@ -181,14 +181,14 @@
 
     service: NonEmptyText
     addr: str
-    """``IP:PORT``."""
+    """Address at which it accepts requests, ``IP:PORT``."""
     zone: str = ""
     slots: NonNegativeInt = 1
     state: Literal["ready", "draining"] = READY_STATE
     version: str = ""
     """Software version, not a weights version."""
     cold_left_ms: float = 0.0
-    """Milliseconds for which it is still slow after its start, as of when the entry was written."""
+    """Milliseconds for which it stays slow after its start, as of when the entry was written."""
     models: tuple[LoadedModelRow, ...] = ()
     born: NonNegativeInt | msgspec.UnsetType = msgspec.UNSET
     """Start time in Unix milliseconds; differs between starts of a worker under the same id."""
--- a/src/wallwell/platform/worker_orders.py
+++ b/src/wallwell/platform/worker_orders.py
@@ -85,7 +85,7 @@
         self._failing: dict[str, None] = {}
         """Incarnations whose calls fail, ordered by their first failure."""
 
-    async def report(self, backend: BackendRecord) -> EngineReport | None:
+    async def fetch_report(self, backend: BackendRecord) -> EngineReport | None:
         """Return a worker's report. Without a valid answer, log the failure and return None."""
         answer = await self._call("GET", names.REPORT_PATH, backend, b"")
         if answer is None:
@@ -103,7 +103,7 @@
         versions = {model.name: model.version for model in row.models}
         return EngineReport(versions, row.busy, row.seq)
 
-    async def order(self, backend: BackendRecord, order: WeightsOrder) -> OrderReply:
+    async def send_order(self, backend: BackendRecord, order: WeightsOrder) -> OrderReply:
         """Order new weights; ``UNKNOWN`` if the worker may have accepted the order or may still do so."""
         body = OrderBody(
             op=LOAD_WEIGHTS_OP,
--- a/tests/unit/platform/test_settings.py
+++ b/tests/unit/platform/test_settings.py
@@ -35,5 +35,5 @@
 def test_distance_of_zones_follows_the_settings(tmp_path, text, distances):
     path = tmp_path / "settings.toml"
     path.write_text(text)
-    topology = load_platform_settings(str(path)).topology()
-    assert (topology.distance_to("a2"), topology.distance_to("b1")) == distances
+    loaded = load_platform_settings(str(path)).topology()
+    assert (loaded.distance_to("a2"), loaded.distance_to("b1")) == distances
--- a/tests/unit/platform/test_worker_orders.py
+++ b/tests/unit/platform/test_worker_orders.py
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("failure", FAILURES, ids=str)
 def test_failed_report_returns_none_and_logs_the_reason(run_async, failures, failure):
-    assert run_async(WorkerControl(ScriptedPool(failure), BackendNotices()).report(record())) is None
+    assert run_async(WorkerControl(ScriptedPool(failure), BackendNotices()).fetch_report(record())) is None
     ((backend, call, error),) = failures
     assert (backend, call) == ("i-1", "/api/report")
     assert error
@@ -91,7 +91,9 @@
     ],
 )
 def test_order_replies_are_not_logged_as_failures(run_async, failures, status, reply):
-    assert run_async(WorkerControl(ScriptedPool((status, b"")), BackendNotices()).order(record(), ORDER)) is reply
+    assert (
+        run_async(WorkerControl(ScriptedPool((status, b"")), BackendNotices()).send_order(record(), ORDER)) is reply
+    )
     assert failures == []
 
 
@@ -133,5 +135,5 @@
     notices, delivered = BackendNotices(), []
     notices.on_notice = lambda incarnation, notice: delivered.append((incarnation, notice))
     control = WorkerControl(NoticePool(), notices)
-    run_async(control.report(record()) if call == "report" else control.order(record(), ORDER))
+    run_async(control.fetch_report(record()) if call == "report" else control.send_order(record(), ORDER))
     assert delivered == [("i-1", BackendNotice(leaving=True, backoff_s=2.0))]
