--- a/src/wallwell/platform/worker_client.py
+++ b/src/wallwell/platform/worker_client.py
@@ -84,7 +84,7 @@
         answer = WorkerAnswer(head, connection, dispatch.backend.address, self._pool)
         failure = attempt_failure(message, head)
         if failure is None or failure.event is not TransportEvent.FOREIGN_ANSWER:
-            # A foreign answer contains no notice of the worker. Others may still not be certain to come from it.
+            # Headers of a foreign answer, which the worker did not send, state nothing about the worker.
             from_worker = failure is None or failure.event is TransportEvent.BACKEND_OVERLOADED
             deliver_notice(self._notices, message, dispatch.backend.incarnation, sent_s if from_worker else None)
         if failure is not None:
