--- a/src/wallwell/platform/worker_requests.py
+++ b/src/wallwell/platform/worker_requests.py
@@ -94,7 +94,7 @@
 
 
 def attempt_failure(message: RawResponseMessage, head: AnswerHead) -> AttemptError | None:
-    """Return how the attempt failed; None if the answer is to be forwarded to the caller.
+    """Return how the attempt failed; None if the message is the worker's answer to the request.
 
     Errors of the worker itself, such as 500 or 504, count as its answer and are forwarded.
     """
