--- a/src/wallwell/platform/stop_deadline.py
+++ b/src/wallwell/platform/stop_deadline.py
@@ -1,8 +1,8 @@
-"""The end of a planned stop that nothing can delay.
+"""Ends the process before the grace period of a planned stop is over, whatever still runs in it.
 
-The platform kills a process that outlives its grace time, and counts that as a crash. A task that ignores its
-cancellation, a host name being resolved in a thread, or an event loop without processor time can each keep a
-process that long. So a thread of its own ends the process in time.
+The platform kills a process that exceeds its grace period, and counts that as a crash. A task that ignores its
+cancellation, a host name lookup in a thread, or an event loop that gets no CPU time can each delay the exit for
+that long. So a separate thread ends the process in time.
 """
 
 from __future__ import annotations
@@ -15,37 +15,37 @@
 from wallwell.events import Event, emit
 
 EXIT_MARGIN_S = 0.25
-"""Seconds before the end of the grace time at which the process is ended: time for the system to release its memory
-and sockets."""
-CLOCK_CHECK_S = 0.1
-"""Longest wait, in seconds, between two readings of the clock. A suspension of the machine lengthens a wait,
-which so ends at most this much too late."""
+"""Seconds before the end of the grace period at which the process exits, so that the system has time to release its
+memory and sockets."""
+CLOCK_CHECK_INTERVAL_S = 0.1
+"""Maximum seconds between two readings of the clock. A wait does not count the time while the machine is suspended,
+so the timer fires at most this much late."""
 
 
-class StopTimer(threading.Thread):
-    """Calls a function at a time of the boot clock, unless it is cancelled before."""
+class BootClockTimer(threading.Thread):
+    """Calls a function at a deadline on the boot clock, unless it is cancelled before."""
 
-    def __init__(self, due_s: float, call: Callable[[], object]) -> None:
+    def __init__(self, deadline_s: float, callback: Callable[[], object]) -> None:
         super().__init__(daemon=True)
-        self.due_s = due_s
-        self._call = call
+        self.deadline_s = deadline_s
+        self._callback = callback
         self._cancelled = threading.Event()
 
     def cancel(self) -> None:
-        """Never call."""
+        """Do not call the function, unless the call has already begun."""
         self._cancelled.set()
 
     def run(self) -> None:
-        """Wait and call."""
-        while (left_s := self.due_s - boot_time_s()) > 0:
-            if self._cancelled.wait(min(left_s, CLOCK_CHECK_S)):
+        """Wait until the deadline, then call the function."""
+        while (remaining_s := self.deadline_s - boot_time_s()) > 0:
+            if self._cancelled.wait(min(remaining_s, CLOCK_CHECK_INTERVAL_S)):
                 return
         if not self._cancelled.is_set():
-            self._call()
+            self._callback()
 
 
-def end_process_after(grace_s: float, exit_process: Callable[[int], object] = os._exit) -> StopTimer:
-    """End the process with status 0 just before ``grace_s`` are over, unless the timer is cancelled."""
+def exit_within(grace_s: float, exit_process: Callable[[int], object] = os._exit) -> BootClockTimer:
+    """Exit the process with status 0 just before ``grace_s`` seconds are over; return the timer that does it."""
 
     def end() -> None:
         try:
@@ -53,15 +53,15 @@
         finally:
             exit_process(0)
 
-    timer = StopTimer(boot_time_s() + grace_s - EXIT_MARGIN_S, end)
+    timer = BootClockTimer(boot_time_s() + grace_s - EXIT_MARGIN_S, end)
     timer.start()
     return timer
 
 
-def end_process(exit_process: Callable[[int], object] = os._exit) -> None:
-    """End the process with status 0, now.
+def exit_now(exit_process: Callable[[int], object] = os._exit) -> None:
+    """Exit the process with status 0 immediately, without the interpreter's cleanup.
 
-    Python takes apart what a process holds before it ends, for up to a second on a busy machine, and stops other
-    threads before that, the one that ends the process in time among them. Log lines have been written by then.
+    The cleanup takes up to a second on a busy machine, and first stops other threads, also the one that would end
+    the process in time. Log lines have been written by then.
     """
     exit_process(0)
--- a/tests/platform/stand_ins.py
+++ b/tests/platform/fakes.py
@@ -1,4 +1,4 @@
-"""The emulated store and workers as these tests use them: small pages, and answers told by the test."""
+"""Emulated store and workers for these tests: the store has small pages, and the test sets workers' answers."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from wallwell.emulator.platform_worker import PlatformWorkerEmulator
 from wallwell.platform.names import SEAL
 
-__all__ = ["SEAL", "StoreStandIn", "WorkerStandIn"]
+__all__ = ["SEAL", "FakeStore", "FakeWorker"]
 PAGE_ROWS = 3
 
 
-class StoreStandIn(PlatformStoreEmulator):
-    """A store that gives few rows at a time, so that whole readings take several calls."""
+class FakeStore(PlatformStoreEmulator):
+    """A store with few rows per page, so that reading a whole table takes several calls."""
 
     def __init__(self):
         super().__init__(page_rows=PAGE_ROWS)
 
 
-class WorkerStandIn(PlatformWorkerEmulator):
-    """A worker that answers as it is told and records what reached it."""
+class FakeWorker(PlatformWorkerEmulator):
+    """A worker that answers with ``respond`` and records the requests it received."""
 
     def __init__(self, incarnation, service="svc", software=""):
         super().__init__(incarnation, service, software=software)
@@ -58,7 +58,7 @@
             for event in events:
                 await response.write(event)
             if break_off:
-                # A close and not a reset: a reset may drop what was written just before it.
+                # Closes instead of resetting, since a reset may drop bytes that were just written.
                 request.transport.close()
             return response
 
