--- a/src/wallwell/emulator/platform_server.py
+++ b/src/wallwell/emulator/platform_server.py
@@ -15,7 +15,7 @@
 
 from wallwell.emulator.faults import FaultControl
 from wallwell.standalone.machines import Machine, MachineState
-from wallwell.standalone.routing.limits import TokenBucket
+from wallwell.standalone.routing.token_bucket import TokenBucket
 from wallwell.standalone.table_client import Commit
 from wallwell.storage.table import Row, Scan, Transaction
 
@@ -96,7 +96,7 @@
     async def _rate_limit(self, request: web.Request, handler: object) -> web.StreamResponse:
         if not request.path.startswith("/_"):
             self.calls += 1
-            if not self._bucket.try_take(time.monotonic()):
+            if not self._bucket.try_spend(time.monotonic()):
                 return web.Response(status=HTTPStatus.TOO_MANY_REQUESTS)
         return await handler(request)  # type: ignore[operator, no-any-return]
 
--- a/src/wallwell/standalone/backends/engine_watch.py
+++ b/src/wallwell/standalone/backends/engine_watch.py
@@ -23,7 +23,7 @@
 from wallwell.standalone.cluster.node import ClusterNode
 from wallwell.standalone.cluster.shards import EngineReader
 from wallwell.standalone.config.compiled import Engine
-from wallwell.standalone.routing.load import LOWEST_RANK, LoadReport
+from wallwell.standalone.routing.load import MAX_RANK, LoadReport
 from wallwell.standalone.routing.selector import EngineSelector
 
 RECONCILE_INTERVAL_S = 0.5
@@ -104,8 +104,8 @@
 
     def _waiting_ms(self, engine: str, now_s: float) -> tuple[int, int]:
         load = self._selector.load_of(engine)
-        interactive = load.waiting_s(now_s, MAX_INTERACTIVE_RANK)
-        return (round(interactive * 1000), round(load.waiting_s(now_s) * 1000))
+        interactive = load.wait_s(now_s, MAX_INTERACTIVE_RANK)
+        return (round(interactive * 1000), round(load.wait_s(now_s) * 1000))
 
     def _learn_from_peers(self, now_s: float) -> None:
         """Take over the waiting times that other nodes publish of the engines they read."""
@@ -116,7 +116,7 @@
             load = self._selector.load_of(engine)
             rate = load.prefill_tokens_per_s / 1000
             interactive = round(interactive_ms * rate)
-            waiting = ((MAX_INTERACTIVE_RANK, interactive), (LOWEST_RANK, round(any_ms * rate) - interactive))
+            waiting = ((MAX_INTERACTIVE_RANK, interactive), (MAX_RANK, round(any_ms * rate) - interactive))
             load.on_report(LoadReport(0, 0, waiting, 0, 0, now_s - PEER_REPORT_AGE_S))
 
     def _note_leaving(self, engine: Engine, leaving: bool) -> None:
--- a/src/wallwell/standalone/callers/generation_retry.py
+++ b/src/wallwell/standalone/callers/generation_retry.py
@@ -63,7 +63,7 @@
     """Correct what is believed of the engine."""
     if event in REFUSED_BY_BACKEND:
         # The engine has changed since its state was published: nothing is sent there until it publishes anew.
-        context.selector.on_refused_hint(engine.name)
+        context.selector.on_precondition_refused(engine.name)
         if run.published is not None:
             context.refuted_news[engine.name] = run.published
         return
--- a/src/wallwell/standalone/cluster/limits.py
+++ b/src/wallwell/standalone/cluster/limits.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from wallwell.standalone.cluster.messages import Action, Send, TokenGrant, TokenRequest
-from wallwell.standalone.routing.limits import TokenBucket
+from wallwell.standalone.routing.token_bucket import TokenBucket
 
 CONCURRENCY_RETRY_AFTER_S = 0.1
 """Seconds of Retry-After when a tenant is at its concurrency limit. Short, since any of its requests may end."""
@@ -87,7 +87,7 @@
         share = self._updated_share(tenant, limit, now_s)
         if share.in_flight >= share.concurrency:
             return CONCURRENCY_RETRY_AFTER_S
-        if not share.bucket.try_take(now_s):
+        if not share.bucket.try_spend(now_s):
             share.demand += 1.0
             self._refused_tenants.add(tenant)
             return share.bucket.wait_s()
--- a/src/wallwell/standalone/cluster/transport.py
+++ b/src/wallwell/standalone/cluster/transport.py
@@ -23,7 +23,7 @@
 from wallwell.standalone.cluster.shards import blocks_of_checkpoints, lookup_hashes
 from wallwell.standalone.config.store import ConfigDelta
 from wallwell.standalone.routing.directory import EngineIncarnation, HeldPrefix
-from wallwell.standalone.routing.limits import TokenBucket
+from wallwell.standalone.routing.token_bucket import TokenBucket
 from wallwell.standalone.settings import Listener
 
 TICK_INTERVAL_S = 0.1
@@ -158,7 +158,7 @@
         if self._datagrams is None or self._datagrams.is_closing() or not action.address:
             return
         data = self._codec.encode(action.message)
-        if not self._budget.try_take(boot_time_s(), len(data)):
+        if not self._budget.try_spend(boot_time_s(), len(data)):
             self.traffic.dropped_messages += 1  # Like a lost datagram: the protocol resends what matters.
             return
         host, _, port = action.address.rpartition(":")
--- a/src/wallwell/standalone/placement/controller.py
+++ b/src/wallwell/standalone/placement/controller.py
@@ -20,17 +20,17 @@
 from wallwell.standalone.backends.engine_protocol import EngineLoadOrder
 from wallwell.standalone.callers.context import NodeContext
 from wallwell.standalone.config.schema import ModelSpec
-from wallwell.standalone.placement.reconcile import loaded_version, next_loads
+from wallwell.standalone.placement.reconcile import engines_to_load, loaded_version
 
 RECONCILE_INTERVAL_S = 0.5
 """Mean seconds between two checks for engines that lack the declared weights."""
-SPREAD = (0.8, 1.2)
+RECONCILE_JITTER = (0.8, 1.2)
 """Multiples of the interval, so that nodes do not all check at once."""
 LEASE_TTL_S = 6.0
 """Seconds a lease lasts without renewal: how long a model waits for a new holder."""
 ORDER_TIMEOUT_S = 2.0
 """Seconds for the answer to an order; after it the order may have been taken, which its fence makes harmless."""
-LOAD_LIMIT_S = 120.0
+LOAD_TIMEOUT_S = 120.0
 """Seconds after which an engine that does not serve the ordered weights no longer counts as loading, so that others
 are ordered in its place."""
 
@@ -41,13 +41,13 @@
     def __init__(self, context: NodeContext) -> None:
         self._context = context
         self._leases: dict[str, LeaseKeeper] = {}
-        self._ordered_at_s: dict[tuple[str, str], float] = {}
+        self._order_sent_at_s: dict[tuple[str, str], float] = {}
 
     async def run(self) -> None:
         """Reconcile until cancelled; leases are released then."""
         try:
             while True:
-                await asyncio.sleep(RECONCILE_INTERVAL_S * self._context.rng.uniform(*SPREAD))
+                await asyncio.sleep(RECONCILE_INTERVAL_S * self._context.rng.uniform(*RECONCILE_JITTER))
                 for model, spec in self._context.config.models.items():
                     await self._reconcile(model, spec)
         finally:
@@ -60,55 +60,55 @@
             return
         engines = context.engines_for(model)
         serving = context.node.engines.serving_engines()
-        loading = self._loading(model, spec)
+        loading = self._engines_loading(model, spec)
         slots = min((engine.max_concurrent_loads for engine in engines.values()), default=0)
-        wanted = next_loads(model, spec, list(engines), serving, loading, slots)
-        if not wanted:
+        targets = engines_to_load(model, spec, list(engines), serving, loading, slots)
+        if not targets:
             return
-        fence = await self._fence(model)
+        fence = await self._acquire_fence(model)
         if fence is None:
             return
-        for name in wanted:
-            await self._order(model, spec, name, engines[name].address, fence)
+        for name in targets:
+            await self._send_order(model, spec, name, engines[name].address, fence)
 
-    def _loading(self, model: str, spec: ModelSpec) -> set[str]:
+    def _engines_loading(self, model: str, spec: ModelSpec) -> set[str]:
         """Engines ordered lately that do not serve the declared version yet."""
         now_s = boot_time_s()
         serving = self._context.node.engines.serving_engines()
         loading = set()
-        for (ordered_model, name), at_s in self._ordered_at_s.items():
-            news = serving.get(name)
-            done = news is not None and loaded_version(news, model) == spec.weights_version
-            if ordered_model == model and not done and now_s - at_s < LOAD_LIMIT_S:
+        for (ordered_model, name), at_s in self._order_sent_at_s.items():
+            record = serving.get(name)
+            is_loaded = record is not None and loaded_version(record, model) == spec.weights_version
+            if ordered_model == model and not is_loaded and now_s - at_s < LOAD_TIMEOUT_S:
                 loading.add(name)
         return loading
 
-    async def _fence(self, model: str) -> int | None:
+    async def _acquire_fence(self, model: str) -> int | None:
         """Acquire or renew the model's lease; returns its fence, or None if it is not certainly held."""
         name = f"placement/{self._context.settings.region}/{model}"
         lease = self._leases.get(model)
         if lease is None:
             lease = LeaseKeeper(name, self._context.settings.node, LEASE_TTL_S, self._context.table)
             self._leases[model] = lease
-        held_before = lease.held is not None
+        had_lease = lease.held is not None
         try:
             held = await lease.try_acquire(boot_time_s())
-            if held is not None and not held_before:
+            if held is not None and not had_lease:
                 emit(Event.LEASE_ACQUIRED, lease=name, fence=held.fence)
             return lease.require_held(boot_time_s())
         except LeaseLostError:
-            if held_before:
+            if had_lease:
                 emit(Event.LEASE_LOST, lease=name)
             return None
         except PlatformUnavailableError as error:
             emit(Event.TABLE_UNAVAILABLE, detail=error.detail)
             return None
 
-    async def _order(self, model: str, spec: ModelSpec, name: str, address: str, fence: int) -> None:
-        self._ordered_at_s[(model, name)] = boot_time_s()
+    async def _send_order(self, model: str, spec: ModelSpec, name: str, address: str, fence: int) -> None:
+        self._order_sent_at_s[(model, name)] = boot_time_s()
         order = EngineLoadOrder(fence, model, spec.weights_version)
         status = await EngineClient(address, self._context.session).order(order, ORDER_TIMEOUT_S)
         event = Event.ORDER_REFUSED if status == HTTPStatus.CONFLICT else Event.ORDER_SENT
         emit(event, engine=name, model=model, version=spec.weights_version, fence=fence, status=status)
         if status == HTTPStatus.CONFLICT:
-            del self._ordered_at_s[(model, name)]
+            del self._order_sent_at_s[(model, name)]
--- a/src/wallwell/standalone/placement/reconcile.py
+++ b/src/wallwell/standalone/placement/reconcile.py
@@ -12,12 +12,12 @@
 from wallwell.standalone.config.schema import ModelSpec
 
 
-def loaded_version(news: EngineRecord, model: str) -> str:
+def loaded_version(record: EngineRecord, model: str) -> str:
     """Return the version of ``model`` an engine has loaded, empty if none."""
-    return dict(news.weights).get(model, "")
+    return dict(record.weights).get(model, "")
 
 
-def next_loads(
+def engines_to_load(
     model: str,
     spec: ModelSpec,
     configured: Sequence[str],
@@ -46,10 +46,12 @@
     During a roll that is the declared version as soon as half of the engines, or the declared minimum if that is
     less, have it; until then the version most engines have.
     """
-    counts = Counter(loaded_version(news, model) for news in serving.values())
-    wanted = min(spec.min_serving, -(-len(serving) // 2))
+    counts = Counter(loaded_version(record, model) for record in serving.values())
+    required = min(spec.min_serving, -(-len(serving) // 2))
     version = spec.weights_version
-    if counts and counts[version] < max(1, wanted):
+    if counts and counts[version] < max(1, required):
         version = max(counts, key=lambda each: (counts[each], each))
-    using = {name: news.incarnation for name, news in serving.items() if loaded_version(news, model) == version}
-    return version, using
+    incarnations = {
+        n: record.incarnation for n, record in serving.items() if loaded_version(record, model) == version
+    }
+    return version, incarnations
--- a/src/wallwell/standalone/router_node.py
+++ b/src/wallwell/standalone/router_node.py
@@ -171,7 +171,7 @@
                 node.directory.shard.directory.observe_incarnation(engine.name, engine.incarnation)
                 self.context.selector.on_incarnation(engine.name, engine.incarnation)
             node.directory.shard.directory.sweep()
-            self.context.selector.forget_missing(self.context.region_engines())
+            self.context.selector.forget_unconfigured(self.context.region_engines())
             node.limits.forget_idle(boot_time_s())
 
     def _log_member_changes(self) -> None:
--- a/src/wallwell/standalone/routing/admission.py
+++ b/src/wallwell/standalone/routing/admission.py
@@ -11,14 +11,14 @@
 
 MIN_RETRY_AFTER_S = 0.05
 """Least seconds after which a refused caller is asked to retry."""
-_SMOOTHING = 0.2
+_EXCESS_SMOOTHING = 0.2
 """Weight of the latest observation of excess wait."""
-_HALF_LIFE_S = 5.0
+_EXCESS_HALF_LIFE_S = 5.0
 """Seconds in which half of the learned excess is forgotten, so that one bad moment does not refuse for long."""
 
 
 @dataclass
-class _Excess:
+class _ExcessWait:
     seconds: float = 0.0
     updated_s: float = 0.0
 
@@ -31,20 +31,20 @@
     used and not a ratio: a cached prompt is expected within milliseconds, and one crash would make any ratio large.
     """
 
-    _excess: dict[int, _Excess] = field(default_factory=dict)
+    _excess: dict[int, _ExcessWait] = field(default_factory=dict)
 
     def excess_s(self, rank: int, now_s: float) -> float:
         """Return the seconds to add to an expected first-token time."""
-        known = self._excess.get(rank)
-        if known is None:
+        entry = self._excess.get(rank)
+        if entry is None:
             return 0.0
-        return known.seconds * math.exp2(-(now_s - known.updated_s) / _HALF_LIFE_S)
+        return entry.seconds * math.exp2(-(now_s - entry.updated_s) / _EXCESS_HALF_LIFE_S)
 
     def observe(self, rank: int, expected_s: float, observed_s: float, now_s: float) -> None:
         """Learn from a first token, or from a request given up after ``observed_s``."""
         excess = max(0.0, observed_s - expected_s)
         current = self.excess_s(rank, now_s)
-        self._excess[rank] = _Excess(current + _SMOOTHING * (excess - current), now_s)
+        self._excess[rank] = _ExcessWait(current + _EXCESS_SMOOTHING * (excess - current), now_s)
 
 
 def retry_after_if_late_s(expected_s: float, remaining_s: float) -> float | None:
--- a/src/wallwell/standalone/routing/directory.py
+++ b/src/wallwell/standalone/routing/directory.py
@@ -49,12 +49,12 @@
     def __init__(self, max_entries: int = DEFAULT_MAX_ENTRIES) -> None:
         self._table = CompactTable()
         self._max_entries = max_entries
-        self._slot_of: dict[EngineIncarnation, int] = {}
+        self._slots: dict[EngineIncarnation, int] = {}
         self._incarnation_of_slot: dict[int, EngineIncarnation] = {}
-        self._current: dict[str, EngineIncarnation] = {}
-        self._retired: set[int] = set()
+        self._current_incarnations: dict[str, EngineIncarnation] = {}
+        self._retired_slots: set[int] = set()
         self._next_slot = 1
-        self._reusable: list[int] = []
+        self._free_slots: list[int] = []
 
     def __len__(self) -> int:
         return len(self._table)
@@ -67,42 +67,42 @@
     def observe_incarnation(self, engine: str, incarnation: str) -> bool:
         """Note an engine's incarnation; returns True if it replaced another one."""
         holder = EngineIncarnation(engine, incarnation)
-        previous = self._current.get(engine)
+        previous = self._current_incarnations.get(engine)
         if previous == holder:
             return False
         if previous is not None:
             self._retire(previous)
-        self._current[engine] = holder
+        self._current_incarnations[engine] = holder
         return previous is not None
 
     def forget_engine(self, engine: str) -> None:
         """Drop every entry of ``engine``."""
-        previous = self._current.pop(engine, None)
+        previous = self._current_incarnations.pop(engine, None)
         if previous is not None:
             self._retire(previous)
 
     def _retire(self, holder: EngineIncarnation) -> None:
-        slot = self._slot_of.pop(holder, None)
+        slot = self._slots.pop(holder, None)
         if slot is not None:
             del self._incarnation_of_slot[slot]
-            self._retired.add(slot)
+            self._retired_slots.add(slot)
 
-    def _slot(self, holder: EngineIncarnation) -> int:
-        slot = self._slot_of.get(holder)
+    def _get_or_assign_slot(self, holder: EngineIncarnation) -> int:
+        slot = self._slots.get(holder)
         if slot is None:
-            slot = self._reusable.pop() if self._reusable else self._next_slot
+            slot = self._free_slots.pop() if self._free_slots else self._next_slot
             if slot == self._next_slot:
                 self._next_slot += 1
-            self._slot_of[holder] = slot
+            self._slots[holder] = slot
             self._incarnation_of_slot[slot] = holder
         return slot
 
     def add(self, holder: EngineIncarnation, hashes: Iterable[int], rng: random.Random) -> None:
         """Record that ``holder`` holds ``hashes``. A late report of a dead incarnation is ignored."""
-        if self._current.get(holder.engine, holder) != holder:
+        if self._current_incarnations.get(holder.engine, holder) != holder:
             return
-        self._current[holder.engine] = holder
-        slot = self._slot(holder)
+        self._current_incarnations[holder.engine] = holder
+        slot = self._get_or_assign_slot(holder)
         for key in hashes:
             self._table.set(key, self._with_slot(self._table.get(key), slot, rng))
         if len(self._table) > self._max_entries:
@@ -122,7 +122,7 @@
 
     def remove(self, holder: EngineIncarnation, hashes: Iterable[int]) -> None:
         """Record that ``holder`` evicted ``hashes``; hashes it does not have are ignored."""
-        slot = self._slot_of.get(holder)
+        slot = self._slots.get(holder)
         if slot is None:
             return
         for key in hashes:
@@ -146,7 +146,7 @@
 
         ``checkpoints[i]`` is the hash of the block at index ``depths[i]``, in rising order.
         """
-        reach: dict[EngineIncarnation, int] = {}
+        held_blocks: dict[EngineIncarnation, int] = {}
         previous: set[EngineIncarnation] | None = None
         for key, depth in zip(checkpoints, depths, strict=True):
             holding = set(self.holders(key))
@@ -155,9 +155,9 @@
             if not holding:
                 break
             for holder in holding:
-                reach[holder] = depth + 1
+                held_blocks[holder] = depth + 1
             previous = holding
-        return [HeldPrefix(holder, blocks) for holder, blocks in reach.items()]
+        return [HeldPrefix(holder, blocks) for holder, blocks in held_blocks.items()]
 
     def lookup_chain(self, chain: Sequence[int]) -> list[HeldPrefix]:
         """:meth:`lookup` of a whole chain's checkpoints."""
@@ -166,19 +166,19 @@
 
     def sweep(self) -> int:
         """Remove numbers of retired slots so that they can be reused; returns the entries removed."""
-        if not self._retired:
+        if not self._retired_slots:
             return 0
         removed = 0
         for key, value in list(self._table.items()):
             remaining = value
             for shift in _SHIFTS:
-                if (value >> shift) & _SLOT_MASK in self._retired:
+                if (value >> shift) & _SLOT_MASK in self._retired_slots:
                     remaining &= ~(_SLOT_MASK << shift)
             if remaining != value:
                 self._table.set(key, remaining)
                 removed += remaining == 0
-        self._reusable.extend(self._retired)
-        self._retired.clear()
+        self._free_slots.extend(self._retired_slots)
+        self._retired_slots.clear()
         self._table.shrink()
         return removed
 
@@ -188,8 +188,8 @@
         The directory is a hint, and entries in use are recorded anew with the next dispatch or report.
         """
         excess = 1.0 - EVICT_TO_FRACTION * self._max_entries / len(self._table)
-        doomed = [key for key, _ in self._table.items() if rng.random() < excess]
-        for key in doomed:
+        evicted = [key for key, _ in self._table.items() if rng.random() < excess]
+        for key in evicted:
             self._table.delete(key)
 
 
--- a/src/wallwell/standalone/routing/policy.py
+++ b/src/wallwell/standalone/routing/policy.py
@@ -17,7 +17,7 @@
 
 TIE_MARGIN_S = 0.002
 """Costs in seconds that differ by no more count as equal, and one is drawn."""
-AFFINITY_BOUND = 1.25
+AFFINITY_LOAD_FACTOR = 1.25
 """Multiple of the mean load up to which the prefix-affinity baseline keeps a prefix at its home."""
 AFFINITY_BLOCKS = 16
 """Leading blocks of a prompt by which that baseline names its home."""
@@ -28,7 +28,7 @@
 served in time with 0.05 s, 92.4/s with 0.2 s."""
 MAX_CONGESTION = 20.0
 """Bound of that factor, so that one overloaded engine does not rule every choice."""
-HOME_BLOCKS = 16
+HOME_PREFIX_BLOCKS = 16
 """Leading blocks of a prompt that name its home; prompts that share fewer get their homes independently."""
 HOME_WEIGHT = 0.5
 """Pull of the home under congestion. In a simulator at twice the usual load 117.6 requests/s were served in time
@@ -77,7 +77,7 @@
         ...
 
 
-def _home(request: RoutingRequest, candidates: Sequence[Candidate]) -> str:
+def _home_engine(request: RoutingRequest, candidates: Sequence[Candidate]) -> str:
     """Return the engine that rendezvous hashing gives the prompt's first blocks.
 
     Congestion pulls a prefix back to its home: otherwise each spill leaves another copy, until every engine holds
@@ -85,7 +85,7 @@
     """
     if not request.chain:
         return ""
-    key = request.chain[min(HOME_BLOCKS, len(request.chain)) - 1]
+    key = request.chain[min(HOME_PREFIX_BLOCKS, len(request.chain)) - 1]
     return max(candidates, key=lambda each: rendezvous_score(each.engine, key)).engine
 
 
@@ -94,9 +94,9 @@
     return max(1, request.prompt_tokens - cached_blocks * request.block_tokens)
 
 
-def _choice(request: RoutingRequest, candidate: Candidate, now_s: float) -> Choice:
+def _make_choice(request: RoutingRequest, candidate: Candidate, now_s: float) -> Choice:
     tokens = prefill_tokens(request, candidate.cached_blocks)
-    expected_s = candidate.load.waiting_s(now_s, request.rank) + tokens / candidate.load.prefill_tokens_per_s
+    expected_s = candidate.load.wait_s(now_s, request.rank) + tokens / candidate.load.prefill_tokens_per_s
     return Choice(candidate.engine, expected_s, tokens)
 
 
@@ -118,16 +118,16 @@
         best_cached = max(candidate.cached_blocks for candidate in candidates)
         congestion = self._congestion(candidates, now_s)
         weight = request.objective.recompute + congestion
-        home = _home(request, candidates)
+        home = _home_engine(request, candidates)
         scored = []
         for each in candidates:
             cost = self._cost(request, each, best_cached, weight, now_s)
             if each.engine != home:
                 cost += HOME_WEIGHT * congestion * request.prompt_tokens / each.load.prefill_tokens_per_s
             scored.append((cost, each))
-        least = min(cost for cost, _ in scored)
-        close = [each for cost, each in scored if cost <= least + self._tie_margin_s]
-        return _choice(request, rng.choice(close), now_s)
+        lowest = min(cost for cost, _ in scored)
+        tied = [each for cost, each in scored if cost <= lowest + self._tie_margin_s]
+        return _make_choice(request, rng.choice(tied), now_s)
 
     def _congestion(self, candidates: Sequence[Candidate], now_s: float) -> float:
         """Return what a second of recomputation costs the work that waits behind it.
@@ -135,7 +135,7 @@
         On an idle engine recomputing costs nobody else; where work waits it delays all of it. Without this term
         an overloaded fleet spreads its prefixes over every engine, evicts them everywhere and stays overloaded.
         """
-        waiting = sum(each.load.waiting_s(now_s) for each in candidates) / len(candidates)
+        waiting = sum(each.load.wait_s(now_s) for each in candidates) / len(candidates)
         return min(MAX_CONGESTION, waiting / CONGESTION_UNIT_S)
 
     def _cost(
@@ -148,12 +148,12 @@
     ) -> float:
         rate = candidate.load.prefill_tokens_per_s
         expected = (
-            candidate.load.waiting_s(now_s, request.rank) + prefill_tokens(request, candidate.cached_blocks) / rate
+            candidate.load.wait_s(now_s, request.rank) + prefill_tokens(request, candidate.cached_blocks) / rate
         )
         if candidate.zone != request.zone:
             expected += CROSS_ZONE_COST_S
-        wasted = (best_cached - candidate.cached_blocks) * request.block_tokens / rate
-        return request.objective.first_token * expected + recompute_weight * wasted
+        recompute_s = (best_cached - candidate.cached_blocks) * request.block_tokens / rate
+        return request.objective.first_token * expected + recompute_weight * recompute_s
 
 
 class RoundRobin:
@@ -169,7 +169,7 @@
         ordered = sorted(candidates, key=lambda each: each.engine)
         chosen = ordered[self._next % len(ordered)]
         self._next += 1
-        return _choice(request, chosen, now_s)
+        return _make_choice(request, chosen, now_s)
 
 
 class LeastLoaded:
@@ -179,17 +179,17 @@
         self, request: RoutingRequest, candidates: Sequence[Candidate], now_s: float, rng: random.Random
     ) -> Choice:
         """See :class:`RoutingPolicy`."""
-        least = min((each.load.in_flight, each.load.waiting_s(now_s)) for each in candidates)
-        close = [e for e in candidates if (e.load.in_flight, e.load.waiting_s(now_s)) == least]
-        return _choice(request, rng.choice(close), now_s)
+        lowest = min((each.load.in_flight, each.load.wait_s(now_s)) for each in candidates)
+        tied = [e for e in candidates if (e.load.in_flight, e.load.wait_s(now_s)) == lowest]
+        return _make_choice(request, rng.choice(tied), now_s)
 
 
 class PrefixAffinity:
     """Baseline: rendezvous hash of the prompt's first blocks, with bounded load."""
 
-    def __init__(self, prefix_blocks: int = AFFINITY_BLOCKS, bound: float = AFFINITY_BOUND) -> None:
+    def __init__(self, prefix_blocks: int = AFFINITY_BLOCKS, load_factor: float = AFFINITY_LOAD_FACTOR) -> None:
         self._prefix_blocks = prefix_blocks
-        self._bound = bound
+        self._load_factor = load_factor
 
     def choose(
         self, request: RoutingRequest, candidates: Sequence[Candidate], now_s: float, rng: random.Random
@@ -199,9 +199,9 @@
         key = request.chain[length - 1] if length else rng.getrandbits(64)
         ordered = sorted(candidates, key=lambda each: rendezvous_score(each.engine, key), reverse=True)
         total = sum(each.load.in_flight for each in candidates)
-        capacity = self._bound * (total + 1) / len(candidates)
+        capacity = self._load_factor * (total + 1) / len(candidates)
         chosen = next((each for each in ordered if each.load.in_flight < capacity), ordered[0])
-        return _choice(request, chosen, now_s)
+        return _make_choice(request, chosen, now_s)
 
 
 POLICIES: dict[str, type[RoutingPolicy]] = {
--- a/src/wallwell/standalone/routing/retry.py
+++ b/src/wallwell/standalone/routing/retry.py
@@ -19,9 +19,9 @@
 """Retries for each first attempt, so that an outage is not amplified by more than a tenth."""
 RETRY_RESERVE = 10.0
 """Retries that a node may send at once after a quiet time, and the most that it saves up."""
-LEAST_FRACTION = 0.1
+MIN_SLOW_START_FRACTION = 0.1
 """Least fraction of its requests that a back end gets while it starts slowly after a failure."""
-OPEN_SPREAD = (0.75, 1.25)
+OPEN_JITTER = (0.75, 1.25)
 """Multiples of the pause over which nodes spread their probes of a failed back end."""
 
 
@@ -80,7 +80,7 @@
         recovered_for_s = now_s - self._recovered_at_s
         if recovered_for_s >= self.slow_start_s:
             return True
-        return rng.random() < max(LEAST_FRACTION, recovered_for_s / self.slow_start_s)
+        return rng.random() < max(MIN_SLOW_START_FRACTION, recovered_for_s / self.slow_start_s)
 
     def is_open(self, now_s: float) -> bool:
         """Whether requests are refused now, without claiming the probe."""
@@ -98,6 +98,6 @@
         self._failures += 1
         self._probing = False
         if self._failures >= self.failures_to_open:
-            self._open_until_s = now_s + self.open_s * rng.uniform(*OPEN_SPREAD)
+            self._open_until_s = now_s + self.open_s * rng.uniform(*OPEN_JITTER)
             return self._failures == self.failures_to_open
         return False
--- a/src/wallwell/standalone/routing/retry_decision.py
+++ b/src/wallwell/standalone/routing/retry_decision.py
@@ -53,7 +53,7 @@
 
     tokens: int = 0
     """Tokens received over all attempts."""
-    fruitless_attempts: int = 0
+    attempts_without_tokens: int = 0
     """Attempts since the last one that brought a token."""
     resumes: int = 0
     """Attempts that broke after they had brought tokens."""
@@ -62,7 +62,7 @@
         """Return the progress after a failed attempt, up to which ``tokens`` tokens were received."""
         if tokens > self.tokens:
             return GenerationProgress(tokens, 0, self.resumes + 1)
-        return GenerationProgress(tokens, self.fruitless_attempts + 1, self.resumes)
+        return GenerationProgress(tokens, self.attempts_without_tokens + 1, self.resumes)
 
 
 def reserve_retry(progress: GenerationProgress, budget: RetryBudget) -> bool:
@@ -70,7 +70,7 @@
 
     Where no other may follow, the engine that works on the request is the only one that can still answer it.
     """
-    return progress.fruitless_attempts + 1 < MAX_GENERATION_ATTEMPTS and budget.try_retry()
+    return progress.attempts_without_tokens + 1 < MAX_GENERATION_ATTEMPTS and budget.try_retry()
 
 
 def after_failed_generation(
@@ -94,11 +94,11 @@
     if after.resumes > before.resumes:
         if after.resumes > MAX_RESUMES:
             return NoRetry(NoRetryCause.ATTEMPTS_USED_UP)
-    elif after.fruitless_attempts >= MAX_GENERATION_ATTEMPTS:
+    elif after.attempts_without_tokens >= MAX_GENERATION_ATTEMPTS:
         return NoRetry(NoRetryCause.ATTEMPTS_USED_UP)
     elif not is_reserved and not budget.try_retry():
         return NoRetry(NoRetryCause.BUDGET_USED_UP)
-    delay_s = full_jitter_delay_s(after.fruitless_attempts, rng)
+    delay_s = full_jitter_delay_s(after.attempts_without_tokens, rng)
     if after.tokens == 0 and remaining_s <= delay_s:
         return NoRetry(NoRetryCause.NO_TIME_LEFT)
     return RetryAfterPause(delay_s)
--- a/src/wallwell/standalone/routing/selector.py
+++ b/src/wallwell/standalone/routing/selector.py
@@ -21,16 +21,16 @@
 MAX_CANDIDATES = 16
 """Engines up to which all are compared; of a larger pool, only holders, rendezvous owners and a sample are. Bounds
 the work of a choice."""
-_MAX_HOLDERS = 4
+_HOLDER_CANDIDATES = 4
 """Holders of the longest cached prefixes that are compared."""
 QUEUE_FRACTION = 0.25
 """Fraction of the remaining time that may be spent waiting in a queue. In a simulator at twice the usual load
 127.9 requests/s were served in time with it, 117.6/s without."""
-_SAMPLED = 8
+_SAMPLED_CANDIDATES = 8
 """Candidates drawn at random, so that idle engines are found."""
-_RENDEZVOUS_OWNERS = 2
+_OWNER_CANDIDATES = 2
 """Candidates that rank first by rendezvous hashing of the prefix."""
-RECENT_ENTRIES = 20_000
+MAX_RECENT_ENTRIES = 20_000
 """Checkpoints of own recent dispatches, for the case that the directory does not answer in time."""
 
 
@@ -51,7 +51,7 @@
     rng: random.Random
     loads: dict[str, EngineLoad] = field(default_factory=dict)
     breakers: dict[str, CircuitBreaker] = field(default_factory=dict)
-    recent: PrefixDirectory = field(default_factory=lambda: PrefixDirectory(RECENT_ENTRIES))
+    recent_prefixes: PrefixDirectory = field(default_factory=lambda: PrefixDirectory(MAX_RECENT_ENTRIES))
     calibration: WaitCalibration = field(default_factory=WaitCalibration)
 
     def load_of(self, engine: str) -> EngineLoad:
@@ -62,24 +62,24 @@
         """Return the circuit breaker of an engine."""
         return self.breakers.setdefault(engine, CircuitBreaker())
 
-    def forget_missing(self, engines: Collection[str]) -> None:
+    def forget_unconfigured(self, configured: Collection[str]) -> None:
         """Drop state of engines no longer configured."""
-        self.loads = {name: load for name, load in self.loads.items() if name in engines}
-        self.breakers = {name: breaker for name, breaker in self.breakers.items() if name in engines}
+        self.loads = {name: load for name, load in self.loads.items() if name in configured}
+        self.breakers = {name: breaker for name, breaker in self.breakers.items() if name in configured}
 
     def select(
         self,
         request: RoutingRequest,
         engines: Sequence[EngineView],
-        held: Iterable[HeldPrefix],
+        held_prefixes: Iterable[HeldPrefix],
         now_s: float,
-        excluded: Collection[str] = (),
+        failed: Collection[str] = (),
     ) -> Choice | None:
         """Return the policy's choice, or None if no engine may be tried."""
         usable = [each for each in engines if not self.breaker_of(each.name).is_open(now_s)]
-        preferred = [each for each in usable if each.name not in excluded] or usable
-        cached = self._cached_blocks(request, preferred, held)
-        narrowed = self._narrow(request, preferred, cached)
+        preferred = [each for each in usable if each.name not in failed] or usable
+        cached = self._cached_blocks(request, preferred, held_prefixes)
+        narrowed = self._limit_candidates(request, preferred, cached)
         candidates = [
             Candidate(each.name, each.zone, cached.get(each.name, 0), self.load_of(each.name)) for each in narrowed
         ]
@@ -90,7 +90,7 @@
             candidates = [each for each in candidates if each.engine != choice.engine]
         return None
 
-    def refusal_s(self, request: RoutingRequest, choice: Choice, now_s: float) -> float | None:
+    def retry_after_if_refused_s(self, request: RoutingRequest, choice: Choice, now_s: float) -> float | None:
         """Return None to admit, or the time after which to try again.
 
         Only a fraction of the remaining time may be spent waiting: a longer queue answers no more requests, makes
@@ -100,29 +100,29 @@
         return retry_after_if_late_s(expected_s, request.remaining_s * QUEUE_FRACTION)
 
     def _cached_blocks(
-        self, request: RoutingRequest, engines: Sequence[EngineView], held: Iterable[HeldPrefix]
+        self, request: RoutingRequest, engines: Sequence[EngineView], held_prefixes: Iterable[HeldPrefix]
     ) -> dict[str, int]:
         """Longest prefix per engine, counting only entries of the engine's current incarnation."""
         current = {each.name: each.incarnation for each in engines}
         cached: dict[str, int] = {}
-        own = self.recent.lookup_chain(request.chain) if request.chain else []
-        for prefix in (*held, *own):
+        own = self.recent_prefixes.lookup_chain(request.chain) if request.chain else []
+        for prefix in (*held_prefixes, *own):
             name = prefix.holder.engine
             if current.get(name) == prefix.holder.incarnation:
                 cached[name] = max(cached.get(name, 0), prefix.blocks)
         return cached
 
-    def _narrow(
+    def _limit_candidates(
         self, request: RoutingRequest, engines: Sequence[EngineView], cached: dict[str, int]
     ) -> Sequence[EngineView]:
         """Keep holders, a random sample and the chain's rendezvous owners, so that cost is bounded."""
         if len(engines) <= MAX_CANDIDATES:
             return engines
         by_name = {each.name: each for each in engines}
-        holders = sorted((n for n in by_name if n in cached), key=lambda n: -cached[n])[:_MAX_HOLDERS]
+        holders = sorted((n for n in by_name if n in cached), key=lambda n: -cached[n])[:_HOLDER_CANDIDATES]
         root = request.chain[0] if request.chain else self.rng.getrandbits(64)
-        owners = sorted(by_name, key=lambda n: rendezvous_score(n, root), reverse=True)[:_RENDEZVOUS_OWNERS]
-        sampled = self.rng.sample(sorted(by_name), _SAMPLED)
+        owners = sorted(by_name, key=lambda n: rendezvous_score(n, root), reverse=True)[:_OWNER_CANDIDATES]
+        sampled = self.rng.sample(sorted(by_name), _SAMPLED_CANDIDATES)
         return [by_name[name] for name in dict.fromkeys((*holders, *owners, *sampled))]
 
     def on_dispatch(
@@ -131,8 +131,8 @@
         """Note a dispatch: the engine is about to hold the chain and has more to do."""
         self.load_of(choice.engine).on_dispatch(request_id, choice.expected_prefill_tokens, rank, now_s)
         holder = EngineIncarnation(choice.engine, incarnation)
-        self.recent.observe_incarnation(*holder)
-        self.recent.add(holder, checkpoint_hashes(chain), self.rng)
+        self.recent_prefixes.observe_incarnation(*holder)
+        self.recent_prefixes.add(holder, checkpoint_hashes(chain), self.rng)
 
     def on_finished(self, engine: str, request_id: str) -> None:
         """An attempt ended, however it ended."""
@@ -140,16 +140,16 @@
 
     def on_incarnation(self, engine: str, incarnation: str) -> bool:
         """Note an engine's incarnation; returns True if it replaced another one."""
-        changed = self.recent.observe_incarnation(engine, incarnation)
+        changed = self.recent_prefixes.observe_incarnation(engine, incarnation)
         if changed:
-            self.recent.sweep()
+            self.recent_prefixes.sweep()
             self.loads.pop(engine, None)
         return changed
 
-    def on_refused_hint(self, engine: str) -> None:
+    def on_precondition_refused(self, engine: str) -> None:
         """The engine refused a precondition, so what was believed of its cache is void."""
-        self.recent.forget_engine(engine)
-        self.recent.sweep()
+        self.recent_prefixes.forget_engine(engine)
+        self.recent_prefixes.sweep()
 
 
 def checkpoint_hashes(chain: Sequence[int]) -> list[int]:
--- a/src/wallwell/standalone/routing/limits.py
+++ b/src/wallwell/standalone/routing/token_bucket.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-RETRY_WITHOUT_RATE_S = 1.0
+ZERO_RATE_RETRY_S = 1.0
 """Seconds reported for a bucket that gains nothing, where no time would be right."""
 
 
@@ -26,7 +26,7 @@
         self.tokens = min(self.capacity, self.tokens + elapsed * self.rate_per_s)
         self.updated_s = max(self.updated_s, now_s)
 
-    def try_take(self, now_s: float, amount: float = 1.0) -> bool:
+    def try_spend(self, now_s: float, amount: float = 1.0) -> bool:
         """Take ``amount`` if there is enough."""
         self.refill(now_s)
         if self.tokens < amount:
@@ -37,5 +37,5 @@
     def wait_s(self, amount: float = 1.0) -> float:
         """Return the seconds until ``amount`` would be there, as of the last refill."""
         if self.rate_per_s <= 0:
-            return RETRY_WITHOUT_RATE_S
+            return ZERO_RATE_RETRY_S
         return max(0.0, (amount - self.tokens) / self.rate_per_s)
--- a/tests/contract/test_callers.py
+++ b/tests/contract/test_callers.py
@@ -209,7 +209,7 @@
         asked.append(now_s)
         return None if len(asked) == 1 else 1.0
 
-    monkeypatch.setattr(selector, "refusal_s", refuse_from_the_second_on)
+    monkeypatch.setattr(selector, "retry_after_if_refused_s", refuse_from_the_second_on)
 
     async def scenario():
         harness.set_engine_faults(down=True)
--- a/tests/unit/standalone/placement/test_reconcile.py
+++ b/tests/unit/standalone/placement/test_reconcile.py
@@ -4,7 +4,7 @@
 
 from wallwell.standalone.cluster.messages import EngineRecord
 from wallwell.standalone.config.schema import ModelSpec
-from wallwell.standalone.placement.reconcile import engines_to_use, next_loads
+from wallwell.standalone.placement.reconcile import engines_to_load, engines_to_use
 
 NAMES = ["e1", "e2", "e3", "e4", "e5", "e6"]
 
@@ -30,13 +30,13 @@
         ({}, (), 1, 2, []),
     ],
 )
-def test_loads_respect_slots_and_the_minimum_serving(versions, loading, min_serving, slots, ordered):
+def test_loads_respect_load_slots_and_min_serving(versions, loading, min_serving, slots, ordered):
     spec = ModelSpec("2", min_serving=min_serving)
-    assert next_loads("m", spec, NAMES, serving(**versions), loading, slots) == ordered
+    assert engines_to_load("m", spec, NAMES, serving(**versions), loading, slots) == ordered
 
 
 @pytest.mark.parametrize(
-    ("versions", "version", "using"),
+    ("versions", "version", "engines"),
     [
         (ALL_OLD, "1", NAMES),
         ({**ALL_OLD, "e1": "2"}, "1", NAMES[1:]),
@@ -45,6 +45,6 @@
         ({}, "2", []),
     ],
 )
-def test_requests_run_on_one_version(versions, version, using):
-    found, incarnations = engines_to_use("m", ModelSpec("2", min_serving=4), serving(**versions))
-    assert (found, sorted(incarnations)) == (version, using)
+def test_requests_run_on_a_single_version(versions, version, engines):
+    version_in_use, incarnations = engines_to_use("m", ModelSpec("2", min_serving=4), serving(**versions))
+    assert (version_in_use, sorted(incarnations)) == (version, engines)
--- a/tests/unit/standalone/routing/test_directory.py
+++ b/tests/unit/standalone/routing/test_directory.py
@@ -28,13 +28,13 @@
 @pytest.mark.parametrize(
     "changed", [{"tenant": "other"}, {"weights": "w2"}, {"adapter": "a@1"}, {"prompt": b"x" + PROMPT[1:]}]
 )
-def test_another_cache_key_never_matches(changed):
+def test_a_different_cache_key_never_matches(changed):
     directory = directory_with(OLD, chain_of())
     assert directory.lookup_chain(chain_of(**changed)) == []
     assert directory.lookup_chain(chain_of())[0].holder == OLD
 
 
-def test_another_secret_gives_other_hashes():
+def test_different_secrets_give_different_seeds():
     key = CacheKey("t", "m", "w", "")
     assert key.seed(b"a") != key.seed(b"b")
 
@@ -46,7 +46,7 @@
     assert directory.lookup_chain(chain) == []
 
 
-def test_late_news_of_a_dead_incarnation_is_ignored():
+def test_a_late_report_of_a_dead_incarnation_is_ignored():
     chain = chain_of()
     directory = directory_with(OLD, chain)
     directory.observe_incarnation(*NEW)
@@ -54,7 +54,7 @@
     assert directory.lookup_chain(chain) == []
 
 
-def test_a_recycled_slot_never_speaks_for_the_dead():
+def test_a_reused_slot_does_not_revive_entries_of_a_dead_incarnation():
     chain = chain_of()
     directory = directory_with(OLD, chain)
     directory.observe_incarnation(*NEW)
@@ -81,7 +81,7 @@
     assert hash_chain(1, b"x" * 63, 64) == []
 
 
-def test_size_is_bounded():
+def test_entry_count_is_bounded():
     directory = PrefixDirectory(max_entries=500)
     rng = random.Random(3)
     for start in range(0, 5000, 100):
--- a/tests/unit/standalone/routing/test_policy_and_admission.py
+++ b/tests/unit/standalone/routing/test_policy_and_admission.py
@@ -25,19 +25,19 @@
     return Candidate(name, "z", cached_blocks, load)
 
 
-COUNTER = Objective(first_token=1.0, recompute=0.0)
-OVERNIGHT = Objective(first_token=0.1, recompute=1.0)
+INTERACTIVE = Objective(first_token=1.0, recompute=0.0)
+BATCH = Objective(first_token=0.1, recompute=1.0)
 
 
 @pytest.mark.parametrize(
     ("objective", "busy_tokens", "chosen"),
     [
-        (COUNTER, 0, "holder"),
-        (COUNTER, 8_000, "idle"),  # waiting costs more than computing again
-        (OVERNIGHT, 8_000, "holder"),  # an overnight check waits for its prefix
+        (INTERACTIVE, 0, "holder"),
+        (INTERACTIVE, 8_000, "idle"),  # waiting costs more than computing again
+        (BATCH, 8_000, "holder"),  # an overnight check waits for its prefix
     ],
 )
-def test_the_objective_weighs_waiting_against_recomputing(objective, busy_tokens, chosen):
+def test_the_objective_weighs_waiting_against_recomputation(objective, busy_tokens, chosen):
     # Four idle engines keep the mean wait, and so the congestion term, low.
     idle = [candidate(f"idle{n}", 0, 0) for n in range(40)]
     choice = ExpectedFirstToken().choose(
@@ -46,9 +46,9 @@
     assert choice.engine.startswith(chosen)
 
 
-def test_a_congested_fleet_keeps_prefixes_where_they_are():
+def test_a_prefix_stays_with_its_holder_under_congestion():
     engines = [candidate("holder", 290, 14_000), *[candidate(f"other{n}", 0, 8_000) for n in range(5)]]
-    choice = ExpectedFirstToken().choose(request(COUNTER), engines, 0.0, random.Random(1))
+    choice = ExpectedFirstToken().choose(request(INTERACTIVE), engines, 0.0, random.Random(1))
     assert choice.engine == "holder"
 
 
@@ -57,18 +57,18 @@
     selector = EngineSelector(ExpectedFirstToken(), random.Random(1))
     views = [EngineView("a", "z", "new"), EngineView("b", "z", "1")]
     held = [HeldPrefix(EngineIncarnation("a", "old"), 100), HeldPrefix(EngineIncarnation("b", "1"), 32)]
-    choice = selector.select(request(COUNTER, chain, 1600), views, held, 0.0)
+    choice = selector.select(request(INTERACTIVE, chain, 1600), views, held, 0.0)
     assert (choice.engine, choice.expected_prefill_tokens) == ("b", 1600 - 32 * 16)
 
 
-def test_failed_engines_come_last_and_open_breakers_are_left_out():
+def test_failed_engines_are_a_last_resort_and_open_breakers_are_excluded():
     selector = EngineSelector(ExpectedFirstToken(), random.Random(1))
     views = [EngineView(name, "z", "1") for name in "abc"]
     for _ in range(3):
         selector.breaker_of("a").on_failure(0.0, random.Random(1))
-    chosen = {selector.select(request(COUNTER), views, [], 0.1, {"b"}).engine for _ in range(20)}
+    chosen = {selector.select(request(INTERACTIVE), views, [], 0.1, {"b"}).engine for _ in range(20)}
     assert chosen == {"c"}
-    assert selector.select(request(COUNTER), views[:1], [], 0.1) is None
+    assert selector.select(request(INTERACTIVE), views[:1], [], 0.1) is None
 
 
 def test_the_number_of_candidates_is_bounded_and_keeps_holders():
@@ -76,15 +76,15 @@
     selector = EngineSelector(ExpectedFirstToken(), random.Random(1))
     views = [EngineView(f"e{n:03d}", "z", "1") for n in range(500)]
     held = [HeldPrefix(EngineIncarnation("e321", "1"), checkpoint_depths(100)[-1])]
-    assert selector.select(request(COUNTER, chain, 1600), views, held, 0.0).engine == "e321"
+    assert selector.select(request(INTERACTIVE, chain, 1600), views, held, 0.0).engine == "e321"
 
 
-def test_admission_refuses_what_cannot_start_in_time():
+def test_admission_refuses_requests_that_cannot_start_in_time():
     assert retry_after_if_late_s(1.0, 2.0) is None
     assert retry_after_if_late_s(3.0, 2.0) == 1.0
 
 
-def test_calibration_learns_that_a_rank_waits_longer_and_forgets():
+def test_excess_wait_is_estimated_per_rank_and_decays():
     calibration = WaitCalibration()
     for _ in range(20):
         calibration.observe(4, expected_s=0.2, observed_s=2.2, now_s=0.0)
@@ -94,7 +94,7 @@
     assert calibration.excess_s(4, 60.0) < 0.01
 
 
-def test_one_crash_on_an_idle_fleet_refuses_nobody():
+def test_one_crash_on_an_idle_fleet_causes_no_refusal():
     selector = EngineSelector(ExpectedFirstToken(), random.Random(1))
     selector.calibration.observe(0, expected_s=0.001, observed_s=1.0, now_s=0.0)
-    assert selector.refusal_s(request(COUNTER), Choice("e", 0.3, 4800), 0.0) is None
+    assert selector.retry_after_if_refused_s(request(INTERACTIVE), Choice("e", 0.3, 4800), 0.0) is None
--- a/tests/unit/standalone/routing/test_retry_and_load.py
+++ b/tests/unit/standalone/routing/test_retry_and_load.py
@@ -6,7 +6,7 @@
 from wallwell.standalone.routing.retry import CircuitBreaker, RetryBudget, full_jitter_delay_s
 
 
-def test_retries_stay_a_fraction_of_requests():
+def test_retries_are_limited_to_a_fraction_of_requests():
     budget = RetryBudget(ratio=0.1, reserve=5)
     retried = 0
     for _ in range(10_000):
@@ -32,20 +32,20 @@
     assert breaker.allows(10.0, rng)
 
 
-def test_own_dispatches_count_until_a_report_covers_them():
+def test_own_dispatches_add_to_the_wait_until_a_report_includes_them():
     load = EngineLoad(prefill_tokens_per_s=1000.0)
     load.on_report(LoadReport(0, 0, ((2, 500),), 0, 0, taken_at_s=0.0))
     load.on_dispatch("a", 1000, rank=2, now_s=0.1)
-    assert 1.2 < load.waiting_s(0.1) < 1.5
+    assert 1.2 < load.wait_s(0.1) < 1.5
     load.on_report(LoadReport(1, 1, ((2, 1000),), 0, 0, taken_at_s=0.2))
-    assert 0.95 < load.waiting_s(0.2) <= 1.0
+    assert 0.95 < load.wait_s(0.2) <= 1.0
     load.on_report(LoadReport(0, 0, (), 0, 0, taken_at_s=0.15))  # an older report changes nothing
-    assert load.waiting_s(0.2) > 0.9
+    assert load.wait_s(0.2) > 0.9
 
 
-def test_only_work_of_the_same_or_a_lower_rank_delays():
+def test_only_work_of_the_same_or_a_lower_rank_adds_to_the_wait():
     load = EngineLoad(prefill_tokens_per_s=1000.0)
     load.on_report(LoadReport(0, 0, ((0, 100), (10, 5000)), 0, 0, taken_at_s=0.0))
     load.on_dispatch("batch", 4000, rank=10, now_s=0.0)
-    assert load.waiting_s(0.0, rank=0) == 0.1
-    assert load.waiting_s(0.0, rank=10) == 9.1
+    assert load.wait_s(0.0, rank=0) == 0.1
+    assert load.wait_s(0.0, rank=10) == 9.1
--- a/tests/unit/standalone/routing/test_retry_decision.py
+++ b/tests/unit/standalone/routing/test_retry_decision.py
@@ -45,19 +45,19 @@
     return left
 
 
-def retry_of_step(step: int) -> RetryAfterPause:
+def retry_step(step: int) -> RetryAfterPause:
     """Return a retry with the pause that the generator gives for a step of the backoff."""
     return RetryAfterPause(full_jitter_delay_s(step, random.Random(SEED)))
 
 
 @pytest.mark.parametrize(
-    ("before", "tokens", "permitted", "remaining_s", "retries", "expected", "taken", "drawn"),
+    ("before", "tokens", "permitted", "remaining_s", "retries", "expected", "spent", "drawn"),
     [
-        pytest.param(GenerationProgress(), 0, True, LONG_S, 2, retry_of_step(1), 1, True, id="first failure"),
+        pytest.param(GenerationProgress(), 0, True, LONG_S, 2, retry_step(1), 1, True, id="first failure"),
         pytest.param(GenerationProgress(), 0, False, LONG_S, 2, FORBIDDEN, 0, False, id="error answer"),
         pytest.param(GenerationProgress(), 0, True, LONG_S, 0, NO_BUDGET, 0, False, id="no budget"),
         pytest.param(GenerationProgress(), 0, True, 0.0, 2, NO_TIME, 1, True, id="no time"),
-        pytest.param(GenerationProgress(0, 4), 0, True, LONG_S, 2, retry_of_step(5), 1, True, id="fifth failure"),
+        pytest.param(GenerationProgress(0, 4), 0, True, LONG_S, 2, retry_step(5), 1, True, id="fifth failure"),
         pytest.param(
             GenerationProgress(0, MAX_GENERATION_ATTEMPTS - 1),
             0,
@@ -69,18 +69,16 @@
             False,
             id="sixth",
         ),
-        pytest.param(GenerationProgress(0, 5), 3, True, LONG_S, 0, retry_of_step(0), 0, True, id="tokens are free"),
-        pytest.param(
-            GenerationProgress(3, 0, 1), 5, True, -1.0, 0, retry_of_step(0), 0, True, id="beyond deadline"
-        ),
-        pytest.param(GenerationProgress(3, 0, 1), 3, True, -1.0, 2, retry_of_step(1), 1, True, id="resume failed"),
+        pytest.param(GenerationProgress(0, 5), 3, True, LONG_S, 0, retry_step(0), 0, True, id="tokens are free"),
+        pytest.param(GenerationProgress(3, 0, 1), 5, True, -1.0, 0, retry_step(0), 0, True, id="beyond deadline"),
+        pytest.param(GenerationProgress(3, 0, 1), 3, True, -1.0, 2, retry_step(1), 1, True, id="resume failed"),
         pytest.param(
             GenerationProgress(3, 0, MAX_RESUMES - 1),
             4,
             True,
             LONG_S,
             2,
-            retry_of_step(0),
+            retry_step(0),
             0,
             True,
             id="last resume",
@@ -90,11 +88,13 @@
         ),
     ],
 )
-def test_a_failed_generation(before, tokens, permitted, remaining_s, retries, expected, taken, drawn):
+def test_decision_after_a_failed_generation(
+    before, tokens, permitted, remaining_s, retries, expected, spent, drawn
+):
     rng, budget = random.Random(SEED), budget_of(retries)
     after = before.after_attempt(tokens)
     assert after_failed_generation(before, after, permitted, remaining_s, budget, rng) == expected
-    assert retries_left(budget) == retries - taken
+    assert retries_left(budget) == retries - spent
     assert (rng.getstate() != random.Random(SEED).getstate()) is drawn
 
 
@@ -102,26 +102,26 @@
     first = GenerationProgress().after_attempt(0)
     second = first.after_attempt(4)
     third = second.after_attempt(4)
-    assert first == GenerationProgress(tokens=0, fruitless_attempts=1, resumes=0)
-    assert second == GenerationProgress(tokens=4, fruitless_attempts=0, resumes=1)
-    assert third == GenerationProgress(tokens=4, fruitless_attempts=1, resumes=1)
+    assert first == GenerationProgress(tokens=0, attempts_without_tokens=1, resumes=0)
+    assert second == GenerationProgress(tokens=4, attempts_without_tokens=0, resumes=1)
+    assert third == GenerationProgress(tokens=4, attempts_without_tokens=1, resumes=1)
 
 
 @pytest.mark.parametrize(
-    ("attempts", "permitted", "remaining_s", "retries", "expected", "taken"),
+    ("attempts", "permitted", "remaining_s", "retries", "expected", "spent"),
     [
-        pytest.param(1, True, LONG_S, 2, retry_of_step(1), 1, id="first failure"),
+        pytest.param(1, True, LONG_S, 2, retry_step(1), 1, id="first failure"),
         pytest.param(1, False, LONG_S, 2, FORBIDDEN, 0, id="may have run"),
         pytest.param(1, True, 0.0, 2, NO_TIME, 0, id="no time leaves the budget alone"),
         pytest.param(1, True, LONG_S, 0, NO_BUDGET, 0, id="no budget"),
-        pytest.param(MAX_SERVICE_ATTEMPTS - 1, True, LONG_S, 2, retry_of_step(3), 1, id="last attempt"),
+        pytest.param(MAX_SERVICE_ATTEMPTS - 1, True, LONG_S, 2, retry_step(3), 1, id="last attempt"),
         pytest.param(MAX_SERVICE_ATTEMPTS, True, LONG_S, 2, NO_ATTEMPTS, 0, id="attempts used up"),
     ],
 )
-def test_a_failed_service_call(attempts, permitted, remaining_s, retries, expected, taken):
+def test_decision_after_a_failed_service_call(attempts, permitted, remaining_s, retries, expected, spent):
     rng, budget = random.Random(SEED), budget_of(retries)
     assert after_failed_service_call(attempts, permitted, remaining_s, budget, rng) == expected
-    assert retries_left(budget) == retries - taken
+    assert retries_left(budget) == retries - spent
     # One draw whatever is decided: a seeded run stays the same whichever calls are given up.
     drawn = random.Random(SEED)
     full_jitter_delay_s(attempts, drawn)
@@ -136,7 +136,7 @@
 def test_a_generation_is_sent_again_a_bounded_number_of_times(failures, retries, seed):
     """Without new requests, retries without progress come out of the budget and resumptions have a bound."""
     rng, budget, progress = random.Random(seed), budget_of(retries), GenerationProgress()
-    resumed = fruitless = 0
+    resumed = without_tokens = 0
     for new_tokens, remaining_s in failures:
         before, progress = progress, progress.after_attempt(progress.tokens + new_tokens)
         decision = after_failed_generation(before, progress, True, remaining_s, budget, rng)
@@ -144,6 +144,6 @@
             break
         assert progress.tokens or decision.delay_s < remaining_s
         resumed += new_tokens > 0
-        fruitless += new_tokens == 0
+        without_tokens += new_tokens == 0
     assert resumed <= MAX_RESUMES
-    assert fruitless <= retries
+    assert without_tokens <= retries
