--- a/src/wallwell/standalone/placement/__init__.py
+++ b/src/wallwell/standalone/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Weights on the engines of the standalone router."""
+"""Placement of model weights on the standalone router's engines."""
--- a/src/wallwell/standalone/placement/controller.py
+++ b/src/wallwell/standalone/placement/controller.py
@@ -1,9 +1,9 @@
-"""Keeps the declared weights loaded: one lease holder a model and region sends fenced orders.
+"""Keeps the declared weights loaded: one lease holder per model and region sends fenced load orders.
 
-The node that rendezvous hashing names for the model tries to hold the lease. A holder that was paused past its
-lease may still send an order; its fence is lower than the next holder's, and the engine refuses it.
+The node that owns the model by rendezvous hashing tries to hold the lease. A holder that was paused past the end of
+its lease may still send an order; its fence is lower than the next holder's, so the engine refuses the order.
 
-Owns this node's leases and the orders it has sent; which engines to order is decided in :mod:`.reconcile`.
+This module holds the node's leases and sent orders; :mod:`.reconcile` decides which engines get an order.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 from wallwell.standalone.placement.reconcile import engines_to_load, loaded_version
 
 RECONCILE_INTERVAL_S = 0.5
-"""Mean seconds between two checks for engines that lack the declared weights."""
+"""Mean seconds between checks for engines that have not loaded the declared weights."""
 RECONCILE_JITTER = (0.8, 1.2)
-"""Multiples of the interval, so that nodes do not all check at once."""
+"""Random multiples of ``RECONCILE_INTERVAL_S``, so that nodes do not all check at once."""
 LEASE_TTL_S = 6.0
-"""Seconds a lease lasts without renewal: how long a model waits for a new holder."""
+"""Seconds that a lease lasts without renewal; after a holder fails, its model gets no orders for as long."""
 ORDER_TIMEOUT_S = 2.0
-"""Seconds for the answer to an order; after it the order may have been taken, which its fence makes harmless."""
+"""Timeout of an order. An order that timed out may still be accepted, which its fence makes harmless."""
 LOAD_TIMEOUT_S = 120.0
-"""Seconds after which an engine that does not serve the ordered weights no longer counts as loading, so that others
-are ordered in its place."""
+"""Seconds after which an engine that does not serve the ordered weights no longer counts as loading, so that
+another engine gets an order in its place."""
 
 
 class PlacementController:
-    """Reconciles models of this node's region."""
+    """Brings the engines of this node's region to the declared weights versions."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
@@ -44,7 +44,7 @@
         self._order_sent_at_s: dict[tuple[str, str], float] = {}
 
     async def run(self) -> None:
-        """Reconcile until cancelled; leases are released then."""
+        """Reconcile every model periodically until cancelled, then release the leases."""
         try:
             while True:
                 await asyncio.sleep(RECONCILE_INTERVAL_S * self._context.rng.uniform(*RECONCILE_JITTER))
@@ -72,7 +72,7 @@
             await self._send_order(model, spec, name, engines[name].address, fence)
 
     def _engines_loading(self, model: str, spec: ModelSpec) -> set[str]:
-        """Engines ordered lately that do not serve the declared version yet."""
+        """Return the engines ordered within ``LOAD_TIMEOUT_S`` that do not serve the declared version yet."""
         now_s = boot_time_s()
         serving = self._context.node.engines.serving_engines()
         loading = set()
@@ -84,7 +84,7 @@
         return loading
 
     async def _acquire_fence(self, model: str) -> int | None:
-        """Acquire or renew the model's lease; returns its fence, or None if it is not certainly held."""
+        """Acquire or renew the model's lease; return its fence, or None if the lease is not certainly held."""
         name = f"placement/{self._context.settings.region}/{model}"
         lease = self._leases.get(model)
         if lease is None:
--- a/src/wallwell/standalone/placement/reconcile.py
+++ b/src/wallwell/standalone/placement/reconcile.py
@@ -1,6 +1,6 @@
-"""Which engines to load next, and which version requests run on meanwhile. Pure; owns nothing.
+"""Decides which engines load weights next, and which weights version serves requests meanwhile. Pure.
 
-Relies on engines as their readers published them, and on the declared model.
+Inputs are the engine states that the nodes publish and the declared model.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def loaded_version(record: EngineRecord, model: str) -> str:
-    """Return the version of ``model`` an engine has loaded, empty if none."""
+    """Return the weights version of ``model`` that an engine has loaded, empty if none."""
     return dict(record.weights).get(model, "")
 
 
@@ -25,10 +25,10 @@
     loading: Collection[str],
     max_concurrent_loads: int,
 ) -> list[str]:
-    """Return engines to order to the declared version now.
+    """Return the engines that should load the declared version now.
 
-    At most ``max_concurrent_loads`` load at once, and no order takes the serving engines below
-    ``spec.min_serving``. Engines already at the version are never ordered, so a second call changes nothing.
+    At most ``max_concurrent_loads`` engines load at once, and no load takes the number of serving engines below
+    ``spec.min_serving``. Engines that have the declared version are never returned, so calls are idempotent.
     """
     outdated = [
         name
@@ -41,17 +41,15 @@
 
 
 def engines_to_use(model: str, spec: ModelSpec, serving: Mapping[str, EngineRecord]) -> tuple[str, dict[str, str]]:
-    """Return the version requests run on, and the incarnation of each engine that has it.
+    """Return the version that serves requests, and the incarnation of each engine that has loaded it.
 
-    During a roll that is the declared version as soon as half of the engines, or the declared minimum if that is
-    less, have it; until then the version most engines have.
+    During a weights roll this is the declared version once half of the engines, or ``spec.min_serving`` if less,
+    have loaded it; until then the version that most engines have.
     """
     counts = Counter(loaded_version(record, model) for record in serving.values())
     required = min(spec.min_serving, -(-len(serving) // 2))
     version = spec.weights_version
     if counts and counts[version] < max(1, required):
         version = max(counts, key=lambda each: (counts[each], each))
-    incarnations = {
-        n: record.incarnation for n, record in serving.items() if loaded_version(record, model) == version
-    }
-    return version, incarnations
+    in_use = {n: record.incarnation for n, record in serving.items() if loaded_version(record, model) == version}
+    return version, in_use
--- a/src/wallwell/standalone/routing/__init__.py
+++ b/src/wallwell/standalone/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The standalone router's decisions: directory of cached blocks, load, admission, selection policies."""
+"""Routing decisions of the standalone router: cached-block directory, load estimate, admission, engine choice."""
--- a/src/wallwell/standalone/routing/directory.py
+++ b/src/wallwell/standalone/routing/directory.py
@@ -1,11 +1,11 @@
-"""Which engine incarnations hold which checkpoints of which chains.
+"""Directory of the engine incarnations that hold each checkpoint of a hash chain, stored in a compact table. Pure.
 
-Owns the map from checkpoints to holders; relies on ``table`` for its memory. Pure.
+An engine incarnation that has the block of a checkpoint in its cache is a *holder* of the checkpoint.
 
-Entries name an *(engine, incarnation)* by a 16-bit slot number; up to four slots are packed in one 64-bit
-value. When an engine reports a new incarnation its slot is retired in one step: every entry that names it
-stops matching at once, and the next sweep removes the dead numbers before the slot is given out again. So a
-lookup can never return an engine on the strength of a dead incarnation's cache.
+An entry refers to an engine incarnation by a 16-bit slot number; up to four slot numbers are packed into one 64-bit
+value. When an engine reports a new incarnation, the slot of the previous one is retired: entries that refer to the
+slot stop matching at once, and the next sweep removes its number before the slot is assigned again. A lookup
+therefore never returns an engine because of the cache of a dead incarnation.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from wallwell.standalone.routing.table import CompactTable
 
 _SLOT_BITS = 16
-"""Bits of an engine slot in an entry: 65,535 engine incarnations."""
+"""Bits of a slot number in an entry: at most 65,535 engine incarnations."""
 _SLOT_MASK = (1 << _SLOT_BITS) - 1
 EVICT_TO_FRACTION = 0.9
-"""Fraction of the bound down to which entries are evicted, so that not every insertion evicts."""
+"""Fraction of the maximum down to which entries are evicted, so that not every insertion evicts."""
 MAX_HOLDERS = 4
-"""Holders remembered for a block: as many slots as fit one 64-bit entry."""
+"""Maximum number of holders recorded for a checkpoint: as many slot numbers as fit into a 64-bit entry."""
 DEFAULT_MAX_ENTRIES = 200_000
-"""Entries of a directory unless its owner says otherwise."""
+"""Default maximum number of entries of a directory."""
 _SHIFTS = tuple(range(0, _SLOT_BITS * MAX_HOLDERS, _SLOT_BITS))
 
 
 class EngineIncarnation(NamedTuple):
-    """One life of an engine; its cache starts empty."""
+    """One run of an engine; each run starts with an empty cache."""
 
     engine: str
     incarnation: str
@@ -44,7 +44,7 @@
 
 
 class PrefixDirectory:
-    """Checkpoint hash -> holders. Pure state; the owner decides what to record."""
+    """Maps a checkpoint's hash to its holders. The owner of the directory decides what to record."""
 
     def __init__(self, max_entries: int = DEFAULT_MAX_ENTRIES) -> None:
         self._table = CompactTable()
@@ -61,11 +61,11 @@
 
     @property
     def nbytes(self) -> int:
-        """Bytes of the entries' table."""
+        """Bytes allocated for the table of entries."""
         return self._table.nbytes
 
     def observe_incarnation(self, engine: str, incarnation: str) -> bool:
-        """Note an engine's incarnation; returns True if it replaced another one."""
+        """Record an engine's current incarnation; return True if it replaced another one."""
         holder = EngineIncarnation(engine, incarnation)
         previous = self._current_incarnations.get(engine)
         if previous == holder:
@@ -76,7 +76,7 @@
         return previous is not None
 
     def forget_engine(self, engine: str) -> None:
-        """Drop every entry of ``engine``."""
+        """Invalidate every entry of ``engine``."""
         previous = self._current_incarnations.pop(engine, None)
         if previous is not None:
             self._retire(previous)
@@ -98,7 +98,7 @@
         return slot
 
     def add(self, holder: EngineIncarnation, hashes: Iterable[int], rng: random.Random) -> None:
-        """Record that ``holder`` holds ``hashes``. A late report of a dead incarnation is ignored."""
+        """Record ``holder`` for the checkpoints ``hashes``. A late report of a dead incarnation is ignored."""
         if self._current_incarnations.get(holder.engine, holder) != holder:
             return
         self._current_incarnations[holder.engine] = holder
@@ -121,7 +121,7 @@
         return (value & ~(_SLOT_MASK << free_shift)) | (slot << free_shift)
 
     def remove(self, holder: EngineIncarnation, hashes: Iterable[int]) -> None:
-        """Record that ``holder`` evicted ``hashes``; hashes it does not have are ignored."""
+        """Record that ``holder`` evicted the checkpoints ``hashes``; hashes not recorded for it are ignored."""
         slot = self._slots.get(holder)
         if slot is None:
             return
@@ -142,9 +142,9 @@
         return found
 
     def lookup(self, checkpoints: Sequence[int], depths: Sequence[int]) -> list[HeldPrefix]:
-        """Return every holder with its longest contiguous prefix.
+        """Return every holder of the first checkpoint with its longest contiguous prefix.
 
-        ``checkpoints[i]`` is the hash of the block at index ``depths[i]``, in rising order.
+        ``checkpoints[i]`` is the hash of the block at index ``depths[i]``; the indexes ascend.
         """
         held_blocks: dict[EngineIncarnation, int] = {}
         previous: set[EngineIncarnation] | None = None
@@ -160,12 +160,12 @@
         return [HeldPrefix(holder, blocks) for holder, blocks in held_blocks.items()]
 
     def lookup_chain(self, chain: Sequence[int]) -> list[HeldPrefix]:
-        """:meth:`lookup` of a whole chain's checkpoints."""
+        """Return the result of :meth:`lookup` for all checkpoints of ``chain``."""
         depths = checkpoint_depths(len(chain))
         return self.lookup([chain[depth] for depth in depths], depths)
 
     def sweep(self) -> int:
-        """Remove numbers of retired slots so that they can be reused; returns the entries removed."""
+        """Remove retired slot numbers from all entries and free the slots; return the number of removed entries."""
         if not self._retired_slots:
             return 0
         removed = 0
@@ -183,9 +183,9 @@
         return removed
 
     def _evict(self, rng: random.Random) -> None:
-        """Drop random entries down to a fraction of the bound.
+        """Evict random entries down to a fraction of the maximum.
 
-        The directory is a hint, and entries in use are recorded anew with the next dispatch or report.
+        Losing an entry costs only cache hits, and the next dispatch or report records an entry in use again.
         """
         excess = 1.0 - EVICT_TO_FRACTION * self._max_entries / len(self._table)
         evicted = [key for key, _ in self._table.items() if rng.random() < excess]
--- a/src/wallwell/standalone/routing/load.py
+++ b/src/wallwell/standalone/routing/load.py
@@ -1,8 +1,8 @@
-"""How long new work would wait at an engine, estimated from late reports and own dispatches. Pure.
+"""Estimates the wait of new work at an engine from its load reports and this node's dispatches. Pure.
 
-An engine's report is old when it arrives. Work this node dispatched after the report was taken is added, and
-the prefill that passed meanwhile is taken off, so that a node neither herds onto the engine that looked idle
-nor avoids one that has drained.
+An engine's report is already old when it arrives. The estimate adds the work that this node dispatched after the
+report and subtracts the prefill done meanwhile, so that nodes neither all choose the engine that was last reported
+idle nor avoid one whose queue has emptied.
 """
 
 from __future__ import annotations
@@ -13,23 +13,23 @@
 import msgspec
 
 DEFAULT_PREFILL_TOKENS_PER_S = 16_000.0
-"""Prefill rate assumed until an engine's own has been observed, in tokens per second."""
+"""Prefill rate in tokens per second that is assumed of an engine until its own rate has been observed."""
 _RATE_SMOOTHING = 0.2
-"""Weight of the latest observation of the prefill rate if it is faster than the estimate."""
+"""Weight of an observed prefill rate that is higher than the estimate."""
 _SLOWER_RATE_SMOOTHING = _RATE_SMOOTHING / 8
-"""Weight of a slower observation: less, since a request that waited in the engine's queue seems slow too."""
+"""Weight of an observed rate below the estimate: less, since time in the engine's queue also lowers the rate."""
 _MIN_OBSERVED_TOKENS = 256
-"""A prefill of at most this many tokens teaches no rate: its time is mostly waiting and transport."""
+"""A prefill of at most this many tokens does not update the rate: its time is mostly waiting and transport."""
 _MAX_UNREPORTED = 512
-"""Own dispatches remembered since an engine's last report; the oldest are forgotten first."""
+"""Maximum number of dispatches recorded since an engine's last report; the oldest are dropped first."""
 MAX_RANK = 15
-"""Least urgent rank; the interface allows 0 to 15."""
+"""Rank of the least urgent work; the interface allows ranks 0 to 15, and 0 is served first."""
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True):
-    """What an engine reports of itself. ``taken_at_s`` is on the clock of the node that reads it.
+    """Load of an engine as the engine reports it. ``taken_at_s`` is on the clock of the node that reads the report.
 
-    ``waiting_prefill_tokens`` pairs each priority rank that has work waiting with its tokens still to compute.
+    ``waiting_prefill_tokens`` pairs each rank that has requests waiting with the prompt tokens still to compute.
     """
 
     running: int
@@ -50,7 +50,7 @@
 
 @dataclass
 class EngineLoad:
-    """One engine's load as this node sees it."""
+    """This node's estimate of one engine's load."""
 
     report: LoadReport | None = None
     prefill_tokens_per_s: float = DEFAULT_PREFILL_TOKENS_PER_S
@@ -58,7 +58,7 @@
     _unreported: deque[_Dispatch] = field(default_factory=lambda: deque(maxlen=_MAX_UNREPORTED))
 
     def on_report(self, report: LoadReport) -> None:
-        """Take a newer report; own dispatches it already covers are dropped."""
+        """Replace an older report and drop the dispatches that the new report already includes."""
         if self.report is not None and report.taken_at_s < self.report.taken_at_s:
             return
         self.report = report
@@ -66,21 +66,21 @@
             self._unreported.popleft()
 
     def on_dispatch(self, request_id: str, prefill_tokens: int, rank: int, now_s: float) -> None:
-        """Note own work sent to the engine."""
+        """Record a request that this node sent to the engine."""
         self.in_flight += 1
         self._unreported.append(_Dispatch(request_id, prefill_tokens, rank, now_s))
 
     def on_first_token(self, request_id: str, prefill_tokens: int, elapsed_s: float) -> None:
-        """Learn the prefill rate from one answer; the work no longer waits."""
+        """Update the prefill rate from ``elapsed_s``, the time to first token; the request no longer waits."""
         self._remove_unreported(request_id)
         if prefill_tokens > _MIN_OBSERVED_TOKENS and elapsed_s > 0:
             observed = prefill_tokens / elapsed_s
-            # A queued request's rate is a lower bound only, so slow samples move the estimate less.
+            # The rate seen by a queued request is only a lower bound, so lower rates get less weight.
             weight = _RATE_SMOOTHING if observed > self.prefill_tokens_per_s else _SLOWER_RATE_SMOOTHING
             self.prefill_tokens_per_s += weight * (observed - self.prefill_tokens_per_s)
 
     def on_finished(self, request_id: str) -> None:
-        """The request ended, however it ended."""
+        """Record the end of a request, whatever its outcome."""
         self.in_flight = max(0, self.in_flight - 1)
         self._remove_unreported(request_id)
 
@@ -93,7 +93,7 @@
     def wait_s(self, now_s: float, rank: int = MAX_RANK) -> float:
         """Return the expected wait of new work of ``rank`` before its own prefill starts, in seconds.
 
-        Engines serve lower ranks first, so work of higher ranks does not delay it.
+        Engines serve lower ranks first, so work of higher ranks adds no wait.
         """
         reported = 0.0
         if self.report is not None:
--- a/src/wallwell/standalone/routing/policy.py
+++ b/src/wallwell/standalone/routing/policy.py
@@ -1,7 +1,7 @@
-"""Which engine a request goes to: the standalone router's policy, and the baselines it is compared with. Pure.
+"""Policies that choose the engine for a request: the standalone router's own and baselines for comparison. Pure.
 
-Every policy implements :class:`RoutingPolicy`: a request and candidates in, one choice out. Policies hold no
-sockets and no clock.
+Every policy implements :class:`RoutingPolicy`: it takes a request and its candidates and returns one choice.
+Policies do no I/O and read no clock.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 from wallwell.standalone.routing.load import EngineLoad
 
 TIE_MARGIN_S = 0.002
-"""Costs in seconds that differ by no more count as equal, and one is drawn."""
+"""Candidates whose cost is within this many seconds of the lowest cost count as tied; one is drawn at random."""
 AFFINITY_LOAD_FACTOR = 1.25
-"""Multiple of the mean load up to which the prefix-affinity baseline keeps a prefix at its home."""
+"""Multiple of the mean load up to which the prefix-affinity baseline sends a prefix to its home engine."""
 AFFINITY_BLOCKS = 16
-"""Leading blocks of a prompt by which that baseline names its home."""
+"""Leading blocks of a prompt whose hash selects the home engine in the prefix-affinity baseline."""
 CROSS_ZONE_COST_S = 0.004
-"""Seconds added for an engine of another zone: there and back at 2 ms each way, an assumed time between zones."""
+"""Seconds added for an engine of another zone: an assumed latency of 2 ms each way."""
 CONGESTION_UNIT_S = 0.05
-"""Wait that doubles the cost of computing cached blocks again. In an overloaded simulator 95.4 requests/s were
-served in time with 0.05 s, 92.4/s with 0.2 s."""
+"""Mean wait in seconds that adds 1 to the weight of recomputing cached blocks. In an overloaded simulator
+95.4 requests/s were served in time with 0.05 s, 92.4/s with 0.2 s."""
 MAX_CONGESTION = 20.0
-"""Bound of that factor, so that one overloaded engine does not rule every choice."""
+"""Upper bound of the congestion term, so that one overloaded engine does not dominate every choice."""
 HOME_PREFIX_BLOCKS = 16
-"""Leading blocks of a prompt that name its home; prompts that share fewer get their homes independently."""
+"""Leading blocks of a prompt that select its home engine; prompts that share fewer are placed independently."""
 HOME_WEIGHT = 0.5
-"""Pull of the home under congestion. In a simulator at twice the usual load 117.6 requests/s were served in time
-with it, 78.9/s without."""
+"""Weight of the cost of not using the home engine under congestion. In a simulator at twice the usual load
+117.6 requests/s were served in time with this cost, 78.9/s without."""
 
 
 @dataclass(frozen=True)
 class RoutingRequest:
-    """What a policy knows of a request."""
+    """The properties of a request that a policy considers."""
 
     chain: Sequence[int]
     block_tokens: int
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """One engine that could serve; ``cached_blocks`` counts the prompt's leading blocks it holds."""
+    """An engine that could serve the request; ``cached_blocks`` counts the leading prompt blocks in its cache."""
 
     engine: str
     zone: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """The engine chosen with what the policy expected."""
+    """The chosen engine with the expected time to first token and number of prompt tokens to compute."""
 
     engine: str
     expected_first_token_s: float
@@ -68,20 +68,20 @@
 
 
 class RoutingPolicy(Protocol):
-    """Chooses among a non-empty list of candidates."""
+    """Chooses one of a non-empty list of candidates."""
 
     def choose(
         self, request: RoutingRequest, candidates: Sequence[Candidate], now_s: float, rng: random.Random
     ) -> Choice:
-        """Return the engine to try."""
+        """Return the engine to send the request to."""
         ...
 
 
 def _home_engine(request: RoutingRequest, candidates: Sequence[Candidate]) -> str:
-    """Return the engine that rendezvous hashing gives the prompt's first blocks.
+    """Return the home engine: the owner of the prompt's first blocks by rendezvous hashing, empty without blocks.
 
-    Congestion pulls a prefix back to its home: otherwise each spill leaves another copy, until every engine holds
-    a part of everything and evicts it before it is used.
+    Congestion favours the home engine: each request sent elsewhere leaves a copy of the prefix there, until every
+    engine holds a part of all prefixes and evicts it before reuse.
     """
     if not request.chain:
         return ""
@@ -90,7 +90,7 @@
 
 
 def prefill_tokens(request: RoutingRequest, cached_blocks: int) -> int:
-    """Return the prompt tokens left to compute when ``cached_blocks`` are cached."""
+    """Return the number of prompt tokens to compute, at least 1, when ``cached_blocks`` blocks are cached."""
     return max(1, request.prompt_tokens - cached_blocks * request.block_tokens)
 
 
@@ -101,11 +101,11 @@
 
 
 class ExpectedFirstToken:
-    """Least cost, where cost weighs expected first-token time against recomputation.
+    """Chooses the lowest cost, which weighs the expected time to first token against recomputation.
 
-    Cost = first_token x (wait + prefill time) + recompute x (prefill time of what another candidate holds).
+    Cost = first_token x (wait + prefill time) + recompute x (prefill time of blocks cached at another candidate).
     Ties within a small margin are broken by a seeded random choice, so that nodes with the same view do not
-    all pick the same engine.
+    all choose the same engine.
     """
 
     def __init__(self, tie_margin_s: float = TIE_MARGIN_S) -> None:
@@ -130,10 +130,10 @@
         return _make_choice(request, rng.choice(tied), now_s)
 
     def _congestion(self, candidates: Sequence[Candidate], now_s: float) -> float:
-        """Return what a second of recomputation costs the work that waits behind it.
+        """Return the additional weight of recomputation, which grows with the mean wait of the candidates.
 
-        On an idle engine recomputing costs nobody else; where work waits it delays all of it. Without this term
-        an overloaded fleet spreads its prefixes over every engine, evicts them everywhere and stays overloaded.
+        Recomputation delays no other request on an idle engine, but all waiting requests on a busy one. Without
+        this term an overloaded fleet copies prefixes to all engines, evicts them everywhere and stays overloaded.
         """
         waiting = sum(each.load.wait_s(now_s) for each in candidates) / len(candidates)
         return min(MAX_CONGESTION, waiting / CONGESTION_UNIT_S)
@@ -157,7 +157,7 @@
 
 
 class RoundRobin:
-    """Baseline: engines in turn."""
+    """Baseline: chooses the engines in turn."""
 
     def __init__(self) -> None:
         self._next = 0
@@ -173,7 +173,7 @@
 
 
 class LeastLoaded:
-    """Baseline: shortest expected wait, whatever is cached where."""
+    """Baseline: fewest requests in flight, then the shortest expected wait; ignores cached blocks."""
 
     def choose(
         self, request: RoutingRequest, candidates: Sequence[Candidate], now_s: float, rng: random.Random
@@ -185,7 +185,7 @@
 
 
 class PrefixAffinity:
-    """Baseline: rendezvous hash of the prompt's first blocks, with bounded load."""
+    """Baseline: rendezvous hashing of the prompt's first blocks with bounded loads."""
 
     def __init__(self, prefix_blocks: int = AFFINITY_BLOCKS, load_factor: float = AFFINITY_LOAD_FACTOR) -> None:
         self._prefix_blocks = prefix_blocks
--- a/src/wallwell/standalone/routing/retry.py
+++ b/src/wallwell/standalone/routing/retry.py
@@ -1,6 +1,6 @@
-"""What limits retries in the standalone router: pauses, a budget, and a circuit breaker per back end.
+"""Limits on retries in the standalone router: backoff, a retry budget, and a circuit breaker per back end.
 
-Pure: time and randomness are passed in. Whether one request is sent again is decided in ``retry_decision``.
+Pure: time and randomness are passed in. Whether to retry a request is decided in ``retry_decision``.
 """
 
 from __future__ import annotations
@@ -9,33 +9,33 @@
 from dataclasses import dataclass
 
 _BASE_DELAY_S = 0.02
-"""Seconds up to which the first pause is drawn; doubled with each step."""
+"""Upper bound in seconds of the first backoff delay; it doubles with each step."""
 _MAX_DELAY_S = 1.0
-"""Seconds up to which any pause is drawn at most."""
+"""Upper bound in seconds of every backoff delay."""
 _MAX_DOUBLINGS = 10
-"""Steps after which the cap grows no more: 0.02 s doubled six times exceeds the largest cap already."""
+"""Bound on the exponent of the backoff: 0.02 s doubled six times already exceeds the maximum delay."""
 
 RETRY_RATIO = 0.1
-"""Retries for each first attempt, so that an outage is not amplified by more than a tenth."""
+"""Retries allowed per first attempt: retries amplify the load of an outage by at most a tenth."""
 RETRY_RESERVE = 10.0
-"""Retries that a node may send at once after a quiet time, and the most that it saves up."""
+"""Capacity of the retry budget: the largest burst of retries that a node may send after little traffic."""
 MIN_SLOW_START_FRACTION = 0.1
-"""Least fraction of its requests that a back end gets while it starts slowly after a failure."""
+"""Minimum fraction of its requests that a recovered back end gets during slow start."""
 OPEN_JITTER = (0.75, 1.25)
-"""Multiples of the pause over which nodes spread their probes of a failed back end."""
+"""Random multiples of ``open_s``, so that nodes do not all probe a failed back end at once."""
 
 
 def full_jitter_delay_s(step: int, rng: random.Random) -> float:
-    """Return a pause in seconds, uniform from 0 up to a cap that doubles with each ``step`` (from 0)."""
+    """Return a delay in seconds, uniform between 0 and a cap that doubles with each ``step`` (from 0)."""
     cap = min(_MAX_DELAY_S, _BASE_DELAY_S * (1 << min(step, _MAX_DOUBLINGS)))
     return rng.uniform(0.0, cap)
 
 
 class RetryBudget:
-    """Retries as a fraction of recent requests, so that retries cannot multiply an overload.
+    """Limits retries to a fraction of recent requests, so that they cannot amplify an overload.
 
-    Each first attempt deposits ``ratio`` tokens, each retry withdraws one; ``reserve`` lets a quiet node
-    retry.
+    Each first attempt deposits ``ratio`` tokens and each retry withdraws one. The budget starts with its maximum,
+    ``reserve`` tokens, which lets a node with little traffic retry.
     """
 
     def __init__(self, ratio: float = RETRY_RATIO, reserve: float = RETRY_RESERVE) -> None:
@@ -48,7 +48,7 @@
         self._tokens = min(self._tokens + self._ratio, self._reserve)
 
     def try_retry(self) -> bool:
-        """Withdraw one retry if the budget allows it."""
+        """Withdraw one retry and return True, or return False if the budget is empty."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -57,21 +57,21 @@
 
 @dataclass
 class CircuitBreaker:
-    """Opens after consecutive failures; lets one probe through after a jittered pause; starts slowly."""
+    """Opens after consecutive failures, admits one probe after a jittered delay, and closes with a slow start."""
 
     failures_to_open: int = 3
-    """Consecutive failures that open it."""
+    """Consecutive failures that open the breaker."""
     open_s: float = 1.0
-    """Seconds before one probe is let through."""
+    """Mean seconds that the breaker stays open before it admits one probe."""
     slow_start_s: float = 2.0
-    """Seconds in which a recovered back end returns to its full share."""
+    """Seconds of slow start, in which a recovered back end returns to its full share of requests."""
     _failures: int = 0
     _open_until_s: float = 0.0
     _recovered_at_s: float = float("-inf")
     _probing: bool = False
 
     def allows(self, now_s: float, rng: random.Random) -> bool:
-        """Whether a request may be sent now; claims the single probe when half open."""
+        """Return whether a request may be sent now. When half open, the first call claims the single probe."""
         if self._failures >= self.failures_to_open:
             if now_s < self._open_until_s or self._probing:
                 return False
@@ -83,18 +83,18 @@
         return rng.random() < max(MIN_SLOW_START_FRACTION, recovered_for_s / self.slow_start_s)
 
     def is_open(self, now_s: float) -> bool:
-        """Whether requests are refused now, without claiming the probe."""
+        """Return whether requests are refused now, without claiming the probe."""
         return self._failures >= self.failures_to_open and (now_s < self._open_until_s or self._probing)
 
     def on_success(self, now_s: float) -> None:
-        """The back end answered."""
+        """Record an answer of the back end, which closes the breaker."""
         if self._failures >= self.failures_to_open:
             self._recovered_at_s = now_s
         self._failures = 0
         self._probing = False
 
     def on_failure(self, now_s: float, rng: random.Random) -> bool:
-        """The back end did not answer; returns True when this opened the breaker."""
+        """Record a failure of the back end; return True if it opened the breaker."""
         self._failures += 1
         self._probing = False
         if self._failures >= self.failures_to_open:
--- a/src/wallwell/standalone/routing/retry_decision.py
+++ b/src/wallwell/standalone/routing/retry_decision.py
@@ -1,13 +1,11 @@
-"""Whether a request is sent again after a failed attempt, and after what pause. Pure.
+"""Decides whether to retry a request after a failed attempt, and after which delay. Pure.
 
-Inputs are what the earlier attempts of the request brought, what is proved of the failed one, the time left until
-the caller's deadline, the node's retry budget and a random generator. A decision takes at most one retry out of the
-budget and draws at most one random number; sending, waiting and errors are left to the handlers in
-``standalone.callers``.
+Inputs are the progress of the request, whether the outcome of the failed attempt permits a retry, the time left
+until the caller's deadline, the node's retry budget and a random generator. A decision withdraws at most one retry
+from the budget and draws at most one random number; the handlers in ``standalone.callers`` send, wait and raise.
 
-Generations and service calls differ: an engine continues a stream after the tokens that were received, so an
-attempt with progress is not charged to the budget; of a service's answer nothing is kept when its connection
-breaks.
+Generations and service calls differ: an engine resumes a stream after the tokens already received, so an attempt
+with progress is not charged to the budget; a service's partial answer is discarded when its connection breaks.
 """
 
 from __future__ import annotations
@@ -19,56 +17,56 @@
 from wallwell.standalone.routing.retry import RetryBudget, full_jitter_delay_s
 
 MAX_GENERATION_ATTEMPTS = 6
-"""Attempts of a generation in a row that bring no new token."""
+"""Maximum consecutive attempts of a generation that yield no new token."""
 MAX_RESUMES = 32
-"""Times that a stream may be continued after an attempt that brought tokens. Bounds a request that makes engines
-fail: far more faults than one stream is expected to meet."""
+"""Maximum times that a stream is resumed after an attempt that yielded tokens. Far more than the faults expected
+during one stream; limits the damage of a request that makes engines fail."""
 MAX_SERVICE_ATTEMPTS = 4
-"""Attempts of one service call."""
+"""Maximum attempts of a service call."""
 
 
 class NoRetryCause(enum.Enum):
-    """Why a request is not sent again."""
+    """Why a request is not retried."""
 
-    FORBIDDEN_BY_OUTCOME = "what is proved of the failed attempt forbids another one"
-    ATTEMPTS_USED_UP = "the request has had all its attempts"
+    FORBIDDEN_BY_OUTCOME = "the outcome of the failed attempt does not permit a retry"
+    ATTEMPTS_USED_UP = "the request has reached its maximum number of attempts"
     BUDGET_USED_UP = "the node's retry budget is empty"
-    NO_TIME_LEFT = "the pause would reach the caller's deadline"
+    NO_TIME_LEFT = "the delay would reach the caller's deadline"
 
 
 class RetryAfterPause(NamedTuple):
-    """Send again after ``delay_s`` seconds."""
+    """Decision to retry after ``delay_s`` seconds."""
 
     delay_s: float
 
 
 class NoRetry(NamedTuple):
-    """Answer with an error."""
+    """Decision to answer the caller with an error."""
 
     cause: NoRetryCause
 
 
 class GenerationProgress(NamedTuple):
-    """What the attempts of one generation have brought so far."""
+    """Progress of one generation over all its attempts so far."""
 
     tokens: int = 0
     """Tokens received over all attempts."""
     attempts_without_tokens: int = 0
-    """Attempts since the last one that brought a token."""
+    """Attempts since the last one that yielded a token."""
     resumes: int = 0
-    """Attempts that broke after they had brought tokens."""
+    """Attempts that failed after yielding new tokens."""
 
     def after_attempt(self, tokens: int) -> GenerationProgress:
-        """Return the progress after a failed attempt, up to which ``tokens`` tokens were received."""
+        """Return the progress after a failed attempt; ``tokens`` is the total received, including that attempt."""
         if tokens > self.tokens:
             return GenerationProgress(tokens, 0, self.resumes + 1)
         return GenerationProgress(tokens, self.attempts_without_tokens + 1, self.resumes)
 
 
 def reserve_retry(progress: GenerationProgress, budget: RetryBudget) -> bool:
-    """Whether an attempt that is late with its first token may be ended for another one, which is then paid for.
+    """Return whether an attempt with a late first token may be ended; if so, charge its retry to ``budget``.
 
-    Where no other may follow, the engine that works on the request is the only one that can still answer it.
+    If no other attempt may follow, the engine that works on the request is the only one that can still answer.
     """
     return progress.attempts_without_tokens + 1 < MAX_GENERATION_ATTEMPTS and budget.try_retry()
 
@@ -82,12 +80,12 @@
     rng: random.Random,
     is_reserved: bool = False,
 ) -> RetryAfterPause | NoRetry:
-    """Decide on another attempt of a generation.
+    """Decide whether to retry a generation.
 
     ``before`` and ``after`` are its progress before and after the failed attempt; ``permitted`` says whether the
-    way in which the attempt ended allows another one. An attempt that brought tokens does not draw on the budget:
-    giving the stream up would waste what was generated, and each such attempt shortens what is left. A stream that
-    has begun is continued also beyond the deadline. ``is_reserved`` says that the retry is paid for.
+    attempt's outcome allows a retry. After an attempt that yielded tokens the retry is not charged to the budget:
+    ending the stream would waste the generated tokens, and each such attempt leaves fewer to generate. A stream
+    that has begun is resumed even after the deadline. ``is_reserved`` says that the retry is charged already.
     """
     if not permitted:
         return NoRetry(NoRetryCause.FORBIDDEN_BY_OUTCOME)
@@ -107,7 +105,7 @@
 def after_failed_service_call(
     attempts: int, permitted: bool, remaining_s: float, budget: RetryBudget, rng: random.Random
 ) -> RetryAfterPause | NoRetry:
-    """Decide on another attempt of a service call after ``attempts`` failed ones."""
+    """Decide whether to retry a service call after ``attempts`` failed attempts."""
     delay_s = full_jitter_delay_s(attempts, rng)
     if not permitted:
         return NoRetry(NoRetryCause.FORBIDDEN_BY_OUTCOME)
--- a/src/wallwell/standalone/routing/selector.py
+++ b/src/wallwell/standalone/routing/selector.py
@@ -1,7 +1,7 @@
-"""One node's view of the engines and the choice among them.
+"""Chooses an engine from one node's view of the engines.
 
-Joins the prefix directory's answer, this node's own recent dispatches, load estimates and circuit breakers
-into candidates, and asks the policy. Pure: takes state and a time, sends nothing.
+Combines the prefix directory's answer, this node's recent dispatches, load estimates and circuit breakers into
+candidates, among which the policy chooses. Pure: time is passed in and nothing is sent.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 from wallwell.standalone.routing.retry import CircuitBreaker
 
 MAX_CANDIDATES = 16
-"""Engines up to which all are compared; of a larger pool, only holders, rendezvous owners and a sample are. Bounds
-the work of a choice."""
+"""Number of engines up to which all are candidates; of more engines only holders, rendezvous owners and a random
+sample are, which bounds the cost of a choice."""
 _HOLDER_CANDIDATES = 4
-"""Holders of the longest cached prefixes that are compared."""
+"""Number of candidates that hold the longest cached prefixes."""
 QUEUE_FRACTION = 0.25
-"""Fraction of the remaining time that may be spent waiting in a queue. In a simulator at twice the usual load
-127.9 requests/s were served in time with it, 117.6/s without."""
+"""Fraction of the remaining time within which the first token must be expected. In a simulator at twice the usual
+load 127.9 requests/s were served in time with this limit, 117.6/s without."""
 _SAMPLED_CANDIDATES = 8
-"""Candidates drawn at random, so that idle engines are found."""
+"""Number of candidates drawn at random, so that idle engines are found."""
 _OWNER_CANDIDATES = 2
-"""Candidates that rank first by rendezvous hashing of the prefix."""
+"""Number of candidates that score highest in rendezvous hashing of the prompt's first block."""
 MAX_RECENT_ENTRIES = 20_000
-"""Checkpoints of own recent dispatches, for the case that the directory does not answer in time."""
+"""Maximum checkpoints recorded of this node's dispatches, needed when the prefix directory answers late."""
 
 
 @dataclass(frozen=True)
 class EngineView:
-    """What the selector must know of an engine."""
+    """The properties of an engine that the selector uses."""
 
     name: str
     zone: str
@@ -45,7 +45,7 @@
 
 @dataclass
 class EngineSelector:
-    """Chooses engines and learns from what became of the choices."""
+    """Chooses engines and updates its load, cache and wait estimates from the outcomes."""
 
     policy: RoutingPolicy
     rng: random.Random
@@ -63,7 +63,7 @@
         return self.breakers.setdefault(engine, CircuitBreaker())
 
     def forget_unconfigured(self, configured: Collection[str]) -> None:
-        """Drop state of engines no longer configured."""
+        """Drop the load estimates and breakers of engines that are not in ``configured``."""
         self.loads = {name: load for name, load in self.loads.items() if name in configured}
         self.breakers = {name: breaker for name, breaker in self.breakers.items() if name in configured}
 
@@ -75,7 +75,7 @@
         now_s: float,
         failed: Collection[str] = (),
     ) -> Choice | None:
-        """Return the policy's choice, or None if no engine may be tried."""
+        """Return the policy's choice, None if all breakers are open. ``failed`` engines are only a last resort."""
         usable = [each for each in engines if not self.breaker_of(each.name).is_open(now_s)]
         preferred = [each for each in usable if each.name not in failed] or usable
         cached = self._cached_blocks(request, preferred, held_prefixes)
@@ -91,10 +91,10 @@
         return None
 
     def retry_after_if_refused_s(self, request: RoutingRequest, choice: Choice, now_s: float) -> float | None:
-        """Return None to admit, or the time after which to try again.
+        """Return None to admit, or the seconds after which to try again.
 
-        Only a fraction of the remaining time may be spent waiting: a longer queue answers no more requests, makes
-        each answer later, and lets cached prefixes be evicted before their requests start.
+        The first token must be expected within a fraction of the remaining time: a longer queue serves no more
+        requests, delays each answer, and lets cached prefixes be evicted before their requests start.
         """
         expected_s = choice.expected_first_token_s + self.calibration.excess_s(request.rank, now_s)
         return retry_after_if_late_s(expected_s, request.remaining_s * QUEUE_FRACTION)
@@ -102,7 +102,7 @@
     def _cached_blocks(
         self, request: RoutingRequest, engines: Sequence[EngineView], held_prefixes: Iterable[HeldPrefix]
     ) -> dict[str, int]:
-        """Longest prefix per engine, counting only entries of the engine's current incarnation."""
+        """Return the blocks of the longest cached prefix of each engine, in its current incarnation only."""
         current = {each.name: each.incarnation for each in engines}
         cached: dict[str, int] = {}
         own = self.recent_prefixes.lookup_chain(request.chain) if request.chain else []
@@ -115,7 +115,7 @@
     def _limit_candidates(
         self, request: RoutingRequest, engines: Sequence[EngineView], cached: dict[str, int]
     ) -> Sequence[EngineView]:
-        """Keep holders, a random sample and the chain's rendezvous owners, so that cost is bounded."""
+        """Return holders, the chain's rendezvous owners and a random sample, which bounds the cost of a choice."""
         if len(engines) <= MAX_CANDIDATES:
             return engines
         by_name = {each.name: each for each in engines}
@@ -128,18 +128,18 @@
     def on_dispatch(
         self, request_id: str, choice: Choice, incarnation: str, chain: Sequence[int], rank: int, now_s: float
     ) -> None:
-        """Note a dispatch: the engine is about to hold the chain and has more to do."""
+        """Record a dispatch, which adds to the engine's load and will put the chain into its cache."""
         self.load_of(choice.engine).on_dispatch(request_id, choice.expected_prefill_tokens, rank, now_s)
         holder = EngineIncarnation(choice.engine, incarnation)
         self.recent_prefixes.observe_incarnation(*holder)
         self.recent_prefixes.add(holder, checkpoint_hashes(chain), self.rng)
 
     def on_finished(self, engine: str, request_id: str) -> None:
-        """An attempt ended, however it ended."""
+        """Record the end of an attempt, whatever its outcome."""
         self.load_of(engine).on_finished(request_id)
 
     def on_incarnation(self, engine: str, incarnation: str) -> bool:
-        """Note an engine's incarnation; returns True if it replaced another one."""
+        """Record an engine's incarnation; return True if it replaced another one."""
         changed = self.recent_prefixes.observe_incarnation(engine, incarnation)
         if changed:
             self.recent_prefixes.sweep()
@@ -147,11 +147,11 @@
         return changed
 
     def on_precondition_refused(self, engine: str) -> None:
-        """The engine refused a precondition, so what was believed of its cache is void."""
+        """Drop the cached prefixes recorded for an engine that refused a request's precondition."""
         self.recent_prefixes.forget_engine(engine)
         self.recent_prefixes.sweep()
 
 
 def checkpoint_hashes(chain: Sequence[int]) -> list[int]:
-    """Return the hashes of a chain that a directory records."""
+    """Return the hashes of a chain's checkpoints, which a directory records."""
     return [chain[depth] for depth in checkpoint_depths(len(chain))]
--- a/src/wallwell/standalone/routing/table.py
+++ b/src/wallwell/standalone/routing/table.py
@@ -1,8 +1,8 @@
 """A compact hash table from 64-bit keys to 64-bit values.
 
-Open addressing with linear probing over two ``array('Q')``: 16 bytes a slot, against about 107 bytes an entry
-for a dict of ints. Deletion shifts later entries back, so there are no tombstones and probes stay short.
-Key 0 marks an empty slot; the one real key 0 in 2**64 is stored as 1.
+Uses open addressing with linear probing over two ``array('Q')``: 16 bytes per slot, against about 107 bytes per
+entry of a dict of ints. Deletion shifts later entries back, so there are no tombstones and probes stay short.
+Key 0 marks an empty slot; a real key 0, one of 2**64, is stored as key 1.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from collections.abc import Iterator
 
 _INITIAL_SLOTS = 256
-"""Slots of an empty table: 4 KiB. A power of two, as every size must be."""
+"""Slots of an empty table (4 KiB). The number of slots is always a power of two."""
 _MAX_LOAD_NUMERATOR = 2
-"""The table grows when it is more than two thirds full: probe sequences grow steeply beyond."""
+"""Numerator of the maximum load factor, 2/3, above which probe sequences would become much longer."""
 _MAX_LOAD_DENOMINATOR = 3
-"""See above; a fraction of integers, so that no size is rounded."""
+"""Denominator of the maximum load factor, which is a fraction of integers to avoid rounding."""
 _SLOT_BYTES = 16
-"""A key and a value of 64 bits each."""
+"""Bytes of a slot: a key and a value of 64 bits each."""
 
 
 class CompactTable:
-    """Mapping of ``int`` in ``[0, 2**64)`` to ``int`` in ``[1, 2**64)``; 0 means absent."""
+    """Maps ``int`` keys in ``[0, 2**64)`` to ``int`` values in ``[1, 2**64)``; the value 0 means absent."""
 
     __slots__ = ("_keys", "_mask", "_used", "_values")
 
@@ -39,7 +39,7 @@
 
     @property
     def nbytes(self) -> int:
-        """Bytes held by the two arrays."""
+        """Bytes allocated for the two arrays."""
         return _SLOT_BYTES * (self._mask + 1)
 
     def get(self, key: int) -> int:
@@ -54,7 +54,7 @@
         return self._values[slot]
 
     def set(self, key: int, value: int) -> None:
-        """Insert or replace; a value of 0 deletes."""
+        """Insert or replace the value of ``key``; a value of 0 deletes the entry."""
         if value == 0:
             self.delete(key)
             return
@@ -84,7 +84,7 @@
         self._used -= 1
 
     def _close_gap(self, gap: int) -> None:
-        """Move later entries of the probe run into ``gap`` where their home slot allows it."""
+        """Fill ``gap`` with later entries of the probe sequence whose home slot allows the move."""
         keys, values, mask = self._keys, self._values, self._mask
         slot = (gap + 1) & mask
         while keys[slot]:
@@ -104,13 +104,13 @@
             self.set(key, value)
 
     def items(self) -> Iterator[tuple[int, int]]:
-        """Yield every ``(key, value)``. The table must not change meanwhile."""
+        """Yield every ``(key, value)`` pair. The table must not be modified during the iteration."""
         for key, value in zip(self._keys, self._values, strict=True):
             if key:
                 yield key, value
 
     def shrink(self) -> None:
-        """Reallocate to fit after many deletions."""
+        """Reallocate to the smallest size that fits the entries."""
         slots = _INITIAL_SLOTS
         while self._used * _MAX_LOAD_DENOMINATOR > slots * _MAX_LOAD_NUMERATOR:
             slots *= 2
--- a/src/wallwell/standalone/routing/token_bucket.py
+++ b/src/wallwell/standalone/routing/token_bucket.py
@@ -1,6 +1,6 @@
-"""A token bucket, by which the standalone router bounds requests and bytes per second. Pure: time is passed in.
+"""Token bucket by which the standalone router limits requests and bytes per second. Pure: time is passed in.
 
-The concurrency of a tenant is counted in :mod:`wallwell.standalone.cluster.limits`.
+The concurrency of a tenant is limited in :mod:`wallwell.standalone.cluster.limits`.
 """
 
 from __future__ import annotations
@@ -8,12 +8,12 @@
 from dataclasses import dataclass
 
 ZERO_RATE_RETRY_S = 1.0
-"""Seconds reported for a bucket that gains nothing, where no time would be right."""
+"""Wait in seconds reported for a bucket whose rate is zero and which therefore never refills."""
 
 
 @dataclass
 class TokenBucket:
-    """Holds at most ``capacity`` tokens and gains ``rate_per_s``."""
+    """Holds at most ``capacity`` tokens and gains ``rate_per_s`` tokens per second."""
 
     rate_per_s: float
     capacity: float
@@ -27,7 +27,7 @@
         self.updated_s = max(self.updated_s, now_s)
 
     def try_spend(self, now_s: float, amount: float = 1.0) -> bool:
-        """Take ``amount`` if there is enough."""
+        """Spend ``amount`` tokens and return True, or return False if there are fewer."""
         self.refill(now_s)
         if self.tokens < amount:
             return False
@@ -35,7 +35,7 @@
         return True
 
     def wait_s(self, amount: float = 1.0) -> float:
-        """Return the seconds until ``amount`` would be there, as of the last refill."""
+        """Return the seconds from the last refill until the bucket has ``amount`` tokens."""
         if self.rate_per_s <= 0:
             return ZERO_RATE_RETRY_S
         return max(0.0, (amount - self.tokens) / self.rate_per_s)
--- a/tests/unit/standalone/placement/test_reconcile.py
+++ b/tests/unit/standalone/placement/test_reconcile.py
@@ -1,4 +1,4 @@
-"""What to load next, and which version serves meanwhile."""
+"""Which engines load next, and which weights version serves requests meanwhile."""
 
 import pytest
 
@@ -20,13 +20,13 @@
     ("versions", "loading", "min_serving", "slots", "ordered"),
     [
         (ALL_OLD, (), 4, 2, ["e1", "e2"]),
-        (ALL_OLD, (), 5, 2, ["e1"]),  # the minimum leaves room for one
+        (ALL_OLD, (), 5, 2, ["e1"]),  # min_serving allows one engine to load
         (ALL_OLD, (), 6, 2, []),
         (ALL_OLD, ("e1",), 4, 2, ["e2"]),
         ({**ALL_OLD, "e1": "2", "e2": "2"}, (), 4, 2, ["e3", "e4"]),
-        (dict.fromkeys(NAMES, "2"), (), 1, 2, []),  # nothing to do
-        (dict.fromkeys(NAMES[:4], "1"), (), 4, 2, []),  # two are away already
-        (dict.fromkeys(NAMES[:4], "1"), ("e5", "e6"), 2, 2, []),  # both slots are taken
+        (dict.fromkeys(NAMES, "2"), (), 1, 2, []),  # all engines have the declared version
+        (dict.fromkeys(NAMES[:4], "1"), (), 4, 2, []),  # min_serving is reached: two engines are not serving
+        (dict.fromkeys(NAMES[:4], "1"), ("e5", "e6"), 2, 2, []),  # both load slots are in use
         ({}, (), 1, 2, []),
     ],
 )
--- a/tests/unit/standalone/routing/test_directory.py
+++ b/tests/unit/standalone/routing/test_directory.py
@@ -1,4 +1,4 @@
-"""Cache validity in the directory: dead incarnations, other tenants and older weights never match."""
+"""Prefix directory: entries of dead incarnations, other tenants and older weights never match."""
 
 import random
 
--- a/tests/unit/standalone/routing/test_policy_and_admission.py
+++ b/tests/unit/standalone/routing/test_policy_and_admission.py
@@ -1,4 +1,4 @@
-"""The choice of an engine and admission by deadline."""
+"""Engine choice and admission by deadline."""
 
 import random
 
@@ -33,12 +33,12 @@
     ("objective", "busy_tokens", "chosen"),
     [
         (INTERACTIVE, 0, "holder"),
-        (INTERACTIVE, 8_000, "idle"),  # waiting costs more than computing again
-        (BATCH, 8_000, "holder"),  # an overnight check waits for its prefix
+        (INTERACTIVE, 8_000, "idle"),  # waiting costs more than recomputation
+        (BATCH, 8_000, "holder"),  # a batch request waits for its cached prefix
     ],
 )
 def test_the_objective_weighs_waiting_against_recomputation(objective, busy_tokens, chosen):
-    # Four idle engines keep the mean wait, and so the congestion term, low.
+    # Forty idle engines keep the mean wait, and so the congestion term, low.
     idle = [candidate(f"idle{n}", 0, 0) for n in range(40)]
     choice = ExpectedFirstToken().choose(
         request(objective), [candidate("holder", 290, busy_tokens), *idle], 0.0, random.Random(1)
--- a/tests/unit/standalone/routing/test_retry_and_load.py
+++ b/tests/unit/standalone/routing/test_retry_and_load.py
@@ -1,4 +1,4 @@
-"""Retry budget, breaker, backoff and the load estimate."""
+"""Retry budget, circuit breaker, backoff and load estimate."""
 
 import random
 
@@ -39,7 +39,7 @@
     assert 1.2 < load.wait_s(0.1) < 1.5
     load.on_report(LoadReport(1, 1, ((2, 1000),), 0, 0, taken_at_s=0.2))
     assert 0.95 < load.wait_s(0.2) <= 1.0
-    load.on_report(LoadReport(0, 0, (), 0, 0, taken_at_s=0.15))  # an older report changes nothing
+    load.on_report(LoadReport(0, 0, (), 0, 0, taken_at_s=0.15))  # an older report is ignored
     assert load.wait_s(0.2) > 0.9
 
 
--- a/tests/unit/standalone/routing/test_retry_decision.py
+++ b/tests/unit/standalone/routing/test_retry_decision.py
@@ -1,4 +1,4 @@
-"""Whether a standalone router sends a request again, and what each decision takes of budget and randomness."""
+"""Retry decisions of the standalone router, and the retries and random numbers that each decision uses."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def budget_of(retries: int) -> RetryBudget:
-    """Return a budget that allows ``retries`` more retries."""
+    """Return a budget from which ``retries`` retries can be withdrawn."""
     budget = RetryBudget(reserve=float(RESERVE))
     for _ in range(RESERVE - retries):
         budget.try_retry()
@@ -46,7 +46,7 @@
 
 
 def retry_step(step: int) -> RetryAfterPause:
-    """Return a retry with the pause that the generator gives for a step of the backoff."""
+    """Return a retry with the delay that the seeded generator yields for a step of the backoff."""
     return RetryAfterPause(full_jitter_delay_s(step, random.Random(SEED)))
 
 
@@ -69,8 +69,8 @@
             False,
             id="sixth",
         ),
-        pytest.param(GenerationProgress(0, 5), 3, True, LONG_S, 0, retry_step(0), 0, True, id="tokens are free"),
-        pytest.param(GenerationProgress(3, 0, 1), 5, True, -1.0, 0, retry_step(0), 0, True, id="beyond deadline"),
+        pytest.param(GenerationProgress(0, 5), 3, True, LONG_S, 0, retry_step(0), 0, True, id="progress is free"),
+        pytest.param(GenerationProgress(3, 0, 1), 5, True, -1.0, 0, retry_step(0), 0, True, id="past deadline"),
         pytest.param(GenerationProgress(3, 0, 1), 3, True, -1.0, 2, retry_step(1), 1, True, id="resume failed"),
         pytest.param(
             GenerationProgress(3, 0, MAX_RESUMES - 1),
@@ -112,7 +112,7 @@
     [
         pytest.param(1, True, LONG_S, 2, retry_step(1), 1, id="first failure"),
         pytest.param(1, False, LONG_S, 2, FORBIDDEN, 0, id="may have run"),
-        pytest.param(1, True, 0.0, 2, NO_TIME, 0, id="no time leaves the budget alone"),
+        pytest.param(1, True, 0.0, 2, NO_TIME, 0, id="no time, budget not charged"),
         pytest.param(1, True, LONG_S, 0, NO_BUDGET, 0, id="no budget"),
         pytest.param(MAX_SERVICE_ATTEMPTS - 1, True, LONG_S, 2, retry_step(3), 1, id="last attempt"),
         pytest.param(MAX_SERVICE_ATTEMPTS, True, LONG_S, 2, NO_ATTEMPTS, 0, id="attempts used up"),
@@ -122,7 +122,7 @@
     rng, budget = random.Random(SEED), budget_of(retries)
     assert after_failed_service_call(attempts, permitted, remaining_s, budget, rng) == expected
     assert retries_left(budget) == retries - spent
-    # One draw whatever is decided: a seeded run stays the same whichever calls are given up.
+    # Every decision draws exactly one number, so that a seeded run does not depend on which calls are abandoned.
     drawn = random.Random(SEED)
     full_jitter_delay_s(attempts, drawn)
     assert rng.getstate() == drawn.getstate()
@@ -134,7 +134,7 @@
     st.integers(0, 99),
 )
 def test_a_generation_is_sent_again_a_bounded_number_of_times(failures, retries, seed):
-    """Without new requests, retries without progress come out of the budget and resumptions have a bound."""
+    """Without new requests, the budget limits retries without progress and ``MAX_RESUMES`` limits resumptions."""
     rng, budget, progress = random.Random(seed), budget_of(retries), GenerationProgress()
     resumed = without_tokens = 0
     for new_tokens, remaining_s in failures:
--- a/tests/unit/standalone/routing/test_table.py
+++ b/tests/unit/standalone/routing/test_table.py
@@ -1,11 +1,11 @@
-"""The compact table behaves as a dict of ints."""
+"""The compact table behaves like a dict of ints."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from wallwell.standalone.routing.table import CompactTable
 
-# Few distinct low bits force long probe runs and wrap-around.
+# Few distinct low bits force long probe sequences and wrap-around.
 KEYS = st.one_of(st.integers(1, 40), st.integers(0, 3).map(lambda n: (n << 40) | 255), st.integers(1, 2**64 - 1))
 OPERATIONS = st.lists(st.tuples(st.sampled_from(["set", "delete"]), KEYS, st.integers(1, 2**64 - 1)), max_size=400)
 
