--- a/src/wallwell/standalone/routing/load.py
+++ b/src/wallwell/standalone/routing/load.py
@@ -23,7 +23,7 @@
 _MAX_UNREPORTED = 512
 """Maximum number of dispatches recorded since an engine's last report; the oldest are dropped first."""
 MAX_RANK = 15
-"""Rank of the least urgent work; the interface allows ranks 0 to 15, and 0 is served first."""
+"""Rank of the least urgent work. Lower ranks are served first; the interface allows 0 to 15."""
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True):
--- a/src/wallwell/standalone/routing/selector.py
+++ b/src/wallwell/standalone/routing/selector.py
@@ -23,7 +23,7 @@
 sample are, which bounds the cost of a choice."""
 _HOLDER_CANDIDATES = 4
 """Number of candidates that hold the longest cached prefixes."""
-QUEUE_FRACTION = 0.25
+MAX_WAIT_FRACTION = 0.25
 """Fraction of the remaining time within which the first token must be expected. In a simulator at twice the usual
 load 127.9 requests/s were served in time with this limit, 117.6/s without."""
 _SAMPLED_CANDIDATES = 8
@@ -97,7 +97,7 @@
         requests, delays each answer, and lets cached prefixes be evicted before their requests start.
         """
         expected_s = choice.expected_first_token_s + self.calibration.excess_s(request.rank, now_s)
-        return retry_after_if_late_s(expected_s, request.remaining_s * QUEUE_FRACTION)
+        return retry_after_if_late_s(expected_s, request.remaining_s * MAX_WAIT_FRACTION)
 
     def _cached_blocks(
         self, request: RoutingRequest, engines: Sequence[EngineView], held_prefixes: Iterable[HeldPrefix]
--- a/src/wallwell/standalone/routing/table.py
+++ b/src/wallwell/standalone/routing/table.py
@@ -23,7 +23,7 @@
 class CompactTable:
     """Maps ``int`` keys in ``[0, 2**64)`` to ``int`` values in ``[1, 2**64)``; the value 0 means absent."""
 
-    __slots__ = ("_keys", "_mask", "_used", "_values")
+    __slots__ = ("_entry_count", "_keys", "_mask", "_values")
 
     def __init__(self) -> None:
         self._allocate(_INITIAL_SLOTS)
@@ -32,10 +32,10 @@
         self._keys = array("Q", bytes(8 * slots))
         self._values = array("Q", bytes(8 * slots))
         self._mask = slots - 1
-        self._used = 0
+        self._entry_count = 0
 
     def __len__(self) -> int:
-        return self._used
+        return self._entry_count
 
     @property
     def nbytes(self) -> int:
@@ -64,11 +64,11 @@
         while (found := keys[slot]) != key:
             if found == 0:
                 keys[slot] = key
-                self._used += 1
+                self._entry_count += 1
                 break
             slot = (slot + 1) & mask
         self._values[slot] = value
-        if self._used * _MAX_LOAD_DENOMINATOR > (mask + 1) * _MAX_LOAD_NUMERATOR:
+        if self._entry_count * _MAX_LOAD_DENOMINATOR > (mask + 1) * _MAX_LOAD_NUMERATOR:
             self._resize((mask + 1) * 2)
 
     def delete(self, key: int) -> None:
@@ -81,7 +81,7 @@
                 return
             slot = (slot + 1) & mask
         self._close_gap(slot)
-        self._used -= 1
+        self._entry_count -= 1
 
     def _close_gap(self, gap: int) -> None:
         """Fill ``gap`` with later entries of the probe sequence whose home slot allows the move."""
@@ -112,7 +112,7 @@
     def shrink(self) -> None:
         """Reallocate to the smallest size that fits the entries."""
         slots = _INITIAL_SLOTS
-        while self._used * _MAX_LOAD_DENOMINATOR > slots * _MAX_LOAD_NUMERATOR:
+        while self._entry_count * _MAX_LOAD_DENOMINATOR > slots * _MAX_LOAD_NUMERATOR:
             slots *= 2
         if slots < self._mask + 1:
             self._resize(slots)
