--- a/tests/unit/standalone/placement/test_reconcile.py
+++ b/tests/unit/standalone/placement/test_reconcile.py
@@ -1,10 +1,10 @@
-"""What to load next, and which version serves meanwhile."""
+"""Which engines load next, and which weights version serves requests meanwhile."""
 
 import pytest
 
 from wallwell.standalone.cluster.messages import EngineRecord
 from wallwell.standalone.config.schema import ModelSpec
-from wallwell.standalone.placement.reconcile import engines_to_use, next_loads
+from wallwell.standalone.placement.reconcile import engines_to_load, engines_to_use
 
 NAMES = ["e1", "e2", "e3", "e4", "e5", "e6"]
 
@@ -20,23 +20,23 @@
     ("versions", "loading", "min_serving", "slots", "ordered"),
     [
         (ALL_OLD, (), 4, 2, ["e1", "e2"]),
-        (ALL_OLD, (), 5, 2, ["e1"]),  # the minimum leaves room for one
+        (ALL_OLD, (), 5, 2, ["e1"]),  # min_serving allows one engine to load
         (ALL_OLD, (), 6, 2, []),
         (ALL_OLD, ("e1",), 4, 2, ["e2"]),
         ({**ALL_OLD, "e1": "2", "e2": "2"}, (), 4, 2, ["e3", "e4"]),
-        (dict.fromkeys(NAMES, "2"), (), 1, 2, []),  # nothing to do
-        (dict.fromkeys(NAMES[:4], "1"), (), 4, 2, []),  # two are away already
-        (dict.fromkeys(NAMES[:4], "1"), ("e5", "e6"), 2, 2, []),  # both slots are taken
+        (dict.fromkeys(NAMES, "2"), (), 1, 2, []),  # all engines have the declared version
+        (dict.fromkeys(NAMES[:4], "1"), (), 4, 2, []),  # min_serving is reached: two engines are not serving
+        (dict.fromkeys(NAMES[:4], "1"), ("e5", "e6"), 2, 2, []),  # both load slots are in use
         ({}, (), 1, 2, []),
     ],
 )
-def test_loads_respect_slots_and_the_minimum_serving(versions, loading, min_serving, slots, ordered):
+def test_loads_respect_load_slots_and_min_serving(versions, loading, min_serving, slots, ordered):
     spec = ModelSpec("2", min_serving=min_serving)
-    assert next_loads("m", spec, NAMES, serving(**versions), loading, slots) == ordered
+    assert engines_to_load("m", spec, NAMES, serving(**versions), loading, slots) == ordered
 
 
 @pytest.mark.parametrize(
-    ("versions", "version", "using"),
+    ("versions", "version", "engines"),
     [
         (ALL_OLD, "1", NAMES),
         ({**ALL_OLD, "e1": "2"}, "1", NAMES[1:]),
@@ -45,6 +45,6 @@
         ({}, "2", []),
     ],
 )
-def test_requests_run_on_one_version(versions, version, using):
-    found, incarnations = engines_to_use("m", ModelSpec("2", min_serving=4), serving(**versions))
-    assert (found, sorted(incarnations)) == (version, using)
+def test_requests_run_on_a_single_version(versions, version, engines):
+    version_in_use, incarnations = engines_to_use("m", ModelSpec("2", min_serving=4), serving(**versions))
+    assert (version_in_use, sorted(incarnations)) == (version, engines)
