--- a/src/wallwell/cli/bench.py
+++ b/src/wallwell/cli/bench.py
@@ -14,15 +14,15 @@
 def register(commands: Any) -> None:
     """Add the command."""
     parser = commands.add_parser("bench", help="experiments and measurements")
-    experiments = parser.add_subparsers(dest="bench_command", required=True, metavar="EXPERIMENT")
+    subcommands = parser.add_subparsers(dest="bench_command", required=True, metavar="EXPERIMENT")
     parser.set_defaults(run=run)
-    overhead = experiments.add_parser("overhead", help="what a router adds to a request, over sockets")
+    overhead = subcommands.add_parser("overhead", help="what a router adds to a request, over sockets")
     overhead.add_argument("--quick", action="store_true")
     overhead.add_argument("--examples", type=Path, default=Path("examples"))
-    compare = experiments.add_parser("compare", help="differences between two result files of `bench run`")
+    compare = subcommands.add_parser("compare", help="differences between two result files of `bench run`")
     compare.add_argument("before", type=Path)
     compare.add_argument("after", type=Path)
-    experiment = experiments.add_parser("run", help="policies compared over sockets")
+    experiment = subcommands.add_parser("run", help="policies compared over sockets")
     experiment.add_argument("experiment", type=Path, nargs="*")
     experiment.add_argument("--all", action="store_true", help="every file of examples/experiments")
     experiment.add_argument("--examples", type=Path, default=Path("examples"))
@@ -33,4 +33,4 @@
     """Run the experiment that was asked for. Raises :class:`wallwell.errors.ExtraMissingError`."""
     with needs_extra(EXTRA):
         from wallwell.cli import bench_runs
-    return bench_runs.RUNS[options.bench_command](options)
+    return bench_runs.SUBCOMMANDS[options.bench_command](options)
--- a/src/wallwell/cli/bench_runs.py
+++ b/src/wallwell/cli/bench_runs.py
@@ -14,7 +14,7 @@
 from wallwell.events import configure_logging
 
 
-def progress(text: str) -> None:
+def print_progress(text: str) -> None:
     """Print what runs now."""
     print(text, file=sys.stderr)
 
@@ -25,7 +25,7 @@
     paths = options.experiment
     if options.all:
         paths = sorted((options.examples / "experiments").glob("*.yaml"))
-    results = [run_experiment(load_experiment(path), options.examples, progress) for path in paths]
+    results = [run_experiment(load_experiment(path), options.examples, print_progress) for path in paths]
     options.output.parent.mkdir(parents=True, exist_ok=True)
     options.output.write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1) + b"\n")
     options.output.with_suffix(".html").write_text(html_report(results), encoding="utf-8")
@@ -37,7 +37,7 @@
 def run_overhead_command(options: argparse.Namespace) -> int:
     """Measure and print what a router adds."""
     configure_logging("ERROR", json_lines=False)
-    print(overhead_text(run_overhead(options.examples, options.quick, progress)))
+    print(overhead_text(run_overhead(options.examples, options.quick, print_progress)))
     return 0
 
 
@@ -51,7 +51,7 @@
     return 0
 
 
-RUNS: dict[str, Callable[[argparse.Namespace], int]] = {
+SUBCOMMANDS: dict[str, Callable[[argparse.Namespace], int]] = {
     "overhead": run_overhead_command,
     "compare": run_compare,
     "run": run_experiments,
--- a/src/wallwell/cli/config_commands.py
+++ b/src/wallwell/cli/config_commands.py
@@ -30,7 +30,7 @@
 """Characters of a file's digest that are printed: enough to distinguish two revisions."""
 APPLY_ID_BYTES = 12
 """Random bytes of an apply id, by which a router recognises a retry of the same change."""
-_KIND_ORDER = {kind: index for index, kind in enumerate(Kind)}
+_APPLY_ORDER = {kind: index for index, kind in enumerate(Kind)}
 
 
 def register(commands: Any) -> None:
@@ -44,31 +44,31 @@
     apply.add_argument("--wait", action="store_true", help="wait until it is in force on every live node")
     apply.add_argument("--timeout", type=float, default=DEFAULT_WAIT_S, help="seconds to wait")
     apply.add_argument("--base", type=int, help="the file's revision the change was made from")
-    _add_connection(apply)
+    _add_connection_options(apply)
     apply.set_defaults(run=run_apply)
 
     remove = commands.add_parser("remove", help="remove a file")
     remove.add_argument("key", help="KIND/NAME")
-    _add_connection(remove)
+    _add_connection_options(remove)
     remove.set_defaults(run=run_remove)
 
     get = commands.add_parser("get", help="print what is in force")
     get.add_argument("key", nargs="?", help="KIND/NAME; without it every file is listed")
-    _add_connection(get)
+    _add_connection_options(get)
     get.set_defaults(run=run_get)
 
     status = commands.add_parser("status", help="print members and revisions")
-    _add_connection(status)
+    _add_connection_options(status)
     status.set_defaults(run=run_status)
 
 
-def _add_connection(parser: argparse.ArgumentParser) -> None:
+def _add_connection_options(parser: argparse.ArgumentParser) -> None:
     parser.add_argument("--router", default="http://127.0.0.1:8081", help="a router's operators' listener")
     parser.add_argument("--token", default=os.environ.get(TOKEN_VARIABLE, ""), help=f"default: ${TOKEN_VARIABLE}")
     parser.add_argument("--operator", default=getpass.getuser(), help="name recorded with a change")
 
 
-def read_directory(path: Path) -> list[ConfigFile]:
+def read_config_files(path: Path) -> list[ConfigFile]:
     """Parse a file or every ``*.yaml`` of a directory, in the order to apply.
 
     Raises :class:`ConfigInvalidError` that lists every problem of every file.
@@ -76,24 +76,24 @@
     files: dict[FileKey, ConfigFile] = {}
     sources: dict[FileKey, Path] = {}
     messages: list[str] = []
-    for each in _paths_of(path):
-        file, problems = parse_file(each.read_text(encoding="utf-8"))
-        messages.extend(f"{each}: {problem}" for problem in problems)
+    for config_path in _config_paths(path):
+        file, problems = parse_file(config_path.read_text(encoding="utf-8"))
+        messages.extend(f"{config_path}: {problem}" for problem in problems)
         if file is None:
             continue
         if file.key in files:
-            messages.append(f"{each}: {file.key} is also in {sources[file.key]}")
+            messages.append(f"{config_path}: {file.key} is also in {sources[file.key]}")
         files[file.key] = file
-        sources[file.key] = each
+        sources[file.key] = config_path
     if path.is_dir():
         for key, source in sources.items():
             messages.extend(f"{source}: {problem}" for problem in check_references(files, only=[key]))
     if messages:
         raise ConfigInvalidError("\n".join(messages))
-    return sorted(files.values(), key=lambda file: (_KIND_ORDER[file.key.kind], file.key.name))
+    return sorted(files.values(), key=lambda file: (_APPLY_ORDER[file.key.kind], file.key.name))
 
 
-def _paths_of(path: Path) -> list[Path]:
+def _config_paths(path: Path) -> list[Path]:
     """Return the file, or the files of the directory. Raises :class:`ConfigNotFoundError` if there are none."""
     if not path.exists():
         raise ConfigNotFoundError(f"{path} does not exist")
@@ -105,14 +105,14 @@
 
 def run_check(options: argparse.Namespace) -> int:
     """Check files offline; status 0 if there is nothing wrong."""
-    files = read_directory(options.path)
+    files = read_config_files(options.path)
     print(f"{len(files)} files, no problems")
     return 0
 
 
 def run_apply(options: argparse.Namespace) -> int:
     """Apply files in dependency order; stops at the first that is refused."""
-    return asyncio.run(_apply(options, read_directory(options.path)))
+    return asyncio.run(_apply(options, read_config_files(options.path)))
 
 
 async def _apply(options: argparse.Namespace, files: list[ConfigFile]) -> int:
@@ -130,15 +130,15 @@
                 return 1
             revision = max(revision, answer.revision)
             print(f"{answer.key}: revision {answer.revision}{'' if answer.changed else ' (unchanged)'}")
-        return await _wait(client, revision, options.timeout) if options.wait else 0
+        return await _wait_until_in_force(client, revision, options.timeout) if options.wait else 0
 
 
-async def _wait(client: OperatorClient, revision: int, timeout_s: float) -> int:
-    in_force, status = await client.wait_in_force(revision, timeout_s)
+async def _wait_until_in_force(client: OperatorClient, revision: int, timeout_s: float) -> int:
+    in_force, status = await client.wait_until_in_force(revision, timeout_s)
     for member in status.members:
         print(f"  {member.node} ({member.zone}, {member.status}): revision {member.config_revision}")
-    for region, head in sorted(status.regions.items()):
-        print(f"  region {region}: revision {head}")
+    for region, region_revision in sorted(status.regions.items()):
+        print(f"  region {region}: revision {region_revision}")
     if not in_force:
         print(f"revision {revision} is not in force everywhere after {timeout_s} s", file=sys.stderr)
         return 1
--- a/src/wallwell/cli/demo.py
+++ b/src/wallwell/cli/demo.py
@@ -18,13 +18,13 @@
 from wallwell.bench.workload import TraceBuilder
 from wallwell.events import configure_logging
 
-REQUESTS = 300
+DEFAULT_REQUESTS = 300
 """Requests by default: ten seconds at ``RATE_PER_S``."""
 RATE_PER_S = 30.0
 """Requests a second: what stand-ins, routers and callers do in one process."""
 SEED = 7
 """Draws the requests, so that each run sends the same ones."""
-SHOWN_VIOLATIONS = 5
+MAX_PRINTED_VIOLATIONS = 5
 """Faulty answers that are printed; their number is printed in any case."""
 _POLICIES = ("expected_first_token", "round_robin")
 
@@ -34,7 +34,7 @@
     parser = commands.add_parser("demo", help="run a deployment with embedded stand-ins")
     parser.add_argument("--deployment", choices=sorted(PROFILES), default="pharmacy")
     parser.add_argument("--examples", type=Path, default=Path("examples"))
-    parser.add_argument("--requests", type=int, default=REQUESTS)
+    parser.add_argument("--requests", type=int, default=DEFAULT_REQUESTS)
     parser.add_argument("--verbose", action="store_true", help="print log events")
     parser.set_defaults(run=run)
 
@@ -45,28 +45,28 @@
     trace = TraceBuilder(PROFILES[options.deployment], seed=SEED).build(options.requests, RATE_PER_S)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         directory = options.examples / options.deployment
-        runs = [runner.run(run_policy(directory, policy, trace, _progress)) for policy in _POLICIES]
-    for each in runs:
-        _print_run(each)
-    return 0 if all(each.is_clean for each in runs) else 1
+        runs = [runner.run(run_policy(directory, policy, trace, _print_progress)) for policy in _POLICIES]
+    for policy_run in runs:
+        _print_run(policy_run)
+    return 0 if all(policy_run.is_clean for policy_run in runs) else 1
 
 
-def _progress(text: str) -> None:
+def _print_progress(text: str) -> None:
     print(text, file=sys.stderr)
 
 
-def _print_run(each: PolicyRun) -> None:
-    print(f"\npolicy {each.policy}")
+def _print_run(policy_run: PolicyRun) -> None:
+    print(f"\npolicy {policy_run.policy}")
     print(f"  {'priority':<20}{'requests':>9}  {'outcomes':<24}{'first token p50':>16}{'p99':>10}")
-    for priority, result in sorted(each.load.priorities.items()):
+    for priority, result in sorted(policy_run.load.priorities.items()):
         outcomes = ", ".join(f"{count} {name}" for name, count in sorted(result.outcomes.items()))
         if result.first_token_us.get_total_count():
             times = f"{result.first_token_s(50) * 1000:>13.0f} ms{result.first_token_s(99) * 1000:>7.0f} ms"
         else:
             times = f"{'-':>16}{'-':>10}"
         print(f"  {priority:<20}{result.requests:>9}  {outcomes:<24}{times}")
-    hit_rate = each.cached_tokens / max(1, each.cached_tokens + each.prefill_tokens)
-    print(f"  prefix hit rate {hit_rate:.1%}; prompt tokens prefilled again {each.recomputed_tokens:,}")
-    print(f"  lost, cut or foreign answers {len(each.load.violations)}; doubled calls {each.doubled}")
-    for violation in each.load.violations[:SHOWN_VIOLATIONS]:
+    hit_rate = policy_run.cached_tokens / max(1, policy_run.cached_tokens + policy_run.prefill_tokens)
+    print(f"  prefix hit rate {hit_rate:.1%}; prompt tokens prefilled again {policy_run.recomputed_tokens:,}")
+    print(f"  lost, cut or foreign answers {len(policy_run.load.violations)}; doubled calls {policy_run.doubled}")
+    for violation in policy_run.load.violations[:MAX_PRINTED_VIOLATIONS]:
         print(f"    {violation}")
--- a/src/wallwell/cli/explain.py
+++ b/src/wallwell/cli/explain.py
@@ -48,7 +48,7 @@
     )
 )
 """Events that change what a node decides about the requests that follow."""
-SLOW_FIRST_MS = 500
+SLOW_FIRST_TOKEN_MS = 500
 """Milliseconds to the first token above which a request counts as slow: half of the objective that a route has by
 default."""
 LONG_GAP_MS = 450
@@ -59,7 +59,7 @@
 class LogLine(msgspec.Struct, frozen=True):
     """One parsed line: the time as text, a node if the log names one, and the event's fields."""
 
-    at: str
+    time: str
     node: str
     event: int
     message: str
@@ -79,57 +79,57 @@
         return None
     words = prefix.split()
     node = words[-1] if words else ""
-    at = words[0] if len(words) > 1 else str(fields.get("time", ""))
-    hidden = ("time", "level", "message", "event")
-    shown = {name: value for name, value in fields.items() if name not in hidden}
-    return LogLine(at, node, fields["event"], str(fields.get("message", "")), shown)
+    time = words[0] if len(words) > 1 else str(fields.get("time", ""))
+    common_names = ("time", "level", "message", "event")
+    event_fields = {name: value for name, value in fields.items() if name not in common_names}
+    return LogLine(time, node, fields["event"], str(fields.get("message", "")), event_fields)
 
 
-def lines_of(lines: Iterable[LogLine], request_id: str) -> list[LogLine]:
+def find_request_lines(lines: Iterable[LogLine], request_id: str) -> list[LogLine]:
     """Return the lines about a request, in the order of the files."""
     return [line for line in lines if line.fields.get("request_id") == request_id and line.event in REQUEST_EVENTS]
 
 
-def context_of(lines: Iterable[LogLine], request_lines: list[LogLine]) -> list[LogLine]:
+def find_context_lines(lines: Iterable[LogLine], request_lines: list[LogLine]) -> list[LogLine]:
     """Return events of the request's node shortly before its end; none if the lines have no time in seconds."""
-    end = request_lines[-1]
+    last = request_lines[-1]
     try:
-        end_s = float(end.at)
+        end_s = float(last.time)
     except ValueError:
         return []  # Times as text cannot be compared here; the request's own lines are printed all the same.
-    found = []
+    context = []
     for line in lines:
-        if line.node != end.node or line.event not in CONTEXT_EVENTS:
+        if line.node != last.node or line.event not in CONTEXT_EVENTS:
             continue
-        if end_s - CONTEXT_S <= float(line.at) <= end_s:
-            found.append(line)
-    return found
+        if end_s - CONTEXT_S <= float(line.time) <= end_s:
+            context.append(line)
+    return context
 
 
 def likely_cause(request_lines: list[LogLine]) -> str:
     """Return the most likely cause of how the request ended, in one line."""
     last = request_lines[-1]
-    failures = [line for line in request_lines if line.event == Event.REQUEST_RETRIED.number]
-    tried = ", ".join(f"{line.fields.get('backend')} {line.fields.get('reason')}" for line in failures)
+    retries = [line for line in request_lines if line.event == Event.REQUEST_RETRIED.number]
+    failed_attempts = ", ".join(f"{line.fields.get('backend')} {line.fields.get('reason')}" for line in retries)
     if last.event == Event.REQUEST_REFUSED.number:
         code, reason = last.fields.get("code"), last.fields.get("reason")
-        proof = "it never ran" if last.fields.get("outcome") == "not_run" else "it may have run"
-        return f"refused with {code} ({proof}): {reason}"
+        execution = "it never ran" if last.fields.get("outcome") == "not_run" else "it may have run"
+        return f"refused with {code} ({execution}): {reason}"
     if last.event == Event.CALLER_GONE.number:
         return "the caller disconnected"
-    if failures:
-        return f"answered after failed attempts: {tried}"
-    if last.fields.get("first_ms", 0) > SLOW_FIRST_MS:
+    if retries:
+        return f"answered after failed attempts: {failed_attempts}"
+    if last.fields.get("first_ms", 0) > SLOW_FIRST_TOKEN_MS:
         return f"slow start: {last.fields['first_ms']} ms to the first token at {last.fields.get('backend')}"
     if last.fields.get("max_gap_ms", 0) > LONG_GAP_MS:
         return f"long pause: {last.fields['max_gap_ms']} ms between tokens from {last.fields.get('backend')}"
     return "answered at the first attempt"
 
 
-def render(line: LogLine) -> str:
+def format_line(line: LogLine) -> str:
     """Return a line as text for people."""
     fields = " ".join(f"{name}={value}" for name, value in line.fields.items() if name != "request_id")
-    return f"{line.at:>12} {line.node} {line.event} {line.message}: {fields}"
+    return f"{line.time:>12} {line.node} {line.event} {line.message}: {fields}"
 
 
 def register(commands: Any) -> None:
@@ -142,19 +142,19 @@
 
 def run(options: argparse.Namespace) -> int:
     """Print a request's lines and the likely cause. Raises :class:`UnknownRequestError`."""
-    lines = [line for text in _texts(options.logs) if (line := parse_line(text)) is not None]
-    request_lines = lines_of(lines, options.request_id)
+    lines = [line for text in _read_lines(options.logs) if (line := parse_line(text)) is not None]
+    request_lines = find_request_lines(lines, options.request_id)
     if not request_lines:
         raise UnknownRequestError(f"no line about request {options.request_id}")
-    for line in context_of(lines, request_lines):
-        print("  before", render(line))
+    for line in find_context_lines(lines, request_lines):
+        print("  before", format_line(line))
     for line in request_lines:
-        print(render(line))
+        print(format_line(line))
     print(f"likely cause: {likely_cause(request_lines)}")
     return 0
 
 
-def _texts(paths: list[Path]) -> Iterable[str]:
+def _read_lines(paths: list[Path]) -> Iterable[str]:
     if not paths:
         yield from sys.stdin
         return
--- a/src/wallwell/cli/main.py
+++ b/src/wallwell/cli/main.py
@@ -15,7 +15,7 @@
 """Status of a command that ran and found a failure, or was interrupted."""
 EXIT_USAGE = 2
 """Status of a command that could not run; its error is on standard error."""
-MODULES = {
+COMMAND_MODULES = {
     "router": "router",
     "check": "config_commands",
     "apply": "config_commands",
@@ -37,17 +37,19 @@
     parser = argparse.ArgumentParser(prog="wallwell", description="Router for language-model traffic.")
     parser.add_argument("--version", action="version", version=__version__)
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
-    for module in [MODULES[command]] if command in MODULES else dict.fromkeys(MODULES.values()):
+    for module in (
+        [COMMAND_MODULES[command]] if command in COMMAND_MODULES else dict.fromkeys(COMMAND_MODULES.values())
+    ):
         importlib.import_module(f"wallwell.cli.{module}").register(commands)
     return parser
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run one command; returns the exit status."""
-    given = list(sys.argv[1:] if arguments is None else arguments)
-    if given[:1] == ["router"]:
+    argv = list(sys.argv[1:] if arguments is None else arguments)
+    if argv[:1] == ["router"]:
         handle_signals_while_starting()
-    options = build_parser(given[0] if given else "").parse_args(given)
+    options = build_parser(argv[0] if argv else "").parse_args(argv)
     try:
         return int(options.run(options))
     except WallwellError as error:
--- a/src/wallwell/cli/operator_client.py
+++ b/src/wallwell/cli/operator_client.py
@@ -21,7 +21,7 @@
 POLL_INTERVAL_S = 0.1
 """Seconds between two checks whether a revision is in force."""
 _TIMEOUT = aiohttp.ClientTimeout(total=TIMEOUT_S)
-_TYPES = {error_type.code: error_type for error_type in all_error_types()}
+_ERROR_TYPES = {error_type.code: error_type for error_type in all_error_types()}
 T = TypeVar("T")
 
 
@@ -29,22 +29,22 @@
     """Calls one router. Raises the errors that the router answers, by their code."""
 
     def __init__(self, base_url: str, token: str, session: aiohttp.ClientSession) -> None:
-        self._base = base_url.rstrip("/")
+        self._base_url = base_url.rstrip("/")
         self._headers = {"Authorization": f"Bearer {token}"}
         self._session = session
 
-    async def _call(self, method: str, path: str, target: type[T], body: bytes = b"") -> T:
+    async def _call(self, method: str, path: str, answer_type: type[T], body: bytes = b"") -> T:
         try:
             async with self._session.request(
-                method, self._base + path, data=body, headers=self._headers, timeout=_TIMEOUT
+                method, self._base_url + path, data=body, headers=self._headers, timeout=_TIMEOUT
             ) as response:
                 payload = await response.read()
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            raise ConfigUnavailableError(f"{self._base}: {type(error).__name__}") from error
+            raise ConfigUnavailableError(f"{self._base_url}: {type(error).__name__}") from error
         if response.status != HTTPStatus.OK:
             answer = msgspec.json.decode(payload, type=OperatorError)
-            raise _TYPES.get(answer.code, WallwellError)(answer.message)
-        return msgspec.json.decode(payload, type=target)
+            raise _ERROR_TYPES.get(answer.code, WallwellError)(answer.message)
+        return msgspec.json.decode(payload, type=answer_type)
 
     async def apply(self, request: ApplyRequest) -> ApplyAnswer:
         """Apply one file; after a lost answer it may be retried with the same apply id."""
@@ -62,7 +62,7 @@
         """Return what the router knows of its region."""
         return await self._call("GET", "/status", StatusAnswer)
 
-    async def wait_in_force(self, revision: int, timeout_s: float) -> tuple[bool, StatusAnswer]:
+    async def wait_until_in_force(self, revision: int, timeout_s: float) -> tuple[bool, StatusAnswer]:
         """Poll until every live member of the region has ``revision``; returns whether that happened."""
         deadline_s = asyncio.get_running_loop().time() + timeout_s
         while True:
--- a/src/wallwell/cli/router.py
+++ b/src/wallwell/cli/router.py
@@ -16,7 +16,7 @@
 
 _SHUTDOWN_MARGIN_S = 10.0
 """Seconds beyond the node's own grace time until aiomisc gives up: the node ends a stop itself."""
-_SETTING_OF_OPTION = {
+_SETTING_BY_OPTION = {
     "node": "node",
     "zone": "zone",
     "region": "region",
@@ -60,7 +60,7 @@
     """Run until stopped; exit status 0 after a planned stop, 2 on bad settings."""
     overrides = {
         path: getattr(options, name)
-        for name, path in _SETTING_OF_OPTION.items()
+        for name, path in _SETTING_BY_OPTION.items()
         if getattr(options, name) is not None
     }
     settings = load_settings(options.settings, overrides)
--- a/src/wallwell/cli/soak.py
+++ b/src/wallwell/cli/soak.py
@@ -17,7 +17,7 @@
     from wallwell.soak.run import RunResult
     from wallwell.soak.schedule import Schedule
 
-SHOWN_BREACHES = 10
+MAX_PRINTED_BREACHES = 10
 """Breaches that are printed; all are written to the run's folder."""
 DEFAULT_SECONDS = 20.0
 """Length of a schedule: the shortest is 15 s, since the recovery of the whole fleet is part of it."""
@@ -59,9 +59,9 @@
     from wallwell.soak.schedule import Shape
 
     if options.regressions is not None:
-        kept = load_regressions(options.regressions)
-        print(f"{len(kept)} kept runs")
-        statuses = [_play(schedule_of(each), None, options.checkout) for each in kept]
+        kept_runs = load_regressions(options.regressions)
+        print(f"{len(kept_runs)} kept runs")
+        statuses = [_run_schedule(schedule_of(kept_run), None, options.checkout) for kept_run in kept_runs]
         return max(statuses, default=0)
     shape = Shape(
         seconds=options.seconds,
@@ -82,15 +82,15 @@
     if options.print_schedule:
         _print_schedule(schedule)
         return 0
-    return _play(schedule, options.keep, options.checkout)
+    return _run_schedule(schedule, options.keep, options.checkout)
 
 
-def _play(schedule: Schedule, keep: Path | None, checkout: Path) -> int:
+def _run_schedule(schedule: Schedule, kept_folder: Path | None, checkout: Path) -> int:
     """Play a schedule. The folder is kept if it was named or an invariant was broken."""
     from wallwell.soak.run import run_soak
 
     _print_schedule(schedule)
-    folder = keep or Path(tempfile.mkdtemp(prefix=f"wallwell-soak-{schedule.seed}-"))
+    folder = kept_folder or Path(tempfile.mkdtemp(prefix=f"wallwell-soak-{schedule.seed}-"))
     folder.mkdir(parents=True, exist_ok=True)
     if any(folder.iterdir()):
         print(f"{folder} is not empty", file=sys.stderr)
@@ -105,7 +105,7 @@
         (folder / "breaches.txt").write_text("\n".join(map(str, result.found.breaches)) + "\n")
         print(f"kept in {folder}; again: {replay_command(schedule)}")
         return 1
-    if keep is None:
+    if kept_folder is None:
         shutil.rmtree(folder)
     return 0
 
@@ -140,5 +140,5 @@
     print(f"  cases checked: {cases}")
     untested = [name for name, count in result.found.cases.items() if not count]
     print(f"  not tested by this run: {', '.join(untested) or 'none'}")
-    for breach in result.found.breaches[:SHOWN_BREACHES]:
+    for breach in result.found.breaches[:MAX_PRINTED_BREACHES]:
         print(f"  {breach}")
--- a/tests/contract/test_fleet.py
+++ b/tests/contract/test_fleet.py
@@ -316,7 +316,7 @@
 def test_every_router_names_the_others_and_where_the_configuration_is_in_force(own_harness):
     async def scenario():
         client = own_harness.fleet.operator(1, own_harness.session)
-        in_force, status = await client.wait_in_force(17, 5.0)
+        in_force, status = await client.wait_until_in_force(17, 5.0)
         return in_force, len(status.members), json.dumps(sorted(status.regions))
 
     assert own_harness.run(scenario()) == (True, 3, '["sweden"]')
--- a/tests/unit/cli/test_explain.py
+++ b/tests/unit/cli/test_explain.py
@@ -8,31 +8,31 @@
 from wallwell.cli.main import main
 
 
-def line(at, node, event, message, **fields):
+def log_line(at, node, event, message, **fields):
     return f"{at:>9} {node} " + json.dumps(
         {"time": "t", "level": "INFO", "message": message, "event": event, **fields}
     )
 
 
-LOGS = [
+LOG_LINES = [
     "not a log line",
-    line(1.0, "n1", 2001, "configuration advanced", version=3),
-    line(9.0, "n1", 6008, "back end suspended", backend="i-1"),
-    line(9.2, "n1", 5008, "peer is not followed for a while", peer="n3"),
-    line(9.3, "n1", 7007, "node follows a rollout's phase", service="svc", target="v2", phase="canary"),
-    line(9.5, "n2", 6008, "back end suspended", backend="i-9"),
-    line(10.0, "n1", 3002, "attempt failed", request_id="r1", backend="i-1", reason="reset_after_send"),
-    line(
+    log_line(1.0, "n1", 2001, "configuration advanced", version=3),
+    log_line(9.0, "n1", 6008, "back end suspended", backend="i-1"),
+    log_line(9.2, "n1", 5008, "peer is not followed for a while", peer="n3"),
+    log_line(9.3, "n1", 7007, "node follows a rollout's phase", service="svc", target="v2", phase="canary"),
+    log_line(9.5, "n2", 6008, "back end suspended", backend="i-9"),
+    log_line(10.0, "n1", 3002, "attempt failed", request_id="r1", backend="i-1", reason="reset_after_send"),
+    log_line(
         10.2, "n1", 3001, "request ended", request_id="r1", backend="i-2", software="v1", attempts=2, first_ms=200
     ),
-    line(11.0, "n2", 3009, "refused", request_id="r2", code="WW3008", outcome="not_run", reason="no back end"),
-    line(12.0, "n2", 3001, "request ended", request_id="r3", backend="i-2", first_ms=900, max_gap_ms=10),
-    line(13.0, "n2", 3001, "request ended", request_id="r4", backend="i-2", first_ms=30, max_gap_ms=700),
-    line(14.0, "n2", 3001, "request ended", request_id="r5", backend="i-2", first_ms=30, max_gap_ms=70),
-    line(15.0, "n2", 3009, "refused", request_id="r6", code="WW3011", outcome="unknown", reason="reset"),
-    line(16.0, "n2", 3006, "caller gone", request_id="r7"),
-    line(17.0, "n2", 3010, "request gets no back end any more", content="c1", last_crashed="i-5"),
-    line(17.1, "n2", 3009, "refused", request_id="r8", code="WW3020", outcome="not_run", reason="content c1"),
+    log_line(11.0, "n2", 3009, "refused", request_id="r2", code="WW3008", outcome="not_run", reason="no back end"),
+    log_line(12.0, "n2", 3001, "request ended", request_id="r3", backend="i-2", first_ms=900, max_gap_ms=10),
+    log_line(13.0, "n2", 3001, "request ended", request_id="r4", backend="i-2", first_ms=30, max_gap_ms=700),
+    log_line(14.0, "n2", 3001, "request ended", request_id="r5", backend="i-2", first_ms=30, max_gap_ms=70),
+    log_line(15.0, "n2", 3009, "refused", request_id="r6", code="WW3011", outcome="unknown", reason="reset"),
+    log_line(16.0, "n2", 3006, "caller gone", request_id="r7"),
+    log_line(17.0, "n2", 3010, "request gets no back end any more", content="c1", last_crashed="i-5"),
+    log_line(17.1, "n2", 3009, "refused", request_id="r8", code="WW3020", outcome="not_run", reason="content c1"),
 ]
 
 
@@ -51,15 +51,15 @@
 )
 def test_likely_causes(tmp_path, capsys, request_id, cause):
     first, second = tmp_path / "a.log", tmp_path / "b.log"
-    first.write_text("\n".join(LOGS[:6]))
-    second.write_text("\n".join(LOGS[6:]))
+    first.write_text("\n".join(LOG_LINES[:6]))
+    second.write_text("\n".join(LOG_LINES[6:]))
     assert main(["explain", request_id, str(first), str(second)]) == 0
     assert capsys.readouterr().out.splitlines()[-1] == f"likely cause: {cause}"
 
 
 def test_the_story_holds_what_its_own_node_believed_before(tmp_path, capsys):
     log = tmp_path / "all.log"
-    log.write_text("\n".join(LOGS))
+    log.write_text("\n".join(LOG_LINES))
     main(["explain", "r1", str(log)])
     shown = capsys.readouterr().out
     assert "backend=i-1" in shown
@@ -70,7 +70,7 @@
 
 def test_the_story_names_the_software_that_served_and_the_rollout_its_node_followed(tmp_path, capsys):
     log = tmp_path / "all.log"
-    log.write_text("\n".join(LOGS))
+    log.write_text("\n".join(LOG_LINES))
     main(["explain", "r1", str(log)])
     shown = capsys.readouterr().out
     assert "software=v1" in shown
@@ -79,7 +79,7 @@
 
 def test_an_unknown_request_is_a_typed_error(tmp_path, capsys):
     log = tmp_path / "all.log"
-    log.write_text("\n".join(LOGS))
+    log.write_text("\n".join(LOG_LINES))
     assert main(["explain", "nobody", str(log)]) == 2
     assert "WW7002" in capsys.readouterr().err
 
@@ -91,6 +91,6 @@
 
 def test_the_story_of_a_quarantined_request_names_the_last_crash(tmp_path, capsys):
     log = tmp_path / "all.log"
-    log.write_text("\n".join(LOGS))
+    log.write_text("\n".join(LOG_LINES))
     main(["explain", "r8", str(log)])
     assert "last_crashed=i-5" in capsys.readouterr().out
--- a/tests/unit/cli/test_main.py
+++ b/tests/unit/cli/test_main.py
@@ -5,24 +5,24 @@
 
 import pytest
 
-from wallwell.cli.main import MODULES, build_parser
+from wallwell.cli.main import COMMAND_MODULES, build_parser
 
 
-def commands_of(parser):
+def command_names(parser):
     return set(next(action for action in parser._actions if isinstance(action.choices, dict)).choices)
 
 
 def test_the_table_names_every_command():
-    assert commands_of(build_parser()) == set(MODULES)
+    assert command_names(build_parser()) == set(COMMAND_MODULES)
 
 
-@pytest.mark.parametrize("command", MODULES)
+@pytest.mark.parametrize("command", COMMAND_MODULES)
 def test_a_command_is_declared_by_its_module(command):
-    assert command in commands_of(build_parser(command))
+    assert command in command_names(build_parser(command))
 
 
 def test_an_unknown_command_is_told_all_commands():
-    assert commands_of(build_parser("nothing")) == set(MODULES)
+    assert command_names(build_parser("nothing")) == set(COMMAND_MODULES)
 
 
 def test_a_command_does_not_import_what_others_need():
--- a/tests/unit/cli/test_soak.py
+++ b/tests/unit/cli/test_soak.py
@@ -34,7 +34,7 @@
 def test_the_line_that_plays_again_names_all_that_draws_the_schedule(shape, monkeypatch):
     schedule = draw_schedule(7, shape)
     played = []
-    monkeypatch.setattr(soak, "_play", lambda again, keep, checkout: played.append(again) or 0)
+    monkeypatch.setattr(soak, "_run_schedule", lambda again, keep, checkout: played.append(again) or 0)
     parser = argparse.ArgumentParser()
     soak.register(parser.add_subparsers())
     options = parser.parse_args(shlex.split(soak.replay_command(schedule))[1:])
--- a/tools/compare_days.py
+++ b/tools/compare_days.py
@@ -23,7 +23,7 @@
 from pathlib import Path
 from typing import Any
 
-SMALLEST_SHOWN = 0.002
+MIN_SHOWN_DIFFERENCE = 0.002
 """Differences of parts and prices below this are left out of the tables."""
 
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Play:
+class DayRun:
     """One day to be played."""
 
     checkout: Checkout
@@ -46,52 +46,52 @@
 
 
 @dataclass(frozen=True)
-class Result:
+class DayResult:
     """What a play came to. ``figures`` holds parts and prices by name, prices as what they take off worth."""
 
     worth: float
-    rules: tuple[str, ...]
+    broken_rules: tuple[str, ...]
     figures: dict[str, float]
 
 
 @dataclass(frozen=True)
-class Options:
+class RunOptions:
     """How days are played."""
 
     bench: Path
     no_cpu: bool
-    is_small: bool
+    small_days: bool
     why: str
 
 
-def play(task: Play, options: Options) -> Result | None:
+def run_day(task: DayRun, options: RunOptions) -> DayResult | None:
     """Play one day; returns None if the bench gave no report."""
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         command = [str(options.bench), "run", str(task.site), task.day, "--seed", str(task.seed)]
         command += ["--report", report.name, "--why", f"{options.why}: {task.checkout.name}", "--jobs", "1"]
         if options.no_cpu:
             command.append("--no-cpu")
-        if options.is_small:
+        if options.small_days:
             command.append("--small")
-        done = subprocess.run(command, cwd=task.checkout.path, capture_output=True, text=True, check=False)
+        completed = subprocess.run(command, cwd=task.checkout.path, capture_output=True, text=True, check=False)
         text = Path(report.name).read_text()
     if not text:
-        print(f"no report of {task}: {(done.stderr or done.stdout)[-400:]}", file=sys.stderr)
+        print(f"no report of {task}: {(completed.stderr or completed.stdout)[-400:]}", file=sys.stderr)
         return None
     return read_report(json.loads(text))
 
 
-def read_report(report: dict[str, Any]) -> Result:
+def read_report(report: dict[str, Any]) -> DayResult:
     """Return the figures of a report; what weighs in worth carries its weight."""
     figures = {f"part: {name}": value * weight for name, weight, value in report["parts"]}
-    figures.update({f"price: {name}": -lost for name, _, lost in report["prices"]})
+    figures.update({f"price: {name}": -loss for name, _, loss in report["prices"]})
     figures["served"] = report["served"]
     figures["failed"] = report["failed"]
     figures["refused"] = report["refused"]
-    rules = tuple(f"{rule} {count}" for rule, count in report["breaks"].items())
+    broken_rules = tuple(f"{rule} {count}" for rule, count in report["breaks"].items())
     if report.get("fault"):
-        rules += (f"fault {report['fault']}",)
-    return Result(report["G"], rules, figures)
+        broken_rules += (f"fault {report['fault']}",)
+    return DayResult(report["G"], broken_rules, figures)
 
 
 def mean_and_error(values: Sequence[float]) -> tuple[float, float]:
@@ -105,13 +105,13 @@
 
     def __init__(self, checkouts: Sequence[Checkout]) -> None:
         self._checkouts = checkouts
-        self._results: dict[tuple[str, str, str], dict[int, Result]] = defaultdict(dict)
+        self._results: dict[tuple[str, str, str], dict[int, DayResult]] = defaultdict(dict)
 
-    def add(self, task: Play, result: Result) -> None:
+    def add(self, task: DayRun, result: DayResult) -> None:
         """Take the result of a play."""
         self._results[task.checkout.name, task.site.stem, task.day][task.seed] = result
 
-    def lines(self, site: str, days: Iterable[str]) -> list[str]:
+    def table_lines(self, site: str, days: Iterable[str]) -> list[str]:
         """Return the tables of one site as lines of text."""
         lines = [f"{site}: worth, mean over seeds, spread of single days, difference of pairs"]
         for day in days:
@@ -135,23 +135,23 @@
                 mean, error = mean_and_error([results[seed].worth - base[seed].worth for seed in pairs])
                 line += f"  {mean:+.3f} +- {error:.3f}"
             line += f"  served {statistics.fmean(each.figures['served'] for each in results.values()):.4f}"
-            lines.append(line + _broken(results))
-            lines += _figure_lines(base, results, pairs)
+            lines.append(line + _broken_rules_text(results))
+            lines += _difference_lines(base, results, pairs)
         return lines
 
 
-def _broken(results: dict[int, Result]) -> str:
-    broken = [f"{seed}: {', '.join(each.rules)}" for seed, each in results.items() if each.rules]
+def _broken_rules_text(results: dict[int, DayResult]) -> str:
+    broken = [f"{seed}: {', '.join(each.broken_rules)}" for seed, each in results.items() if each.broken_rules]
     return f"  BROKEN {'; '.join(broken)}" if broken else ""
 
 
-def _figure_lines(base: dict[int, Result], results: dict[int, Result], pairs: Sequence[int]) -> list[str]:
+def _difference_lines(base: dict[int, DayResult], results: dict[int, DayResult], pairs: Sequence[int]) -> list[str]:
     lines = []
     names = sorted({name for seed in pairs for name in results[seed].figures})
     for name in names:
         differences = [results[seed].figures.get(name, 0.0) - base[seed].figures.get(name, 0.0) for seed in pairs]
         mean, error = mean_and_error(differences)
-        if abs(mean) >= SMALLEST_SHOWN:
+        if abs(mean) >= MIN_SHOWN_DIFFERENCE:
             lines.append(f"      {name:55} {mean:+.4f} +- {error:.4f}")
     return lines
 
@@ -175,10 +175,10 @@
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--why", default="paired comparison")
     arguments = parser.parse_args()
-    options = Options(arguments.bench.resolve(), arguments.no_cpu, arguments.small, arguments.why)
+    options = RunOptions(arguments.bench.resolve(), arguments.no_cpu, arguments.small, arguments.why)
     days = arguments.days.split(",")
     tasks = [
-        Play(checkout, site.resolve(), day, int(seed))
+        DayRun(checkout, site.resolve(), day, int(seed))
         for site in arguments.site
         for seed in arguments.seeds.split(",")
         for day in days
@@ -186,12 +186,12 @@
     ]
     comparison = Comparison(arguments.checkouts)
     with ThreadPoolExecutor(arguments.jobs) as pool:
-        results = list(pool.map(lambda task: play(task, options), tasks))
+        results = list(pool.map(lambda task: run_day(task, options), tasks))
     for task, result in zip(tasks, results, strict=True):
         if result is not None:
             comparison.add(task, result)
     for site in arguments.site:
-        print("\n".join(comparison.lines(site.stem, days)))
+        print("\n".join(comparison.table_lines(site.stem, days)))
     return 1 if any(result is None for result in results) else 0
 
 
--- a/tools/soak_two_builds.py
+++ b/tools/soak_two_builds.py
@@ -21,38 +21,39 @@
 from wallwell.soak.run import RunResult, run_soak
 from wallwell.soak.schedule import RECOVERY_S, SHOWN_RECOVERED_S, FaultKind, PlannedFault, Schedule, Shape
 
-FIRST_REPLACED_S = 2.0
+FIRST_REPLACEMENT_S = 2.0
 """Seconds until the first node is replaced; the last one is shortly before all nodes are killed."""
-APART_S = 4.0
+MIN_SEPARATION_S = 4.0
 """Seconds between the planned stop of a node and other faults that end or pause it: a process that is told to stop
 before it has started ends by the signal."""
-ROOT = Path(__file__).resolve().parents[1]
+CHECKOUT = Path(__file__).resolve().parents[1]
 
 
-def with_replacement(schedule: Schedule) -> Schedule:
+def add_planned_stops(schedule: Schedule) -> Schedule:
     """Return a schedule in which each node is also stopped as planned, one after the other, and without the faults
     of the same node at that time."""
     shape = schedule.shape
-    span_s = shape.seconds - RECOVERY_S - SHOWN_RECOVERED_S - FIRST_REPLACED_S
-    stops = [
-        PlannedFault(round(FIRST_REPLACED_S + index * span_s / shape.nodes, 2), 0.0, FaultKind.STOP_NODE, node)
+    span_s = shape.seconds - RECOVERY_S - SHOWN_RECOVERED_S - FIRST_REPLACEMENT_S
+    planned_stops = [
+        PlannedFault(round(FIRST_REPLACEMENT_S + index * span_s / shape.nodes, 2), 0.0, FaultKind.STOP_NODE, node)
         for index, node in enumerate(shape.node_names())
     ]
-    stopped_s = {stop.target: stop.at_s for stop in stops}
-    others = [
+    stop_s = {stop.target: stop.at_s for stop in planned_stops}
+    # A process must have started.
+    other_faults = [
         fault
         for fault in schedule.faults
-        if abs(fault.at_s - stopped_s.get(fault.target, float("inf"))) > APART_S  # A process must have started.
+        if abs(fault.at_s - stop_s.get(fault.target, float("inf"))) > MIN_SEPARATION_S
     ]
-    faults = sorted([*others, *stops], key=lambda fault: fault.at_s)
+    faults = sorted([*other_faults, *planned_stops], key=lambda fault: fault.at_s)
     return msgspec.structs.replace(schedule, faults=tuple(faults))
 
 
-def play(seed: int, shape: Shape, folder: Path, production: Path) -> RunResult:
+def run_seed(seed: int, shape: Shape, folder: Path, production: Path) -> RunResult:
     """Play one run in a folder of its own."""
     folder.mkdir(parents=True)
-    schedule = with_replacement(draw_schedule(seed, shape))
-    return asyncio.run(run_soak(schedule, folder, ROOT, production.absolute()))
+    schedule = add_planned_stops(draw_schedule(seed, shape))
+    return asyncio.run(run_soak(schedule, folder, CHECKOUT, production.absolute()))
 
 
 def main() -> int:
@@ -78,7 +79,7 @@
     )
     is_broken = False
     for seed in map(int, options.seeds.split(",")):
-        result = play(seed, shape, folder.absolute() / str(seed), options.production)
+        result = run_seed(seed, shape, folder.absolute() / str(seed), options.production)
         cases = sum(result.found.cases.values())
         print(f"{seed}: {result.requests} requests, {result.served} served whole, {cases} cases", flush=True)
         for breach in result.found.breaches:
