--- a/src/wallwell/cli/__init__.py
+++ b/src/wallwell/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The ``wallwell`` command: one module a command, each declares its arguments and runs them.
+"""The ``wallwell`` command. Each module declares the arguments of its subcommands and implements them.
 
-Owns what is printed and the exit status. :mod:`wallwell.cli.main` imports only the module of the command given.
+The package prints the results and sets the exit status; :mod:`wallwell.cli.main` imports only the module needed.
 """
--- a/src/wallwell/cli/bench_runs.py
+++ b/src/wallwell/cli/bench_runs.py
@@ -1,4 +1,4 @@
-"""The runs of ``wallwell bench``: what they measure and print. Needs the extra ``bench``."""
+"""Implementation of the subcommands of ``wallwell bench``. Importing this module requires the extra ``bench``."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 def print_progress(text: str) -> None:
-    """Print what runs now."""
+    """Print a progress message to standard error."""
     print(text, file=sys.stderr)
 
 
 def run_experiments(options: argparse.Namespace) -> int:
-    """Run experiments and print their tables."""
+    """Run experiments, write their results as JSON and HTML, and print their tables. Returns the exit status."""
     configure_logging("ERROR", json_lines=False)
     paths = options.experiment
     if options.all:
@@ -35,14 +35,14 @@
 
 
 def run_overhead_command(options: argparse.Namespace) -> int:
-    """Measure and print what a router adds."""
+    """Measure and print the overhead of a router. Returns the exit status."""
     configure_logging("ERROR", json_lines=False)
     print(overhead_text(run_overhead(options.examples, options.quick, print_progress)))
     return 0
 
 
 def run_compare(options: argparse.Namespace) -> int:
-    """Print the differences between two result files."""
+    """Print the differences between two result files. Returns the exit status."""
     before, after = (
         msgspec.json.decode(path.read_bytes(), type=list[ExperimentResult])
         for path in (options.before, options.after)
@@ -56,4 +56,4 @@
     "compare": run_compare,
     "run": run_experiments,
 }
-"""What each experiment's name runs; the exit status is returned."""
+"""The function that runs each subcommand of ``wallwell bench`` and returns the exit status."""
--- a/src/wallwell/cli/catalogue.py
+++ b/src/wallwell/cli/catalogue.py
@@ -11,13 +11,13 @@
 
 
 def register(commands: Any) -> None:
-    """Add the command."""
+    """Add the command to the parser."""
     parser = commands.add_parser("catalogue", help="print the catalogue of errors or log events")
     parser.add_argument("page", choices=sorted(_PAGES))
     parser.set_defaults(run=run)
 
 
 def run(options: argparse.Namespace) -> int:
-    """Print one page."""
+    """Print the chosen page and return the exit status."""
     print(_PAGES[options.page](), end="")
     return 0
--- a/src/wallwell/cli/config_commands.py
+++ b/src/wallwell/cli/config_commands.py
@@ -1,6 +1,6 @@
-"""``wallwell check``, ``apply``, ``remove``, ``get`` and ``status``: operators' files and what is in force.
+"""``wallwell check``, ``apply``, ``remove``, ``get`` and ``status`` for the operators' configuration files.
 
-``check`` works offline; the others call a router through :class:`OperatorClient`.
+``check`` needs no router; the other commands call one through :class:`OperatorClient`.
 """
 
 from __future__ import annotations
@@ -25,25 +25,25 @@
 TOKEN_VARIABLE = "WALLWELL_OPERATOR_TOKEN"
 """Environment variable with the operator's bearer token."""
 DEFAULT_WAIT_S = 10.0
-"""Seconds that ``apply --wait`` waits by default: a person waits at a terminal."""
+"""Default timeout of ``apply --wait`` in seconds, short because a person waits at a terminal."""
 DIGEST_LENGTH = 12
-"""Characters of a file's digest that are printed: enough to distinguish two revisions."""
+"""Printed characters of a file's digest, enough to distinguish two revisions."""
 APPLY_ID_BYTES = 12
-"""Random bytes of an apply id, by which a router recognises a retry of the same change."""
+"""Random bytes in an apply id, by which a router recognises a retry of the same change."""
 _APPLY_ORDER = {kind: index for index, kind in enumerate(Kind)}
 
 
 def register(commands: Any) -> None:
-    """Add the commands."""
+    """Add the commands to the parser."""
     check = commands.add_parser("check", help="check a directory of operators' files offline")
     check.add_argument("path", type=Path)
     check.set_defaults(run=run_check)
 
-    apply = commands.add_parser("apply", help="put a file or a directory of files in force")
+    apply = commands.add_parser("apply", help="apply a file or a directory of files")
     apply.add_argument("path", type=Path)
-    apply.add_argument("--wait", action="store_true", help="wait until it is in force on every live node")
-    apply.add_argument("--timeout", type=float, default=DEFAULT_WAIT_S, help="seconds to wait")
-    apply.add_argument("--base", type=int, help="the file's revision the change was made from")
+    apply.add_argument("--wait", action="store_true", help="wait until the change is in force on every live node")
+    apply.add_argument("--timeout", type=float, default=DEFAULT_WAIT_S, help="timeout of --wait in seconds")
+    apply.add_argument("--base", type=int, help="revision of the file on which the change is based")
     _add_connection_options(apply)
     apply.set_defaults(run=run_apply)
 
@@ -52,26 +52,26 @@
     _add_connection_options(remove)
     remove.set_defaults(run=run_remove)
 
-    get = commands.add_parser("get", help="print what is in force")
-    get.add_argument("key", nargs="?", help="KIND/NAME; without it every file is listed")
+    get = commands.add_parser("get", help="print the configuration in force")
+    get.add_argument("key", nargs="?", help="KIND/NAME; every file is listed if omitted")
     _add_connection_options(get)
     get.set_defaults(run=run_get)
 
-    status = commands.add_parser("status", help="print members and revisions")
+    status = commands.add_parser("status", help="print the members of a region and their revisions")
     _add_connection_options(status)
     status.set_defaults(run=run_status)
 
 
 def _add_connection_options(parser: argparse.ArgumentParser) -> None:
-    parser.add_argument("--router", default="http://127.0.0.1:8081", help="a router's operators' listener")
+    parser.add_argument("--router", default="http://127.0.0.1:8081", help="URL of a router's operators' listener")
     parser.add_argument("--token", default=os.environ.get(TOKEN_VARIABLE, ""), help=f"default: ${TOKEN_VARIABLE}")
-    parser.add_argument("--operator", default=getpass.getuser(), help="name recorded with a change")
+    parser.add_argument("--operator", default=getpass.getuser(), help="operator name recorded with a change")
 
 
 def read_config_files(path: Path) -> list[ConfigFile]:
-    """Parse a file or every ``*.yaml`` of a directory, in the order to apply.
+    """Parse a file or every ``*.yaml`` of a directory and return the files in the order in which to apply them.
 
-    Raises :class:`ConfigInvalidError` that lists every problem of every file.
+    Raises :class:`ConfigInvalidError` that lists every problem of every file, or :class:`ConfigNotFoundError`.
     """
     files: dict[FileKey, ConfigFile] = {}
     sources: dict[FileKey, Path] = {}
@@ -94,7 +94,7 @@
 
 
 def _config_paths(path: Path) -> list[Path]:
-    """Return the file, or the files of the directory. Raises :class:`ConfigNotFoundError` if there are none."""
+    """Return ``path`` or the YAML files in it. Raises :class:`ConfigNotFoundError` if there are none."""
     if not path.exists():
         raise ConfigNotFoundError(f"{path} does not exist")
     paths = sorted(path.glob("*.yaml")) if path.is_dir() else [path]
@@ -104,14 +104,14 @@
 
 
 def run_check(options: argparse.Namespace) -> int:
-    """Check files offline; status 0 if there is nothing wrong."""
+    """Check files offline and return 0. Raises the errors of :func:`read_config_files` if a file has a problem."""
     files = read_config_files(options.path)
     print(f"{len(files)} files, no problems")
     return 0
 
 
 def run_apply(options: argparse.Namespace) -> int:
-    """Apply files in dependency order; stops at the first that is refused."""
+    """Apply files in dependency order up to the first that is refused. Returns the exit status."""
     return asyncio.run(_apply(options, read_config_files(options.path)))
 
 
@@ -147,7 +147,7 @@
 
 
 def run_remove(options: argparse.Namespace) -> int:
-    """Remove one file."""
+    """Remove one file and return the exit status."""
 
     async def remove() -> int:
         async with aiohttp.ClientSession() as session:
@@ -162,7 +162,7 @@
 
 
 def run_get(options: argparse.Namespace) -> int:
-    """Print one file in force, or list all."""
+    """Print one file in force or a list of all files. Returns the exit status."""
 
     async def get() -> int:
         async with aiohttp.ClientSession() as session:
@@ -179,7 +179,7 @@
 
 
 def run_status(options: argparse.Namespace) -> int:
-    """Print the region's members as one router sees them."""
+    """Print the region's members as one router sees them. Returns the exit status."""
 
     async def show() -> int:
         async with aiohttp.ClientSession() as session:
--- a/src/wallwell/cli/demo.py
+++ b/src/wallwell/cli/demo.py
@@ -1,6 +1,6 @@
 """``wallwell demo``: a whole deployment in one process, with real requests over loopback sockets.
 
-The same requests run under wallwell's policy and under round robin, so that their figures can be compared.
+The same requests run under wallwell's policy and under round robin, so that the two results can be compared.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 from wallwell.events import configure_logging
 
 DEFAULT_REQUESTS = 300
-"""Requests by default: ten seconds at ``RATE_PER_S``."""
+"""Default number of requests: ten seconds of load at ``RATE_PER_S``."""
 RATE_PER_S = 30.0
-"""Requests a second: what stand-ins, routers and callers do in one process."""
+"""Requests per second that emulators, routers and callers can handle together in one process."""
 SEED = 7
-"""Draws the requests, so that each run sends the same ones."""
+"""Fixed random seed, so that every run sends the same requests."""
 MAX_PRINTED_VIOLATIONS = 5
-"""Faulty answers that are printed; their number is printed in any case."""
+"""Maximum number of faulty answers printed in full; their total is always printed."""
 _POLICIES = ("expected_first_token", "round_robin")
 
 
 def register(commands: Any) -> None:
-    """Add the command."""
-    parser = commands.add_parser("demo", help="run a deployment with embedded stand-ins")
+    """Add the command to the parser."""
+    parser = commands.add_parser("demo", help="run a deployment with embedded emulators")
     parser.add_argument("--deployment", choices=sorted(PROFILES), default="pharmacy")
     parser.add_argument("--examples", type=Path, default=Path("examples"))
     parser.add_argument("--requests", type=int, default=DEFAULT_REQUESTS)
@@ -40,7 +40,7 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run the trace under wallwell's policy and round robin; status 1 if a request was lost, cut or doubled."""
+    """Run the trace under both policies. Returns 1 if a request was lost, truncated or executed twice."""
     configure_logging("INFO" if options.verbose else "ERROR", json_lines=False)
     trace = TraceBuilder(PROFILES[options.deployment], seed=SEED).build(options.requests, RATE_PER_S)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/src/wallwell/cli/explain.py
+++ b/src/wallwell/cli/explain.py
@@ -1,7 +1,7 @@
 """``wallwell explain``: the history of one request, collected from the JSON logs of several nodes.
 
-Relies on the numbers and fields of :mod:`wallwell.events`. Lines that are no events are skipped: logs of several
-programs are often in one file.
+Relies on the event numbers and fields of :mod:`wallwell.events`. Lines that are not wallwell events are skipped,
+since one file often holds the logs of several programs.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from wallwell.events import Event
 
 CONTEXT_S = 3.0
-"""Seconds before a request's end for which the node's own events are shown."""
+"""Seconds before a request's end from which other events of its node are printed."""
 REQUEST_EVENTS = frozenset(
     event.number for event in (Event.REQUEST_ENDED, Event.REQUEST_RETRIED, Event.REQUEST_REFUSED, Event.CALLER_GONE)
 )
-"""Events of one request."""
+"""Numbers of the events that describe a single request."""
 CONTEXT_EVENTS = frozenset(
     event.number
     for event in (
@@ -47,17 +47,15 @@
         Event.ROLLOUT_FOLLOWED,
     )
 )
-"""Events that change what a node decides about the requests that follow."""
+"""Numbers of the events that change how a node routes the requests that follow."""
 SLOW_FIRST_TOKEN_MS = 500
-"""Milliseconds to the first token above which a request counts as slow: half of the objective that a route has by
-default."""
+"""Milliseconds to the first token above which a request counts as slow: half the default objective of a route."""
 LONG_GAP_MS = 450
-"""Milliseconds between tokens above which a pause counts as long: just below the longest pause that a route allows
-by default."""
+"""Milliseconds between tokens above which a pause counts as long, just below a route's default maximum pause."""
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """One parsed line: the time as text, a node if the log names one, and the event's fields."""
+    """One parsed log line. ``time`` is text; ``node`` is empty if the line does not name one."""
 
     time: str
     node: str
@@ -67,14 +65,14 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return a line of the JSON log, None for anything else. Text before the JSON names time and node."""
+    """Parse a line of the JSON log, optionally preceded by time and node. Returns None for any other line."""
     prefix, brace, rest = text.partition("{")
     if not brace:
         return None
     try:
         fields = msgspec.json.decode(brace + rest, type=dict[str, Any])
     except msgspec.MsgspecError:
-        return None  # Some other program's line.
+        return None  # The line was written by another program.
     if not isinstance(fields.get("event"), int):
         return None
     words = prefix.split()
@@ -86,17 +84,17 @@
 
 
 def find_request_lines(lines: Iterable[LogLine], request_id: str) -> list[LogLine]:
-    """Return the lines about a request, in the order of the files."""
+    """Return the lines about a request, in the order in which they were read."""
     return [line for line in lines if line.fields.get("request_id") == request_id and line.event in REQUEST_EVENTS]
 
 
 def find_context_lines(lines: Iterable[LogLine], request_lines: list[LogLine]) -> list[LogLine]:
-    """Return events of the request's node shortly before its end; none if the lines have no time in seconds."""
+    """Return events of the request's last node shortly before its end; none if the end is not in seconds."""
     last = request_lines[-1]
     try:
         end_s = float(last.time)
     except ValueError:
-        return []  # Times as text cannot be compared here; the request's own lines are printed all the same.
+        return []  # Textual times are not compared; the request's own lines are still printed.
     context = []
     for line in lines:
         if line.node != last.node or line.event not in CONTEXT_EVENTS:
@@ -107,7 +105,7 @@
 
 
 def likely_cause(request_lines: list[LogLine]) -> str:
-    """Return the most likely cause of how the request ended, in one line."""
+    """Return one line that states the most likely cause of the request's outcome."""
     last = request_lines[-1]
     retries = [line for line in request_lines if line.event == Event.REQUEST_RETRIED.number]
     failed_attempts = ", ".join(f"{line.fields.get('backend')} {line.fields.get('reason')}" for line in retries)
@@ -127,21 +125,21 @@
 
 
 def format_line(line: LogLine) -> str:
-    """Return a line as text for people."""
+    """Return a log line as human-readable text."""
     fields = " ".join(f"{name}={value}" for name, value in line.fields.items() if name != "request_id")
     return f"{line.time:>12} {line.node} {line.event} {line.message}: {fields}"
 
 
 def register(commands: Any) -> None:
-    """Add the command."""
-    parser = commands.add_parser("explain", help="explain how a request ended, from logs")
+    """Add the command to the parser."""
+    parser = commands.add_parser("explain", help="explain from logs how a request ended")
     parser.add_argument("request_id", help="the request's id")
-    parser.add_argument("logs", nargs="*", type=Path, help="log files of any nodes; standard input if none")
+    parser.add_argument("logs", nargs="*", type=Path, help="log files of any nodes (default: standard input)")
     parser.set_defaults(run=run)
 
 
 def run(options: argparse.Namespace) -> int:
-    """Print a request's lines and the likely cause. Raises :class:`UnknownRequestError`."""
+    """Print a request's log lines and its likely cause. Raises :class:`UnknownRequestError` if there are none."""
     lines = [line for text in _read_lines(options.logs) if (line := parse_line(text)) is not None]
     request_lines = find_request_lines(lines, options.request_id)
     if not request_lines:
--- a/src/wallwell/cli/extras.py
+++ b/src/wallwell/cli/extras.py
@@ -1,4 +1,4 @@
-"""Imports that need one of the package's extras, which a plain installation leaves out."""
+"""Imports that need an optional dependency group (extra), which a plain installation does not include."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @contextlib.contextmanager
 def needs_extra(extra: str) -> Iterator[None]:
-    """Turn a module that cannot be found into :class:`ExtraMissingError`, which says how to install it.
+    """Convert a missing third-party module into :class:`ExtraMissingError`, which says how to install ``extra``.
 
-    A module of this package itself that is missing is a fault of the installation and not of an extra.
+    A missing module of wallwell itself is a broken installation: its ModuleNotFoundError is raised unchanged.
     """
     try:
         yield
--- a/src/wallwell/cli/main.py
+++ b/src/wallwell/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point of the ``wallwell`` command: finds the command's module, runs it, and turns errors into a status."""
+"""Entry point of ``wallwell``: imports the module of the command, runs it and maps errors to exit statuses."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from wallwell.start_signals import handle_signals_while_starting
 
 EXIT_FAILED = 1
-"""Status of a command that ran and found a failure, or was interrupted."""
+"""Exit status of a command that ran and found a failure, or was interrupted."""
 EXIT_USAGE = 2
-"""Status of a command that could not run; its error is on standard error."""
+"""Exit status of a command that stopped with an error, which is printed to standard error."""
 COMMAND_MODULES = {
     "router": "router",
     "check": "config_commands",
@@ -29,11 +29,11 @@
     "explain": "explain",
     "soak": "soak",
 }
-"""The module of ``wallwell.cli`` that declares each command. Only that of the command given is imported."""
+"""The module of ``wallwell.cli`` that declares each command. Only the module of the given command is imported."""
 
 
 def build_parser(command: str = "") -> argparse.ArgumentParser:
-    """Return the parser of one command, or of all if there is none of this name."""
+    """Return a parser with ``command`` only, or with all commands if ``command`` is unknown."""
     parser = argparse.ArgumentParser(prog="wallwell", description="Router for language-model traffic.")
     parser.add_argument("--version", action="version", version=__version__)
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
@@ -45,7 +45,7 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run one command; returns the exit status."""
+    """Run one command and return the exit status. ``arguments`` defaults to those of the process."""
     argv = list(sys.argv[1:] if arguments is None else arguments)
     if argv[:1] == ["router"]:
         handle_signals_while_starting()
--- a/src/wallwell/cli/operator_client.py
+++ b/src/wallwell/cli/operator_client.py
@@ -1,6 +1,6 @@
 """Client of a router's operators' listener, for the command line and the demo.
 
-Relies on the bodies of :mod:`wallwell.standalone`; each error comes as the type that the router raised.
+Uses the message types of :mod:`wallwell.standalone` and raises each error as the type that the router raised.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from wallwell.standalone.operators_app import FileView, OperatorError, StatusAnswer
 
 TIMEOUT_S = 30.0
-"""Seconds for one call: bounds a call to a router that does not answer."""
+"""Timeout of one call in seconds, for a router that does not answer."""
 POLL_INTERVAL_S = 0.1
-"""Seconds between two checks whether a revision is in force."""
+"""Seconds between two status calls while waiting for a revision to be in force."""
 _TIMEOUT = aiohttp.ClientTimeout(total=TIMEOUT_S)
 _ERROR_TYPES = {error_type.code: error_type for error_type in all_error_types()}
 T = TypeVar("T")
 
 
 class OperatorClient:
-    """Calls one router. Raises the errors that the router answers, by their code."""
+    """Calls one router. Raises the error whose code the router answers, or :class:`ConfigUnavailableError`."""
 
     def __init__(self, base_url: str, token: str, session: aiohttp.ClientSession) -> None:
         self._base_url = base_url.rstrip("/")
@@ -47,7 +47,7 @@
         return msgspec.json.decode(payload, type=answer_type)
 
     async def apply(self, request: ApplyRequest) -> ApplyAnswer:
-        """Apply one file; after a lost answer it may be retried with the same apply id."""
+        """Apply one file. If the answer is lost, the call can be retried with the same apply id."""
         return await self._call("POST", "/config/apply", ApplyAnswer, msgspec.json.encode(request))
 
     async def files(self) -> list[FileView]:
@@ -55,15 +55,15 @@
         return await self._call("GET", "/config", list[FileView])
 
     async def file(self, key: str) -> FileView:
-        """Return one file in force."""
+        """Return the file in force with this ``KIND/NAME`` key."""
         return await self._call("GET", f"/config/{key}", FileView)
 
     async def status(self) -> StatusAnswer:
-        """Return what the router knows of its region."""
+        """Return the router's view of its region."""
         return await self._call("GET", "/status", StatusAnswer)
 
     async def wait_until_in_force(self, revision: int, timeout_s: float) -> tuple[bool, StatusAnswer]:
-        """Poll until every live member of the region has ``revision``; returns whether that happened."""
+        """Poll until every live member has ``revision``. Returns whether all have it in time, and the status."""
         deadline_s = asyncio.get_running_loop().time() + timeout_s
         while True:
             status = await self.status()
--- a/src/wallwell/cli/router.py
+++ b/src/wallwell/cli/router.py
@@ -1,4 +1,4 @@
-"""``wallwell router``: runs one router without the platform's store, see :mod:`wallwell.standalone`."""
+"""``wallwell router``: runs one router without the platform's store (see :mod:`wallwell.standalone`)."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from wallwell.standalone.settings import NodeSettings, load_settings
 
 _SHUTDOWN_MARGIN_S = 10.0
-"""Seconds beyond the node's own grace time until aiomisc gives up: the node ends a stop itself."""
+"""Seconds after the node's grace period before aiomisc aborts the stop; the node normally ends it earlier."""
 _SETTING_BY_OPTION = {
     "node": "node",
     "zone": "zone",
@@ -28,7 +28,7 @@
 
 
 class RouterService(aiomisc.Service):
-    """Runs a :class:`RouterNode` under aiomisc; SIGTERM or SIGINT starts a planned stop."""
+    """Runs a :class:`RouterNode` under aiomisc. SIGTERM or SIGINT starts a planned stop."""
 
     settings: NodeSettings
 
@@ -38,12 +38,12 @@
         await self.router_node.start()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Stop after the requests in flight."""
+        """Finish the requests in flight and stop the node."""
         await self.router_node.stop()
 
 
 def register(commands: Any) -> None:
-    """Add the command."""
+    """Add the command to the parser."""
     parser = commands.add_parser("router", help="run one router")
     parser.add_argument("--settings", type=Path, required=True, help="the node's settings file")
     parser.add_argument("--node", help="override the node's name")
@@ -57,7 +57,7 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run until stopped; exit status 0 after a planned stop, 2 on bad settings."""
+    """Run until stopped and return 0. Invalid settings raise SettingsError, for which the exit status is 2."""
     overrides = {
         path: getattr(options, name)
         for name, path in _SETTING_BY_OPTION.items()
@@ -67,7 +67,7 @@
     configure_logging(settings.log.level, settings.log.json)
     timeout_s = settings.limits.stop_grace_s + _SHUTDOWN_MARGIN_S
     service = RouterService(settings=settings)
-    # aiomisc takes what it finds here for the action of a second signal, which ends the process at once.
+    # aiomisc restores this handler after the first signal, so that a second SIGTERM ends the process at once.
     signal.signal(signal.SIGTERM, signal.SIG_DFL)
     entrypoint = aiomisc.entrypoint(
         service, loop_factory=uvloop.new_event_loop, log_config=False, shutdown_timeout=timeout_s
--- a/src/wallwell/cli/soak.py
+++ b/src/wallwell/cli/soak.py
@@ -1,6 +1,6 @@
-"""``wallwell soak``: real routers under seeded requests and faults, checked against invariants.
+"""``wallwell soak``: runs real routers under random requests and faults and checks invariants.
 
-Plays one drawn schedule, or the runs of a file, and prints what broke an invariant and how to play it again.
+Runs one generated schedule or those of a regression file, and prints each breach and the command that replays it.
 """
 
 from __future__ import annotations
@@ -18,42 +18,42 @@
     from wallwell.soak.schedule import Schedule
 
 MAX_PRINTED_BREACHES = 10
-"""Breaches that are printed; all are written to the run's folder."""
+"""Maximum number of breaches printed; all of them are written to the run's folder."""
 DEFAULT_SECONDS = 20.0
-"""Length of a schedule: the shortest is 15 s, since the recovery of the whole fleet is part of it."""
+"""Length of a schedule. The minimum is 15 s, since a schedule includes the recovery of the whole fleet."""
 DEFAULT_NODES = 3
-"""The fewest nodes of which a majority is left when one is lost."""
+"""Smallest fleet that keeps a majority when it loses one node."""
 DEFAULT_ENGINES = 4
-"""Enough that some serve while others load weights."""
+"""Enough engines that some serve requests while others load weights."""
 DEFAULT_INSTANCES = 2
-"""Workers that answer calls: the fewest between which a call can be retried."""
+"""Service instances: the minimum that allows a call to be retried on another instance."""
 DEFAULT_RATE_PER_S = 40.0
-"""Requests a second: what all processes of a run serve on one machine."""
+"""Requests per second that all processes of a run can serve on one machine."""
 
 
 def register(commands: Any) -> None:
-    """Add the command."""
-    parser = commands.add_parser("soak", help="run real routers under drawn requests and faults; check invariants")
-    parser.add_argument("--seed", type=int, default=1, help="draws the schedule of requests and faults")
+    """Add the command to the parser."""
+    parser = commands.add_parser("soak", help="run real routers under random requests and faults; check invariants")
+    parser.add_argument("--seed", type=int, default=1, help="random seed of the schedule of requests and faults")
     parser.add_argument("--seconds", type=float, default=DEFAULT_SECONDS, help="length of the schedule")
     parser.add_argument("--nodes", type=int, default=DEFAULT_NODES)
     parser.add_argument("--engines", type=int, default=DEFAULT_ENGINES)
-    parser.add_argument("--instances", type=int, default=DEFAULT_INSTANCES, help="workers that answer calls")
-    parser.add_argument("--regions", type=int, default=1, help="2: two regions behind a slow and narrow link")
-    parser.add_argument("--rate", type=float, default=DEFAULT_RATE_PER_S, help="requests a second")
-    parser.add_argument("--crashing", type=int, default=0, help="callers whose request crashes what runs it")
+    parser.add_argument("--instances", type=int, default=DEFAULT_INSTANCES, help="number of service instances")
+    parser.add_argument("--regions", type=int, default=1, help="2: two regions joined by a slow, narrow link")
+    parser.add_argument("--rate", type=float, default=DEFAULT_RATE_PER_S, help="requests per second")
+    parser.add_argument("--crashing", type=int, default=0, help="callers whose requests crash their workers")
     parser.add_argument("--rollout", default="", help="roll out a version of this kind: good, failing, slow, ...")
-    parser.add_argument("--calm", type=float, default=0.0, help="seconds without faults after these, for weights")
-    parser.add_argument("--keep", type=Path, help="folder for schedule, logs and histories, kept in any case")
-    parser.add_argument("--regressions", type=Path, help="play the runs of this file instead")
-    parser.add_argument("--checkout", type=Path, default=Path(), help="where deploy/router.py is")
-    parser.add_argument("--print-schedule", action="store_true", help="print the faults and start nothing")
+    parser.add_argument("--calm", type=float, default=0.0, help="fault-free seconds at the end, for a weights roll")
+    parser.add_argument("--keep", type=Path, help="folder for schedule, logs and histories, never deleted")
+    parser.add_argument("--regressions", type=Path, help="replay the runs of this file instead")
+    parser.add_argument("--checkout", type=Path, default=Path(), help="directory that contains deploy/router.py")
+    parser.add_argument("--print-schedule", action="store_true", help="print the schedule without running it")
     parser.set_defaults(run=run)
 
 
 def run(options: argparse.Namespace) -> int:
-    """Run once, or all kept runs; status 1 if an invariant was broken. Raises
-    :class:`wallwell.errors.SoakError`."""
+    """Run one schedule or all kept runs. Returns 1 if an invariant was broken, 2 if the folder to use is not empty.
+    Raises :class:`wallwell.errors.SoakError`."""
     from wallwell.soak.drawing import draw_schedule
     from wallwell.soak.regressions import load_regressions, schedule_of
     from wallwell.soak.schedule import Shape
@@ -74,7 +74,7 @@
         notices=True,
         limits=True,
         identities=True,
-        restores=True,  # Kept runs are as they were drawn; all others have all of these.
+        restores=True,  # Kept runs keep their recorded shape; all other runs have these four features.
         rollout=options.rollout,
         calm_s=options.calm,
     )
@@ -86,7 +86,7 @@
 
 
 def _run_schedule(schedule: Schedule, kept_folder: Path | None, checkout: Path) -> int:
-    """Play a schedule. The folder is kept if it was named or an invariant was broken."""
+    """Run a schedule and return the exit status. The folder is kept if it was given or an invariant was broken."""
     from wallwell.soak.run import run_soak
 
     _print_schedule(schedule)
@@ -111,7 +111,7 @@
 
 
 def replay_command(schedule: Schedule) -> str:
-    """Return the line that plays a schedule again; kept runs may have a shape that no line names."""
+    """Return the command that replays a schedule. Some shapes of kept runs can only be replayed from their file."""
     shape = schedule.shape
     regions = f" --regions {shape.regions}" if shape.regions > 1 else ""
     rate = f" --rate {shape.requests_per_s:g}" if shape.requests_per_s != DEFAULT_RATE_PER_S else ""
--- a/tests/unit/cli/test_bench.py
+++ b/tests/unit/cli/test_bench.py
@@ -1,4 +1,4 @@
-"""Every experiment that the parser offers has a run."""
+"""Tests that the parser and the function table of ``wallwell bench`` have the same subcommands."""
 
 import argparse
 
--- a/tests/unit/cli/test_explain.py
+++ b/tests/unit/cli/test_explain.py
@@ -1,4 +1,4 @@
-"""A request's story from the logs of several nodes."""
+"""Tests of ``wallwell explain``: a request's history from the logs of several nodes."""
 
 import json
 
@@ -49,7 +49,7 @@
         ("r8", "refused with WW3020 (it never ran): content c1"),
     ],
 )
-def test_likely_causes(tmp_path, capsys, request_id, cause):
+def test_prints_the_likely_cause(tmp_path, capsys, request_id, cause):
     first, second = tmp_path / "a.log", tmp_path / "b.log"
     first.write_text("\n".join(LOG_LINES[:6]))
     second.write_text("\n".join(LOG_LINES[6:]))
@@ -57,7 +57,7 @@
     assert capsys.readouterr().out.splitlines()[-1] == f"likely cause: {cause}"
 
 
-def test_the_story_holds_what_its_own_node_believed_before(tmp_path, capsys):
+def test_context_has_only_recent_events_of_the_same_node(tmp_path, capsys):
     log = tmp_path / "all.log"
     log.write_text("\n".join(LOG_LINES))
     main(["explain", "r1", str(log)])
@@ -68,7 +68,7 @@
     assert "version=3" not in shown
 
 
-def test_the_story_names_the_software_that_served_and_the_rollout_its_node_followed(tmp_path, capsys):
+def test_output_has_the_software_version_and_the_rollout_phase(tmp_path, capsys):
     log = tmp_path / "all.log"
     log.write_text("\n".join(LOG_LINES))
     main(["explain", "r1", str(log)])
@@ -77,7 +77,7 @@
     assert "target=v2 phase=canary" in shown
 
 
-def test_an_unknown_request_is_a_typed_error(tmp_path, capsys):
+def test_unknown_request_is_an_error(tmp_path, capsys):
     log = tmp_path / "all.log"
     log.write_text("\n".join(LOG_LINES))
     assert main(["explain", "nobody", str(log)]) == 2
@@ -85,11 +85,11 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", "x {bad}", '{"event": "no number"}'])
-def test_other_lines_are_passed_over(text):
+def test_lines_that_are_not_events_are_skipped(text):
     assert parse_line(text) is None
 
 
-def test_the_story_of_a_quarantined_request_names_the_last_crash(tmp_path, capsys):
+def test_output_of_a_quarantined_request_has_the_last_crash(tmp_path, capsys):
     log = tmp_path / "all.log"
     log.write_text("\n".join(LOG_LINES))
     main(["explain", "r8", str(log)])
--- a/tests/unit/cli/test_soak.py
+++ b/tests/unit/cli/test_soak.py
@@ -1,4 +1,4 @@
-"""The line that plays a run again draws the same schedule."""
+"""Tests that the printed replay command generates the same schedule."""
 
 import argparse
 import shlex
@@ -29,19 +29,19 @@
             calm_s=18.0,
         ),
     ],
-    ids=["as it is", "all told"],
+    ids=["defaults", "all options"],
 )
-def test_the_line_that_plays_again_names_all_that_draws_the_schedule(shape, monkeypatch):
+def test_replay_command_generates_the_same_schedule(shape, monkeypatch):
     schedule = draw_schedule(7, shape)
-    played = []
-    monkeypatch.setattr(soak, "_run_schedule", lambda again, keep, checkout: played.append(again) or 0)
+    replayed = []
+    monkeypatch.setattr(soak, "_run_schedule", lambda replay, keep, checkout: replayed.append(replay) or 0)
     parser = argparse.ArgumentParser()
     soak.register(parser.add_subparsers())
     options = parser.parse_args(shlex.split(soak.replay_command(schedule))[1:])
     assert options.run(options) == 0
-    assert played == [schedule]
+    assert replayed == [schedule]
 
 
-def test_a_kept_run_that_no_line_names_is_played_from_its_file():
-    """Kept runs are drawn without workers that state something, as they were when they were kept."""
+def test_replay_command_of_a_kept_run_refers_to_its_file():
+    """Kept runs are generated without worker notices and stated limits, as they were when they were recorded."""
     assert "--regressions" in soak.replay_command(draw_schedule(7, Shape()))
--- a/tools/compare_days.py
+++ b/tools/compare_days.py
@@ -1,10 +1,10 @@
-"""Plays the same days with the same seeds on several checkouts and compares them in pairs.
+"""Runs the same days of the users' bench with the same seeds on several checkouts and compares them in pairs.
 
     python3 tools/compare_days.py --bench PROGRAM --site SITE.toml --days scale-1,scale-2 --seeds 1,2,3 \\
         base=../base candidate=../candidate [--no-cpu] [--jobs 7] [--why TEXT]
 
-The first checkout is the one that the others are compared with. Scores stop at 1 and hide what lies beyond, so the
-tables show worth. A difference is the mean over the pairs (same day, same seed), ``+-`` is its standard error.
+The first checkout is the baseline. The tables show worth, because scores stop at 1 and hide differences above that.
+A difference is the mean over the pairs (same day, same seed), ``+-`` is its standard error.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from typing import Any
 
 MIN_SHOWN_DIFFERENCE = 0.002
-"""Differences of parts and prices below this are left out of the tables."""
+"""Smaller differences of a part, price or other figure are left out of the tables."""
 
 
 @dataclass(frozen=True)
 class Checkout:
-    """A working tree to be measured."""
+    """A working tree to measure, and its name in the tables."""
 
     name: str
     path: Path
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class DayRun:
-    """One day to be played."""
+    """One run of a day: a checkout, site, day and seed."""
 
     checkout: Checkout
     site: Path
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class DayResult:
-    """What a play came to. ``figures`` holds parts and prices by name, prices as what they take off worth."""
+    """Result of one run. ``figures`` holds parts and prices of worth by name; prices are negative."""
 
     worth: float
     broken_rules: tuple[str, ...]
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class RunOptions:
-    """How days are played."""
+    """Options common to all runs."""
 
     bench: Path
     no_cpu: bool
@@ -65,7 +65,7 @@
 
 
 def run_day(task: DayRun, options: RunOptions) -> DayResult | None:
-    """Play one day; returns None if the bench gave no report."""
+    """Run one day and return its result, or None if the bench wrote no report."""
     with tempfile.NamedTemporaryFile(suffix=".json") as report:
         command = [str(options.bench), "run", str(task.site), task.day, "--seed", str(task.seed)]
         command += ["--report", report.name, "--why", f"{options.why}: {task.checkout.name}", "--jobs", "1"]
@@ -82,7 +82,7 @@
 
 
 def read_report(report: dict[str, Any]) -> DayResult:
-    """Return the figures of a report; what weighs in worth carries its weight."""
+    """Return the result in a report. Parts of worth are multiplied by their weights."""
     figures = {f"part: {name}": value * weight for name, weight, value in report["parts"]}
     figures.update({f"price: {name}": -loss for name, _, loss in report["prices"]})
     figures["served"] = report["served"]
@@ -95,20 +95,20 @@
 
 
 def mean_and_error(values: Sequence[float]) -> tuple[float, float]:
-    """Return the mean and its standard error, 0 of a single value."""
+    """Return the mean and its standard error, which is 0 for a single value."""
     error = statistics.stdev(values) / math.sqrt(len(values)) if len(values) > 1 else 0.0
     return statistics.fmean(values), error
 
 
 class Comparison:
-    """Results by checkout, site and day, with one entry for each seed."""
+    """Results by checkout, site and day, then by seed."""
 
     def __init__(self, checkouts: Sequence[Checkout]) -> None:
         self._checkouts = checkouts
         self._results: dict[tuple[str, str, str], dict[int, DayResult]] = defaultdict(dict)
 
     def add(self, task: DayRun, result: DayResult) -> None:
-        """Take the result of a play."""
+        """Add the result of one run."""
         self._results[task.checkout.name, task.site.stem, task.day][task.seed] = result
 
     def table_lines(self, site: str, days: Iterable[str]) -> list[str]:
@@ -157,21 +157,21 @@
 
 
 def parse_checkout(text: str) -> Checkout:
-    """Return the checkout of ``NAME=PATH``."""
+    """Parse ``NAME=PATH``; a text without ``=`` is both name and path."""
     name, _, path = text.partition("=")
     return Checkout(name, Path(path or name))
 
 
 def main() -> int:
-    """Play everything and print the tables; status 1 if a day could not be played."""
+    """Run all days and print the tables. Returns 1 if a run wrote no report."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("checkouts", nargs="+", type=parse_checkout, metavar="NAME=PATH")
-    parser.add_argument("--bench", type=Path, required=True, help="the users' bench")
-    parser.add_argument("--site", type=Path, action="append", required=True, help="a site file, may be repeated")
+    parser.add_argument("--bench", type=Path, required=True, help="the users' bench program")
+    parser.add_argument("--site", type=Path, action="append", required=True, help="a site file; can be repeated")
     parser.add_argument("--days", required=True, help="names of days, separated by commas")
-    parser.add_argument("--seeds", required=True, help="whole numbers, separated by commas")
-    parser.add_argument("--no-cpu", action="store_true", help="charge no processor time, so that plays repeat")
-    parser.add_argument("--small", action="store_true", help="play small twins of large days")
+    parser.add_argument("--seeds", required=True, help="integers, separated by commas")
+    parser.add_argument("--no-cpu", action="store_true", help="charge no CPU time, so that runs are repeatable")
+    parser.add_argument("--small", action="store_true", help="run the small variants of large days")
     parser.add_argument("--jobs", type=int, default=4)
     parser.add_argument("--why", default="paired comparison")
     arguments = parser.parse_args()
--- a/tools/soak_two_builds.py
+++ b/tools/soak_two_builds.py
@@ -1,10 +1,10 @@
-"""Plays soak runs in which two builds of the router run side by side while one replaces the other.
+"""Runs soak tests in which two builds of the router run side by side while one replaces the other.
 
     python3 tools/soak_two_builds.py --production ../before --seeds 1201,1202 [--nodes 4] [--seconds 25]
 
-Each node starts with the build in ``--production``. They are stopped as planned one after the other, and a node
-that has ended, for whatever cause, starts again with the build of this tree. Status 1 if an invariant is broken.
-Invariants on what only the newer build does may be broken by nodes of the older one.
+Each node starts with the build in ``--production``. The nodes are stopped as planned one by one, and a node that
+has ended for any reason restarts with the build of this checkout. The exit status is 1 if an invariant is
+broken. Nodes of the older build may break invariants on features that only the newer build has.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 from wallwell.soak.schedule import RECOVERY_S, SHOWN_RECOVERED_S, FaultKind, PlannedFault, Schedule, Shape
 
 FIRST_REPLACEMENT_S = 2.0
-"""Seconds until the first node is replaced; the last one is shortly before all nodes are killed."""
+"""Seconds until the first node is replaced. The last one is replaced shortly before all nodes are killed."""
 MIN_SEPARATION_S = 4.0
-"""Seconds between the planned stop of a node and other faults that end or pause it: a process that is told to stop
-before it has started ends by the signal."""
+"""Minimum seconds between the planned stop of a node and its other faults. A process that gets the stop signal
+before it has started is ended by the signal itself."""
 CHECKOUT = Path(__file__).resolve().parents[1]
 
 
 def add_planned_stops(schedule: Schedule) -> Schedule:
-    """Return a schedule in which each node is also stopped as planned, one after the other, and without the faults
-    of the same node at that time."""
+    """Return the schedule with a planned stop of each node, one after the other, and without other faults of that
+    node around its stop."""
     shape = schedule.shape
     span_s = shape.seconds - RECOVERY_S - SHOWN_RECOVERED_S - FIRST_REPLACEMENT_S
     planned_stops = [
@@ -39,7 +39,7 @@
         for index, node in enumerate(shape.node_names())
     ]
     stop_s = {stop.target: stop.at_s for stop in planned_stops}
-    # A process must have started.
+    # The node's process must have started before the stop.
     other_faults = [
         fault
         for fault in schedule.faults
@@ -50,22 +50,26 @@
 
 
 def run_seed(seed: int, shape: Shape, folder: Path, production: Path) -> RunResult:
-    """Play one run in a folder of its own."""
+    """Run the schedule of one seed in a new folder and return the result."""
     folder.mkdir(parents=True)
     schedule = add_planned_stops(draw_schedule(seed, shape))
     return asyncio.run(run_soak(schedule, folder, CHECKOUT, production.absolute()))
 
 
 def main() -> int:
-    """Play all runs and print what each found."""
+    """Run all seeds and print the results. Returns 1 if an invariant was broken."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--production", type=Path, required=True, help="tree of the build that nodes start with")
-    parser.add_argument("--seeds", required=True, help="separated by commas")
+    parser.add_argument(
+        "--production", type=Path, required=True, help="checkout of the build that nodes start with"
+    )
+    parser.add_argument("--seeds", required=True, help="integers, separated by commas")
     parser.add_argument("--nodes", type=int, default=4)
     parser.add_argument("--seconds", type=float, default=25.0)
     parser.add_argument("--crashing", type=int, default=0)
-    parser.add_argument("--without-restores", action="store_true", help="the store never comes back from a copy")
-    parser.add_argument("--keep", type=Path, help="where the folders of the runs go")
+    parser.add_argument(
+        "--without-restores", action="store_true", help="never restore the store from an older copy"
+    )
+    parser.add_argument("--keep", type=Path, help="folder that holds one folder per run")
     options = parser.parse_args()
     folder = options.keep or Path(tempfile.mkdtemp(prefix="wallwell-two-builds-"))
     shape = Shape(
