--- a/src/wallwell/cli/main.py
+++ b/src/wallwell/cli/main.py
@@ -13,7 +13,7 @@
 
 EXIT_FAILED = 1
 """Exit status of a command that ran and found a failure, or was interrupted."""
-EXIT_USAGE = 2
+EXIT_ERROR = 2
 """Exit status of a command that stopped with an error, which is printed to standard error."""
 COMMAND_MODULES = {
     "router": "router",
@@ -54,7 +54,7 @@
         return int(options.run(options))
     except WallwellError as error:
         print(str(error), file=sys.stderr)
-        return EXIT_USAGE
+        return EXIT_ERROR
     except KeyboardInterrupt:
         return EXIT_FAILED
 
