--- a/src/wallwell/backend_connection.py
+++ b/src/wallwell/backend_connection.py
@@ -19,12 +19,12 @@
 from wallwell.clock import boot_time_s
 from wallwell.events import Event, emit
 
-READ_BYTES = 32 * 1024
+READ_BUFFER_BYTES = 32 * 1024
 """Bytes of a body that are buffered before reading from the socket pauses: several events of a stream, and little
 memory for each of some hundred connections."""
 MAX_HEADER_BYTES = 32 * 1024
 """Bytes of a status line or a header, as much as callers may send."""
-DEFAULT_IDLE_S = 4.0
+DEFAULT_MAX_IDLE_S = 4.0
 """Seconds for which a connection stays usable while idle, if the back end does not state a time: below the five
 seconds after which many servers close."""
 IDLE_MARGIN_S = 0.8
@@ -44,25 +44,25 @@
         super().__init__(loop)
         self._id_header = id_header
         self._expected_id: str | None = None
-        self._head: asyncio.Future[RawResponseMessage] | None = None
+        self._head_future: asyncio.Future[RawResponseMessage] | None = None
         """The head of the answer; None outside of a round trip."""
         self._payload: StreamReader | None = None
-        self._reads_to_end = False
+        self._body_ends_at_close = False
         """Whether only the end of the connection ends the body."""
-        self._tainted = False
+        self._must_close = False
         """Whether the connection must not carry another round trip."""
-        self._broken = ""
+        self._body_error = ""
         """Why the body is incomplete, empty if it is not."""
         self.closed = False
         self.timed_out = False
         """Whether it ended because the other end no longer acknowledged anything."""
         self.idle_since_s = 0.0
         """On the boot clock."""
-        self.max_idle_s = DEFAULT_IDLE_S
+        self.max_idle_s = DEFAULT_MAX_IDLE_S
 
     def is_reusable(self, now_s: float) -> bool:
         """Whether an idle connection may carry another round trip."""
-        return not (self.closed or self._tainted) and now_s - self.idle_since_s < self.max_idle_s
+        return not (self.closed or self._must_close) and now_s - self.idle_since_s < self.max_idle_s
 
     # --- round trip ------------------------------------------------------------------------------------
 
@@ -74,19 +74,19 @@
         if self.transport is None or self.closed:
             raise ConnectionBrokenError("closed before sending")
         self._expected_id = request_id
-        self._head = self._loop.create_future()
+        self._head_future = self._loop.create_future()
         self._payload = None
-        self._reads_to_end = False
-        self._broken = ""
+        self._body_ends_at_close = False
+        self._body_error = ""
         self._parser = self._new_parser(has_body)
         self.transport.write(data)
-        return await self._head
+        return await self._head_future
 
     def _new_parser(self, has_body: bool) -> HttpResponseParser:
         return HttpResponseParser(
             self,
             self._loop,
-            READ_BYTES,
+            READ_BUFFER_BYTES,
             payload_exception=ClientPayloadError,
             response_with_body=has_body,
             read_until_eof=True,
@@ -107,18 +107,18 @@
                 yield data
         except ClientPayloadError as error:
             raise ConnectionBrokenError(str(error)) from error
-        if self._broken:
-            raise ConnectionBrokenError(self._broken)
+        if self._body_error:
+            raise ConnectionBrokenError(self._body_error)
 
     def finish_round_trip(self) -> bool:
         """End the round trip, or give it up; returns whether the connection may be used again."""
         payload = self._payload
-        ended = payload is not None and payload.is_eof() and payload.exception() is None and not self._broken
-        self._head = None
+        ended = payload is not None and payload.is_eof() and payload.exception() is None and not self._body_error
+        self._head_future = None
         self._payload = None
         self._expected_id = None
         self._parser = None
-        if not ended or self._tainted or self._reads_to_end:
+        if not ended or self._must_close or self._body_ends_at_close:
             self.close()
             return False
         self.idle_since_s = boot_time_s()
@@ -135,7 +135,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse bytes of the answer; bytes outside a round trip end the connection."""
         if self._parser is None:
-            if self._head is None and data:
+            if self._head_future is None and data:
                 emit(Event.ANSWER_DISCARDED, reason="bytes outside a round trip")
                 self.close()
             return
@@ -146,7 +146,7 @@
             self.close()
             return
         if upgraded:
-            self._tainted = True
+            self._must_close = True
         for message, payload in messages:
             self._on_message(message, payload)
 
@@ -154,19 +154,23 @@
         if 100 <= message.code < 200:
             return  # An interim answer; the answer itself follows.
         answer_id = message.headers.get(self._id_header)
-        if self._head is None or self._head.done() or (self._expected_id and answer_id != self._expected_id):
-            self._tainted = True
+        if (
+            self._head_future is None
+            or self._head_future.done()
+            or (self._expected_id and answer_id != self._expected_id)
+        ):
+            self._must_close = True
             emit(Event.ANSWER_DISCARDED, reason="answer to another request")
             return
         if message.should_close:
-            self._tainted = True
+            self._must_close = True
         length_known = message.chunked or "Content-Length" in message.headers
-        self._reads_to_end = not length_known and payload is not EMPTY_PAYLOAD
-        self._learn_idle_time(message.headers.get("Keep-Alive", ""))
+        self._body_ends_at_close = not length_known and payload is not EMPTY_PAYLOAD
+        self._read_keep_alive(message.headers.get("Keep-Alive", ""))
         self._payload = payload
-        self._head.set_result(message)
+        self._head_future.set_result(message)
 
-    def _learn_idle_time(self, keep_alive: str) -> None:
+    def _read_keep_alive(self, keep_alive: str) -> None:
         for parameter in keep_alive.split(","):
             name, _, value = parameter.strip().partition("=")
             if name.lower() == "timeout" and value.isdigit():
@@ -177,16 +181,16 @@
         self.closed = True
         self.timed_out = isinstance(exc, TimeoutError)
         detail = f"connection lost: {type(exc).__name__ if exc else 'closed'}"
-        if self._reads_to_end and exc is None and self._payload is not None:
+        if self._body_ends_at_close and exc is None and self._payload is not None:
             self._payload.feed_eof()
         self._fail(ConnectionBrokenError(detail))
         super().connection_lost(exc)
 
     def _fail(self, error: ConnectionBrokenError) -> None:
-        if self._head is not None and not self._head.done():
-            self._head.set_exception(error)
+        if self._head_future is not None and not self._head_future.done():
+            self._head_future.set_exception(error)
         payload = self._payload
         if payload is not None and not payload.is_eof() and payload.exception() is None:
             # Not as an exception of the reader, which would hide what has arrived and was not read yet.
-            self._broken = str(error)
+            self._body_error = str(error)
             payload.feed_eof()
--- a/src/wallwell/background.py
+++ b/src/wallwell/background.py
@@ -12,7 +12,7 @@
 class BackgroundTasks(set[asyncio.Task[Any]]):
     """Running tasks, held until they end: the event loop itself holds its tasks by weak references only."""
 
-    def begin(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
+    def start(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
         """Run work beside its caller. An error in it is the task's own; asyncio logs it if nobody awaits the
         task."""
         task = asyncio.create_task(work)
--- a/src/wallwell/build_info.py
+++ b/src/wallwell/build_info.py
@@ -23,23 +23,23 @@
 @cache
 def build_commit(checkout: Path = _CHECKOUT) -> str:
     """Return the commit that is checked out, empty if the tree does not know it."""
-    folder = checkout / ".git"
+    git_dir = checkout / ".git"
     try:
-        head = (folder / "HEAD").read_text().strip()
-        reference = head.removeprefix("ref: ")
-        commit = head if reference == head else _commit_of(folder, reference)
+        head = (git_dir / "HEAD").read_text().strip()
+        branch_ref = head.removeprefix("ref: ")
+        commit = head if branch_ref == head else _read_branch_commit(git_dir, branch_ref)
     except OSError:
         return ""  # An installed package, or a copy without git's files.
     return commit[:COMMIT_CHARS]
 
 
-def _commit_of(folder: Path, reference: str) -> str:
+def _read_branch_commit(git_dir: Path, branch_ref: str) -> str:
     """Return the commit of a branch, from its own file or from the packed ones. Raises OSError."""
-    own_file = folder / reference
+    own_file = git_dir / branch_ref
     if own_file.is_file():
         return own_file.read_text().strip()
-    for line in (folder / "packed-refs").read_text().splitlines():
+    for line in (git_dir / "packed-refs").read_text().splitlines():
         commit, _, name = line.partition(" ")
-        if name == reference:
+        if name == branch_ref:
             return commit
     return ""
--- a/src/wallwell/cluster/peer_link.py
+++ b/src/wallwell/cluster/peer_link.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from wallwell.clock import boot_time_s, bounded
+from wallwell.clock import boot_time_s, time_limit
 from wallwell.errors import PeerUnavailableError
 from wallwell.events import Event, emit
-from wallwell.socket_options import end_when_silent
+from wallwell.socket_options import enable_keepalive
 
 MAX_LINE_BYTES = 16 * 1024 * 1024
 """Bytes of the longest message, so that a peer that sends no end of line cannot exhaust memory. Large, since all
@@ -87,12 +87,12 @@
     async def _round_trip(self, line: bytes, timeout_s: float) -> bytes:
         if self._streams is None:
             host, _, port = self.address.rpartition(":")
-            async with bounded(CONNECT_TIMEOUT_S):
+            async with time_limit(CONNECT_TIMEOUT_S):
                 self._streams = await asyncio.open_connection(host, int(port), limit=MAX_LINE_BYTES)
-            end_when_silent(self._streams[1].transport, UNACKNOWLEDGED_TIMEOUT_S)
+            enable_keepalive(self._streams[1].transport, UNACKNOWLEDGED_TIMEOUT_S)
         reader, writer = self._streams
         writer.write(line)
-        async with bounded(timeout_s):
+        async with time_limit(timeout_s):
             return await reader.readuntil(b"\n")
 
     def close(self) -> None:
--- a/src/wallwell/http_connection.py
+++ b/src/wallwell/http_connection.py
@@ -13,13 +13,13 @@
 from aiohttp.http_parser import RawResponseMessage
 
 from wallwell.backend_connection import BackendConnection, ConnectionBrokenError
-from wallwell.clock import boot_time_s, bounded
-from wallwell.late_loop import is_done_within
-from wallwell.socket_options import end_when_silent
+from wallwell.clock import boot_time_s, time_limit
+from wallwell.socket_options import enable_keepalive
+from wallwell.task_wait import is_done_within
 
 __all__ = ["BackendConnection", "ConnectFailedError", "ConnectionBrokenError", "ConnectionPool"]
 
-MAX_IDLE_CONNECTIONS = 8
+MAX_IDLE_PER_ADDRESS = 8
 """Idle connections kept for an address: about the slots of a back end."""
 
 
@@ -41,7 +41,7 @@
         id_header: str,
         connect_timeout_s: float,
         user_timeout_s: float,
-        max_idle: int = MAX_IDLE_CONNECTIONS,
+        max_idle: int = MAX_IDLE_PER_ADDRESS,
     ) -> None:
         """``user_timeout_s`` bounds how long sent bytes may stay unacknowledged before a connection ends."""
         self._id_header = id_header
@@ -74,7 +74,7 @@
         Raises :class:`ConnectFailedError`, :class:`ConnectionBrokenError` or TimeoutError.
         """
         try:
-            async with bounded(timeout_s):
+            async with time_limit(timeout_s):
                 connection = await self.acquire(address)
                 try:
                     message = await connection.round_trip("", request)
@@ -86,22 +86,22 @@
         except TimeoutError:
             # Packets on open connections can be lost while new ones work. The other idle connections may be cut off
             # as well, and each would cost the next call the whole time-out.
-            self.forget(address)
+            self.close_idle(address)
             raise
 
     def release(self, address: str, connection: BackendConnection) -> None:
         """Take a connection back after a round trip."""
         if connection.finish_round_trip():
-            self._keep(address, connection)
+            self._add_idle(address, connection)
         elif connection.timed_out:
             # The other idle connections may be cut off as well, and a request that is lost on one of them may not
             # be repeatable.
-            self.forget(address)
+            self.close_idle(address)
 
     def put_back(self, address: str, connection: BackendConnection) -> None:
         """Take a connection back that was not used."""
         connection.idle_since_s = boot_time_s()
-        self._keep(address, connection)
+        self._add_idle(address, connection)
 
     # --- idle connections ----------------------------------------------------------------------------------
 
@@ -114,18 +114,18 @@
         now_s = boot_time_s()
         return any(connection.is_reusable(now_s) for connection in self._idle.get(address, ()))
 
-    def _keep(self, address: str, connection: BackendConnection) -> None:
+    def _add_idle(self, address: str, connection: BackendConnection) -> None:
         idle = self._idle.setdefault(address, [])
         idle.append(connection)
         if len(idle) > self._max_idle:
             idle.pop(0).close()
 
-    def forget(self, address: str) -> None:
+    def close_idle(self, address: str) -> None:
         """Close the idle connections to an address that is no longer used."""
         for connection in self._idle.pop(address, []):
             connection.close()
 
-    def sweep(self, now_s: float) -> None:
+    def close_expired(self, now_s: float) -> None:
         """Close connections that have been idle too long."""
         for address, idle in list(self._idle.items()):
             reusable = [connection for connection in idle if connection.is_reusable(now_s)]
@@ -140,7 +140,7 @@
     def close(self) -> None:
         """Close every idle connection."""
         for address in list(self._idle):
-            self.forget(address)
+            self.close_idle(address)
 
     # --- connecting --------------------------------------------------------------------------------------
 
@@ -159,12 +159,12 @@
             refused = isinstance(error, ConnectionRefusedError)
             raise ConnectFailedError(False, type(error).__name__, refused) from error
         finally:
-            await _abandon(connecting)
-        end_when_silent(connection.transport, self._user_timeout_s)
+            await _cancel_connecting(connecting)
+        enable_keepalive(connection.transport, self._user_timeout_s)
         return connection
 
 
-async def _abandon(connecting: asyncio.Future[tuple[asyncio.Transport, BackendConnection]]) -> None:
+async def _cancel_connecting(connecting: asyncio.Future[tuple[asyncio.Transport, BackendConnection]]) -> None:
     """End the making of a connection for which nobody waits any more; does nothing once it is made or has
     failed."""
     if connecting.done():
--- a/src/wallwell/log_writer.py
+++ b/src/wallwell/log_writer.py
@@ -16,14 +16,14 @@
 import msgspec
 import xxhash
 
-MAX_LINES = 2000
+MAX_QUEUED_LINES = 2000
 """Lines queued while the reader is slow: about a megabyte of lines of some hundred bytes."""
-MAX_ROUTINE_PER_S = 20.0
+MAX_ROUTINE_LINES_PER_S = 20.0
 """Lines a second up to which every ordinary success is written: whole histories at low load."""
-SAMPLE_ONE_IN = 16
+REQUESTS_PER_SAMPLE = 16
 """Beyond that rate, one request id in this many is written. It is the same at every node, so the lines of a chosen
 request are complete over all nodes."""
-MAX_SAVED_S = 1.0
+MAX_BURST_S = 1.0
 """Seconds whose unused lines are saved up; the time before the first line, which is unknown, counts as this
 much."""
 LINES_LOST_EVENT = 1008
@@ -33,52 +33,54 @@
 class RoutineSampler:
     """Decides which lines about ordinary successes are written."""
 
-    def __init__(self, rate_per_s: float = MAX_ROUTINE_PER_S, one_in: int = SAMPLE_ONE_IN) -> None:
+    def __init__(
+        self, rate_per_s: float = MAX_ROUTINE_LINES_PER_S, sample_every: int = REQUESTS_PER_SAMPLE
+    ) -> None:
         self._rate_per_s = rate_per_s
-        self._one_in = one_in
+        self._sample_every = sample_every
         self._tokens = rate_per_s
         self._updated_s = float("-inf")
 
-    def keeps(self, request_id: str, now_s: float) -> bool:
+    def should_write(self, request_id: str, now_s: float) -> bool:
         """Whether the line of this request is written."""
-        elapsed_s = min(MAX_SAVED_S, max(0.0, now_s - self._updated_s))
+        elapsed_s = min(MAX_BURST_S, max(0.0, now_s - self._updated_s))
         self._updated_s = now_s
         self._tokens = min(self._rate_per_s, self._tokens + elapsed_s * self._rate_per_s)
         if self._tokens >= 1.0:
             self._tokens -= 1.0
             return True
-        return xxhash.xxh3_64_intdigest(request_id.encode()) % self._one_in == 0
+        return xxhash.xxh3_64_intdigest(request_id.encode()) % self._sample_every == 0
 
 
 class LogWriter:
     """Queues lines and writes as many as their reader takes without waiting."""
 
-    def __init__(self, descriptor: int, max_lines: int = MAX_LINES) -> None:
+    def __init__(self, descriptor: int, max_lines: int = MAX_QUEUED_LINES) -> None:
         self._descriptor = descriptor
         self._max_lines = max_lines
         self._important: deque[bytes] = deque()
         self._routine: deque[bytes] = deque()
         self._partial = b""
-        self.lost = 0
+        self.dropped = 0
         os.set_blocking(descriptor, False)
 
-    def write(self, fields: Mapping[str, Any], important: bool) -> None:
+    def write(self, fields: Mapping[str, Any], is_important: bool) -> None:
         """Queue one line and write what can be written."""
         line = msgspec.json.encode(fields, enc_hook=str) + b"\n"
-        (self._important if important else self._routine).append(line)
+        (self._important if is_important else self._routine).append(line)
         while len(self._important) + len(self._routine) > self._max_lines:
             (self._routine or self._important).popleft()
-            self.lost += 1
+            self.dropped += 1
         self.flush()
 
     def flush(self) -> None:
         """Write queued lines until the descriptor takes no more."""
-        if self.lost and not self._partial:
+        if self.dropped and not self._partial:
             self._partial = (
-                msgspec.json.encode({"message": "log lines lost", "event": LINES_LOST_EVENT, "lost": self.lost})
+                msgspec.json.encode({"message": "log lines lost", "event": LINES_LOST_EVENT, "lost": self.dropped})
                 + b"\n"
             )
-            self.lost = 0
+            self.dropped = 0
         while self._partial or self._important or self._routine:
             if not self._partial:
                 self._partial = (self._important or self._routine).popleft()
@@ -105,8 +107,8 @@
         """Write one message of the logger, unless it is an ordinary success that is not sampled."""
         record = message.record
         extra = record["extra"]
-        routine = extra.get("event") == self._routine_event and extra.get("attempts", 1) <= 1
-        if routine and not self._sampler.keeps(str(extra.get("request_id", "")), time.monotonic()):
+        is_routine = extra.get("event") == self._routine_event and extra.get("attempts", 1) <= 1
+        if is_routine and not self._sampler.should_write(str(extra.get("request_id", "")), time.monotonic()):
             return
         fields = {
             "time": record["time"].isoformat(timespec="milliseconds"),
@@ -114,4 +116,4 @@
             "message": record["message"],
             **extra,
         }
-        self._writer.write(fields, important=not routine)
+        self._writer.write(fields, is_important=not is_routine)
--- a/src/wallwell/node/backend_rows.py
+++ b/src/wallwell/node/backend_rows.py
@@ -92,7 +92,7 @@
                 self._on_entry(incarnation, value, may_be_stale=False)
         for backend in self._state.backends.remove_lapsed(now_s):
             emit(Event.BACKEND_GONE, backend=backend.incarnation)
-            self._pool.forget(backend.record.address)
+            self._pool.close_idle(backend.record.address)
 
     def _entry_hold_ends_s(self) -> float:
         return self._state.store_era.observed_since_s + RESTORED_ENTRY_HOLD_S
@@ -109,7 +109,7 @@
             return  # The entry is of an earlier start of the same back end and arrived late.
         if previous is not None and backend is not previous:
             # A later start. After a network cut, old connections may stay open although nothing answers on them.
-            self._pool.forget(previous.record.address)
+            self._pool.close_idle(previous.record.address)
         is_changed = previous_record != record
         if is_changed:
             emit(
--- a/src/wallwell/node/crash_watch.py
+++ b/src/wallwell/node/crash_watch.py
@@ -83,7 +83,7 @@
             probed_digests.add(content_digest)
             return
         self._broken_digests[backend.start_id] = {content_digest}
-        self._probes.begin(self._probe_backend(backend))
+        self._probes.start(self._probe_backend(backend))
 
     def on_answered(self, content_digest: str) -> None:
         """Delete the crashes of a request that was answered successfully, since it cannot have caused them."""
--- a/src/wallwell/node/housekeeping.py
+++ b/src/wallwell/node/housekeeping.py
@@ -50,5 +50,5 @@
         while True:
             await self._member_rows.register(self._own_record())
             await asyncio.sleep(HOUSEKEEPING_INTERVAL_S * self._rng.uniform(*HOUSEKEEPING_JITTER))
-            self._pool.sweep(boot_time_s())
+            self._pool.close_expired(boot_time_s())
             self._backend_rows.drop_lapsed(boot_time_s())
--- a/src/wallwell/node/readiness.py
+++ b/src/wallwell/node/readiness.py
@@ -43,5 +43,5 @@
             due_s = boot_time_s() + TIMER_INTERVAL_S
             await asyncio.sleep(TIMER_INTERVAL_S)
             now_s = boot_time_s()
-            self._suspension_watch.look()
+            self._suspension_watch.check()
             self.loop_lag.observe(now_s - due_s, now_s)
--- a/src/wallwell/placement/weights_roll_driver.py
+++ b/src/wallwell/placement/weights_roll_driver.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from wallwell.background import BackgroundTasks
-from wallwell.clock import boot_time_s, bounded
+from wallwell.clock import boot_time_s, time_limit
 from wallwell.cluster.lease_candidate import LeaseCandidate
 from wallwell.cluster.leases import LeaseKeeper
 from wallwell.deployment.backends import BackendRecord
@@ -196,7 +196,7 @@
             task.backend.expect_weights_load(_expected_load(task.model, task.version, now_s), now_s)
         await self._publish_progress(tasks[0].model)
         for task in tasks:
-            self._tasks.begin(self._run_load(task))
+            self._tasks.start(self._run_load(task))
 
     async def _publish_progress(self, model: str) -> None:
         """Write a model's progress row; the weights roll continues if the write fails."""
@@ -209,7 +209,7 @@
         named = tuple((each.version, self._clock.to_store_s(each.named_at_s)) for each in versions)
         body = msgspec.json.encode(LoadProgress(model, loading, finished, named[-MAX_RECORDED_VERSIONS:])).decode()
         try:
-            async with bounded(self._valid_s * PUBLISH_TIMEOUT_FRACTION):
+            async with time_limit(self._valid_s * PUBLISH_TIMEOUT_FRACTION):
                 await self._table.transact(Transaction((), (Put(PROGRESS_PREFIX + model, body),)))
         except (PlatformUnavailableError, TableConflictError, TimeoutError) as error:
             # Logged each time, as a load publishes at most twice. The next write includes all data of this one.
--- a/src/wallwell/platform/caller_listener.py
+++ b/src/wallwell/platform/caller_listener.py
@@ -14,7 +14,7 @@
 from aiohttp.streams import StreamReader
 from aiohttp.web_protocol import RequestHandler
 
-from wallwell.callers_server import CallersServer, last_answer
+from wallwell.callers_server import CallersServer, encode_final_answer
 from wallwell.clock import boot_time_s
 from wallwell.errors import (
     BodyTooLargeError,
@@ -45,16 +45,16 @@
 class PlatformLastAnswers:
     """Encodes the final answers of closing connections as errors in the platform's format."""
 
-    def ended(self) -> bytes:
-        """See :class:`wallwell.callers_server.LastAnswers`."""
+    def for_late_request(self) -> bytes:
+        """See :class:`wallwell.callers_server.FinalAnswers`."""
         error = ConnectionEndedError()
-        return last_answer(error, {}, encode_error(error))
+        return encode_final_answer(error, {}, encode_error(error))
 
-    def cut(self, request: web.BaseRequest) -> bytes:
-        """See :class:`wallwell.callers_server.LastAnswers`."""
+    def for_interrupted_request(self, request: web.BaseRequest) -> bytes:
+        """See :class:`wallwell.callers_server.FinalAnswers`."""
         error = OutcomeUnknownError("the router stops")
         headers = {names.REQUEST_ID: request.headers.get(names.REQUEST_ID, "")}
-        return last_answer(error, headers, encode_error(error))
+        return encode_final_answer(error, headers, encode_error(error))
 
 
 class CallerListener:
--- a/src/wallwell/rollout/driver.py
+++ b/src/wallwell/rollout/driver.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from wallwell.clock import boot_time_s, bounded
+from wallwell.clock import boot_time_s, time_limit
 from wallwell.cluster.lease_candidate import LeaseCandidate
 from wallwell.cluster.leases import LeaseKeeper
 from wallwell.deployment.freshness import StoreClock
@@ -155,7 +155,7 @@
             self._lease_since_s = now_s
         for service in due:
             try:
-                async with bounded(self._lease_valid_s):
+                async with time_limit(self._lease_valid_s):
                     await self._advance(service)
             except (TableConflictError, PlatformUnavailableError, TimeoutError) as error:
                 self._on_write_failed(service, error)
--- a/src/wallwell/serving/attempt.py
+++ b/src/wallwell/serving/attempt.py
@@ -10,7 +10,7 @@
 
 from contextlib import AbstractAsyncContextManager, nullcontext
 
-from wallwell.clock import boot_time_s, bounded
+from wallwell.clock import boot_time_s, time_limit
 from wallwell.deployment.routes import RouteKind
 from wallwell.deployment.topology import Distance
 from wallwell.node.state import NodeState
@@ -65,7 +65,7 @@
         failure: BaseException | None = None
         answer: BackendAnswer | None = None
         try:
-            async with bounded(active.remaining_s()), self._liveness_watch(active, backend):
+            async with time_limit(active.remaining_s()), self._liveness_watch(active, backend):
                 answer = await self._send(active, backend)
                 return await self._forward_answer(active, backend, answer)
         except BaseException as error:
--- a/src/wallwell/serving/liveness.py
+++ b/src/wallwell/serving/liveness.py
@@ -61,9 +61,9 @@
             if backend.is_replaced:
                 self._end_attempts(backend)
             elif not backend.gone and backend.silence.begin_probe_if_due(now_s):
-                self._probes.begin(self._probe(backend))
+                self._probes.start(self._probe(backend))
         for backend in self._state.zones.begin_probes(self._state.backends.all_backends(), now_s):
-            self._probes.begin(self._probe_zone(backend))
+            self._probes.start(self._probe_zone(backend))
 
     async def _probe_zone(self, backend: Backend) -> None:
         """Probe one back end to find out whether its zone is reachable."""
--- a/src/wallwell/serving/response_wait.py
+++ b/src/wallwell/serving/response_wait.py
@@ -9,7 +9,6 @@
 import asyncio
 
 from wallwell.clock import boot_time_s
-from wallwell.late_loop import is_done_within
 from wallwell.node.state import NodeState
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.retry.attempt_outcome import TransportEvent
@@ -19,6 +18,7 @@
 from wallwell.serving.messages import AttemptError, BackendAnswer, BackendClient, Dispatch
 from wallwell.serving.untried_backends import has_untried_backend
 from wallwell.serving.version_choice import generation_start_deadline_s
+from wallwell.task_wait import is_done_within
 
 
 class ResponseWaiter:
--- a/src/wallwell/serving/stream_forwarding.py
+++ b/src/wallwell/serving/stream_forwarding.py
@@ -9,7 +9,7 @@
 
 from contextlib import aclosing
 
-from wallwell.clock import boot_time_s, bounded
+from wallwell.clock import boot_time_s, time_limit
 from wallwell.errors import StreamOrderError
 from wallwell.routing.health.backend import Backend
 from wallwell.routing.retry.attempt_outcome import TransportEvent
@@ -34,7 +34,7 @@
         async with aclosing(answer.chunks()) as chunks:  # type: ignore[type-var]
             while True:
                 try:
-                    async with bounded(stall_s):
+                    async with time_limit(stall_s):
                         data = await anext(chunks, None)
                 except TimeoutError:
                     raise AttemptError(TransportEvent.ANSWER_TIMEOUT, "the stream stalled") from None
--- a/src/wallwell/soak/fleet.py
+++ b/src/wallwell/soak/fleet.py
@@ -219,7 +219,7 @@
         router = self._first_routers.pop(node, self._router)
         child = await self.supervisor.start(node, (sys.executable, str(router)), environment)
         await self.control_proxy(KnowNode(node, child.pid, self.schedule.shape.region_of(node)))
-        self._watchers.begin(self._watch(child))
+        self._watchers.start(self._watch(child))
 
     async def _watch(self, child: ChildProcess) -> None:
         status = await child.wait()
--- a/src/wallwell/soak/store_process.py
+++ b/src/wallwell/soak/store_process.py
@@ -127,7 +127,7 @@
         for worker in listed:
             self._last_heartbeat_s.setdefault(worker, now_s)
         for table, key in self._operators_rows:
-            self._writing_again.begin(self._write_again(table, key))
+            self._writing_again.start(self._write_again(table, key))
         return Done()
 
     async def _write_again(self, table: str, key: str) -> None:
--- a/src/wallwell/socket_options.py
+++ b/src/wallwell/socket_options.py
@@ -10,38 +10,38 @@
 import select
 import socket
 
-PROBE_AFTER_S = 1
+KEEPALIVE_PROBE_S = 1
 """Seconds without a packet after which the system probes a connection.
 
 The shortest that the system allows. Engines are silent for up to half a second between the events of a stream."""
-PROBES = 1
-"""Unanswered probes after which the connection ends; each is given ``PROBE_AFTER_S``, so the end comes after 2
+KEEPALIVE_PROBES = 1
+"""Unanswered probes after which the connection ends; each is given ``KEEPALIVE_PROBE_S``, so the end comes after 2
 s."""
 
 
-def end_when_silent(transport: asyncio.BaseTransport | None, unacknowledged_s: float) -> None:
+def enable_keepalive(transport: asyncio.BaseTransport | None, unacknowledged_s: float) -> None:
     """Let the system end a connection whose other end no longer acknowledges anything, idle or in use.
 
     Without this, a connection whose packets are dropped on the way looks open forever. With bytes sent it ends
-    after ``unacknowledged_s`` seconds, without any after ``PROBE_AFTER_S`` and as long for each probe. Does
+    after ``unacknowledged_s`` seconds, without any after ``KEEPALIVE_PROBE_S`` and as long for each probe. Does
     nothing where the system lacks an option.
     """
-    raw = transport.get_extra_info("socket") if transport is not None else None
-    if raw is None:
+    sock = transport.get_extra_info("socket") if transport is not None else None
+    if sock is None:
         return
-    raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     if hasattr(socket, "TCP_KEEPIDLE"):
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_AFTER_S)
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_PROBE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_PROBE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     if hasattr(socket, "TCP_USER_TIMEOUT"):
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, math.ceil(unacknowledged_s * 1000))
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, math.ceil(unacknowledged_s * 1000))
 
 
 def has_unread_bytes(transport: asyncio.BaseTransport | None) -> bool:
     """Whether bytes of the other end, or its close, wait in the socket for the event loop to read them."""
-    raw = transport.get_extra_info("socket") if transport is not None else None
-    return raw is not None and is_readable(raw.fileno())
+    sock = transport.get_extra_info("socket") if transport is not None else None
+    return sock is not None and is_readable(sock.fileno())
 
 
 def is_readable(descriptor: int) -> bool:
@@ -60,9 +60,9 @@
     """
     if transport is None or transport.is_closing():
         return True
-    raw = transport.get_extra_info("socket")
-    if raw is None or not hasattr(select, "POLLRDHUP"):
+    sock = transport.get_extra_info("socket")
+    if sock is None or not hasattr(select, "POLLRDHUP"):
         return False
     poll = select.poll()
-    poll.register(raw.fileno(), select.POLLRDHUP)
+    poll.register(sock.fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
--- a/src/wallwell/standalone/backends/engine_client.py
+++ b/src/wallwell/standalone/backends/engine_client.py
@@ -15,12 +15,12 @@
 import aiohttp
 import msgspec
 
-from wallwell.clock import bounded
+from wallwell.clock import time_limit
 from wallwell.events import Event, emit
-from wallwell.late_loop import is_done_within
 from wallwell.routing.retry.attempt_outcome import TransportEvent
 from wallwell.standalone.backends import engine_protocol as wire
 from wallwell.standalone.backends.attempt import AttemptFailed
+from wallwell.task_wait import is_done_within
 
 CONNECT_TIMEOUT_S = 1.0
 """Seconds for a connection to come up."""
@@ -174,7 +174,7 @@
         buffer = b""
         while True:
             try:
-                async with bounded(stall_timeout_s):
+                async with time_limit(stall_timeout_s):
                     data = await response.content.readany()
             except TimeoutError as error:
                 raise AttemptFailed(TransportEvent.ANSWER_TIMEOUT, "stream stalled") from error
--- a/src/wallwell/standalone/callers/caller.py
+++ b/src/wallwell/standalone/callers/caller.py
@@ -17,7 +17,7 @@
 import msgspec
 from aiohttp import web
 
-from wallwell.clock import boot_time_s, bounded
+from wallwell.clock import boot_time_s, time_limit
 from wallwell.errors import (
     BodyTooLargeError,
     ForbiddenError,
@@ -164,7 +164,7 @@
     """Read the whole body. Raises :class:`BodyTooLargeError` or :class:`MalformedRequestError`."""
     timeout_s = context.settings.limits.request_read_timeout_s
     try:
-        async with bounded(timeout_s):
+        async with time_limit(timeout_s):
             return await request.read()
     except web.HTTPRequestEntityTooLarge as error:
         raise BodyTooLargeError("body is larger than the limit") from error
--- a/src/wallwell/standalone/callers/context.py
+++ b/src/wallwell/standalone/callers/context.py
@@ -70,7 +70,7 @@
 
     def spawn(self, work: Coroutine[Any, Any, T]) -> asyncio.Task[T]:
         """Run work that outlives its caller; a planned stop waits for it."""
-        task = self.background.begin(work)
+        task = self.background.start(work)
         task.add_done_callback(_retrieve_exception)
         return task
 
--- a/src/wallwell/standalone/cluster/transport.py
+++ b/src/wallwell/standalone/cluster/transport.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from wallwell.background import BackgroundTasks
-from wallwell.clock import boot_time_s, bounded
+from wallwell.clock import boot_time_s, time_limit
 from wallwell.errors import AddressInUseError, ClusterMessageError, PeerUnavailableError
 from wallwell.events import Event, emit
 from wallwell.standalone.backends.engine_protocol import pack_hashes
@@ -109,7 +109,7 @@
     def start(self, node: ClusterNode) -> None:
         """Start to tick the node periodically and to pass received messages to it."""
         self.node = node
-        self._tasks.begin(self._tick_forever(node))
+        self._tasks.start(self._tick_forever(node))
 
     async def close(self) -> None:
         """Cancel all tasks and close both sockets."""
@@ -180,7 +180,7 @@
         lookup = Lookup(sequence, pack_hashes(lookup_hashes(chain)))
         self._send(Send(node.membership.address_of(owner), lookup))
         try:
-            async with bounded(LOOKUP_TIMEOUT_S):
+            async with time_limit(LOOKUP_TIMEOUT_S):
                 await waiter
         except TimeoutError:
             # Common on a busy link. Routing then uses this node's recent dispatches; hit-rate metrics show it.
@@ -201,7 +201,7 @@
         if action.address in self._fetching:
             return
         self._fetching.add(action.address)
-        self._tasks.begin(self._fetch_and_apply(action.address))
+        self._tasks.start(self._fetch_and_apply(action.address))
 
     async def _fetch_and_apply(self, address: str) -> None:
         assert self.node is not None
@@ -229,7 +229,7 @@
         request = self._codec.encode(ConfigDeltaRequest(after))
         writer: asyncio.StreamWriter | None = None
         try:
-            async with bounded(CONFIG_FETCH_TIMEOUT_S):
+            async with time_limit(CONFIG_FETCH_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(host, int(port), limit=MAX_LINE_BYTES)
                 writer.write(request)
                 line = await reader.readline()
@@ -245,7 +245,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            async with bounded(CONFIG_FETCH_TIMEOUT_S), self._config_reply_slots:
+            async with time_limit(CONFIG_FETCH_TIMEOUT_S), self._config_reply_slots:
                 request = self._codec.decode_as(await reader.readline(), ConfigDeltaRequest)
                 if self.node is None:
                     return
--- a/src/wallwell/standalone/crash_memory.py
+++ b/src/wallwell/standalone/crash_memory.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from wallwell.background import BackgroundTasks
-from wallwell.clock import boot_time_s, bounded
+from wallwell.clock import boot_time_s, time_limit
 from wallwell.cluster.crash_count import count_crash
 from wallwell.errors import RequestQuarantinedError
 from wallwell.events import Event, emit
@@ -34,7 +34,7 @@
     """Whether a connection to ``IP:port`` is refused: the machine answers, and no process listens there."""
     host, _, port = address.rpartition(":")
     try:
-        async with bounded(PROBE_TIMEOUT_S):
+        async with time_limit(PROBE_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except ConnectionRefusedError:
         return True
@@ -74,7 +74,7 @@
         if await is_refused(address):
             self._on_crash(content, backend)
             return
-        self._second_probes.begin(self._probe_again(content, backend, address))
+        self._second_probes.start(self._probe_again(content, backend, address))
 
     async def _probe_again(self, content: str, backend: str, address: str) -> None:
         await asyncio.sleep(SECOND_PROBE_DELAY_S)
--- a/src/wallwell/standalone/listeners.py
+++ b/src/wallwell/standalone/listeners.py
@@ -11,7 +11,7 @@
 
 from aiohttp import web
 
-from wallwell.callers_server import CallersServer, last_answer, stop_accepting
+from wallwell.callers_server import CallersServer, encode_final_answer, stop_accepting
 from wallwell.errors import AddressInUseError, ConnectionEndedError, OutcomeUnknownError, RequestError
 from wallwell.standalone.callers.caller import OUTCOME_HEADER, REQUEST_ID_HEADER, error_body
 from wallwell.standalone.settings import Listener, TlsSettings
@@ -27,18 +27,18 @@
 class StandaloneLastAnswers:
     """The answers with which connections end, as this router's errors."""
 
-    def ended(self) -> bytes:
-        """See :class:`wallwell.callers_server.LastAnswers`."""
+    def for_late_request(self) -> bytes:
+        """See :class:`wallwell.callers_server.FinalAnswers`."""
         return _error(ConnectionEndedError("the connection had been ended"), "")
 
-    def cut(self, request: web.BaseRequest) -> bytes:
-        """See :class:`wallwell.callers_server.LastAnswers`."""
+    def for_interrupted_request(self, request: web.BaseRequest) -> bytes:
+        """See :class:`wallwell.callers_server.FinalAnswers`."""
         return _error(OutcomeUnknownError("this router is stopping"), request.headers.get(REQUEST_ID_HEADER, ""))
 
 
 def _error(error: RequestError, request_id: str) -> bytes:
     headers = {REQUEST_ID_HEADER: request_id, OUTCOME_HEADER: error.outcome.value}
-    return last_answer(error, headers, error_body(error, request_id))
+    return encode_final_answer(error, headers, error_body(error, request_id))
 
 
 class Listeners:
--- a/src/wallwell/standalone/router_node.py
+++ b/src/wallwell/standalone/router_node.py
@@ -15,7 +15,7 @@
 import aiohttp
 
 from wallwell.build_info import build_commit, build_version
-from wallwell.clock import TICK_S, SuspensionWatch, boot_time_s, ends_within
+from wallwell.clock import SUSPENSION_CHECK_S, SuspensionWatch, boot_time_s, ends_within
 from wallwell.events import Event, emit
 from wallwell.standalone.backends.engine_client import client_session
 from wallwell.standalone.backends.engine_watch import EngineWatch
@@ -159,8 +159,8 @@
     async def _watch_suspensions(self) -> None:
         suspensions = SuspensionWatch()
         while True:
-            await asyncio.sleep(TICK_S)
-            suspensions.look()
+            await asyncio.sleep(SUSPENSION_CHECK_S)
+            suspensions.check()
 
     async def _housekeeping(self) -> None:
         while True:
--- a/src/wallwell/late_loop.py
+++ b/src/wallwell/task_wait.py
@@ -12,17 +12,18 @@
 
 from wallwell.clock import ends_within
 
-GRACE_TURNS = 8
+GRACE_ITERATIONS = 8
 """Turns of the loop that a task is given beyond the time-out: for reading, waking the reader, and the tasks
 between it and the one that waits. Microseconds on an idle loop."""
 
 
 async def is_done_within(task: asyncio.Future[Any], seconds: float) -> bool:
-    """Wait until a task has ended, at most ``seconds`` and ``GRACE_TURNS``; returns whether it has. Never cancels
-    it."""
+    """Wait for a task for at most ``seconds`` plus ``GRACE_ITERATIONS``; return whether it has ended.
+
+    The task is never cancelled."""
     if await ends_within(asyncio.wait({task}), seconds):
         return True
-    for _ in range(GRACE_TURNS):
+    for _ in range(GRACE_ITERATIONS):
         await asyncio.sleep(0)
         if task.done():
             return True
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -21,7 +21,7 @@
 ROOT = Path(__file__).parent.parent
 EXAMPLES = ROOT / "examples"
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 RunAsync = Callable[..., Any]
 
 
@@ -29,7 +29,7 @@
     """Return the tests that are known to fail, with cause and issue of each."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     entries = [line.partition("|") for line in lines if line.strip() and not line.startswith("#")]
-    assert len(entries) <= MOST_KNOWN_RED, f"more than {MOST_KNOWN_RED} tests known to fail"
+    assert len(entries) <= MAX_KNOWN_RED, f"more than {MAX_KNOWN_RED} tests known to fail"
     return {test.strip(): reason.strip() for test, _, reason in entries}
 
 
--- a/tests/faulty_table.py
+++ b/tests/faulty_table.py
@@ -10,9 +10,9 @@
 from wallwell.storage.table import Row, Scan, Transaction
 
 OK = "ok"
-LOST_BEFORE = "lost before the effect"
-LOST_AFTER = "lost after the effect"
-DELAYED = "lost, and takes effect later"
+REQUEST_LOST = "lost before the effect"
+REPLY_LOST = "lost after the effect"
+REQUEST_DELAYED = "lost, and takes effect later"
 
 
 class FaultyTable:
@@ -23,7 +23,7 @@
         self.faults = deque(faults)
         self.down = False
         self.before_transact = lambda: None
-        self._late: list[Transaction] = []
+        self._delayed_requests: list[Transaction] = []
 
     def _next_fault(self) -> str:
         if self.down:
@@ -33,23 +33,23 @@
     async def transact(self, transaction: Transaction) -> int:
         self.before_transact()
         fault = self._next_fault()
-        if fault == DELAYED:
-            self._late.append(transaction)
-        if fault in (LOST_BEFORE, DELAYED):
+        if fault == REQUEST_DELAYED:
+            self._delayed_requests.append(transaction)
+        if fault in (REQUEST_LOST, REQUEST_DELAYED):
             raise PlatformUnavailableError(fault)
         try:
             commit = self.model.transact(transaction)
         except ConditionFailed as failed:
             raise TableConflictError(str(failed)) from failed
-        if fault == LOST_AFTER:
+        if fault == REPLY_LOST:
             raise PlatformUnavailableError(fault)
-        self._apply_late()
+        self._apply_delayed_requests()
         return commit
 
-    def _apply_late(self) -> None:
+    def _apply_delayed_requests(self) -> None:
         """Let delayed transactions take effect, if their conditions still hold."""
-        late, self._late = self._late, []
-        for transaction in late:
+        delayed, self._delayed_requests = self._delayed_requests, []
+        for transaction in delayed:
             try:
                 self.model.transact(transaction)
             except ConditionFailed:
@@ -59,7 +59,7 @@
         if self._next_fault() != OK:
             raise PlatformUnavailableError("lost")
         row = self.model.rows.get(key)
-        self._apply_late()
+        self._apply_delayed_requests()
         return row
 
     async def scan(self, prefix: str, after_version: int) -> Scan:
--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -102,7 +102,7 @@
 
     def has_open_requests(self):
         """Whether a request has been read, at least in part, and not yet answered."""
-        return any(not each.is_idle(allow_begun=False) for each in self.server.connections)
+        return any(not each.is_idle(allow_partial_head=False) for each in self.server.connections)
 
     def publish(self, worker):
         self.store.put("servers", worker.incarnation, worker.entry())
--- a/tests/platform/test_ends_of_connections.py
+++ b/tests/platform/test_ends_of_connections.py
@@ -18,7 +18,7 @@
 from tests.platform.conftest import HOST, config, route
 from tests.unit.serving.fakes import event
 from wallwell import callers_server
-from wallwell.callers_server import LAST_REQUEST_S, LINGER_S
+from wallwell.callers_server import FINAL_REQUEST_WAIT_S, LINGER_S
 from wallwell.errors import ConnectionEndedError
 from wallwell.platform import caller_listener
 
@@ -211,7 +211,7 @@
         await harness.listener.close_idle(harness.server)
         release.set()
         statuses = [(await answer(reader))[0]]
-        await asyncio.sleep(LAST_REQUEST_S / 2)
+        await asyncio.sleep(FINAL_REQUEST_WAIT_S / 2)
         writer.write(request("second"))
         statuses.append((await answer(reader))[0])
         writer.close()
@@ -230,7 +230,7 @@
         writer.write(sent)
         await harness.until(lambda: harness.server.connections)
         await harness.listener.close_idle(harness.server)
-        await asyncio.sleep(LAST_REQUEST_S / 3)
+        await asyncio.sleep(FINAL_REQUEST_WAIT_S / 3)
         writer.write(request("cut")[len(sent) :])
         status, _ = await answer(reader)
         writer.close()
@@ -258,7 +258,7 @@
         return took_s
 
     # One second more than the server's own limits, for a busy machine.
-    assert on_platform(scenario, CALLS) < LAST_REQUEST_S + LINGER_S + 1.0
+    assert on_platform(scenario, CALLS) < FINAL_REQUEST_WAIT_S + LINGER_S + 1.0
 
 
 def test_drain_ends_in_time_although_connections_do_not(on_platform):
--- a/tests/unit/cluster/test_leases.py
+++ b/tests/unit/cluster/test_leases.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from tests.faulty_table import DELAYED, LOST_AFTER, LOST_BEFORE, OK, FaultyTable
+from tests.faulty_table import OK, REPLY_LOST, REQUEST_DELAYED, REQUEST_LOST, FaultyTable
 from tests.unit.standalone.cluster.test_claims import run_without_waiting
 from wallwell.cluster.leases import LeaseKeeper
 from wallwell.deployment.store_era import StoreEra
@@ -67,7 +67,7 @@
     def restart(self, node):
         self.keepers[node] = self.new_keeper(node)
 
-    @rule(node=st.integers(0, NODES - 1), fault=st.sampled_from([OK, LOST_BEFORE, LOST_AFTER, DELAYED]))
+    @rule(node=st.integers(0, NODES - 1), fault=st.sampled_from([OK, REQUEST_LOST, REPLY_LOST, REQUEST_DELAYED]))
     def acquire(self, node, fault):
         self.table.faults.extend([OK, fault])
         try:
--- a/tests/unit/node/test_backend_rows.py
+++ b/tests/unit/node/test_backend_rows.py
@@ -218,7 +218,7 @@
     listed, forgotten = [], []
     monkeypatch.setattr(backend_rows, "emit", lambda event, **fields: listed.append(fields["draining"]))
     pool = ConnectionPool("X", 1.0, 1.0)
-    pool.forget = forgotten.append
+    pool.close_idle = forgotten.append
     rows = BackendRows(make_state(backends=0), StartedSources(), pool)
     for value in (b"1000 ready", b"2000 ready", b"1000 draining", b"2000 draining"):
         rows.apply(FollowedPage(FeedPage((FeedRow("a", value, 1),), 1, 0.0), False, 0.0, 0.0))
--- a/tests/unit/node/test_crash_watch.py
+++ b/tests/unit/node/test_crash_watch.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from tests.faulty_table import DELAYED, LOST_AFTER, LOST_BEFORE, FaultyTable
-from tests.suspects import suspected_contents
+from tests.faulty_table import REPLY_LOST, REQUEST_DELAYED, REQUEST_LOST, FaultyTable
+from tests.suspects import suspected_content_digests
 from tests.unit.serving.fakes import FakeClient, FakeReply, Script, event, make_generation, make_request, make_route
 from tests.unit.serving.fakes import make_state as fresh_state
 from tests.unit.serving.single_request import OK, RESET, SAFE, UNSAFE
@@ -162,7 +162,7 @@
         await asyncio.sleep(FIRST_PROBE_DELAY_S + 0.01)
         meanwhile(node)
         await asyncio.sleep(MAX_PROBES * PROBED_S + SUCCESSOR_WAIT_S)
-        return node.rows, "c" in suspected_contents(node.state.quarantine)
+        return node.rows, "c" in suspected_content_digests(node.state.quarantine)
 
     assert run_virtual(work()) == ({"c/i-0"} if is_crash else set(), is_crash)
 
@@ -191,7 +191,7 @@
     assert run_virtual(work()) == 230
 
 
-@pytest.mark.parametrize("faults", [[LOST_BEFORE], [LOST_AFTER], [DELAYED], [LOST_BEFORE] * 5])
+@pytest.mark.parametrize("faults", [[REQUEST_LOST], [REPLY_LOST], [REQUEST_DELAYED], [REQUEST_LOST] * 5])
 def test_failed_write_is_retried(faults):
     async def work():
         node = WatchedNode(table=FaultyTable(faults=faults))
--- a/tests/unit/rollout/test_driver_failures.py
+++ b/tests/unit/rollout/test_driver_failures.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.faulty_table import DELAYED, LOST_AFTER, LOST_BEFORE
+from tests.faulty_table import REPLY_LOST, REQUEST_DELAYED, REQUEST_LOST
 from tests.unit.rollout.fleet import LEASE_KEY, run_scenario, writers
 from wallwell.clock import boot_time_s
 from wallwell.emulator.platform_server import ConditionFailed
@@ -144,7 +144,7 @@
 
         async def write(record, seen, lease_version):
             if record.phase is Phase.COMPLETE:
-                node.table.faults.append(LOST_AFTER)
+                node.table.faults.append(REPLY_LOST)
             return await whole(record, seen, lease_version)
 
         node.store.write = write
@@ -170,7 +170,7 @@
     assert run_scenario(scenario) == ("complete v2", Phase.COMPLETE)
 
 
-@pytest.mark.parametrize("fault", [LOST_BEFORE, LOST_AFTER, DELAYED])
+@pytest.mark.parametrize("fault", [REQUEST_LOST, REPLY_LOST, REQUEST_DELAYED])
 @pytest.mark.parametrize("phase", [None, Phase.SWITCHING])
 def test_a_write_whose_answer_was_lost_is_resolved_by_reading_back(fault, phase):
     async def scenario(fleet):
--- a/tests/unit/routing/admission/test_quarantine.py
+++ b/tests/unit/routing/admission/test_quarantine.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.suspects import suspected_contents
+from tests.suspects import suspected_content_digests
 from wallwell.routing.admission.quarantine import (
     CLEARANCE_S,
     CRASHES_TO_QUARANTINE,
@@ -85,7 +85,7 @@
         quarantine.on_crash(f"other-{number}", "i-1", 0.0)
     assert quarantine.suspect_count == MAX_SUSPECTS
     assert quarantine.remaining_s("c", 1.0) > 0
-    suspected = suspected_contents(quarantine)
+    suspected = suspected_content_digests(quarantine)
     assert "other-0" not in suspected
     assert f"other-{MAX_SUSPECTS + 4}" in suspected
 
--- a/tests/unit/standalone/cluster/test_claims.py
+++ b/tests/unit/standalone/cluster/test_claims.py
@@ -7,11 +7,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from tests.faulty_table import DELAYED, LOST_AFTER, LOST_BEFORE, OK, FaultyTable
+from tests.faulty_table import OK, REPLY_LOST, REQUEST_DELAYED, REQUEST_LOST, FaultyTable
 from wallwell.errors import ClaimUnavailableError, KeyReusedError
 from wallwell.standalone.cluster.claims import ClaimResult, ClaimTable
 
-FAULTS = [OK, LOST_BEFORE, LOST_AFTER, DELAYED]
+FAULTS = [OK, REQUEST_LOST, REPLY_LOST, REQUEST_DELAYED]
 
 
 @pytest.mark.parametrize("script", list(itertools.product(FAULTS, repeat=4)))
@@ -30,7 +30,7 @@
     assert run_async(scenario()) <= 1
 
 
-@pytest.mark.parametrize("script", [[OK, LOST_AFTER], [OK, LOST_BEFORE], [LOST_BEFORE, OK, LOST_AFTER]])
+@pytest.mark.parametrize("script", [[OK, REPLY_LOST], [OK, REQUEST_LOST], [REQUEST_LOST, OK, REPLY_LOST]])
 def test_after_a_lost_answer_the_claimant_finds_its_own_claim_id(script, run_async):
     claim = run_async(ClaimTable(FaultyTable(faults=script)).claim("t", "k", "d", "mine"))
     assert claim.result is ClaimResult.GRANTED
--- a/tests/unit/standalone/config/test_commit_and_store.py
+++ b/tests/unit/standalone/config/test_commit_and_store.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.faulty_table import DELAYED, LOST_AFTER, LOST_BEFORE, OK, FaultyTable
+from tests.faulty_table import OK, REPLY_LOST, REQUEST_DELAYED, REQUEST_LOST, FaultyTable
 from wallwell.errors import (
     ConfigConflictError,
     ConfigInvalidError,
@@ -38,7 +38,9 @@
     return ZONE.format(region=region)
 
 
-@pytest.mark.parametrize("script", list(itertools.product([OK, LOST_BEFORE, LOST_AFTER, DELAYED], repeat=4)))
+@pytest.mark.parametrize(
+    "script", list(itertools.product([OK, REQUEST_LOST, REPLY_LOST, REQUEST_DELAYED], repeat=4))
+)
 def test_an_accepted_change_is_in_force_once_and_an_unconfirmed_one_can_be_repeated(script, run_async):
     async def scenario():
         table = FaultyTable(faults=script)
--- a/tests/unit/standalone/test_crash_memory.py
+++ b/tests/unit/standalone/test_crash_memory.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.suspects import suspected_contents
+from tests.suspects import suspected_content_digests
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
 from wallwell.errors import RequestQuarantinedError
@@ -55,7 +55,7 @@
 )
 def test_what_counts_and_is_told(with_memory, event, answers, is_crash):
     _, memory = with_memory(answers, lambda memory: memory.on_failure("c", event, "e", "1.2.3.4:5"))
-    assert ("c" in suspected_contents(memory.quarantine)) is is_crash
+    assert ("c" in suspected_content_digests(memory.quarantine)) is is_crash
     assert memory.notices.collect_due(1100.0) == ([CrashNotice("c", "e/n1/1")] if is_crash else [])
 
 
--- a/tests/unit/test_background.py
+++ b/tests/unit/test_background.py
@@ -18,7 +18,7 @@
 def test_a_task_is_held_until_it_ends(work):
     async def scenario():
         tasks = BackgroundTasks()
-        task = tasks.begin(work())
+        task = tasks.start(work())
         gc.collect()
         held = set(tasks) == {task}
         await asyncio.wait({task})
@@ -31,7 +31,7 @@
 def test_a_cancelled_task_is_let_go():
     async def scenario():
         tasks = BackgroundTasks()
-        task = tasks.begin(asyncio.sleep(60.0))
+        task = tasks.start(asyncio.sleep(60.0))
         task.cancel()
         await asyncio.wait({task})
         await asyncio.sleep(0)
--- a/tests/unit/test_import_layers.py
+++ b/tests/unit/test_import_layers.py
@@ -20,7 +20,7 @@
     "errors",
     "events",
     "http_connection",
-    "late_loop",
+    "task_wait",
     "log_writer",
     "outcomes",
     "plain_http",
--- a/tests/unit/test_log_writer.py
+++ b/tests/unit/test_log_writer.py
@@ -31,8 +31,8 @@
     read_end, write_end = pipe
     writer = LogWriter(write_end, max_lines=50)
     for number in range(5000):
-        writer.write({"event": 1, "number": number, "pad": "x" * 200}, important=number % 10 == 0)
-    assert writer.lost > 4000
+        writer.write({"event": 1, "number": number, "pad": "x" * 200}, is_important=number % 10 == 0)
+    assert writer.dropped > 4000
     first = drain(read_end)
     writer.flush()
     lines = first + drain(read_end)
@@ -46,11 +46,11 @@
     read_end, write_end = pipe
     writer = LogWriter(write_end, max_lines=20)
     while not writer._routine:
-        writer.write({"event": 1, "fill": "x" * 1000}, important=False)
+        writer.write({"event": 1, "fill": "x" * 1000}, is_important=False)
     for number in range(10):
-        writer.write({"event": 2, "failure": number}, important=True)
+        writer.write({"event": 2, "failure": number}, is_important=True)
     for _ in range(100):
-        writer.write({"event": 1}, important=False)
+        writer.write({"event": 1}, is_important=False)
     lines = drain(read_end)
     for _ in range(3):
         writer.flush()
@@ -61,15 +61,15 @@
 def test_a_closed_reader_ends_nothing():
     read_end, write_end = os.pipe()
     os.close(read_end)
-    LogWriter(write_end).write({"event": 1}, important=True)
+    LogWriter(write_end).write({"event": 1}, is_important=True)
     os.close(write_end)
 
 
 def test_successes_are_whole_up_to_a_rate_and_then_sampled_by_request():
-    sampler = RoutineSampler(rate_per_s=10.0, one_in=4)
-    kept = [sampler.keeps(f"r{number}", 5.0) for number in range(1000)]
+    sampler = RoutineSampler(rate_per_s=10.0, sample_every=4)
+    kept = [sampler.should_write(f"r{number}", 5.0) for number in range(1000)]
     assert all(kept[:10])
     assert 150 < sum(kept) < 350
-    again = RoutineSampler(rate_per_s=0.0, one_in=4)
-    assert [again.keeps("r500", 9.0)] == [kept[500]]
-    assert sampler.keeps("r1", 6.0)
+    again = RoutineSampler(rate_per_s=0.0, sample_every=4)
+    assert [again.should_write("r500", 9.0)] == [kept[500]]
+    assert sampler.should_write("r1", 6.0)
--- a/tests/unit/test_socket_options.py
+++ b/tests/unit/test_socket_options.py
@@ -11,7 +11,7 @@
 from wallwell.cluster.peer_link import PeerLink
 from wallwell.errors import PeerUnavailableError
 from wallwell.http_connection import ConnectionPool
-from wallwell.socket_options import PROBE_AFTER_S, PROBES
+from wallwell.socket_options import KEEPALIVE_PROBE_S, KEEPALIVE_PROBES
 
 
 async def pooled(address):
@@ -48,4 +48,4 @@
         server.close()
         return options
 
-    assert run_async(scenario()) == [1, PROBE_AFTER_S, PROBES, 1000]
+    assert run_async(scenario()) == [1, KEEPALIVE_PROBE_S, KEEPALIVE_PROBES, 1000]
--- a/tests/unit/test_suspended_machine.py
+++ b/tests/unit/test_suspended_machine.py
@@ -26,19 +26,19 @@
 )
 from tests.unit.test_http_connection import REQUEST, ScriptedServer, answer
 from tests.virtual_time import run_virtual, suspend_machine
-from wallwell.backend_connection import DEFAULT_IDLE_S
-from wallwell.clock import TICK_S, SuspensionWatch, boot_time_s, bounded
+from wallwell.backend_connection import DEFAULT_MAX_IDLE_S
+from wallwell.clock import SUSPENSION_CHECK_S, SuspensionWatch, boot_time_s, time_limit
 from wallwell.cluster.lease_candidate import LeaseCandidate
 from wallwell.cluster.leases import LeaseKeeper
 from wallwell.deployment.freshness import ConfigurationFreshness, StoreClock
 from wallwell.deployment.routes import RouteKind
 from wallwell.http_connection import ConnectionPool
-from wallwell.late_loop import is_done_within
 from wallwell.node.loop_lag import LoopLag
 from wallwell.outcomes import Outcome
 from wallwell.platform.stop_deadline import BootClockTimer
 from wallwell.routing.retry.attempt_outcome import TransportEvent as T
 from wallwell.serving.pipeline import RequestPipeline
+from wallwell.task_wait import is_done_within
 
 AWAY_S = 5.0
 UNSAFE = make_route(RouteKind.UNSAFE, attempts=1, timeout_s=8.0)
@@ -51,8 +51,8 @@
 async def watch():
     suspensions = SuspensionWatch()
     while True:
-        await asyncio.sleep(TICK_S)
-        suspensions.look()
+        await asyncio.sleep(SUSPENSION_CHECK_S)
+        suspensions.check()
 
 
 def outside_s():
@@ -79,7 +79,7 @@
 
 async def wait_bounded(bound_s):
     with pytest.raises(TimeoutError):
-        async with bounded(bound_s):
+        async with time_limit(bound_s):
             await asyncio.sleep(60.0)
 
 
@@ -97,17 +97,17 @@
 )
 def test_a_bound_counts_the_time_away(wait, bound_s, away_s, ends_s):
     took_s = run_virtual(take_s(wait(bound_s), away_s=away_s))
-    assert ends_s - 0.01 <= took_s <= ends_s + TICK_S + 0.01
+    assert ends_s - 0.01 <= took_s <= ends_s + SUSPENSION_CHECK_S + 0.01
 
 
 def test_a_bound_within_another_keeps_its_own_end():
     async def work():
-        async with bounded(20.0):
+        async with time_limit(20.0):
             await wait_bounded(8.0)
-        async with bounded(None):
+        async with time_limit(None):
             await asyncio.sleep(0.1)
 
-    assert run_virtual(take_s(work())) == pytest.approx(8.1, abs=TICK_S + 0.01)
+    assert run_virtual(take_s(work())) == pytest.approx(8.1, abs=SUSPENSION_CHECK_S + 0.01)
 
 
 def test_a_bound_that_begins_after_the_wake_keeps_its_time():
@@ -115,7 +115,7 @@
 
     async def work():
         watching = asyncio.create_task(watch())
-        await asyncio.sleep(TICK_S * 1.1)
+        await asyncio.sleep(SUSPENSION_CHECK_S * 1.1)
         suspend_machine(AWAY_S)
         started_s = outside_s()
         await wait_bounded(3.0)
@@ -204,7 +204,7 @@
         async with ScriptedServer([answer()], [answer()]) as server:
             pool = ConnectionPool("X-Id", 1.0, 1.0)
             await pool.fetch(server.address, REQUEST, 5.0)
-            later_s = boot_time_s() + DEFAULT_IDLE_S + 0.1
+            later_s = boot_time_s() + DEFAULT_MAX_IDLE_S + 0.1
             monkeypatch.setattr("wallwell.http_connection.boot_time_s", lambda: later_s)
             await pool.fetch(server.address, REQUEST, 5.0)
             pool.close()
@@ -245,7 +245,7 @@
 
     ended, took_s = run_virtual(work())
     assert ended in ("refused", "aborted")
-    assert took_s <= max(8.0, 1.0 + away_s) + TICK_S + 0.01
+    assert took_s <= max(8.0, 1.0 + away_s) + SUSPENSION_CHECK_S + 0.01
 
 
 def test_an_attempt_after_it_is_handed_what_is_left():
--- a/tests/unit/test_late_loop.py
+++ b/tests/unit/test_task_wait.py
@@ -6,7 +6,7 @@
 
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
-from wallwell.late_loop import GRACE_TURNS, is_done_within
+from wallwell.task_wait import GRACE_ITERATIONS, is_done_within
 
 
 async def done_after(seconds, turns=0):
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize(
     ("seconds", "turns", "done"),
-    [(0.1, 0, True), (1.0, 3, True), (1.0, GRACE_TURNS + 5, False), (1.001, 0, False), (9.0, 0, False)],
+    [(0.1, 0, True), (1.0, 3, True), (1.0, GRACE_ITERATIONS + 5, False), (1.001, 0, False), (9.0, 0, False)],
 )
 def test_what_is_under_way_at_the_bound_is_waited_for_by_turns_and_not_by_time(seconds, turns, done):
     async def work():
--- a/tests/virtual_network.py
+++ b/tests/virtual_network.py
@@ -46,7 +46,7 @@
     cost: NodeCost = field(default_factory=NodeCost)
     paused: bool = False
     alive: bool = True
-    held: list[tuple[str, bytes]] = field(default_factory=list)
+    queued_datagrams: list[tuple[str, bytes]] = field(default_factory=list)
 
 
 class VirtualNetwork:
@@ -79,8 +79,8 @@
         host = self.hosts[address]
         host.paused = paused
         if not paused:
-            held, host.held = host.held, []
-            for sender, data in held:
+            queued_datagrams, host.queued_datagrams = host.queued_datagrams, []
+            for sender, data in queued_datagrams:
                 self._receive(address, sender, data)
 
     def partition(self, groups: Iterable[Iterable[str]]) -> None:
@@ -155,7 +155,7 @@
         if host is None or not self._reachable(address, sender):
             return
         if host.paused:
-            host.held.append((sender, data))
+            host.queued_datagrams.append((sender, data))
             return
         actions = host.node.handle(_CODEC.decode(data), sender, self.now_s)
         host.cost.received_messages += 1
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -389,7 +389,7 @@
 def log_line(number: int, fields: dict[str, Any]) -> dict[str, Any]:
     """Return the JSON line of an event."""
     lines: list[dict[str, Any]] = []
-    writer = SimpleNamespace(write=lambda line, important: lines.append(line))
+    writer = SimpleNamespace(write=lambda line, is_important: lines.append(line))
     time = SimpleNamespace(isoformat=lambda timespec: f"TIME in {timespec}")
     event = next(each for each in Event if each.number == number)
     record = {
@@ -406,7 +406,7 @@
     """Return what is written where three log lines were lost."""
     with path.open("wb") as file:
         writer = LogWriter(file.fileno())
-        writer.lost = 3
+        writer.dropped = 3
         writer.flush()
     return path.read_bytes()
 
