--- a/src/wallwell/events.py
+++ b/src/wallwell/events.py
@@ -28,7 +28,7 @@
     SETTINGS_RELOADED = (1007, "INFO", "settings file checked; its values take effect at the next start")
     LOG_LINES_LOST = (1008, "WARNING", "log lines lost")
     NODE_STOP_FORCED = (1009, "WARNING", "planned stop cut short: its grace period ended")
-    MACHINE_WOKEN = (1010, "WARNING", "machine was suspended; open time-outs are shortened by that time")
+    MACHINE_WOKEN = (1010, "WARNING", "machine was suspended; open time-outs are shortened by the same time")
     CALLER_CONNECTIONS_ENDED = (1011, "INFO", "planned stop: callers' connections are closed")
 
     # 2001 and up: operators' configuration.
@@ -47,7 +47,7 @@
     STREAM_BROKEN = (3004, "WARNING", "stream could not be continued")
     PROTOCOL_VIOLATION = (3005, "WARNING", "back end broke the protocol; its connection is closed")
     CALLER_GONE = (3006, "INFO", "caller disconnected; its work is cancelled")
-    CLAIM_ABANDONED = (3007, "WARNING", "claim's result could not be written to the table service")
+    CLAIM_ABANDONED = (3007, "WARNING", "final state of a claim could not be written to the table service")
     ANSWER_DISCARDED = (3008, "WARNING", "received bytes discarded: they answer no request in flight")
     REQUEST_REFUSED = (3009, "INFO", "request ended with an error of the router")
     REQUEST_QUARANTINED = (3010, "WARNING", "request is quarantined: back ends that ran it crashed")
@@ -86,7 +86,7 @@
     )
     LEASE_UNCONFIRMED = (5016, "WARNING", "store did not answer a lease call; a held lease expires at its end")
     LEASE_NOT_RELEASED = (5017, "INFO", "lease could not be released; other nodes wait until it expires")
-    CONFIG_NOT_SERVED = (5020, "INFO", "configuration not sent to a peer: invalid request or connection closed")
+    CONFIG_NOT_SERVED = (5020, "INFO", "configuration not sent to a peer: no valid request, or disconnected")
     MEMBER_NOT_REGISTERED = (5021, "WARNING", "store did not accept this node's member row; retried every second")
     MEMBER_ROW_UNREADABLE = (5022, "WARNING", "member row not decodable; node shares budgets but is not followed")
     OWN_ROW_UNREADABLE = (5024, "WARNING", "row of the nodes' own table cannot be decoded; it is ignored")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: an event loop per test and stand-ins on ports the system chooses."""
+"""Shared fixtures, and the handling of tests that are known to fail (KNOWN-RED.txt)."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from wallwell.events import configure_logging
 
-# The same examples in each run and no verdict by time: a busy machine must not fail a test.
+# Hypothesis draws the same examples in each run and has no deadline: a busy machine must not fail a test.
 settings.register_profile(
     "repeatable", deadline=None, derandomize=True, suppress_health_check=[HealthCheck.too_slow]
 )
@@ -26,7 +26,7 @@
 
 
 def known_red() -> dict[str, str]:
-    """Return the tests that are known to fail, with cause and issue of each."""
+    """Return the ids of the tests that are known to fail, each with its cause and issue."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     entries = [line.partition("|") for line in lines if line.strip() and not line.startswith("#")]
     assert len(entries) <= MAX_KNOWN_RED, f"more than {MAX_KNOWN_RED} tests known to fail"
@@ -34,7 +34,7 @@
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Run the tests that are known to fail, and let their failures pass."""
+    """Mark the tests that are known to fail as xfail: they run, and their failures do not fail the run."""
     listed = known_red()
     for item in items:
         reason = listed.get(item.nodeid) or listed.get(item.nodeid.partition("[")[0])
@@ -43,7 +43,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: Any) -> None:
-    """Name the tests whose failures were let pass, and those that are listed but passed."""
+    """Print the known-red tests that failed as expected, and those that passed."""
     for outcome in ("xfailed", "xpassed"):
         for report in terminalreporter.stats.get(outcome, ()):
             terminalreporter.write_line(f"{outcome} {report.nodeid}: {report.wasxfail}")
@@ -57,7 +57,7 @@
 
 @pytest.fixture
 def run_async() -> RunAsync:
-    """Run one coroutine in a loop of its own, of asyncio unless another is named, with a bound on its time."""
+    """Return a function that runs a coroutine in a new event loop (asyncio's by default) with a 60 s time-out."""
 
     def run(work: Coroutine[Any, Any, Any], new_loop: Callable[[], asyncio.AbstractEventLoop] | None = None) -> Any:
         async def bounded() -> Any:
--- a/tests/faulty_table.py
+++ b/tests/faulty_table.py
@@ -1,4 +1,4 @@
-"""An in-memory table service that fails as a script says."""
+"""An in-memory table service that fails according to a script."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FaultyTable:
-    """Applies one scripted fault per call; calls past the script's end succeed."""
+    """Applies one scripted fault per call; calls after the end of the script succeed."""
 
     def __init__(self, model: TableModel | None = None, faults: Iterable[str] = ()) -> None:
         self.model = model or TableModel()
@@ -47,7 +47,7 @@
         return commit
 
     def _apply_delayed_requests(self) -> None:
-        """Let delayed transactions take effect, if their conditions still hold."""
+        """Commit the delayed transactions whose conditions still hold."""
         delayed, self._delayed_requests = self._delayed_requests, []
         for transaction in delayed:
             try:
--- a/tests/suspects.py
+++ b/tests/suspects.py
@@ -1,4 +1,4 @@
-"""Which requests a quarantine holds something against, as tests ask it."""
+"""Reads a quarantine's suspects for the tests."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def suspected_content_digests(quarantine: Quarantine) -> set[str]:
-    """Return the contents under which a back end has crashed: those whose crashes expire at some time."""
-    return {content for content, _ in quarantine.expired_crashes(float("inf"))}
+    """Return the content digests with which a back end has crashed: all those with a crash that will expire."""
+    return {digest for digest, _ in quarantine.expired_crashes(float("inf"))}
--- a/tests/unit/compatibility/test_deployment.py
+++ b/tests/unit/compatibility/test_deployment.py
@@ -1,4 +1,4 @@
-"""What the platform starts: ``deploy/system.toml`` and the program that it runs."""
+"""``deploy/system.toml``, which tells the platform what to start, and the program that the platform runs."""
 
 import json
 import os
@@ -22,7 +22,7 @@
     'serves = ["front"]\n'
 )
 HOST = f"127.9.{os.getpid() // 250 % 250}.{os.getpid() % 250 + 1}"
-"""An address of this process alone, so that no other test takes its ports between their choice and their use."""
+"""A loopback address that only this process uses, so that no other test can bind the chosen ports first."""
 SETTINGS = """
 node = "n1"
 zone = "z1"
--- a/tests/unit/compatibility/test_documents_of_services.py
+++ b/tests/unit/compatibility/test_documents_of_services.py
@@ -1,4 +1,4 @@
-"""Documents of the platform, of engines, of callers and of operators, read and written again as before."""
+"""Documents of the platform, engines, callers and operators are decoded and re-encoded as by earlier builds."""
 
 import pytest
 
@@ -120,7 +120,7 @@
         ),
     ],
 }
-"""By kind, documents that come back as they are, and pairs of a document and what comes back with its defaults."""
+"""By kind: documents that are re-encoded unchanged, and pairs of a document and its re-encoding with defaults."""
 OTHER_KINDS = [
     "back end row",
     "cache reply",
@@ -143,7 +143,7 @@
     "weights version row",
     "zone load reply",
 ]
-"""Kinds whose documents stand in the tests of rows and of messages between nodes."""
+"""Kinds whose documents are tested in ``test_store_rows`` and ``test_messages_between_nodes``."""
 
 
 PAIRS = [(kind, *pair) for kind, pairs in DOCUMENTS.items() for pair in pairs]
--- a/tests/unit/compatibility/test_errors_and_events.py
+++ b/tests/unit/compatibility/test_errors_and_events.py
@@ -1,4 +1,4 @@
-"""Error codes, log events with their fields, and the form of log lines."""
+"""Error codes, log events with their fields, and the format of log lines."""
 
 import pytest
 
@@ -50,7 +50,7 @@
     "WW7002": ("UnknownRequestError", 500, ""),
     "WW7003": ("SoakError", 500, ""),
 }
-"""By code: the title that answers and logs carry, the HTTP status, and the outcome that a caller is told."""
+"""By code: the title in answers and logs, the HTTP status, and the outcome that is sent to callers."""
 EVENTS = {
     1001: "INFO",
     1002: "INFO",
@@ -112,7 +112,7 @@
     7010: "WARNING",
     8001: "INFO",
 }
-"""By number: the level. The text is for people and may be put better."""
+"""By number: the level. The message text is for people and may be reworded."""
 FIELDS = {
     1001: ["callers", "cluster", "node", "zone"],
     1002: ["after_ms", "node", "revision"],
@@ -202,11 +202,11 @@
     7010: ["reason", "service"],
     8001: ["**"],
 }
-"""By number: the fields that an event is logged with at any place; ``**`` are names made at run time."""
+"""By number: the fields with which the event is logged anywhere; ``**`` stands for names built at run time."""
 
 
 def _pinned(literals, current):
-    """Return what stands today where something is pinned: others may be added, and none may change or go."""
+    """Return the current values of the pinned keys. Keys may be added, but none may change or be removed."""
     return {key: current[key] for key in literals if key in current}
 
 
--- a/tests/unit/compatibility/test_messages_between_nodes.py
+++ b/tests/unit/compatibility/test_messages_between_nodes.py
@@ -1,4 +1,4 @@
-"""Messages between nodes: requests and replies on peer links, datagrams, lines over TCP."""
+"""Messages between nodes: requests and replies on peer links, datagrams, and lines over TCP."""
 
 import base64
 import zlib
@@ -110,7 +110,7 @@
     ],
     "counts reply": [('{"life":9}',)],
 }
-"""By kind, documents that come back as they are, and pairs of a document and what comes back with its defaults."""
+"""By kind: documents that are re-encoded unchanged, and pairs of a document and its re-encoding with defaults."""
 KEY = "0123456789abcdef"
 DATAGRAMS = {
     "sync": b'e5509140894b0438 ["s",1,"east","n1",4,77,[["n2",3,0,5,6]]]\n',
--- a/tests/unit/compatibility/test_metrics_and_commands.py
+++ b/tests/unit/compatibility/test_metrics_and_commands.py
@@ -1,4 +1,4 @@
-"""Metrics of both routers, alerts on them, and the command line."""
+"""Metrics of both routers, the alerts on these metrics, and the command line."""
 
 import re
 from pathlib import Path
@@ -33,7 +33,7 @@
     "wallwell_rollout_failures_total": "counter service,side",
     "wallwell_retry_budget_left": "gauge service",
 }
-"""By exposed name: type, labels, bounds of buckets."""
+"""By exposed name: type, labels, and bucket bounds."""
 OWN_METRICS = {
     "wallwell_requests_total": "counter kind,priority,outcome",
     "wallwell_first_token_seconds": "histogram priority 0.02,0.05,0.1,0.2,0.4,0.8,1.5,3.0,6.0,12.0,30.0,+Inf",
@@ -121,12 +121,12 @@
         "--seed type=int default=1",
     ],
 }
-"""By command: each argument, with what of it is not as argparse would have it. The fault runs of ``wallwell bench``
-are not pinned: ``wallwell soak`` does their work."""
+"""By command: each argument, with its settings that differ from argparse's defaults. The fault runs of
+``wallwell bench`` are not pinned, since ``wallwell soak`` replaces them."""
 
 
 def _pinned(literals, current):
-    """Return what stands today where something is pinned: others may be added, and none may change or go."""
+    """Return the current values of the pinned keys. Keys may be added, but none may change or be removed."""
     return {key: current[key] for key in literals if key in current}
 
 
--- a/tests/unit/compatibility/test_operators_files.py
+++ b/tests/unit/compatibility/test_operators_files.py
@@ -1,4 +1,4 @@
-"""Operators' declarative files: keys, defaults, what nodes keep of them, and problems."""
+"""Operators' declarative files: keys, defaults, the contents that nodes keep, and problems."""
 
 from pathlib import Path
 
@@ -176,7 +176,7 @@
         '"concurrency":300,"weight":4.0}'
     ),
 }
-"""By file of the example: what nodes keep of it."""
+"""By file of the example: the contents that nodes keep."""
 KEYS = [
     "zone/stockholm-a",
     "zone/stockholm-b",
--- a/tests/unit/compatibility/test_requests_to_engines.py
+++ b/tests/unit/compatibility/test_requests_to_engines.py
@@ -1,4 +1,4 @@
-"""The router without the platform: its callers, engines and services."""
+"""Requests and answers of the router without the platform: callers, engines and services."""
 
 import pytest
 
--- a/tests/unit/compatibility/test_store_calls.py
+++ b/tests/unit/compatibility/test_store_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the store, by which rows are written, and what a node makes of rows that it reads."""
+"""Calls to the store that read and write rows, and how a node interprets the rows that it reads."""
 
 import pytest
 
--- a/tests/unit/compatibility/test_store_rows.py
+++ b/tests/unit/compatibility/test_store_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the store: each kind's document is read and written again as it was before."""
+"""Rows of the store: each kind of document is decoded and re-encoded as by earlier builds."""
 
 import pytest
 
@@ -140,7 +140,7 @@
         ),
     ],
 }
-"""By kind, documents that come back as they are, and pairs of a document and what comes back with its defaults."""
+"""By kind: documents that are re-encoded unchanged, and pairs of a document and its re-encoding with defaults."""
 
 
 PAIRS = [(kind, *pair) for kind, pairs in DOCUMENTS.items() for pair in pairs]
--- a/tests/unit/compatibility/test_two_builds.py
+++ b/tests/unit/compatibility/test_two_builds.py
@@ -1,4 +1,4 @@
-"""What a build that knows no eras of the store and today's make of each other's messages and rows."""
+"""How the current build and a previous one without store eras read each other's messages and rows."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 
 
 class OlderRequest(msgspec.Struct, frozen=True, tag="RowsRequest"):
-    """The type of the build before, as test data."""
+    """A type of the previous build, as test data."""
 
     table: str
     wait_s: float
@@ -26,7 +26,7 @@
 
 
 class OlderReply(msgspec.Struct, frozen=True):
-    """The type of the build before, as test data."""
+    """A type of the previous build, as test data."""
 
     version: int = -1
     store_s: float = 0.0
@@ -37,7 +37,7 @@
 
 
 class OlderLease(msgspec.Struct, frozen=True):
-    """The type of the build before, as test data."""
+    """A type of the previous build, as test data."""
 
     holder: str
     fence: int
@@ -80,7 +80,7 @@
 
 
 class OlderPeer:
-    """A relay of the build before, whose copy has kept a version from before the restore."""
+    """A relay of the previous build, whose copy still has a version from before the restore."""
 
     def __init__(self, rows):
         self.rows = rows
@@ -94,7 +94,7 @@
 
 
 class Links:
-    """Leads to one peer whatever its name."""
+    """Returns the same peer for every name."""
 
     def __init__(self, peer):
         self.peer = peer
--- a/tests/unit/test_background.py
+++ b/tests/unit/test_background.py
@@ -1,4 +1,4 @@
-"""Tasks that nobody waits for are held until they end, whatever way."""
+"""Background tasks are referenced until they end, whether by returning, raising or being cancelled."""
 
 import asyncio
 import gc
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("work", [lambda: asyncio.sleep(0.1), fail], ids=["ends", "fails"])
-def test_a_task_is_held_until_it_ends(work):
+def test_task_is_referenced_until_it_ends(work):
     async def scenario():
         tasks = BackgroundTasks()
         task = tasks.start(work())
@@ -28,7 +28,7 @@
     assert run_virtual(scenario()) == (True, False)
 
 
-def test_a_cancelled_task_is_let_go():
+def test_cancelled_task_is_released():
     async def scenario():
         tasks = BackgroundTasks()
         task = tasks.start(asyncio.sleep(60.0))
--- a/tests/unit/test_build_info.py
+++ b/tests/unit/test_build_info.py
@@ -1,4 +1,4 @@
-"""The commit is read from git's own files, whatever form they have."""
+"""The commit is read from each form of git's files: branch, detached head and packed refs."""
 
 import re
 
@@ -21,7 +21,7 @@
     ],
     ids=["branch", "detached", "packed", "not packed", "no branch", "no repository"],
 )
-def test_the_commit_of_a_checkout(tmp_path, files, commit):
+def test_commit_of_a_checkout(tmp_path, files, commit):
     for name, text in files.items():
         path = tmp_path / ".git" / name
         path.parent.mkdir(parents=True, exist_ok=True)
@@ -29,5 +29,5 @@
     assert build_commit(tmp_path) == commit
 
 
-def test_the_version_is_that_of_the_package():
+def test_version_has_three_numbers():
     assert re.fullmatch(r"\d+\.\d+\.\d+", build_version())
--- a/tests/unit/test_catalogue.py
+++ b/tests/unit/test_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogues in docs/ and the code agree both ways."""
+"""The generated catalogue pages in docs/ are up to date."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 DOCS = Path(__file__).parents[2] / "docs"
 
 
-def test_pages_are_what_the_code_says():
+def test_pages_match_the_code():
     assert (DOCS / "ERRORS.md").read_text() == errors_page()
     assert (DOCS / "LOG_EVENTS.md").read_text() == events_page()
 
--- a/tests/unit/test_http_connection.py
+++ b/tests/unit/test_http_connection.py
@@ -1,6 +1,6 @@
-"""Connections to back ends that break off, say too much, or answer somebody else.
+"""Connections to back ends that break, send surplus bytes, or send the answer to another request.
 
-A scripted server writes raw bytes, so that the table can list what aiohttp's own server would never send.
+A scripted server writes raw bytes, so that the tables can list bytes that aiohttp's own server would never send.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class ScriptedServer:
-    """For each request on a connection, performs the next step list; counts connections."""
+    """Performs the next script for each request on a connection, and counts connections."""
 
     def __init__(self, *scripts):
         self.scripts = list(scripts)
@@ -84,7 +84,7 @@
 
 
 def run_scripts(run_async, scripts, request_ids=("r1",)):
-    """Return what each request got (bytes or the error's type) and how many connections were made."""
+    """Return each request's body or type of error, and the number of connections made."""
 
     async def work():
         pool = ConnectionPool("X-Id", connect_timeout_s=5.0, user_timeout_s=5.0)
@@ -126,7 +126,7 @@
         ([answer(b"other", b"not yours"), CLOSE], BROKEN),
     ],
 )
-def test_what_one_exchange_gets(run_async, steps, expected):
+def test_result_of_one_round_trip(run_async, steps, expected):
     assert run_scripts(run_async, [steps])[0] == [expected]
 
 
@@ -145,20 +145,20 @@
         ([answer(), PAUSE, RESET], 2),
     ],
 )
-def test_a_connection_is_reused_only_if_nothing_surplus_was_seen(run_async, first, connections):
+def test_connection_is_reused_only_without_surplus_bytes(run_async, first, connections):
     second = [answer(b"r2", b"second")]
     results, made = run_scripts(run_async, [first, second], ("r1", "r2"))
     assert results == [b"hello", b"second"]
     assert made == connections
 
 
-def test_a_late_surplus_answer_never_becomes_the_next_ones(run_async):
-    """The surplus answer of the first request arrives where the second's is due."""
+def test_late_surplus_answer_is_not_taken_for_the_next_answer(run_async):
+    """A second answer to the first request arrives while the second request waits for its answer."""
     scripts = [[answer()], [answer(b"r1", b"late surplus"), answer(b"r2", b"second")]]
     assert run_scripts(run_async, scripts, ("r1", "r2"))[0] == [b"hello", b"second"]
 
 
-def test_nothing_can_have_reached_a_back_end_that_refuses_connections(run_async):
+def test_refused_connection_raises_connect_failed(run_async):
     async def work():
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))
@@ -171,7 +171,7 @@
     assert run_async(work()) is False
 
 
-def test_giving_an_exchange_up_closes_its_connection(run_async):
+def test_cancelled_round_trip_closes_its_connection(run_async):
     async def work():
         closed = asyncio.Event()
 
@@ -202,8 +202,8 @@
 
 
 @pytest.mark.parametrize("end", [CLOSE, RESET], ids=["close", "reset"])
-def test_what_arrived_before_a_break_is_yielded_before_the_error(run_async, end):
-    """An error set on aiohttp's reader hides what it still holds; events that had arrived were lost to callers."""
+def test_bytes_received_before_a_break_are_yielded_before_the_error(run_async, end):
+    """Regression: an error set on aiohttp's reader hid buffered bytes, and callers lost events that had arrived."""
 
     async def work():
         pool = ConnectionPool("X-Id", connect_timeout_s=5.0, user_timeout_s=5.0)
@@ -223,8 +223,8 @@
     assert run_async(work()) == b"hello"
 
 
-class FallsSilent:
-    """Answers on every connection until told; from then on only on those that are made later."""
+class SilencedServer:
+    """A server that, after ``fall_silent``, answers only on connections that are made later."""
 
     def __init__(self):
         self._silent = set()
@@ -254,11 +254,11 @@
             writer.close()
 
 
-def test_one_call_is_lost_to_connections_that_fell_silent(run_async):
-    """Each resting connection cost a call its whole time-out: six of them kept a node from its store for 9 s."""
+def test_silent_connections_fail_only_one_call(run_async):
+    """Regression: each silent idle connection cost a call its whole time-out; six blocked store calls for 9 s."""
 
     async def scenario():
-        async with FallsSilent() as server:
+        async with SilencedServer() as server:
             pool = ConnectionPool("", 1.0, 1.0)
             await asyncio.gather(*(pool.fetch(server.address, REQUEST, 1.0) for _ in range(4)))
             server.fall_silent()
@@ -275,9 +275,9 @@
     assert run_async(scenario()) == ["silent", 200, 200]
 
 
-def test_a_connection_that_ended_in_silence_takes_the_resting_ones_with_it(run_async):
+def test_unacknowledged_connection_closes_the_idle_ones(run_async):
     async def scenario():
-        async with FallsSilent() as server:
+        async with SilencedServer() as server:
             pool = ConnectionPool("", 1.0, 1.0)
             await asyncio.gather(*(pool.fetch(server.address, REQUEST, 1.0) for _ in range(3)))
             connection = await pool.acquire(server.address)
@@ -294,8 +294,8 @@
 
 
 @pytest.mark.parametrize("loop", [asyncio.new_event_loop, uvloop.new_event_loop], ids=["asyncio", "uvloop"])
-def test_connections_that_hang_time_out_and_leave_nothing_open(run_async, loop):
-    """A listener whose queue is full drops what knocks, as a zone that is cut off does."""
+def test_connects_without_answer_time_out_and_leave_nothing_open(run_async, loop):
+    """A listener whose queue is full drops connection attempts, as an unreachable zone does."""
 
     def open_files():
         return len(os.listdir("/proc/self/fd"))
@@ -310,20 +310,20 @@
                 waiting.connect_ex(listener.getsockname())
             pool = ConnectionPool("X", 0.05, 1.0)
             with pytest.raises(ConnectFailedError):
-                await pool.acquire(address)  # A loop opens files of its own with its first connection.
+                await pool.acquire(address)  # The loop opens files of its own with its first connection.
             before = open_files()
             for _ in range(3):
                 with pytest.raises(ConnectFailedError) as failure:
                     await pool.acquire(address)
                 assert failure.value.timed_out
-            given_up = asyncio.ensure_future(pool.acquire(address))
+            cancelled_attempt = asyncio.ensure_future(pool.acquire(address))
             await asyncio.sleep(0.01)
-            given_up.cancel()
-            await asyncio.gather(given_up, return_exceptions=True)
+            cancelled_attempt.cancel()
+            await asyncio.gather(cancelled_attempt, return_exceptions=True)
             await asyncio.sleep(0.05)
-            assert given_up.cancelled()
+            assert cancelled_attempt.cancelled()
             return open_files() - before, len(asyncio.all_tasks())
 
-    left_open, tasks = run_async(work(), loop)
-    assert left_open == 0
+    open_files_left, tasks = run_async(work(), loop)
+    assert open_files_left == 0
     assert tasks == 1
--- a/tests/unit/test_import_layers.py
+++ b/tests/unit/test_import_layers.py
@@ -1,4 +1,4 @@
-"""Which package may import which: what the folders of the architecture page promise, and no cycle of modules."""
+"""Checks which package may import which, as the architecture page states, and that no imports form a cycle."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
     "socket_options",
     "start_signals",
 }
-"""Modules at the top that any package may use, the pure decisions excepted."""
+"""Top-level modules that any package may import, except the pure decisions (``routing`` and ``deployment``)."""
 LEAVES = {"platform", "standalone", "emulator", "soak", "bench", "cli"}
-"""Packages that nothing of the product imports: adapters, the second router, stand-ins and tools."""
+"""Packages that no package in ``ALLOWED`` may import: adapters, the second router, emulators and tools."""
 
 ALLOWED: dict[str, set[str]] = {
     "routing": {"deployment", "errors", "outcomes"},
@@ -46,12 +46,12 @@
     | {"cluster", "deployment", "node", "node.state", "placement", "rollout", "routing", "serving", "storage"},
     "standalone": COMMON | {"cluster", "routing", "storage"},
 }
-"""For each package, the others it may import. ``node.state`` is what a node knows: those who act on it import it,
-and not the rest of ``node``."""
+"""For each package, the other packages it may import. ``node.state`` is a node's state: packages that use the state
+import ``node.state`` and not the rest of ``node``."""
 
 
 def package_of(module: str) -> str:
-    """Return the name under which a module stands in ``ALLOWED``."""
+    """Return the key of a module's package in ``ALLOWED``."""
     if module == "wallwell.node.state":
         return "node.state"
     return module.split(".")[1] if "." in module else ""
@@ -59,7 +59,7 @@
 
 @cache
 def imports_of_modules() -> dict[str, set[str]]:
-    """Return, for each module of the product, those modules of the product that it imports anywhere."""
+    """Return, for each wallwell module, the wallwell modules it imports, including imports within functions."""
     paths = {_module_name(path): path for path in ROOT.rglob("*.py")}
     return {module: _imports(path, set(paths)) for module, path in paths.items()}
 
@@ -80,27 +80,27 @@
 
 
 @pytest.mark.parametrize("package", sorted(ALLOWED))
-def test_a_package_imports_only_what_stands_below_it(package):
+def test_package_imports_only_allowed_packages(package):
     own = [module for module in imports_of_modules() if package_of(module) == package]
     assert own, f"no module of {package}"
-    wrong = [
+    forbidden = [
         f"{module} -> {imported}"
         for module in own
         for imported in imports_of_modules()[module]
         if package_of(imported) not in ALLOWED[package] | {package}
     ]
-    assert not wrong
+    assert not forbidden
 
 
-def test_every_package_of_the_product_is_held():
+def test_every_package_is_listed():
     packages = {path.name for path in ROOT.iterdir() if (path / "__init__.py").exists()}
     assert packages == {name for name in ALLOWED if "." not in name} | LEAVES
 
 
-def test_no_module_is_imported_by_what_it_imports():
+def test_imports_have_no_cycle():
     imports = imports_of_modules()
-    left = {module: set(found) for module, found in imports.items()}
-    while ready := [module for module, found in left.items() if not found & left.keys()]:
+    remaining = {module: set(found) for module, found in imports.items()}
+    while ready := [module for module, found in remaining.items() if not found & remaining.keys()]:
         for module in ready:
-            del left[module]
-    assert not left, f"in or above a cycle: {sorted(left)}"
+            del remaining[module]
+    assert not remaining, f"in a cycle, or importing a module in a cycle: {sorted(remaining)}"
--- a/tests/unit/test_log_writer.py
+++ b/tests/unit/test_log_writer.py
@@ -1,4 +1,4 @@
-"""Logging never waits, is bounded, keeps what matters longest, and samples whole requests."""
+"""Logging never blocks, has a bounded queue, drops failures last, and samples by request id."""
 
 import json
 import os
@@ -21,13 +21,13 @@
     data = b""
     while True:
         try:
-            piece = os.read(read_end, 65536)
+            chunk = os.read(read_end, 65536)
         except BlockingIOError:
             return [json.loads(line) for line in data.splitlines()]
-        data += piece
+        data += chunk
 
 
-def test_a_standing_reader_costs_lines_and_never_time(pipe):
+def test_stalled_reader_loses_lines_but_never_blocks_the_writer(pipe):
     read_end, write_end = pipe
     writer = LogWriter(write_end, max_lines=50)
     for number in range(5000):
@@ -42,7 +42,7 @@
     assert sum(line.get("lost", 0) for line in lines) + sum("number" in line for line in lines) == 5000
 
 
-def test_failures_are_kept_when_successes_are_dropped(pipe):
+def test_successes_are_dropped_before_failures(pipe):
     read_end, write_end = pipe
     writer = LogWriter(write_end, max_lines=20)
     while not writer._routine:
@@ -58,14 +58,14 @@
     assert [line["failure"] for line in lines if "failure" in line] == list(range(10))
 
 
-def test_a_closed_reader_ends_nothing():
+def test_closed_reader_raises_no_error():
     read_end, write_end = os.pipe()
     os.close(read_end)
     LogWriter(write_end).write({"event": 1}, is_important=True)
     os.close(write_end)
 
 
-def test_successes_are_whole_up_to_a_rate_and_then_sampled_by_request():
+def test_all_successes_are_written_up_to_a_rate_and_then_sampled_by_request():
     sampler = RoutineSampler(rate_per_s=10.0, sample_every=4)
     kept = [sampler.should_write(f"r{number}", 5.0) for number in range(1000)]
     assert all(kept[:10])
--- a/tests/unit/test_plain_http.py
+++ b/tests/unit/test_plain_http.py
@@ -1,4 +1,4 @@
-"""A router's start: aiohttp makes no TLS contexts, and the rest of the process is as before."""
+"""At a router's start, aiohttp is imported without TLS, and all other modules can still use TLS."""
 
 import subprocess
 import sys
@@ -13,6 +13,6 @@
 """
 
 
-def test_aiohttp_is_loaded_without_tls_and_nobody_else_is():
+def test_only_aiohttp_is_imported_without_tls():
     done = subprocess.run([sys.executable, "-c", PROBE], capture_output=True, text=True, check=False)
     assert (done.returncode, done.stdout.strip()) == (0, "CERT_REQUIRED"), done.stderr
--- a/tests/unit/test_socket_options.py
+++ b/tests/unit/test_socket_options.py
@@ -1,6 +1,6 @@
-"""Every connection that this product makes ends by itself when its other end falls silent.
+"""Connections to back ends and peers end when their remote end no longer acknowledges packets.
 
-Packets cannot be dropped on the loopback, so the tests look at what was asked of the system for each kind.
+Packets cannot be dropped on the loopback interface, so the tests check the options of each kind of connection.
 """
 
 import asyncio
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("connect", [pooled, peer_link])
-def test_a_connection_ends_when_its_other_end_falls_silent(run_async, connect):
+def test_connection_has_keepalive_options(run_async, connect):
     async def scenario():
         server = await asyncio.start_server(lambda reader, writer: reader.read(), "127.0.0.1", 0)
         transport = await connect(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
--- a/tests/virtual_network.py
+++ b/tests/virtual_network.py
@@ -1,7 +1,7 @@
 """A seeded in-memory network that drives cluster nodes in virtual time.
 
-Messages are encoded and decoded by the real codec, so byte counts are those of the wire.
-Faults: loss, duplication, delay, partitions, pauses, restarts.
+Messages are encoded and decoded by the real codec, so byte counts are the same as on a real network.
+Faults: loss, duplication, delay, partitions, pauses and restarts.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass
 class NodeCost:
-    """What one node put on the wire and took from it."""
+    """Network traffic of one node."""
 
     sent_bytes: int = 0
     received_messages: int = 0
@@ -32,7 +32,7 @@
 
 @dataclass
 class LinkFaults:
-    """What the network does to datagrams."""
+    """Probabilities of loss and duplication, and bounds of the delay, of each datagram."""
 
     loss: float = 0.0
     duplication: float = 0.0
@@ -50,7 +50,7 @@
 
 
 class VirtualNetwork:
-    """Nodes by address, an event queue and a clock."""
+    """A simulated network: nodes by address, a queue of scheduled events and a clock."""
 
     def __init__(self, seed: int, faults: LinkFaults | None = None) -> None:
         self.rng = random.Random(seed)
@@ -64,18 +64,18 @@
     # --- nodes -----------------------------------------------------------------------------------------
 
     def add(self, node: ClusterNode) -> None:
-        """Start a node; its first tick comes within one interval."""
+        """Start a node, with its first tick at a random time within ``TICK_INTERVAL_S``."""
         address = node.identity.address
         self.hosts[address] = host = _Host(node)
         self._perform(address, node.membership.join(node.config.head))
         self.schedule(self.rng.uniform(0, TICK_INTERVAL_S), lambda: self._tick(address, host))
 
     def kill(self, address: str) -> None:
-        """Stop a node without a word."""
+        """Stop a node without notifying its peers."""
         self.hosts.pop(address).alive = False
 
     def pause(self, address: str, paused: bool) -> None:
-        """Freeze or thaw a node; datagrams that arrive meanwhile wait in its socket."""
+        """Pause or resume a node; datagrams that arrive during a pause are queued and delivered on resume."""
         host = self.hosts[address]
         host.paused = paused
         if not paused:
@@ -84,21 +84,21 @@
                 self._receive(address, sender, data)
 
     def partition(self, groups: Iterable[Iterable[str]]) -> None:
-        """Cut the network between groups of addresses; no groups heal it."""
+        """Partition the network into groups of addresses; without groups, end the partition."""
         self._partition = {address: number for number, group in enumerate(groups) for address in group}
 
     def nodes(self) -> list[ClusterNode]:
-        """Every running node."""
+        """Return all nodes that have not been killed."""
         return [host.node for host in self.hosts.values()]
 
     # --- time ------------------------------------------------------------------------------------------
 
     def schedule(self, delay_s: float, work: Callable[[], None]) -> None:
-        """Run ``work`` after a delay."""
+        """Call ``work`` after ``delay_s`` of virtual time."""
         heapq.heappush(self._queue, (self.now_s + delay_s, next(self._order), work))
 
     def run(self, duration_s: float) -> None:
-        """Advance the clock."""
+        """Advance the clock by ``duration_s`` and run all work due until then."""
         end_s = self.now_s + duration_s
         while self._queue and self._queue[0][0] <= end_s:
             self.now_s, _, work = heapq.heappop(self._queue)
@@ -106,7 +106,7 @@
         self.now_s = end_s
 
     def run_until(self, condition: Callable[[], bool], limit_s: float, step_s: float = 0.1) -> float | None:
-        """Advance until ``condition`` holds; returns the time that took, or None after ``limit_s``."""
+        """Advance until ``condition`` holds; return the seconds that took, or None after ``limit_s``."""
         start_s = self.now_s
         while not condition():
             if self.now_s - start_s >= limit_s:
@@ -125,7 +125,7 @@
     # --- messages --------------------------------------------------------------------------------------
 
     def perform(self, node: ClusterNode, actions: Iterable[Action]) -> None:
-        """Carry out a node's actions."""
+        """Carry out actions that a node has returned."""
         self._perform(node.identity.address, actions)
 
     def _perform(self, address: str, actions: Iterable[Action]) -> None:
@@ -162,7 +162,7 @@
         self._perform(address, actions)
 
     def _fetch(self, address: str, action: FetchConfig) -> None:
-        """A configuration fetch over TCP: a round trip, whole or not at all."""
+        """Schedule a configuration fetch over TCP, which either completes or has no effect."""
         delay_s = 3 * self.rng.uniform(self.faults.min_delay_s, self.faults.max_delay_s)
         self.schedule(delay_s, lambda: self._complete_fetch(address, action.address))
 
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -1,7 +1,7 @@
-"""What others read of the product, in neutral terms: plain dicts, lists, texts and bytes.
+"""The product's external formats as plain dicts, lists, strings and bytes, for the compatibility tests.
 
-The tests under ``tests/unit/compatibility`` hold the literals and import nothing of the product; they get their
-subjects here. When modules or classes of the product move, this file follows, and the literals stay.
+The tests under ``tests/unit/compatibility`` contain the expected literals. Except ``test_two_builds``, they do not
+import the product but call the functions here, so that only this file follows when its modules or classes move.
 """
 
 from __future__ import annotations
@@ -140,25 +140,25 @@
 
 
 def kinds() -> list[str]:
-    """Return the kinds of documents that :func:`rewrite` knows."""
+    """Return the kinds of documents that :func:`rewrite` supports."""
     return sorted([*_TYPES, "peer request"])
 
 
 def rewrite(kind: str, text: str) -> str:
-    """Decode a JSON document of a kind as the product does and return it as the product encodes it."""
+    """Decode a JSON document of a kind and return it re-encoded, both as the product does."""
     if kind == "peer request":
         return msgspec.json.encode(_node()._peer_server._decoder.decode(text)).decode()
     return msgspec.json.encode(msgspec.json.decode(text, type=_TYPES[kind])).decode()
 
 
 def rewrite_datagram(line: bytes, key: str) -> bytes:
-    """Decode an authenticated datagram between nodes and encode it again."""
+    """Decode an authenticated datagram between nodes and return it re-encoded."""
     codec = LineCodec(key)
     return codec.encode(codec.decode(line))
 
 
 def rewrite_line(kind: str, line: bytes, key: str) -> bytes:
-    """Do the same for an authenticated line over TCP: ``revisions wanted`` or ``revisions``."""
+    """Decode an authenticated line over TCP (``revisions wanted`` or ``revisions``) and return it re-encoded."""
     codec = LineCodec(key)
     return codec.encode(
         codec.decode_as(line, {"revisions wanted": ConfigDeltaRequest, "revisions": ConfigDelta}[kind])
@@ -166,38 +166,38 @@
 
 
 def datagram_types() -> int:
-    """Return how many types of datagrams there are."""
+    """Return the number of datagram types."""
     return len(get_args(messages.ClusterMessage))
 
 
 def peer_request_types() -> list[str]:
-    """Return the names under which requests between nodes travel."""
+    """Return the type names that requests between nodes carry on the wire."""
     return sorted(msgspec.inspect.type_info(each).tag for each in _node()._peer_server._handlers)
 
 
 def relayed_tables() -> list[str]:
-    """Return the names of tables that nodes ask each other for."""
+    """Return the names of the tables that nodes relay to each other."""
     return sorted(_node()._followers.relayed_tables)
 
 
 def read_packed_sum(packed: bytes) -> str:
-    """Return a region's compressed sum as JSON."""
+    """Return a region's load sum, decompressed, as JSON."""
     return msgspec.json.encode(unpack_region_sum(packed, "peer")).decode()
 
 
 def pack_sum(text: str) -> bytes:
-    """Return a region's sum as it is sent."""
+    """Return a region's load sum as it is sent: compressed."""
     return pack_region_sum(msgspec.json.decode(text, type=RegionSum))
 
 
 def read_rows_reply(text: str) -> list[tuple[str, str | None, int]]:
-    """Return the rows of a reply between nodes."""
+    """Return the rows of a reply between nodes, each as key, value and version."""
     found = unpack_rows(msgspec.json.decode(text, type=RowsReply), "peer")
     return [(row.key, None if row.value is None else row.value.decode(), row.version) for row in found]
 
 
 def rows_reply(version: int, store_s: float, rows: list[tuple[str, str | None, int]]) -> tuple[str, str]:
-    """Return the reply that carries rows, and its compressed part as JSON."""
+    """Return a reply that carries rows, and the decompressed JSON of its packed part."""
     page = tuple(FeedRow(key, None if value is None else value.encode(), at) for key, value, at in rows)
     reply = reply_with_rows(FeedPage(page, version, store_s))
     unpacked = zlib.decompress(reply.packed).decode() if reply.packed else ""
@@ -239,7 +239,7 @@
 
 
 def platform_settings(path: Path) -> dict[str, Any]:
-    """Return the settings in a file of the platform, and what they mean in seconds."""
+    """Return the settings in a file of the platform, and the durations derived from them in seconds."""
     settings = load_platform_settings(str(path))
     bounds, places = settings.fleet_bounds(), settings.topology()
     return {
@@ -264,12 +264,12 @@
 
 
 def platform_settings_path() -> str:
-    """Return the path of the settings file that the platform gives."""
+    """Return the path of the settings file that the platform passes to the router."""
     return settings_path()
 
 
 def own_settings(text: str) -> dict[str, Any]:
-    """Return a settings document of the router without the platform, or its problems."""
+    """Return a parsed settings document of the router without the platform, or its problems."""
     try:
         return _plain(parse_settings(text, "node.yaml"))
     except SettingsError as error:
@@ -277,12 +277,12 @@
 
 
 def own_settings_file(path: Path) -> dict[str, Any]:
-    """Return the contents of a settings file of the router without the platform."""
+    """Return the parsed contents of a settings file of the router without the platform."""
     return _plain(load_settings(path))
 
 
 def operators_file(text: str) -> dict[str, Any]:
-    """Return an operators' file as nodes keep it, or its problems."""
+    """Return an operators' file as nodes store it, or its problems."""
     file, problems = parse_file(text)
     if file is None:
         return {"problems": [str(problem) for problem in problems]}
@@ -290,7 +290,7 @@
 
 
 def operators_directory(texts: list[str]) -> list[str]:
-    """Return the keys of operators' files that belong together, and problems between them."""
+    """Return the keys of the files in an operators' directory, and the problems between the files."""
     files = {file.key: file for file, _ in map(parse_file, texts) if file is not None}
     return [*map(str, files), *map(str, check_references(files))]
 
@@ -299,7 +299,7 @@
 
 
 def error_table() -> dict[str, tuple[str, int, str]]:
-    """Return title, HTTP status and outcome of each error by its code."""
+    """Return the title, HTTP status and outcome of each error by its code."""
     table: dict[str, tuple[str, int, str]] = {}
     for each in all_error_types():
         assert each.code not in table, each.code
@@ -314,7 +314,7 @@
 
 
 def operators_error_answer(code: str) -> tuple[int, str]:
-    """Return status and body of an error as operators of the router without the platform get it."""
+    """Return status and body of an error answered to operators of the router without the platform."""
 
     async def fail(request: web.Request) -> web.StreamResponse:
         raise _error(code)
@@ -330,7 +330,7 @@
 
 
 def outcomes() -> list[str]:
-    """Return the ways a request can end."""
+    """Return the possible outcomes of a request."""
     return [each.value for each in Outcome]
 
 
@@ -347,7 +347,7 @@
 
 
 def event_fields() -> dict[int, list[str]]:
-    """Return the fields that each event is logged with anywhere; ``**`` stands for names made at run time."""
+    """Return the fields with which each event is logged anywhere; ``**`` stands for names built at run time."""
     found: dict[int, set[str]] = {}
     for path in SOURCE.rglob("*.py"):
         text = path.read_text(encoding="utf-8")
@@ -403,7 +403,7 @@
 
 
 def lost_lines_notice(path: Path) -> bytes:
-    """Return what is written where three log lines were lost."""
+    """Return the line that is logged after three log lines were lost."""
     with path.open("wb") as file:
         writer = LogWriter(file.fileno())
         writer.dropped = 3
@@ -424,7 +424,7 @@
 
 
 def metrics_of_platform_router() -> dict[str, str]:
-    """Return type, labels and bounds of the metrics of a router on the platform, by exposed name."""
+    """Return type, labels and bucket bounds of the metrics of a router on the platform, by exposed name."""
     counters = RequestCounters()
     counters.on_answered("stream", 0.1, 0.2, 0.1)
     collector = NodeCollector(counters, _node().state, is_ready=True)
@@ -435,7 +435,7 @@
 
 
 def metrics_of_own_router() -> dict[str, str]:
-    """Return the same of a router without the platform."""
+    """Return type, labels and bucket bounds of the metrics of a router without the platform, by exposed name."""
     metrics = NodeMetrics()
     declared = {}
     for each in set(metrics.registry._collector_to_names):
@@ -451,7 +451,7 @@
 
 
 def command_line() -> dict[str, list[str]]:
-    """Return each command with its arguments: names, then what is not argparse's own choice for them."""
+    """Return each command with its arguments: names, then the settings that differ from argparse's defaults."""
     parser = build_parser()
     return {name: sorted(_arguments(each)) for name, each in _subcommands(parser).items()}
 
@@ -498,7 +498,7 @@
 
 
 class _RecordingPool:
-    """Keeps what is sent and gives prepared answers by the beginning of the request."""
+    """Records sent requests and returns prepared answers, selected by the beginning of the request."""
 
     def __init__(self, answers: dict[str, bytes] | None = None) -> None:
         self.sent: list[str] = []
@@ -521,7 +521,7 @@
 
 
 def store_reads() -> list[str]:
-    """Return the calls that read a table whole in two pages, follow its changes, and get one row."""
+    """Return the calls that read a whole table in two pages, follow its changes, and get one row."""
 
     async def act(node: Any, store: Any) -> None:
         await TableRows(store, "servers").read_all()
@@ -572,7 +572,7 @@
 
 
 class _RecordingTable:
-    """A table service that keeps transactions and has rows of its own."""
+    """A table service that records transactions and returns prepared rows."""
 
     def __init__(self, rows: dict[str, str]) -> None:
         self.rows = rows
@@ -591,7 +591,7 @@
 
 
 def claim_writes(rows: dict[str, str]) -> list[str]:
-    """Return the transactions of a claim that is granted, then of one recorded and of one released."""
+    """Return the transactions of a claim that is granted, of a recorded one, and of a released one."""
     table = _RecordingTable(rows)
 
     async def act() -> None:
@@ -606,14 +606,14 @@
 
 
 def claim_found(value: str) -> tuple[str, int, str]:
-    """Return what a claim finds in an earlier one's row."""
+    """Return what a claim reads from the row of an earlier claim."""
     table = _RecordingTable({"claim/acme/orders/k1": value})
     claim = asyncio.run(ClaimTable(table).claim("acme", "orders/k1", "d1", "id2"))
     return claim.result.value, claim.status, claim.body
 
 
 def configuration_writes(rows: dict[str, str], text: str) -> tuple[list[str], str]:
-    """Return the transactions of an operators' change onto what the table has, and its answer."""
+    """Return the transactions of an operators' change to a table with ``rows``, and the answer to the change."""
     table, store = _RecordingTable(rows), ConfigStore()
     committer = ConfigCommitter(table, store, store.apply)
     answer = asyncio.run(committer.apply(ApplyRequest("a1", "maria", text)))
@@ -622,7 +622,7 @@
 
 
 def read_rows(table: str, given: list[tuple[str, str]]) -> dict[str, Any]:
-    """Return what a node knows once it has read rows of a table: ``op``, ``servers`` or ``wallwell``."""
+    """Return a node's state after it has read rows of a table: ``op``, ``servers`` or ``wallwell``."""
     node, now_s = _node(), 0.0
     page = FeedPage(tuple(FeedRow(key, value.encode(), at) for at, (key, value) in enumerate(given, 1)), 9, 0.0)
     followed = FollowedPage(page, True, now_s, float("-inf"))
@@ -701,7 +701,7 @@
 
 
 async def _server(answer: bytes, heard: list[bytes]) -> tuple[asyncio.Server, str]:
-    """Serve one prepared answer to whatever comes, and keep that."""
+    """Start a server that gives one prepared answer to every request and appends each request to ``heard``."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
@@ -716,20 +716,20 @@
 
 
 def _head_lines(data: bytes, dropped: tuple[str, ...]) -> list[str]:
-    """Return the lines of a message's head without those that are not the product's, and its body."""
+    """Return the lines of a message's head, without headers that the product does not set, and its body."""
     head, _, body = data.decode().partition("\r\n\r\n")
     kept = [line for line in head.split("\r\n") if not line.lower().startswith(dropped)]
     return [*kept, "", *body.split("\r\n")]
 
 
 def _lower_names(lines: list[str]) -> list[str]:
-    """Return a head with its names in small letters, since the HTTP library writes some of them its own way."""
+    """Return a head with lower-case header names, since the HTTP library capitalizes some of them."""
     end = lines.index("")
     return [re.sub(r"^[^: ]+:", lambda name: name[0].lower(), line) for line in lines[:end]] + lines[end:]
 
 
 class _OneDispatch:
-    """Stands for the node behind the callers' listener: sends each request once, or refuses it."""
+    """A substitute for the node behind the callers' listener: sends each request once, or refuses it."""
 
     def __init__(self, error: RequestError | None, dispatch: dict[str, Any], address: str) -> None:
         self.is_closing_connections = lambda: False
@@ -772,7 +772,7 @@
 def pass_through(
     asked: bytes, answered: bytes, dispatch: dict[str, Any], refusal: tuple[str, int] | None = None
 ) -> dict[str, Any]:
-    """Send a caller's bytes through listener and workers' client; ``refusal`` is a code and a time in ms."""
+    """Send a caller's bytes through listener and workers' client. ``refusal`` is a code and a Retry-After in ms."""
     error = _error(*refusal) if refusal is not None else None
 
     async def act() -> dict[str, Any]:
@@ -803,7 +803,7 @@
 
 
 def plain_server(which: str, path: str, ready: bool = True) -> list[str]:
-    """Return the answer of the readiness address or of the figures' address."""
+    """Return the answer of the readiness address or of the metrics address."""
     node = _OneDispatch(None, {} if ready else {"x": 1}, "")
 
     async def act() -> bytes:
@@ -815,7 +815,7 @@
 
 
 def worker_failure(answered: bytes) -> tuple[str, str, int] | None:
-    """Return how an attempt failed that a worker answered so: event, detail and weights; None if it did not."""
+    """Return how an attempt with this worker's answer failed (event, detail, weights), or None if it succeeded."""
 
     async def act() -> tuple[str, str, int] | None:
         heard: list[bytes] = []
@@ -834,7 +834,7 @@
 
 
 def worker_control(report: bytes) -> dict[str, Any]:
-    """Return the calls for a worker's report and for an order, and what is understood of the report."""
+    """Return the calls for a worker's report and for an order, and the parsed report."""
     pool = _RecordingPool({"GET": report})
     workers = WorkerControl(pool, BackendNotices())  # type: ignore[arg-type]
     backend = BackendRecord("inc-1", "svc", "127.0.0.1:5", "z1", 1)
@@ -851,7 +851,7 @@
 
 
 def order_replies(statuses: list[int]) -> dict[int, str]:
-    """Return what each status of a worker's answer to an order means."""
+    """Return the interpretation of each status of a worker's answer to an order."""
 
     async def act(status: int) -> str:
         pool = _RecordingPool()
@@ -868,7 +868,7 @@
 
 
 def cache_calls(events: bytes, listing: bytes) -> dict[str, Any]:
-    """Return the calls for a store of kept cache's events and listing, and the pages understood."""
+    """Return the calls for a KV store's cache events and listing, and the parsed pages."""
     pool = _RecordingPool({"GET /api/kv-events": events, "GET /api/kv-list": listing})
     client = CacheEventsClient(pool)  # type: ignore[arg-type]
 
@@ -886,7 +886,7 @@
 
 
 def engine_calls(answered: bytes) -> dict[str, Any]:
-    """Return a generation, a cancel, an order and calls for events and snapshot as engines get them."""
+    """Return a generation, a cancellation, an order and calls for events and snapshot as engines receive them."""
 
     async def act() -> dict[str, Any]:
         sent: dict[str, list[str]] = {}
@@ -903,7 +903,7 @@
                 try:
                     await reading()  # type: ignore[operator]
                 except (msgspec.MsgspecError, StopAsyncIteration, aiohttp.ClientError):
-                    pass  # The prepared answer is that of a generation.
+                    pass  # The prepared answer is valid for a generation only.
         server.close()
         for name, data in zip(("generation", "cancel", "order", "snapshot", "events"), heard, strict=True):
             sent[name] = _head_lines(data, _NOT_OURS)
@@ -913,7 +913,7 @@
 
 
 def service_call(answered: bytes) -> dict[str, Any]:
-    """Return a call as a service gets it, and what becomes of the answer."""
+    """Return a call as a service receives it, and the result of its answer."""
 
     async def act() -> dict[str, Any]:
         heard: list[bytes] = []
@@ -941,7 +941,7 @@
 
 
 def own_caller(headers: dict[str, str], token_sha256: str) -> dict[str, Any]:
-    """Return what the router without the platform understands of a caller's headers, or the error's code."""
+    """Return how the router without the platform parses a caller's headers, or the error's code."""
     spec = SimpleNamespace(default_priority=None, priorities=("urgent",))
     context = SimpleNamespace(
         ready=True,
@@ -995,16 +995,16 @@
     return None if found is None else (found.request_id, found.token_index)
 
 
-# --- what all nodes work out alike ---------------------------------------------------------------------------
+# --- results that all nodes must agree -----------------------------------------------------------------------
 
 
 def owner_of(names: list[str], text: str) -> str:
-    """Return which of several nodes has a key."""
+    """Return which of several nodes owns a key."""
     return owner(names, rendezvous_key(text))
 
 
 def digest_of_content(host: str, target: str, caller: str, body: bytes) -> str:
-    """Return the digest under which crashes of a request are written."""
+    """Return the content digest under which a request's crashes are recorded."""
     return content_digest(host, target, caller, body)
 
 
@@ -1014,6 +1014,6 @@
 
 
 def packed_hashes(values: list[int]) -> tuple[str, list[int]]:
-    """Return hashes as they are sent, and read back."""
+    """Return hashes as they are sent, and the hashes decoded from that."""
     text = engine_protocol.pack_hashes(values)
     return text, engine_protocol.unpack_hashes(text)
