--- a/src/wallwell/log_writer.py
+++ b/src/wallwell/log_writer.py
@@ -1,7 +1,7 @@
-"""JSON log lines to a descriptor whose reader may be slow: bounded in memory, never blocking, losses counted.
+"""Writes JSON log lines to a file descriptor whose reader may be slow, without blocking.
 
-Owns the queue of lines and which are dropped first. Lines of failures and refusals are kept longest. Lines of
-single-attempt successes are all written up to a rate, and beyond it for a fixed fraction of request ids, so that a
+Owns a bounded queue of lines, counts lost lines, and drops lines about failures and refusals last. Lines about
+single-attempt successes are all written up to a rate, and above it only for a fixed fraction of request ids, so a
 burst costs neither time nor memory.
 """
 
@@ -16,69 +16,70 @@
 import msgspec
 import xxhash
 
-MAX_LINES = 2000
-"""Lines queued while the reader is slow: about a megabyte of lines of some hundred bytes."""
-MAX_ROUTINE_PER_S = 20.0
-"""Lines a second up to which every ordinary success is written: whole histories at low load."""
-SAMPLE_ONE_IN = 16
-"""Beyond that rate, one request id in this many is written. It is the same at every node, so the lines of a chosen
-request are complete over all nodes."""
-MAX_SAVED_S = 1.0
-"""Seconds whose unused lines are saved up; the time before the first line, which is unknown, counts as this
-much."""
+MAX_QUEUED_LINES = 2000
+"""Maximum lines queued while the reader is slow: about a megabyte, at some hundred bytes per line."""
+MAX_ROUTINE_LINES_PER_S = 20.0
+"""Lines per second up to which every ordinary success is written, so that logs are complete at low load."""
+REQUESTS_PER_SAMPLE = 16
+"""Above ``MAX_ROUTINE_LINES_PER_S``, one request id in this many is logged. All nodes select the same ids, so the
+lines of a selected request are complete across nodes."""
+MAX_BURST_S = 1.0
+"""Seconds of unused rate that may accumulate for a burst; this much is assumed before the first line."""
 LINES_LOST_EVENT = 1008
-"""Number of ``Event.LOG_LINES_LOST``, whose module imports this one."""
+"""Number of ``Event.LOG_LINES_LOST``, repeated here since :mod:`wallwell.events` imports this module."""
 
 
 class RoutineSampler:
     """Decides which lines about ordinary successes are written."""
 
-    def __init__(self, rate_per_s: float = MAX_ROUTINE_PER_S, one_in: int = SAMPLE_ONE_IN) -> None:
+    def __init__(
+        self, rate_per_s: float = MAX_ROUTINE_LINES_PER_S, sample_every: int = REQUESTS_PER_SAMPLE
+    ) -> None:
         self._rate_per_s = rate_per_s
-        self._one_in = one_in
+        self._sample_every = sample_every
         self._tokens = rate_per_s
         self._updated_s = float("-inf")
 
-    def keeps(self, request_id: str, now_s: float) -> bool:
-        """Whether the line of this request is written."""
-        elapsed_s = min(MAX_SAVED_S, max(0.0, now_s - self._updated_s))
+    def should_write(self, request_id: str, now_s: float) -> bool:
+        """Return whether a line about this request is written; spends a token if one is available."""
+        elapsed_s = min(MAX_BURST_S, max(0.0, now_s - self._updated_s))
         self._updated_s = now_s
         self._tokens = min(self._rate_per_s, self._tokens + elapsed_s * self._rate_per_s)
         if self._tokens >= 1.0:
             self._tokens -= 1.0
             return True
-        return xxhash.xxh3_64_intdigest(request_id.encode()) % self._one_in == 0
+        return xxhash.xxh3_64_intdigest(request_id.encode()) % self._sample_every == 0
 
 
 class LogWriter:
-    """Queues lines and writes as many as their reader takes without waiting."""
+    """Queues lines and writes as many as the descriptor accepts without blocking."""
 
-    def __init__(self, descriptor: int, max_lines: int = MAX_LINES) -> None:
+    def __init__(self, descriptor: int, max_lines: int = MAX_QUEUED_LINES) -> None:
         self._descriptor = descriptor
         self._max_lines = max_lines
         self._important: deque[bytes] = deque()
         self._routine: deque[bytes] = deque()
         self._partial = b""
-        self.lost = 0
+        self.dropped = 0
         os.set_blocking(descriptor, False)
 
-    def write(self, fields: Mapping[str, Any], important: bool) -> None:
-        """Queue one line and write what can be written."""
+    def write(self, fields: Mapping[str, Any], is_important: bool) -> None:
+        """Queue one line and write as many queued lines as possible."""
         line = msgspec.json.encode(fields, enc_hook=str) + b"\n"
-        (self._important if important else self._routine).append(line)
+        (self._important if is_important else self._routine).append(line)
         while len(self._important) + len(self._routine) > self._max_lines:
             (self._routine or self._important).popleft()
-            self.lost += 1
+            self.dropped += 1
         self.flush()
 
     def flush(self) -> None:
-        """Write queued lines until the descriptor takes no more."""
-        if self.lost and not self._partial:
+        """Write queued lines until the descriptor accepts no more."""
+        if self.dropped and not self._partial:
             self._partial = (
-                msgspec.json.encode({"message": "log lines lost", "event": LINES_LOST_EVENT, "lost": self.lost})
+                msgspec.json.encode({"message": "log lines lost", "event": LINES_LOST_EVENT, "lost": self.dropped})
                 + b"\n"
             )
-            self.lost = 0
+            self.dropped = 0
         while self._partial or self._important or self._routine:
             if not self._partial:
                 self._partial = (self._important or self._routine).popleft()
@@ -87,14 +88,14 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone. There is nowhere to report that, and the queue must not grow.
+                # The reader has closed its end. There is nowhere to report that, and the queue must not grow.
                 self._partial = b""
                 continue
             self._partial = self._partial[written:]
 
 
 class JsonSink:
-    """A sink of the logger: encodes records and samples ordinary successes."""
+    """A loguru sink that encodes records as JSON and samples ordinary successes."""
 
     def __init__(self, writer: LogWriter, routine_event: int) -> None:
         self._writer = writer
@@ -102,11 +103,11 @@
         self._routine_event = routine_event
 
     def __call__(self, message: Any) -> None:
-        """Write one message of the logger, unless it is an ordinary success that is not sampled."""
+        """Write one loguru message, unless it is about an ordinary success that is not sampled."""
         record = message.record
         extra = record["extra"]
-        routine = extra.get("event") == self._routine_event and extra.get("attempts", 1) <= 1
-        if routine and not self._sampler.keeps(str(extra.get("request_id", "")), time.monotonic()):
+        is_routine = extra.get("event") == self._routine_event and extra.get("attempts", 1) <= 1
+        if is_routine and not self._sampler.should_write(str(extra.get("request_id", "")), time.monotonic()):
             return
         fields = {
             "time": record["time"].isoformat(timespec="milliseconds"),
@@ -114,4 +115,4 @@
             "message": record["message"],
             **extra,
         }
-        self._writer.write(fields, important=not routine)
+        self._writer.write(fields, is_important=not is_routine)
--- a/src/wallwell/socket_options.py
+++ b/src/wallwell/socket_options.py
@@ -1,6 +1,6 @@
-"""Options of TCP sockets that end connections whose other end is gone without a reset, and a test for such ends.
+"""TCP socket options that detect a dead remote end, and checks of a socket for unread bytes or a remote close.
 
-Relies on the system's TCP: nothing here costs the event loop anything while a connection is open.
+The system's TCP does the detection, so that it costs the event loop nothing while a connection is open.
 """
 
 from __future__ import annotations
@@ -10,42 +10,42 @@
 import select
 import socket
 
-PROBE_AFTER_S = 1
-"""Seconds without a packet after which the system probes a connection.
+KEEPALIVE_PROBE_S = 1
+"""Seconds without a packet after which the system sends a keepalive probe.
 
-The shortest that the system allows. Engines are silent for up to half a second between the events of a stream."""
-PROBES = 1
-"""Unanswered probes after which the connection ends; each is given ``PROBE_AFTER_S``, so the end comes after 2
-s."""
+The minimum that the system allows. Engines send nothing for up to half a second between the events of a stream."""
+KEEPALIVE_PROBES = 1
+"""Unanswered probes after which the connection ends. Each is given ``KEEPALIVE_PROBE_S``, so the end comes after
+2 s."""
 
 
-def end_when_silent(transport: asyncio.BaseTransport | None, unacknowledged_s: float) -> None:
-    """Let the system end a connection whose other end no longer acknowledges anything, idle or in use.
+def enable_keepalive(transport: asyncio.BaseTransport | None, unacknowledged_s: float) -> None:
+    """Let the system end a connection, idle or in use, whose remote end no longer acknowledges packets.
 
-    Without this, a connection whose packets are dropped on the way looks open forever. With bytes sent it ends
-    after ``unacknowledged_s`` seconds, without any after ``PROBE_AFTER_S`` and as long for each probe. Does
-    nothing where the system lacks an option.
+    Without this, a connection whose packets the network drops looks open forever. With unacknowledged bytes it ends
+    after ``unacknowledged_s`` seconds; an idle one ends after ``KEEPALIVE_PROBE_S`` plus the same time for each
+    unanswered probe. Options that the system lacks are skipped.
     """
-    raw = transport.get_extra_info("socket") if transport is not None else None
-    if raw is None:
+    sock = transport.get_extra_info("socket") if transport is not None else None
+    if sock is None:
         return
-    raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     if hasattr(socket, "TCP_KEEPIDLE"):
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_AFTER_S)
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_PROBE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_PROBE_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     if hasattr(socket, "TCP_USER_TIMEOUT"):
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, math.ceil(unacknowledged_s * 1000))
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, math.ceil(unacknowledged_s * 1000))
 
 
 def has_unread_bytes(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether bytes of the other end, or its close, wait in the socket for the event loop to read them."""
-    raw = transport.get_extra_info("socket") if transport is not None else None
-    return raw is not None and is_readable(raw.fileno())
+    """Whether the socket holds received bytes, or the remote end's close, that the event loop has not read yet."""
+    sock = transport.get_extra_info("socket") if transport is not None else None
+    return sock is not None and is_readable(sock.fileno())
 
 
 def is_readable(descriptor: int) -> bool:
-    """Whether bytes wait in a socket, or connections in a listening one; false where the system cannot say."""
+    """Whether a socket has bytes to read, or a listening one connections to accept; false without ``poll``."""
     if not hasattr(select, "poll"):
         return False
     poll = select.poll()
@@ -54,15 +54,15 @@
 
 
 def has_hung_up(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether a connection's other end has closed it, asked of the system: the event loop learns it a turn later.
+    """Whether the remote end has closed a connection, which the event loop notices one iteration later.
 
-    One system call, a few microseconds. Where the system cannot say, only what the loop knows counts.
+    Costs one system call of a few microseconds. Without ``POLLRDHUP``, only a close seen by the loop counts.
     """
     if transport is None or transport.is_closing():
         return True
-    raw = transport.get_extra_info("socket")
-    if raw is None or not hasattr(select, "POLLRDHUP"):
+    sock = transport.get_extra_info("socket")
+    if sock is None or not hasattr(select, "POLLRDHUP"):
         return False
     poll = select.poll()
-    poll.register(raw.fileno(), select.POLLRDHUP)
+    poll.register(sock.fileno(), select.POLLRDHUP)
     return bool(poll.poll(0))
