--- a/src/wallwell/bench/policy_run.py
+++ b/src/wallwell/bench/policy_run.py
@@ -79,7 +79,7 @@
 
 def _measure(fleet: EmulatedDeployment, policy: str, load: LoadResult, trace: Sequence[TraceRequest]) -> PolicyRun:
     models = [fleet.engine(name).model for name in fleet.engines]
-    keys = fleet.journal()
+    keys = fleet.idempotency_keys()
     sent = {request.key for request in trace if isinstance(request, ServiceRequest) and request.key}
     ran_once = set(keys)
     return PolicyRun(
--- a/src/wallwell/emulator/deployment.py
+++ b/src/wallwell/emulator/deployment.py
@@ -21,7 +21,7 @@
 from wallwell.cli.operator_client import OperatorClient
 from wallwell.emulator.engine_model import EngineProfile
 from wallwell.emulator.engine_server import EngineServer
-from wallwell.emulator.faults import end_at_once
+from wallwell.emulator.faults import abort_listener
 from wallwell.emulator.platform_server import PlatformServer
 from wallwell.emulator.service_server import ServiceServer
 from wallwell.standalone.config.commit import ApplyRequest
@@ -34,7 +34,7 @@
 """Operators' token of every router; good for loopback only, as is the cluster key."""
 CLUSTER_KEY = "fleet-cluster-key-0123456789"
 HOST = "127.0.0.1"
-AWAY_S = 1.2
+RESTART_DELAY_S = 1.2
 """Seconds until a stand-in that has crashed listens again."""
 SHUTDOWN_TIMEOUT_S = 0.05
 """Seconds for which handlers are waited for: a stand-in has nothing to finish."""
@@ -46,11 +46,11 @@
 """Seconds until a suspected router counts as failed: short, so that tests need not wait."""
 READY_TIMEOUT_S = 15.0
 """Seconds until all routers must be ready: one process starts them all."""
-READY_CHECK_S = 0.05
+READY_CHECK_INTERVAL_S = 0.05
 """Seconds between two checks of that."""
 APPLY_ID_BYTES = 12
 """Random bytes of the id of a change."""
-_ADDRESS = re.compile(r"\d+(?:\.\d+){3}:\d+")
+_ADDRESS_PATTERN = re.compile(r"\d+(?:\.\d+){3}:\d+")
 """``IP:PORT`` in an operators' file."""
 
 
@@ -78,12 +78,12 @@
     def _crash(self) -> None:
         assert self._runner is not None
         self.crashes += 1
-        end_at_once(self._runner)
-        self._restarts.start(self._restart())
+        abort_listener(self._runner)
+        self._restarts.begin(self._restart())
 
     async def _restart(self) -> None:
         await self.stop()
-        await asyncio.sleep(AWAY_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         await self.start(int(self.address.rpartition(":")[2]))
 
     async def stop(self) -> None:
@@ -134,8 +134,8 @@
         await self.platform.start()
         bodies = [path.read_text(encoding="utf-8") for path in sorted(self._directory.glob("*.yaml"))]
         parsed = [file for file, _ in map(parse_file, bodies) if file is not None]
-        replaced = await self._start_backends(parsed)
-        self.files = [self._with_addresses(file, replaced) for file in parsed]
+        new_addresses = await self._start_backends(parsed)
+        self.files = [self._replace_addresses(file, new_addresses) for file in parsed]
         zones = {file.key.name: file.spec.region for file in parsed if isinstance(file.spec, ZoneSpec)}
         for zone, region in zones.items():
             await self.start_router(f"{zone}-r1", zone, region)
@@ -143,7 +143,7 @@
         await self.wait_ready()
 
     async def _start_backends(self, files: list[ConfigFile]) -> dict[str, str]:
-        replaced: dict[str, str] = {}
+        new_addresses: dict[str, str] = {}
         models = {
             file.key.name: file.spec.weights_version for file in files if hasattr(file.spec, "weights_version")
         }
@@ -153,16 +153,16 @@
                     weights = {model: models[model] for model in file.spec.models}
                     backend = EmulatedBackend(EngineServer(entry.name, weights, self._profile))
                     self.engines[entry.name] = backend
-                    replaced[entry.address] = await backend.start()
+                    new_addresses[entry.address] = await backend.start()
             elif isinstance(file.spec, ServiceSpec):
                 for instance in file.spec.instances:
                     backend = EmulatedBackend(ServiceServer(instance.name))
                     self.services[instance.name] = backend
-                    replaced[instance.address] = await backend.start()
-        return replaced
+                    new_addresses[instance.address] = await backend.start()
+        return new_addresses
 
-    def _with_addresses(self, file: ConfigFile, replaced: dict[str, str]) -> ConfigFile:
-        body = _ADDRESS.sub(lambda found: replaced.get(found.group(), found.group()), file.body)
+    def _replace_addresses(self, file: ConfigFile, new_addresses: dict[str, str]) -> ConfigFile:
+        body = _ADDRESS_PATTERN.sub(lambda found: new_addresses.get(found.group(), found.group()), file.body)
         changed, _ = parse_file(body)
         assert changed is not None
         return changed
@@ -190,25 +190,25 @@
         self.routers.append(router)
         return router
 
-    async def apply(self, files: list[ConfigFile], router: int = 0) -> int:
+    async def apply(self, files: list[ConfigFile], router_index: int = 0) -> int:
         """Apply files through one router's operators' listener; returns the last revision."""
         revision = 0
         async with aiohttp.ClientSession() as session:
-            client = self.operator(router, session)
+            client = self.operator_client(router_index, session)
             for file in files:
                 answer = await client.apply(ApplyRequest(secrets.token_hex(APPLY_ID_BYTES), "fleet", file.body))
                 revision = max(revision, answer.revision)
         return revision
 
-    def operator(self, router: int, session: aiohttp.ClientSession) -> OperatorClient:
+    def operator_client(self, router_index: int, session: aiohttp.ClientSession) -> OperatorClient:
         """Return an operators' client of one router."""
-        return OperatorClient(f"http://{self.routers[router].operators_address}", OPERATOR_TOKEN, session)
+        return OperatorClient(f"http://{self.routers[router_index].operators_address}", OPERATOR_TOKEN, session)
 
     async def wait_ready(self, timeout_s: float = READY_TIMEOUT_S) -> None:
         """Wait until every router serves the highest revision and reads the events of every engine."""
         async with asyncio.timeout(timeout_s):
             while not self._is_ready():
-                await asyncio.sleep(READY_CHECK_S)
+                await asyncio.sleep(READY_CHECK_INTERVAL_S)
 
     def _is_ready(self) -> bool:
         head = max(router.context.node.config.head for router in self.routers)
@@ -220,7 +220,7 @@
                 return False
         return True
 
-    def journal(self) -> list[str]:
+    def idempotency_keys(self) -> list[str]:
         """Idempotency keys of every service call that ran, over all instances."""
         entries = [entry for name in self.services for entry in self.service(name).journal]
         return [entry.key for entry in entries if entry.key]
--- a/src/wallwell/emulator/engine_feed.py
+++ b/src/wallwell/emulator/engine_feed.py
@@ -12,7 +12,7 @@
 from aiohttp import web
 
 from wallwell.emulator.engine_model import CacheEvent
-from wallwell.emulator.engine_output import cache_line, snapshot_entry
+from wallwell.emulator.engine_output import cache_event_line, snapshot_entry
 from wallwell.emulator.engine_process import EngineProcess
 from wallwell.emulator.faults import reset_connection
 from wallwell.standalone.backends import engine_protocol as wire
@@ -23,7 +23,7 @@
 """Age, in seconds, that load reports state."""
 _LOAD_INTERVAL_S = 0.5
 """Seconds between two load reports."""
-_GOLDEN_FRACTION = 0.618034
+_GOLDEN_RATIO_FRACTION = 0.618034
 """Fractional part of the golden ratio: its multiples spread dropped events evenly, and the same ones each time."""
 
 
@@ -38,18 +38,18 @@
 
     def install(self, app: web.Application) -> None:
         """Add the endpoints to ``app``."""
-        app.router.add_get("/events", self._events)
-        app.router.add_get("/snapshot", self._snapshot)
+        app.router.add_get("/events", self._handle_events)
+        app.router.add_get("/snapshot", self._handle_snapshot)
 
     def reset_connections(self) -> None:
         """End all readers' connections, as a crash does."""
         for request in list(self._connections.values()):
             reset_connection(request)
 
-    async def _events(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_events(self, request: web.Request) -> web.StreamResponse:
         """Send reports until the reader goes, from event ``after`` on if the incarnation it names stands."""
-        same = request.query.get("incarnation") == self._process.incarnation
-        after = int(request.query.get("after", "0")) if same else 0
+        same_incarnation = request.query.get("incarnation") == self._process.incarnation
+        after = int(request.query.get("after", "0")) if same_incarnation else 0
         response = web.StreamResponse(headers={"Content-Type": "application/x-ndjson"})
         await response.prepare(request)
         self._connections[id(request)] = request
@@ -62,14 +62,14 @@
 
     async def _send_reports(self, response: web.StreamResponse, after: int) -> NoReturn:
         sent_status: wire.StatusLine | None = None
-        batches = max(1, round(_LOAD_INTERVAL_S / self._event_delay_s))
+        batches_per_load = max(1, round(_LOAD_INTERVAL_S / self._event_delay_s))
         while True:
-            if self._process.status() != sent_status:
-                sent_status = self._process.status()
+            if self._process.status_line() != sent_status:
+                sent_status = self._process.status_line()
                 await response.write(msgspec.json.encode(sent_status) + b"\n")
             # The lag: the load sent is the one taken before the pause.
-            load = self._process.load(self._load_lag_s)
-            for _ in range(batches):
+            load = self._process.load_line(self._load_lag_s)
+            for _ in range(batches_per_load):
                 after = await self._send_events(response, after)
                 await asyncio.sleep(self._event_delay_s)
             await response.write(msgspec.json.encode(load) + b"\n")
@@ -80,17 +80,17 @@
         for event in self._process.model.events:
             if event.sequence > after:
                 after = event.sequence
-                if not self._drops(event):
-                    lines.append(msgspec.json.encode(cache_line(event)))
+                if not self._is_dropped(event):
+                    lines.append(msgspec.json.encode(cache_event_line(event)))
         if lines:
             await response.write(b"\n".join(lines) + b"\n")
         return after
 
-    def _drops(self, event: CacheEvent) -> bool:
+    def _is_dropped(self, event: CacheEvent) -> bool:
         ratio = self._process.faults.switches.drop_event_ratio
-        return ratio > 0 and (event.sequence * _GOLDEN_FRACTION) % 1.0 < ratio
+        return ratio > 0 and (event.sequence * _GOLDEN_RATIO_FRACTION) % 1.0 < ratio
 
-    async def _snapshot(self, _request: web.Request) -> web.Response:
+    async def _handle_snapshot(self, _request: web.Request) -> web.Response:
         model = self._process.model
         entries = tuple(snapshot_entry(block, position) for block, position in model.cache.items())
         snapshot = wire.CacheSnapshot(self._process.incarnation, model.last_sequence, entries)
--- a/src/wallwell/emulator/engine_model.py
+++ b/src/wallwell/emulator/engine_model.py
@@ -40,7 +40,7 @@
         """Bytes of prompt text in one block."""
         return self.block_tokens * self.bytes_per_token
 
-    def tokens_of(self, prompt: bytes) -> int:
+    def count_tokens(self, prompt: bytes) -> int:
         """Return the number of tokens of a prompt."""
         return max(1, -(-len(prompt) // self.bytes_per_token))
 
@@ -58,12 +58,12 @@
     arrived_s: float = 0.0
     cached_tokens: int = 0
     prefilled_tokens: int = 0
-    produced: int = 0
+    produced_tokens: int = 0
     started: bool = False
     computed_tokens: int = 0
 
     @property
-    def remaining_prefill(self) -> int:
+    def remaining_prefill_tokens(self) -> int:
         """Prompt tokens still to compute."""
         return self.prompt_tokens - self.cached_tokens - self.prefilled_tokens
 
@@ -104,7 +104,7 @@
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
         self._blocks: OrderedDict[int, BlockPosition] = OrderedDict()
-        self.evicted_once: set[int] = set()
+        self.ever_evicted: set[int] = set()
 
     def __len__(self) -> int:
         return len(self._blocks)
@@ -112,7 +112,7 @@
     def __contains__(self, block: int) -> bool:
         return block in self._blocks
 
-    def matched(self, chain: Sequence[int]) -> int:
+    def count_matched_blocks(self, chain: Sequence[int]) -> int:
         """Return how many leading blocks of ``chain`` are cached."""
         count = 0
         for block in chain:
@@ -140,7 +140,7 @@
         evicted = []
         while len(self._blocks) > self._capacity:
             evicted.append(self._blocks.popitem(last=False))
-        self.evicted_once.update(block for block, _ in evicted)
+        self.ever_evicted.update(block for block, _ in evicted)
         return stored, evicted
 
     def items(self) -> list[tuple[int, BlockPosition]]:
@@ -190,7 +190,7 @@
         """Return the load as it is at ``now_s``."""
         waiting_tokens: dict[int, int] = {}
         for request in self.waiting:
-            tokens = max(0, request.remaining_prefill)
+            tokens = max(0, request.remaining_prefill_tokens)
             waiting_tokens[request.rank] = waiting_tokens.get(request.rank, 0) + tokens
         return LoadReport(
             running=len(self.running),
@@ -205,16 +205,16 @@
         """Run one step; the caller lets ``duration_s`` pass and then hands out the tokens."""
         profile = self.profile
         decoding = list(self.running)
-        prefilled, done = self._prefill()
+        prefilled_tokens, prefilled = self._prefill()
         duration = profile.step_base_s
         duration += len(decoding) * profile.decode_s_per_request
-        duration += prefilled * profile.prefill_s_per_token
+        duration += prefilled_tokens * profile.prefill_s_per_token
         result = StepResult(duration)
-        for request in decoding + done:
-            index = request.first_index + request.produced
-            request.produced += 1
+        for request in decoding + prefilled:
+            index = request.first_index + request.produced_tokens
+            request.produced_tokens += 1
             result.tokens.append((request, index))
-            if request.produced >= request.max_tokens:
+            if request.produced_tokens >= request.max_tokens:
                 result.finished.append(request)
         finished = set(map(id, result.finished))
         self.running = [request for request in self.running if id(request) not in finished]
@@ -222,47 +222,47 @@
 
     def _prefill(self) -> tuple[int, list[EngineRequest]]:
         budget = self.profile.max_prefill_tokens
-        spent = 0
-        done: list[EngineRequest] = []
+        prefilled_tokens = 0
+        prefilled: list[EngineRequest] = []
         while self.waiting and budget > 0 and len(self.running) < self.profile.max_batch:
             request = self.waiting[0]
             if not request.started:
-                self._start(request)
-            amount = min(budget, max(0, request.remaining_prefill))
-            request.prefilled_tokens += amount
-            request.computed_tokens += amount
-            budget -= amount
-            spent += amount
-            if request.remaining_prefill > 0:
+                self._start_prefill(request)
+            tokens = min(budget, max(0, request.remaining_prefill_tokens))
+            request.prefilled_tokens += tokens
+            request.computed_tokens += tokens
+            budget -= tokens
+            prefilled_tokens += tokens
+            if request.remaining_prefill_tokens > 0:
                 break
             self.waiting.pop(0)
-            self._store(request.chain)
+            self._cache_chain(request.chain)
             self.running.append(request)
-            done.append(request)
-        self.prefill_tokens_total += spent
-        return spent, done
+            prefilled.append(request)
+        self.prefill_tokens_total += prefilled_tokens
+        return prefilled_tokens, prefilled
 
-    def _start(self, request: EngineRequest) -> None:
+    def _start_prefill(self, request: EngineRequest) -> None:
         request.started = True
-        matched = self.cache.matched(request.chain)
+        matched = self.cache.count_matched_blocks(request.chain)
         self.cache.touch(request.chain[:matched])
         # The last token is always computed: its logits produce the first new token.
         request.cached_tokens = min(matched * self.profile.block_tokens, request.prompt_tokens - 1)
         self.cached_tokens_total += request.cached_tokens
-        evicted_before = sum(block in self.cache.evicted_once for block in request.chain[matched:])
-        self.recomputed_tokens += evicted_before * self.profile.block_tokens
+        recomputed_blocks = sum(block in self.cache.ever_evicted for block in request.chain[matched:])
+        self.recomputed_tokens += recomputed_blocks * self.profile.block_tokens
 
-    def _store(self, chain: Sequence[int]) -> None:
+    def _cache_chain(self, chain: Sequence[int]) -> None:
         stored, evicted = self.cache.insert(chain)
         for run in _consecutive_runs(stored):
-            self._publish(True, run)
+            self._add_event(True, run)
         by_root: dict[int, list[tuple[int, BlockPosition]]] = {}
         for block, position in evicted:
             by_root.setdefault(position.root, []).append((block, position))
         for group in by_root.values():
-            self._publish(False, group)
+            self._add_event(False, group)
 
-    def _publish(self, stored: bool, blocks: Sequence[tuple[int, BlockPosition]]) -> None:
+    def _add_event(self, stored: bool, blocks: Sequence[tuple[int, BlockPosition]]) -> None:
         self._sequence += 1
         position = blocks[0][1]
         hashes = tuple(block for block, _ in blocks)
--- a/src/wallwell/emulator/engine_output.py
+++ b/src/wallwell/emulator/engine_output.py
@@ -30,7 +30,7 @@
     return wire.SnapshotEntry(wire.hash_text(position.root), position.depth, wire.pack_hashes([block]))
 
 
-def cache_line(event: CacheEvent) -> wire.CacheLine:
+def cache_event_line(event: CacheEvent) -> wire.CacheLine:
     """Return a cache event as it travels."""
     return wire.CacheLine(
         sequence=event.sequence,
@@ -41,7 +41,7 @@
     )
 
 
-def chunk(model: str, request_id: str, text: str, chat: bool, last: bool) -> bytes:
+def completion_chunk(model: str, request_id: str, text: str, chat: bool, last: bool) -> bytes:
     """Return the JSON of one token in the callers' format."""
     choice: dict[str, object] = {"index": 0, "finish_reason": "stop" if last else None}
     choice |= {"delta": {"content": text}} if chat else {"text": text}
--- a/src/wallwell/emulator/engine_process.py
+++ b/src/wallwell/emulator/engine_process.py
@@ -20,9 +20,9 @@
 """Seconds that new weights take to load: short, so that tests need not wait."""
 INCARNATION_BYTES = 4
 """Random bytes of the name of an incarnation."""
-_STALL_CHECK_S = 0.02
+_PAUSE_CHECK_INTERVAL_S = 0.02
 """Seconds between two checks whether a pause is over."""
-_IDLE_CHECK_S = 0.01
+_IDLE_CHECK_INTERVAL_S = 0.01
 """Seconds between two checks whether the running requests have ended."""
 
 
@@ -47,13 +47,13 @@
         self.weight_load_s = WEIGHT_LOAD_S
         self.journal: list[str] = []
         """Ids of all requests that were begun."""
-        self.validity_violations: list[str] = []
+        self.cache_salt_violations: list[str] = []
         """Uses of one cache salt with several versions of weights."""
         self.highest_fence = 0
         self.on_crash: Callable[[], None] = lambda: None
         """Called when the process loses its connections."""
         self._streams: dict[str, TokenStream] = {}
-        self._weights_of_salt: dict[int, str] = {}
+        self._weights_by_salt: dict[int, str] = {}
         self._load_task: asyncio.Task[None] | None = None
         self._wake = asyncio.Event()
         self._begin_incarnation()
@@ -81,11 +81,11 @@
             result = model.step()
             await asyncio.sleep(result.duration_s)
             while self.faults.switches.paused:
-                await asyncio.sleep(_STALL_CHECK_S)
+                await asyncio.sleep(_PAUSE_CHECK_INTERVAL_S)
             if model is self.model:  # Otherwise the process has crashed meanwhile.
-                self._hand_out(result)
+                self._deliver_tokens(result)
 
-    def _hand_out(self, result: StepResult) -> None:
+    def _deliver_tokens(self, result: StepResult) -> None:
         for request, index in result.tokens:
             stream = self._streams.get(request.request_id)
             if stream is not None:
@@ -95,7 +95,7 @@
 
     def submit(self, request: EngineRequest, salt: int, model: str) -> TokenStream:
         """Queue a request for ``model`` under a cache salt; returns its tokens to come."""
-        self._check_validity(salt, model)
+        self._check_cache_salt(salt, model)
         stream = TokenStream(request)
         self._streams[request.request_id] = stream
         self.journal.append(request.request_id)
@@ -103,15 +103,15 @@
         self._wake.set()
         return stream
 
-    def _check_validity(self, salt: int, model: str) -> None:
+    def _check_cache_salt(self, salt: int, model: str) -> None:
         """Hold the router to its cache keys: one salt serves one version of a model's weights only."""
-        version = self._weights_of_salt.setdefault(salt, self.weights.get(model, ""))
+        version = self._weights_by_salt.setdefault(salt, self.weights.get(model, ""))
         if version != self.weights.get(model, ""):
-            self.validity_violations.append(
+            self.cache_salt_violations.append(
                 f"{self.name}: salt of weights {version} used with {self.weights[model]}"
             )
 
-    def end(self, request_id: str) -> None:
+    def remove_request(self, request_id: str) -> None:
         """Forget a request whose answer has ended, whole or not."""
         self._streams.pop(request_id, None)
         self.model.cancel(request_id)
@@ -128,7 +128,7 @@
 
     # --- weights ---------------------------------------------------------------------------------------
 
-    def take_order(self, order: wire.EngineLoadOrder) -> bool:
+    def start_weights_load(self, order: wire.EngineLoadOrder) -> bool:
         """Begin to load weights; returns False for the order of an earlier lease holder or while not serving."""
         if order.fence < self.highest_fence or self.state is not wire.EngineState.SERVING:
             return False
@@ -140,7 +140,7 @@
     async def _load_weights(self, order: wire.EngineLoadOrder) -> None:
         """Finish what runs, load, and serve the new weights with an empty cache."""
         while not self.model.idle:
-            await asyncio.sleep(_IDLE_CHECK_S)
+            await asyncio.sleep(_IDLE_CHECK_INTERVAL_S)
         await asyncio.sleep(self.weight_load_s)
         self.weights[order.model] = order.weights_version
         self._begin_incarnation()
@@ -148,7 +148,7 @@
 
     # --- reports ---------------------------------------------------------------------------------------
 
-    def status(self) -> wire.StatusLine:
+    def status_line(self) -> wire.StatusLine:
         """Return the status that readers of the events get whenever it changes."""
         return wire.StatusLine(
             engine=self.name,
@@ -160,14 +160,14 @@
             cache_blocks=self.profile.cache_blocks,
         )
 
-    def load(self, age_s: float) -> wire.LoadLine:
+    def load_line(self, age_s: float) -> wire.LoadLine:
         """Return the load as it is now, declared ``age_s`` old."""
-        load = self.model.load_report(0.0)
+        report = self.model.load_report(0.0)
         return wire.LoadLine(
             sequence=self.model.last_sequence,
-            running=load.running,
-            waiting=load.waiting,
-            waiting_prefill_tokens=load.waiting_prefill_tokens,
-            cache_used_blocks=load.cache_used_blocks,
+            running=report.running,
+            waiting=report.waiting,
+            waiting_prefill_tokens=report.waiting_prefill_tokens,
+            cache_used_blocks=report.cache_used_blocks,
             age_s=age_s,
         )
--- a/src/wallwell/emulator/engine_server.py
+++ b/src/wallwell/emulator/engine_server.py
@@ -15,9 +15,9 @@
 
 from wallwell.emulator.engine_feed import EVENT_DELAY_S, LOAD_LAG_S, EngineFeed
 from wallwell.emulator.engine_model import EngineProfile, EngineRequest
-from wallwell.emulator.engine_output import FOREIGN_REQUEST_ID, chunk, generated_word, stream_event
+from wallwell.emulator.engine_output import FOREIGN_REQUEST_ID, completion_chunk, generated_word, stream_event
 from wallwell.emulator.engine_process import EngineProcess, TokenStream
-from wallwell.emulator.faults import cut_connection, reset_connection
+from wallwell.emulator.faults import close_connection, reset_connection
 from wallwell.standalone.backends import engine_protocol as wire
 from wallwell.standalone.callers.openai_format import ChatBody, CompletionBody, parse_generation, render_prompt
 from wallwell.standalone.routing.blocks import hash_chain
@@ -28,9 +28,9 @@
 """Random bytes of the id of a request that comes without one."""
 _CUT_DELAY_S = 0.02
 """Seconds from the last chunk to the close of a stream that is cut."""
-_STALL_CHECK_S = 0.02
+_STALL_CHECK_INTERVAL_S = 0.02
 """Seconds between two checks whether a stall is over."""
-_NOT_NOW = (wire.RefusalReason.LEAVING, wire.RefusalReason.LOADING)
+_UNAVAILABLE_REASONS = (wire.RefusalReason.LEAVING, wire.RefusalReason.LOADING)
 """Refusals because of the engine's state (503); the others are of what the router expected (412)."""
 
 
@@ -56,43 +56,45 @@
         """Return the aiohttp application."""
         app = web.Application(client_max_size=MAX_BODY_BYTES)
         self.faults.install(app)
-        app.router.add_post("/v1/completions", self._generate)
-        app.router.add_post("/v1/chat/completions", self._generate)
-        app.router.add_post("/cancel", self._cancel)
+        app.router.add_post("/v1/completions", self._handle_generation)
+        app.router.add_post("/v1/chat/completions", self._handle_generation)
+        app.router.add_post("/cancel", self._handle_cancel)
         self._feed.install(app)
-        app.router.add_post("/orders", self._order)
-        app.router.add_post("/_crash", self._crash)
-        app.router.add_post("/_leave", self._leave)
-        app.on_startup.append(self._start)
-        app.on_cleanup.append(self._stop)
+        app.router.add_post("/orders", self._handle_load_order)
+        app.router.add_post("/_crash", self._handle_crash)
+        app.router.add_post("/_leave", self._handle_leave)
+        app.on_startup.append(self._on_startup)
+        app.on_cleanup.append(self._on_cleanup)
         return app
 
-    async def _start(self, _app: web.Application) -> None:
+    async def _on_startup(self, _app: web.Application) -> None:
         self._run_task = asyncio.create_task(self.run())
 
-    async def _stop(self, _app: web.Application) -> None:
+    async def _on_cleanup(self, _app: web.Application) -> None:
         if self._run_task is not None:
             self._run_task.cancel()
 
     # --- requests --------------------------------------------------------------------------------------
 
-    async def _generate(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_generation(self, request: web.Request) -> web.StreamResponse:
         chat = request.path.endswith("chat/completions")
         body = parse_generation(await request.read(), chat)
-        reason = self._refusal(request, body.model)
+        reason = self._refusal_reason(request, body.model)
         if reason is not None:
             self.refused += 1
-            status = HTTPStatus.SERVICE_UNAVAILABLE if reason in _NOT_NOW else HTTPStatus.PRECONDITION_FAILED
+            status = (
+                HTTPStatus.SERVICE_UNAVAILABLE if reason in _UNAVAILABLE_REASONS else HTTPStatus.PRECONDITION_FAILED
+            )
             return web.Response(status=status, body=msgspec.json.encode(wire.Refusal(reason)))
         request_id = request.headers.get(wire.REQUEST_ID, secrets.token_hex(REQUEST_ID_BYTES))
         salt = int(request.headers.get(wire.CACHE_SALT, "0"), 16)
         stream = self.submit(self._engine_request(request, body, request_id, salt), salt, body.model)
         try:
-            return await self._answer(request, body, stream)
+            return await self._stream_response(request, body, stream)
         finally:
-            self.end(request_id)
+            self.remove_request(request_id)
 
-    def _refusal(self, request: web.Request, model: str) -> wire.RefusalReason | None:
+    def _refusal_reason(self, request: web.Request, model: str) -> wire.RefusalReason | None:
         if self.state is wire.EngineState.LEAVING:
             return wire.RefusalReason.LEAVING
         if self.state is wire.EngineState.LOADING:
@@ -113,32 +115,32 @@
         return EngineRequest(
             request_id=request_id,
             chain=hash_chain(salt, prompt, self.profile.block_bytes),
-            prompt_tokens=self.profile.tokens_of(prompt),
+            prompt_tokens=self.profile.count_tokens(prompt),
             max_tokens=max(1, body.max_tokens - resume.next_index),
             rank=int(request.headers.get(wire.PRIORITY_RANK, "0")),
             first_index=resume.next_index,
         )
 
-    async def _answer(
+    async def _stream_response(
         self, request: web.Request, body: CompletionBody | ChatBody, stream: TokenStream
     ) -> web.StreamResponse:
-        first = await stream.tokens.get()
-        if first is None:
+        first_index = await stream.tokens.get()
+        if first_index is None:
             return reset_connection(request)
-        foreign = self.faults.take("foreign_answers")
-        answered_id = FOREIGN_REQUEST_ID if foreign else stream.request.request_id
+        is_foreign = self.faults.consume("foreign_answers")
+        response_id = FOREIGN_REQUEST_ID if is_foreign else stream.request.request_id
         response = web.StreamResponse(
             headers={
                 "Content-Type": "text/event-stream",
-                wire.REQUEST_ID: answered_id,
+                wire.REQUEST_ID: response_id,
                 wire.INCARNATION: self.incarnation,
                 wire.CACHED_TOKENS: str(stream.request.cached_tokens),
                 wire.PROMPT_TOKENS: str(stream.request.prompt_tokens),
             }
         )
         await response.prepare(request)
-        whole = await self._send_tokens(request, response, body, stream, first, answered_id)
-        return response if whole else web.Response()
+        is_complete = await self._send_tokens(request, response, body, stream, first_index, response_id)
+        return response if is_complete else web.Response()
 
     async def _send_tokens(
         self,
@@ -146,22 +148,22 @@
         response: web.StreamResponse,
         body: CompletionBody | ChatBody,
         stream: TokenStream,
-        first: int,
-        answered_id: str,
+        first_index: int,
+        response_id: str,
     ) -> bool:
         """Send every token and the end; returns False if the connection was closed before."""
         prompt = render_prompt(body)
-        index: int | None = first
-        sent = 0
+        index: int | None = first_index
+        sent_chunks = 0
         while index is not None:
             last = index + 1 >= body.max_tokens
-            payload = chunk(
-                body.model, answered_id, generated_word(prompt, index), isinstance(body, ChatBody), last
+            payload = completion_chunk(
+                body.model, response_id, generated_word(prompt, index), isinstance(body, ChatBody), last
             )
-            event = stream_event(answered_id, index, payload)
+            event = stream_event(response_id, index, payload)
             await response.write(event * (2 if self.faults.switches.duplicate_chunks else 1))
-            sent += 1
-            if await self._cuts_or_stalls(request, sent):
+            sent_chunks += 1
+            if await self._apply_stream_faults(request, sent_chunks):
                 return False
             if last:
                 await response.write(wire.DONE_EVENT + b"\n\n")
@@ -171,36 +173,36 @@
         reset_connection(request)
         return False
 
-    async def _cuts_or_stalls(self, request: web.Request, sent: int) -> bool:
+    async def _apply_stream_faults(self, request: web.Request, sent_chunks: int) -> bool:
         """Apply the faults of streams after ``sent`` chunks; returns whether the connection was closed."""
         switches = self.faults.switches
-        if switches.cut_streams_after and sent >= switches.cut_streams_after:
+        if switches.cut_streams_after and sent_chunks >= switches.cut_streams_after:
             # The HTTP client drops chunks it has not handed on when a close follows at once.
             await asyncio.sleep(_CUT_DELAY_S)
-            cut_connection(request)
+            close_connection(request)
             return True
-        while self._is_stalled(sent):
-            await asyncio.sleep(_STALL_CHECK_S)
+        while self._is_stalled(sent_chunks):
+            await asyncio.sleep(_STALL_CHECK_INTERVAL_S)
         return False
 
-    def _is_stalled(self, sent: int) -> bool:
+    def _is_stalled(self, sent_chunks: int) -> bool:
         stall_after = self.faults.switches.stall_streams_after
-        return bool(stall_after) and sent >= stall_after
+        return bool(stall_after) and sent_chunks >= stall_after
 
-    async def _cancel(self, request: web.Request) -> web.Response:
+    async def _handle_cancel(self, request: web.Request) -> web.Response:
         body = msgspec.json.decode(await request.read(), type=wire.CancelRequest)
         return web.Response(body=msgspec.json.encode(wire.CancelAnswer(self.cancel(body.request_id))))
 
     # --- orders and switches ---------------------------------------------------------------------------
 
-    async def _order(self, request: web.Request) -> web.Response:
+    async def _handle_load_order(self, request: web.Request) -> web.Response:
         order = msgspec.json.decode(await request.read(), type=wire.EngineLoadOrder)
-        return web.Response(status=HTTPStatus.OK if self.take_order(order) else HTTPStatus.CONFLICT)
+        return web.Response(status=HTTPStatus.OK if self.start_weights_load(order) else HTTPStatus.CONFLICT)
 
-    async def _crash(self, _request: web.Request) -> web.Response:
+    async def _handle_crash(self, _request: web.Request) -> web.Response:
         self.crash()
         return web.Response()
 
-    async def _leave(self, _request: web.Request) -> web.Response:
+    async def _handle_leave(self, _request: web.Request) -> web.Response:
         self.state = wire.EngineState.LEAVING
         return web.Response()
--- a/src/wallwell/emulator/faults.py
+++ b/src/wallwell/emulator/faults.py
@@ -15,7 +15,7 @@
 
 FAULTS_PATH = "/_faults"
 """Takes a JSON object of switches to change; the others stay."""
-PAUSE_CHECK_S = 0.02
+PAUSE_CHECK_INTERVAL_S = 0.02
 """Seconds between two checks whether a pause is over."""
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
@@ -58,12 +58,12 @@
         self.switches = msgspec.structs.replace(self.switches, **changes)
         emit(Event.EMULATOR_FAULT, **{key: str(value) for key, value in changes.items()})
 
-    def take(self, counter: str) -> bool:
+    def consume(self, counter: str) -> bool:
         """Use up one of a counted fault; returns whether there was one left."""
-        left = getattr(self.switches, counter)
-        if left <= 0:
+        remaining = getattr(self.switches, counter)
+        if remaining <= 0:
             return False
-        setattr(self.switches, counter, left - 1)
+        setattr(self.switches, counter, remaining - 1)
         return True
 
     async def _handle_faults(self, request: web.Request) -> web.Response:
@@ -85,19 +85,19 @@
         if self.switches.down:
             return reset_connection(request)
         while self.switches.paused:
-            await asyncio.sleep(PAUSE_CHECK_S)
+            await asyncio.sleep(PAUSE_CHECK_INTERVAL_S)
         if self.switches.slow_s > 0:
             await asyncio.sleep(self.switches.slow_s)
         if self.switches.crash_on and self.on_crash and self.switches.crash_on.encode() in await request.read():
             self.on_crash()
             return reset_connection(request)
         response = await handler(request)
-        if not response.prepared and self.take("lose_answers"):
+        if not response.prepared and self.consume("lose_answers"):
             return reset_connection(request)
         return response
 
 
-def end_at_once(runner: web.BaseRunner) -> None:
+def abort_listener(runner: web.BaseRunner) -> None:
     """Close a listener and reset its connections, as the end of a killed process does."""
     for site in runner.sites:
         assert isinstance(site, web.TCPSite)
@@ -108,7 +108,7 @@
             connection.transport.abort()
 
 
-def cut_connection(request: web.Request) -> web.Response:
+def close_connection(request: web.Request) -> web.Response:
     """Close after what was written has left; a reset could destroy chunks the peer has not read yet."""
     if request.transport is not None:
         request.transport.close()
--- a/src/wallwell/emulator/platform_server.py
+++ b/src/wallwell/emulator/platform_server.py
@@ -83,13 +83,13 @@
         app = web.Application(client_max_size=MAX_BODY_BYTES)
         self.faults.install(app)
         app.middlewares.append(self._rate_limit)
-        app.router.add_post("/transact", self._transact)
-        app.router.add_get("/row", self._row)
-        app.router.add_get("/scan", self._scan)
-        app.router.add_get("/machines", self._machines)
-        app.router.add_get("/weights/{model}/{version}", self._weights)
-        app.router.add_put("/objects/{name:.+}", self._put_object)
-        app.router.add_get("/objects/{name:.+}", self._get_object)
+        app.router.add_post("/transact", self._handle_transact)
+        app.router.add_get("/row", self._handle_row)
+        app.router.add_get("/scan", self._handle_scan)
+        app.router.add_get("/machines", self._handle_machines)
+        app.router.add_get("/weights/{model}/{version}", self._handle_weights)
+        app.router.add_put("/objects/{name:.+}", self._handle_put_object)
+        app.router.add_get("/objects/{name:.+}", self._handle_get_object)
         return app
 
     @web.middleware
@@ -100,7 +100,7 @@
                 return web.Response(status=HTTPStatus.TOO_MANY_REQUESTS)
         return await handler(request)  # type: ignore[operator, no-any-return]
 
-    async def _transact(self, request: web.Request) -> web.Response:
+    async def _handle_transact(self, request: web.Request) -> web.Response:
         transaction = msgspec.json.decode(await request.read(), type=Transaction)
         try:
             commit = self.table.transact(transaction)
@@ -108,31 +108,31 @@
             return web.Response(status=HTTPStatus.CONFLICT, text=str(failed))
         return _json_response(Commit(commit))
 
-    async def _row(self, request: web.Request) -> web.Response:
+    async def _handle_row(self, request: web.Request) -> web.Response:
         row = self.table.rows.get(request.query["key"])
         return _json_response(row) if row else web.Response(status=HTTPStatus.NOT_FOUND)
 
-    async def _scan(self, request: web.Request) -> web.Response:
+    async def _handle_scan(self, request: web.Request) -> web.Response:
         return _json_response(self.table.scan(request.query["prefix"], int(request.query["after"])))
 
-    async def _machines(self, request: web.Request) -> web.Response:
+    async def _handle_machines(self, request: web.Request) -> web.Response:
         return _json_response([Machine(address, state) for address, state in self.machines.items()])
 
-    async def _weights(self, request: web.Request) -> web.Response:
+    async def _handle_weights(self, request: web.Request) -> web.Response:
         """Slow down when more readers load at once than the store carries well."""
         self._weight_readers += 1
         try:
-            crowding = max(1.0, self._weight_readers / self._weight_slots)
-            await asyncio.sleep(self._weight_load_s * crowding)
+            slowdown = max(1.0, self._weight_readers / self._weight_slots)
+            await asyncio.sleep(self._weight_load_s * slowdown)
         finally:
             self._weight_readers -= 1
         return web.Response(body=b"weights")
 
-    async def _put_object(self, request: web.Request) -> web.Response:
+    async def _handle_put_object(self, request: web.Request) -> web.Response:
         self.objects[request.match_info["name"]] = await request.read()
         return web.Response(status=HTTPStatus.CREATED)
 
-    async def _get_object(self, request: web.Request) -> web.Response:
+    async def _handle_get_object(self, request: web.Request) -> web.Response:
         body = self.objects.get(request.match_info["name"])
         return web.Response(body=body) if body is not None else web.Response(status=HTTPStatus.NOT_FOUND)
 
--- a/src/wallwell/emulator/platform_store.py
+++ b/src/wallwell/emulator/platform_store.py
@@ -63,22 +63,22 @@
 
 
 class PlatformStoreEmulator(StoreSwitches):
-    """One store. ``page_rows`` bounds the rows of one answer; ``closed_tables`` refuse writes of callers."""
+    """One store. ``page_rows`` bounds the rows of one answer; ``read_only_tables`` refuse writes of callers."""
 
-    def __init__(self, page_rows: int = MAX_PAGE_ROWS, closed_tables: frozenset[str] = frozenset()) -> None:
+    def __init__(self, page_rows: int = MAX_PAGE_ROWS, read_only_tables: frozenset[str] = frozenset()) -> None:
         super().__init__()
         self.rows: dict[tuple[str, str], tuple[str, int]] = {}
         self.history: list[tuple[int, str, str, bool]] = []
         self.version = 0
-        self.forgotten = 0
+        self.forgotten_version = 0
         self.era = 0
         """Rises with each :meth:`restore`; 0 is not stated."""
         self.calls = 0
         self.addresses: tuple[str, ...] = ()
         self._page_rows = page_rows
-        self._closed_tables = closed_tables
+        self._read_only_tables = read_only_tables
         self._changed = asyncio.Event()
-        self._late = BackgroundTasks()
+        self._late_tasks = BackgroundTasks()
 
     @property
     def address(self) -> str:
@@ -88,10 +88,10 @@
     def app(self) -> web.Application:
         """Return the aiohttp application."""
         app = web.Application()
-        app.on_response_prepare.append(self._state_era)
-        app.router.add_post(names.ROWS_TRANSACT_PATH, self._transact)
-        app.router.add_get(names.ROWS_READ_PATH, self._read)
-        app.router.add_get(names.ROWS_FEED_PATH, self._feed)
+        app.on_response_prepare.append(self._add_era_header)
+        app.router.add_post(names.ROWS_TRANSACT_PATH, self._handle_transact)
+        app.router.add_get(names.ROWS_READ_PATH, self._handle_read)
+        app.router.add_get(names.ROWS_FEED_PATH, self._handle_feed)
         return app
 
     async def start(self, hosts: Iterable[str] = ("127.0.0.1",)) -> None:
@@ -111,9 +111,9 @@
     def put(self, table: str, key: str, value: object | None) -> None:
         """Write a row; ``value`` is JSON-encoded unless it is text, or None, which deletes."""
         self.version += 1
-        self._put(table, key, value)
+        self._write_row(table, key, value)
 
-    def _put(self, table: str, key: str, value: object | None) -> None:
+    def _write_row(self, table: str, key: str, value: object | None) -> None:
         if value is None:
             self.rows.pop((table, key), None)
         else:
@@ -125,12 +125,12 @@
 
     def value(self, table: str, key: str) -> str | None:
         """Return a row's text, None if there is no such row."""
-        found = self.rows.get((table, key))
-        return base64.b64decode(found[0]).decode() if found else None
+        stored = self.rows.get((table, key))
+        return base64.b64decode(stored[0]).decode() if stored else None
 
     def forget_history(self) -> None:
         """Answer 410 to all that would continue from before now."""
-        self.forgotten = self.version
+        self.forgotten_version = self.version
         self.history.clear()
 
     def copy(self) -> StoreCopy:
@@ -148,11 +148,11 @@
 
     # --- calls -----------------------------------------------------------------------------------------
 
-    async def _state_era(self, request: web.Request, response: web.StreamResponse) -> None:
+    async def _add_era_header(self, request: web.Request, response: web.StreamResponse) -> None:
         if self.era:
             response.headers[names.STORE_ERA] = str(self.era)
 
-    async def _before(self, request: web.Request) -> web.Response | None:
+    async def _apply_call_faults(self, request: web.Request) -> web.Response | None:
         """Count a call and apply the switches of all calls; returns the answer if the call is refused."""
         self.calls += 1
         if self.silent:
@@ -161,40 +161,42 @@
             await asyncio.sleep(self.slow_s)
         if self.refuse_status:
             return web.Response(status=self.refuse_status)
-        if self.refused_listeners and _listener_of(request) in self.refused_listeners:
+        if self.refused_listeners and _local_address(request) in self.refused_listeners:
             return web.Response(status=UNAVAILABLE)
         return None
 
-    def _answer(self, rows: Iterable[dict[str, Any]] = (), status: int = 200, **more: object) -> web.Response:
+    def _rows_response(
+        self, rows: Iterable[dict[str, Any]] = (), status: int = 200, **more: object
+    ) -> web.Response:
         now_ms = asyncio.get_running_loop().time() * MS_PER_S
         return web.json_response({"rows": list(rows), "ver": self.version, "now_ms": now_ms, **more}, status=status)
 
-    def _row(self, table: str, key: str) -> dict[str, Any]:
+    def _row_body(self, table: str, key: str) -> dict[str, Any]:
         value, version = self.rows[(table, key)]
         return {"table": table, "part": "", "key": key, "value": value, "ver": version}
 
-    async def _transact(self, request: web.Request) -> web.Response:
-        refused = await self._before(request)
+    async def _handle_transact(self, request: web.Request) -> web.Response:
+        refused = await self._apply_call_faults(request)
         if refused is not None:
             return refused
         body = msgspec.json.decode(await request.read(), type=TransactBody)
         written = {entry.table for entry in body.put} | {entry.table for entry in body.delete}
-        if written & self._closed_tables:
+        if written & self._read_only_tables:
             return web.Response(status=FORBIDDEN)
         if self.late_writes:
             self.late_writes -= 1
-            self._late.start(self._apply_late(body))
+            self._late_tasks.begin(self._apply_late(body))
             return reset_connection(request)
         if not self._apply(body):
-            return self._conflict(body)
+            return self._conflict_response(body)
         if self.lose_writes:
             self.lose_writes -= 1
             return reset_connection(request)
-        return self._answer()
+        return self._rows_response()
 
-    def _conflict(self, body: TransactBody) -> web.Response:
+    def _conflict_response(self, body: TransactBody) -> web.Response:
         found = [(each.table, each.key) for each in body.expect_rev if (each.table, each.key) in self.rows]
-        return self._answer([self._row(table, key) for table, key in found], status=CONFLICT)
+        return self._rows_response([self._row_body(table, key) for table, key in found], status=CONFLICT)
 
     def _apply(self, body: TransactBody) -> bool:
         """Do the whole transaction if its conditions hold; returns whether they did."""
@@ -203,54 +205,54 @@
                 return False
         self.version += 1  # One version for all rows of a transaction.
         for entry in body.put:
-            self._put(entry.table, entry.key, base64.b64decode(entry.value).decode())
-        for gone in body.delete:
-            self._put(gone.table, gone.key, None)
+            self._write_row(entry.table, entry.key, base64.b64decode(entry.value).decode())
+        for deleted in body.delete:
+            self._write_row(deleted.table, deleted.key, None)
         return True
 
     async def _apply_late(self, body: TransactBody) -> None:
         await asyncio.sleep(self.late_s)
         self._apply(body)
 
-    async def _read(self, request: web.Request) -> web.Response:
-        refused = await self._before(request)
+    async def _handle_read(self, request: web.Request) -> web.Response:
+        refused = await self._apply_call_faults(request)
         if refused is not None:
             return refused
         table, start = request.query["table"], request.query.get("from", "")
         limit = min(int(request.query.get("limit", MAX_PAGE_ROWS)), self._page_rows)
         keys = sorted(key for each, key in self.rows if each == table and key >= start)
-        rows = [self._row(table, key) for key in keys[:limit]]
-        return self._answer(rows, more=len(keys) > limit)
+        rows = [self._row_body(table, key) for key in keys[:limit]]
+        return self._rows_response(rows, more=len(keys) > limit)
 
-    async def _feed(self, request: web.Request) -> web.Response:
-        refused = await self._before(request)
+    async def _handle_feed(self, request: web.Request) -> web.Response:
+        refused = await self._apply_call_faults(request)
         if refused is not None:
             return refused
         table, after = request.query["table"], int(request.query["after"])
         changed = await self._wait_for_changes(table, after, int(request.query["wait_ms"]) / MS_PER_S)
         if changed is None:
             return web.Response(status=HISTORY_GONE)
-        return self._answer(self._changed_row(table, key, gone) for key, gone in changed.items())
+        return self._rows_response(self._changed_row_body(table, key, gone) for key, gone in changed.items())
 
-    def _changed_row(self, table: str, key: str, gone: bool) -> dict[str, Any]:
-        return {"key": key, "gone": True, "ver": self.version} if gone else self._row(table, key)
+    def _changed_row_body(self, table: str, key: str, gone: bool) -> dict[str, Any]:
+        return {"key": key, "gone": True, "ver": self.version} if gone else self._row_body(table, key)
 
     async def _wait_for_changes(self, table: str, after: int, wait_s: float) -> dict[str, bool] | None:
         """Return the keys that changed after a version, and whether each is gone; none of them after ``wait_s``.
 
         Returns None if the history from that version on is no longer known, or the version never was given out.
         """
-        give_up_s = asyncio.get_running_loop().time() + wait_s
-        while self.forgotten <= after <= self.version:
+        deadline_s = asyncio.get_running_loop().time() + wait_s
+        while self.forgotten_version <= after <= self.version:
             changed = {key: gone for version, each, key, gone in self.history if each == table and version > after}
-            left_s = give_up_s - asyncio.get_running_loop().time()
-            if changed or left_s <= 0:
+            remaining_s = deadline_s - asyncio.get_running_loop().time()
+            if changed or remaining_s <= 0:
                 return changed
-            await ends_within(self._changed.wait(), left_s)
+            await ends_within(self._changed.wait(), remaining_s)
         return None
 
 
-def _listener_of(request: web.Request) -> str:
+def _local_address(request: web.Request) -> str:
     """Return the local address that a call came in at."""
     if request.transport is None:
         return ""
--- a/src/wallwell/emulator/platform_worker.py
+++ b/src/wallwell/emulator/platform_worker.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from wallwell.emulator.faults import end_at_once
+from wallwell.emulator.faults import abort_listener
 from wallwell.platform import names
 
 ACCEPTED = HTTPStatus.ACCEPTED.value
@@ -55,7 +55,7 @@
     def crash(self) -> None:
         """End as a killed process does: every connection is reset, and nothing listens at the address from then
         on."""
-        end_at_once(self._runner)
+        abort_listener(self._runner)
 
     def entry(self) -> dict[str, Any]:
         """Return the worker's own entry in the store."""
@@ -81,7 +81,7 @@
         """Answer one request."""
         raise NotImplementedError
 
-    async def take_order(self, order: dict[str, Any]) -> web.Response:
+    async def handle_order(self, order: dict[str, Any]) -> web.Response:
         """Do an order at once."""
         self.version = order["version"]
         return web.Response(status=ACCEPTED)
@@ -92,5 +92,5 @@
             return web.json_response({"models": models, "busy": self.busy, "seq": len(self.orders)})
         if request.path == names.ORDER_PATH:
             self.orders.append(json.loads(await request.read()))
-            return await self.take_order(self.orders[-1])
+            return await self.handle_order(self.orders[-1])
         return await self.serve(request)
--- a/src/wallwell/emulator/service_server.py
+++ b/src/wallwell/emulator/service_server.py
@@ -66,9 +66,9 @@
         key = request.headers.get(IDEMPOTENCY_KEY, "")
         self.journal.append(JournalEntry(request_id, key, request.method, request.path, body))
         await asyncio.sleep(self._work_s)
-        answered_id = FOREIGN_REQUEST_ID if self.faults.take("foreign_answers") else request_id
+        response_id = FOREIGN_REQUEST_ID if self.faults.consume("foreign_answers") else request_id
         answer = {"instance": self.name, "path": request.path, "ran": len(self.journal)}
-        return web.json_response(answer, headers={REQUEST_ID: answered_id})
+        return web.json_response(answer, headers={REQUEST_ID: response_id})
 
     async def _read_journal(self, _request: web.Request) -> web.Response:
         return web.Response(body=msgspec.json.encode(self.journal), content_type="application/json")
--- a/src/wallwell/soak/store_process.py
+++ b/src/wallwell/soak/store_process.py
@@ -61,7 +61,7 @@
     def __init__(self, settings: StoreSettings) -> None:
         self._settings = settings
         self._history = HistoryWriter(Path(settings.history))
-        self.store = PlatformStoreEmulator(closed_tables=frozenset((names.BACKENDS_TABLE, names.OPERATOR_TABLE)))
+        self.store = PlatformStoreEmulator(read_only_tables=frozenset((names.BACKENDS_TABLE, names.OPERATOR_TABLE)))
         self._entries: dict[str, dict[str, object]] = {}
         self._last_heartbeat_s: dict[str, float] = {}
         self._operators_rows: dict[tuple[str, str], str] = {}
--- a/src/wallwell/soak/worker_process.py
+++ b/src/wallwell/soak/worker_process.py
@@ -227,7 +227,7 @@
 
     # --- orders ----------------------------------------------------------------------------------------
 
-    async def take_order(self, order: dict[str, Any]) -> web.Response:
+    async def handle_order(self, order: dict[str, Any]) -> web.Response:
         """Load new weights after a while, unless another order is being carried out or a later fence was seen."""
         fence, version = int(order["fence"]), int(order["version"])
         holder = str(order["holder"])
--- a/tests/contract/test_crashing_request.py
+++ b/tests/contract/test_crashing_request.py
@@ -11,7 +11,7 @@
 import pytest
 
 from tests.contract.conftest import PROMPT, Harness
-from wallwell.emulator.deployment import AWAY_S
+from wallwell.emulator.deployment import RESTART_DELAY_S
 from wallwell.routing.admission.quarantine import CRASHES_TO_QUARANTINE
 
 CRASHING = "ends its process"
@@ -59,7 +59,7 @@
     assert crashes(harness.fleet.engines) == CRASHES_TO_QUARANTINE
 
 
-@pytest.mark.parametrize(("method", "pause_s"), [("GET", PAUSE_S), ("POST", AWAY_S + PAUSE_S)])
+@pytest.mark.parametrize(("method", "pause_s"), [("GET", PAUSE_S), ("POST", RESTART_DELAY_S + PAUSE_S)])
 def test_a_call_ends_few_instances_however_often_it_comes(harness, method, pause_s):
     """One that may be repeated is also sent on by the router itself."""
     path = "/orders/pickup-notices" if method == "POST" else "/orders/status"
--- a/tests/contract/test_fleet.py
+++ b/tests/contract/test_fleet.py
@@ -284,7 +284,7 @@
 
         async def apply(number, file):
             nonlocal won
-            operator = harness.fleet.operator(number % 3, harness.session)
+            operator = harness.fleet.operator_client(number % 3, harness.session)
             try:
                 await operator.apply(
                     ApplyRequest(secrets.token_hex(8), f"op{number}", file.body, base_revision=revision)
@@ -315,7 +315,7 @@
 
 def test_every_router_names_the_others_and_where_the_configuration_is_in_force(own_harness):
     async def scenario():
-        client = own_harness.fleet.operator(1, own_harness.session)
+        client = own_harness.fleet.operator_client(1, own_harness.session)
         in_force, status = await client.wait_until_in_force(17, 5.0)
         return in_force, len(status.members), json.dumps(sorted(status.regions))
 
--- a/tests/contract/test_placement.py
+++ b/tests/contract/test_placement.py
@@ -49,7 +49,7 @@
         assert all(answers) and len(answers) > 10
         assert 0 < max(away) <= MAX_LOADS
         assert len(engines) - max(away) >= MIN_SERVING
-        assert [violation for engine in engines for violation in engine.validity_violations] == []
+        assert [violation for engine in engines for violation in engine.cache_salt_violations] == []
     finally:
         harness.run(harness.stop())
 
--- a/tests/contract/test_services.py
+++ b/tests/contract/test_services.py
@@ -21,7 +21,7 @@
 
 
 def runs(harness, key):
-    return harness.fleet.journal().count(key)
+    return harness.fleet.idempotency_keys().count(key)
 
 
 @pytest.mark.parametrize(("switches", "outcome", "ran"), [r[1:] for r in ONCE_ONLY], ids=[r[0] for r in ONCE_ONLY])
--- a/tests/unit/bench/test_received_stream.py
+++ b/tests/unit/bench/test_received_stream.py
@@ -10,11 +10,12 @@
 
 from wallwell.bench.load_result import PriorityResult
 from wallwell.bench.received_stream import ReceivedStream
-from wallwell.emulator.engine_output import chunk, stream_event
+from wallwell.emulator.engine_output import completion_chunk, stream_event
 
 WORDS = ["take ", "with ", "food "]
 EVENTS = b"".join(
-    stream_event("r", index, chunk("m", "r", word, chat=False, last=index == 2)) for index, word in enumerate(WORDS)
+    stream_event("r", index, completion_chunk("m", "r", word, chat=False, last=index == 2))
+    for index, word in enumerate(WORDS)
 )
 DONE = b"data: [DONE]\n\n"
 ERROR = b"event: error\ndata: {}\n\n"
@@ -41,7 +42,9 @@
 def test_times_count_from_the_intended_start():
     stream, result = ReceivedStream(), PriorityResult()
     for index in range(3):
-        stream.receive(stream_event("r", index, chunk("m", "r", "a ", chat=False, last=False)), 10.0 + index)
+        stream.receive(
+            stream_event("r", index, completion_chunk("m", "r", "a ", chat=False, last=False)), 10.0 + index
+        )
     stream.record(result, intended_s=9.5)
     assert result.first_token_s(50) == pytest.approx(0.5, rel=0.001)
     assert result.between_tokens_us.get_value_at_percentile(50) == pytest.approx(1e6, rel=0.001)
--- a/tests/unit/soak/test_stand_ins.py
+++ b/tests/unit/soak/test_stand_ins.py
@@ -90,7 +90,7 @@
         await process._forget(ForgetHistory())
         with pytest.raises(ValueError, match="no switch"):
             await process._switch(SwitchStore({"rows": {}}))
-        return process.store.value("op", "config"), process.store.forgotten
+        return process.store.value("op", "config"), process.store.forgotten_version
 
     assert run_async(work()) == ("{}", 1)
 
@@ -166,7 +166,7 @@
         replies = []
         for fence, version in ((5, 2), (4, 3), (6, 2)):
             order = {"op": "version", "model": "m", "version": version, "holder": "n", "fence": fence}
-            replies.append((await stand_in.take_order(order)).status)
+            replies.append((await stand_in.handle_order(order)).status)
             if stand_in.busy:
                 await stand_in._load
         return replies, stand_in.version
