--- a/src/wallwell/emulator/__init__.py
+++ b/src/wallwell/emulator/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for engines, services and the platform, with fault switches, and a deployment of them in one process.
+"""Emulators of engines, services and the platform, with fault switches, and a deployment of them in one process.
 
-For the demo, the load tool, soak runs and tests; no router imports this package. A stand-in does what its outside
-system does on the wire and no more. It takes no decision for the router.
+Used by the demo, the load tool, soak runs and tests; no router imports this package. An emulator implements only
+the wire behaviour of the system that it replaces and makes no decisions for the router.
 """
--- a/src/wallwell/emulator/deployment.py
+++ b/src/wallwell/emulator/deployment.py
@@ -1,10 +1,9 @@
 """A deployment in one process: routers, engines, services and the platform over loopback sockets.
 
-Used by the demo, the load tool and tests. The operators' files are those of ``examples/``; only the back ends'
-addresses are replaced by ports the system chose.
+Used by the demo, the load tool and tests. The configuration files are those of ``examples/``; only the back ends'
+addresses are replaced, by ports that the operating system chose.
 
-Owns every part from start to stop. Relies on the standalone router's operators' interface for putting files in
-force.
+Owns every component from start to stop. Applies files through the operator interface of the standalone router.
 """
 
 from __future__ import annotations
@@ -31,31 +30,31 @@
 from wallwell.standalone.settings import ClusterSettings, NodeSettings, PlatformAddresses
 
 OPERATOR_TOKEN = "fleet-operator-token"
-"""Operators' token of every router; good for loopback only, as is the cluster key."""
+"""Operator token of every router; like the cluster key, only suitable on loopback."""
 CLUSTER_KEY = "fleet-cluster-key-0123456789"
 HOST = "127.0.0.1"
 RESTART_DELAY_S = 1.2
-"""Seconds until a stand-in that has crashed listens again."""
+"""Seconds until a crashed emulator listens again."""
 SHUTDOWN_TIMEOUT_S = 0.05
-"""Seconds for which handlers are waited for: a stand-in has nothing to finish."""
+"""Seconds to wait for handlers at shutdown: short, since an emulator has nothing to finish."""
 CALLS_PER_S = 2000.0
-"""Calls a second that the platform serves, so that its limit is none for a deployment in one process."""
+"""Calls per second that the platform serves: high enough not to limit a deployment in one process."""
 SYNC_INTERVAL_S = 0.2
 """Seconds between two reconciliations of routers: short, so that tests need not wait."""
 SUSPICION_TIMEOUT_S = 1.0
 """Seconds until a suspected router counts as failed: short, so that tests need not wait."""
 READY_TIMEOUT_S = 15.0
-"""Seconds until all routers must be ready: one process starts them all."""
+"""Seconds within which all routers must be ready, given that one process starts them all."""
 READY_CHECK_INTERVAL_S = 0.05
-"""Seconds between two checks of that."""
+"""Seconds between two checks of whether all routers are ready."""
 APPLY_ID_BYTES = 12
-"""Random bytes of the id of a change."""
+"""Random bytes in the id of a configuration change."""
 _ADDRESS_PATTERN = re.compile(r"\d+(?:\.\d+){3}:\d+")
-"""``IP:PORT`` in an operators' file."""
+"""``IP:PORT`` in a configuration file."""
 
 
 class EmulatedBackend:
-    """A stand-in with the listener it runs on."""
+    """An emulator and its listener."""
 
     def __init__(self, server: EngineServer | ServiceServer | PlatformServer) -> None:
         self.server = server
@@ -66,7 +65,7 @@
         self._runner: web.AppRunner | None = None
 
     async def start(self, port: int = 0) -> str:
-        """Listen; returns ``IP:port``."""
+        """Listen on ``port``, or any free port if 0; return ``IP:port``."""
         self._runner = web.AppRunner(
             self.server.app(), handler_cancellation=True, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S
         )
@@ -94,7 +93,7 @@
 
 
 class EmulatedDeployment:
-    """One deployment. ``start`` brings everything up, applies the operators' files and waits for readiness."""
+    """One deployment. ``start`` starts all components, applies the configuration files and waits for readiness."""
 
     def __init__(
         self,
@@ -113,24 +112,24 @@
 
     @property
     def platform_server(self) -> PlatformServer:
-        """The platform's stand-in."""
+        """The platform emulator."""
         assert isinstance(self.platform.server, PlatformServer)
         return self.platform.server
 
     def engine(self, name: str) -> EngineServer:
-        """One engine's stand-in."""
+        """Return the emulator of one engine."""
         server = self.engines[name].server
         assert isinstance(server, EngineServer)
         return server
 
     def service(self, name: str) -> ServiceServer:
-        """One service instance's stand-in."""
+        """Return the emulator of one service instance."""
         server = self.services[name].server
         assert isinstance(server, ServiceServer)
         return server
 
     async def start(self) -> None:
-        """Start everything and put the files in force."""
+        """Start all components, apply the configuration files and wait until all routers are ready."""
         await self.platform.start()
         bodies = [path.read_text(encoding="utf-8") for path in sorted(self._directory.glob("*.yaml"))]
         parsed = [file for file, _ in map(parse_file, bodies) if file is not None]
@@ -162,7 +161,7 @@
         return new_addresses
 
     def _replace_addresses(self, file: ConfigFile, new_addresses: dict[str, str]) -> ConfigFile:
-        body = _ADDRESS_PATTERN.sub(lambda found: new_addresses.get(found.group(), found.group()), file.body)
+        body = _ADDRESS_PATTERN.sub(lambda match: new_addresses.get(match.group(), match.group()), file.body)
         changed, _ = parse_file(body)
         assert changed is not None
         return changed
@@ -191,7 +190,7 @@
         return router
 
     async def apply(self, files: list[ConfigFile], router_index: int = 0) -> int:
-        """Apply files through one router's operators' listener; returns the last revision."""
+        """Apply files through one router's operator listener; return the highest revision."""
         revision = 0
         async with aiohttp.ClientSession() as session:
             client = self.operator_client(router_index, session)
@@ -201,11 +200,11 @@
         return revision
 
     def operator_client(self, router_index: int, session: aiohttp.ClientSession) -> OperatorClient:
-        """Return an operators' client of one router."""
+        """Return an operator client for one router."""
         return OperatorClient(f"http://{self.routers[router_index].operators_address}", OPERATOR_TOKEN, session)
 
     async def wait_ready(self, timeout_s: float = READY_TIMEOUT_S) -> None:
-        """Wait until every router serves the highest revision and reads the events of every engine."""
+        """Wait until every router serves the newest revision and reads all engines' events. Raises TimeoutError."""
         async with asyncio.timeout(timeout_s):
             while not self._is_ready():
                 await asyncio.sleep(READY_CHECK_INTERVAL_S)
@@ -221,12 +220,12 @@
         return True
 
     def idempotency_keys(self) -> list[str]:
-        """Idempotency keys of every service call that ran, over all instances."""
+        """Return the idempotency keys of the service calls that ran, over all instances."""
         entries = [entry for name in self.services for entry in self.service(name).journal]
         return [entry.key for entry in entries if entry.key]
 
     async def stop(self) -> None:
-        """Stop everything at once."""
+        """Stop all routers, then all emulators."""
         await asyncio.gather(*(router.close() for router in self.routers))
         backends = [self.platform, *self.engines.values(), *self.services.values()]
         await asyncio.gather(*(backend.stop() for backend in backends))
--- a/src/wallwell/emulator/engine_feed.py
+++ b/src/wallwell/emulator/engine_feed.py
@@ -1,6 +1,6 @@
-"""What a stand-in engine reports of itself over HTTP: cache events and load as they come, the cache as a whole.
+"""Reports of an emulated engine over HTTP: a stream of cache events and load, and a snapshot of the cache.
 
-Owns the connections of the events' readers. Relies on :class:`.engine_process.EngineProcess` for what is reported.
+Owns the connections of the event readers. Relies on :class:`.engine_process.EngineProcess` for the reported state.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 EVENT_DELAY_S = 0.1
 """Seconds between two batches of cache events."""
 LOAD_LAG_S = 0.2
-"""Age, in seconds, that load reports state."""
+"""Age stated in load reports, in seconds."""
 _LOAD_INTERVAL_S = 0.5
 """Seconds between two load reports."""
 _GOLDEN_RATIO_FRACTION = 0.618034
-"""Fractional part of the golden ratio: its multiples spread dropped events evenly, and the same ones each time."""
+"""Fractional part of the golden ratio: its multiples spread dropped events evenly and reproducibly."""
 
 
 class EngineFeed:
-    """Reports of one engine."""
+    """Sends the reports of one engine."""
 
     def __init__(self, process: EngineProcess, event_delay_s: float, load_lag_s: float) -> None:
         self._process = process
@@ -42,12 +42,12 @@
         app.router.add_get("/snapshot", self._handle_snapshot)
 
     def reset_connections(self) -> None:
-        """End all readers' connections, as a crash does."""
+        """Reset the connections of all event readers, as a crash does."""
         for request in list(self._connections.values()):
             reset_connection(request)
 
     async def _handle_events(self, request: web.Request) -> web.StreamResponse:
-        """Send reports until the reader goes, from event ``after`` on if the incarnation it names stands."""
+        """Send reports until the reader disconnects; skip events up to ``after`` of this incarnation."""
         same_incarnation = request.query.get("incarnation") == self._process.incarnation
         after = int(request.query.get("after", "0")) if same_incarnation else 0
         response = web.StreamResponse(headers={"Content-Type": "application/x-ndjson"})
@@ -56,7 +56,7 @@
         try:
             await self._send_reports(response, after)
         except (ConnectionError, asyncio.CancelledError):
-            return response  # The reader or the stand-in has ended.
+            return response  # The reader disconnected or the emulator is stopping.
         finally:
             self._connections.pop(id(request), None)
 
@@ -67,7 +67,7 @@
             if self._process.status_line() != sent_status:
                 sent_status = self._process.status_line()
                 await response.write(msgspec.json.encode(sent_status) + b"\n")
-            # The lag: the load sent is the one taken before the pause.
+            # The load is sampled before the events are sent and sent after them, which emulates a reporting lag.
             load = self._process.load_line(self._load_lag_s)
             for _ in range(batches_per_load):
                 after = await self._send_events(response, after)
@@ -75,7 +75,7 @@
             await response.write(msgspec.json.encode(load) + b"\n")
 
     async def _send_events(self, response: web.StreamResponse, after: int) -> int:
-        """Send the cache events above a sequence number; returns the highest one."""
+        """Send the cache events above sequence number ``after``; return the highest number."""
         lines = []
         for event in self._process.model.events:
             if event.sequence > after:
--- a/src/wallwell/emulator/engine_model.py
+++ b/src/wallwell/emulator/engine_model.py
@@ -1,6 +1,6 @@
-"""Timing and cache model of a model engine: continuous batching with a prefix cache.
+"""Timing and cache model of an inference engine: continuous batching with a prefix cache.
 
-Pure: the caller passes time in and runs the steps. One step prefills up to ``max_prefill_tokens`` tokens of the
+Does no I/O: the caller passes the time and runs each step. A step prefills up to ``max_prefill_tokens`` tokens of
 waiting requests, in priority order, and decodes one token of every running request. Its duration grows with both.
 """
 
@@ -16,20 +16,20 @@
 
 @dataclass(frozen=True)
 class EngineProfile:
-    """Speed and size of one engine: in the order of a small model on one accelerator."""
+    """Speed and capacity of one engine; the defaults are on the order of a small model on one accelerator."""
 
     block_tokens: int = 16
-    """Tokens of one cached block."""
+    """Tokens per cached block."""
     bytes_per_token: int = 4
     """Bytes of text that count as one token."""
     cache_blocks: int = 4000
-    """Blocks that the cache holds."""
+    """Capacity of the cache in blocks."""
     max_batch: int = 32
-    """Requests that decode at the same time."""
+    """Maximum number of requests that decode at the same time."""
     max_prefill_tokens: int = 1024
-    """Prompt tokens that one step computes at most."""
+    """Maximum number of prompt tokens that one step computes."""
     step_base_s: float = 0.008
-    """Seconds of an empty step."""
+    """Seconds that a step takes without any requests."""
     decode_s_per_request: float = 0.0004
     """Seconds that each decoding request adds to a step."""
     prefill_s_per_token: float = 1 / 16_000
@@ -41,13 +41,13 @@
         return self.block_tokens * self.bytes_per_token
 
     def count_tokens(self, prompt: bytes) -> int:
-        """Return the number of tokens of a prompt."""
+        """Return the number of tokens of a prompt, at least 1."""
         return max(1, -(-len(prompt) // self.bytes_per_token))
 
 
 @dataclass
 class EngineRequest:
-    """One request inside the engine."""
+    """One request. ``chain`` holds its prompt's block hashes; output tokens are numbered from ``first_index``."""
 
     request_id: str
     chain: Sequence[int]
@@ -69,7 +69,7 @@
 
 
 class BlockPosition(NamedTuple):
-    """A block's position: the first block of its chain, and its index in it."""
+    """Position of a block: the hash of its chain's first block, and its index in the chain."""
 
     root: int
     depth: int
@@ -77,9 +77,9 @@
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """Consecutive blocks of one chain that entered the cache, or blocks of one chain that left it.
+    """Consecutive blocks of one chain that were stored, or blocks of one chain that were evicted.
 
-    ``depth`` is the chain index of the first block; of removals it is that of the first one listed.
+    ``depth`` is the chain index of ``blocks[0]``; evicted blocks need not be consecutive.
     """
 
     sequence: int
@@ -91,7 +91,7 @@
 
 @dataclass
 class StepResult:
-    """What one step produced: ``(request, token index)`` pairs and the requests that ended."""
+    """Result of one step: its duration, ``(request, token index)`` pairs and the requests that finished."""
 
     duration_s: float
     tokens: list[tuple[EngineRequest, int]] = field(default_factory=list)
@@ -99,7 +99,7 @@
 
 
 class PrefixCache:
-    """Blocks by hash, least recently used evicted first; tails go before heads."""
+    """LRU cache of blocks by hash; the end of a chain is evicted before its start."""
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
@@ -122,7 +122,7 @@
         return count
 
     def touch(self, chain: Sequence[int]) -> None:
-        """Mark blocks used; the head becomes the most recent."""
+        """Mark the cached blocks of ``chain`` as used; its first block becomes the most recently used."""
         for block in reversed(chain):
             if block in self._blocks:
                 self._blocks.move_to_end(block)
@@ -130,7 +130,7 @@
     def insert(
         self, chain: Sequence[int]
     ) -> tuple[list[tuple[int, BlockPosition]], list[tuple[int, BlockPosition]]]:
-        """Store a chain; returns the blocks ``(stored, evicted)`` with their positions."""
+        """Store a chain; return the newly stored and the evicted blocks with their positions."""
         stored = []
         for depth, block in enumerate(chain):
             if block not in self._blocks:
@@ -144,16 +144,16 @@
         return stored, evicted
 
     def items(self) -> list[tuple[int, BlockPosition]]:
-        """Every cached block with its position."""
+        """Return every cached block with its position."""
         return list(self._blocks.items())
 
 
 MAX_EVENTS = 100_000
-"""Cache events kept for readers that lag behind; far more than one run makes."""
+"""Cache events retained for readers that lag behind; far more than one run produces."""
 
 
 class EngineModel:
-    """One incarnation of one engine."""
+    """Request queues, cache and cache events of one incarnation of an engine."""
 
     def __init__(self, profile: EngineProfile) -> None:
         self.profile = profile
@@ -168,17 +168,17 @@
 
     @property
     def idle(self) -> bool:
-        """Whether there is nothing to do."""
+        """Whether no request is waiting or running."""
         return not self.waiting and not self.running
 
     def submit(self, request: EngineRequest, now_s: float) -> None:
-        """Queue a request."""
+        """Queue a request by rank, then by arrival."""
         request.arrived_s = now_s
         self.waiting.append(request)
         self.waiting.sort(key=lambda each: (each.rank, each.arrived_s))
 
     def cancel(self, request_id: str) -> bool | None:
-        """Stop a request. Returns whether it had started, or None if it is not here."""
+        """Remove a request. Returns whether it had started, or None if there is no such request."""
         for queue in (self.waiting, self.running):
             for request in queue:
                 if request.request_id == request_id:
@@ -187,7 +187,7 @@
         return None
 
     def load_report(self, now_s: float) -> LoadReport:
-        """Return the load as it is at ``now_s``."""
+        """Return the current load, timestamped ``now_s``."""
         waiting_tokens: dict[int, int] = {}
         for request in self.waiting:
             tokens = max(0, request.remaining_prefill_tokens)
@@ -202,7 +202,7 @@
         )
 
     def step(self) -> StepResult:
-        """Run one step; the caller lets ``duration_s`` pass and then hands out the tokens."""
+        """Run one step; the caller waits ``duration_s`` before it delivers the tokens."""
         profile = self.profile
         decoding = list(self.running)
         prefilled_tokens, prefilled = self._prefill()
@@ -275,7 +275,7 @@
 
 
 def _consecutive_runs(stored: Sequence[tuple[int, BlockPosition]]) -> list[list[tuple[int, BlockPosition]]]:
-    """Split stored blocks where their depths do not follow on."""
+    """Split stored blocks into runs of consecutive depths."""
     runs: list[list[tuple[int, BlockPosition]]] = []
     for entry in stored:
         if runs and runs[-1][-1][1].depth + 1 == entry[1].depth:
--- a/src/wallwell/emulator/engine_output.py
+++ b/src/wallwell/emulator/engine_output.py
@@ -1,5 +1,5 @@
-"""What a stand-in engine generates and sends: tokens, stream events, cache events and entries of a snapshot.
-Pure; the forms are those of :mod:`wallwell.standalone.backends.engine_protocol`.
+"""Output of an emulated engine: tokens, stream events, cache events and snapshot entries.
+Does no I/O; the formats are those of :mod:`wallwell.standalone.backends.engine_protocol`.
 """
 
 from __future__ import annotations
@@ -11,27 +11,27 @@
 from wallwell.standalone.backends import engine_protocol as wire
 
 FOREIGN_REQUEST_ID = "foreign-request"
-"""Request id of an answer that a fault makes another request's."""
+"""Request id sent when a fault makes a response carry another request's id."""
 _WORDS = ("take", "with", "food", "daily", "dose", "check", "hut", "trail", "ridge", "permit", "bed", "safe")
 
 
 def generated_word(prompt: bytes, index: int) -> str:
-    """Return the token at ``index`` that every stand-in engine generates for ``prompt``."""
+    """Return the token at ``index`` that every emulated engine generates for ``prompt``."""
     return _WORDS[xxhash.xxh3_64_intdigest(prompt, index) % len(_WORDS)] + " "
 
 
 def stream_event(request_id: str, index: int, payload: bytes) -> bytes:
-    """Return one event of a stream."""
+    """Return the server-sent event of one output token."""
     return b"id: %s/%d\ndata: %s\n\n" % (request_id.encode(), index, payload)
 
 
 def snapshot_entry(block: int, position: BlockPosition) -> wire.SnapshotEntry:
-    """Return a cached block as it travels in a snapshot."""
+    """Return the snapshot entry of a cached block."""
     return wire.SnapshotEntry(wire.hash_text(position.root), position.depth, wire.pack_hashes([block]))
 
 
 def cache_event_line(event: CacheEvent) -> wire.CacheLine:
-    """Return a cache event as it travels."""
+    """Return the wire format of a cache event."""
     return wire.CacheLine(
         sequence=event.sequence,
         stored=event.stored,
@@ -42,7 +42,7 @@
 
 
 def completion_chunk(model: str, request_id: str, text: str, chat: bool, last: bool) -> bytes:
-    """Return the JSON of one token in the callers' format."""
+    """Return one token as a JSON chunk of OpenAI's chat or text completion format."""
     choice: dict[str, object] = {"index": 0, "finish_reason": "stop" if last else None}
     choice |= {"delta": {"content": text}} if chat else {"text": text}
     kind = "chat.completion.chunk" if chat else "text_completion"
--- a/src/wallwell/emulator/engine_process.py
+++ b/src/wallwell/emulator/engine_process.py
@@ -1,7 +1,7 @@
-"""One process of a stand-in engine: drives :class:`EngineModel` in real time, and what a process can lose.
+"""Process of an emulated engine: runs :class:`EngineModel` in real time and emulates crashes.
 
-Owns the incarnation, the loaded weights, the requests in flight and the records that tests read. Knows no HTTP:
-:mod:`.engine_server` serves requests, :mod:`.engine_feed` the cache events and load reports.
+Owns the incarnation, the loaded weights, the requests in flight and the records that tests read. Contains no HTTP
+code: :mod:`.engine_server` serves requests, :mod:`.engine_feed` sends cache events and load reports.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 WEIGHT_LOAD_S = 0.3
 """Seconds that new weights take to load: short, so that tests need not wait."""
 INCARNATION_BYTES = 4
-"""Random bytes of the name of an incarnation."""
+"""Random bytes in the identifier of an incarnation."""
 _PAUSE_CHECK_INTERVAL_S = 0.02
 """Seconds between two checks whether a pause is over."""
 _IDLE_CHECK_INTERVAL_S = 0.01
@@ -28,7 +28,7 @@
 
 @dataclass
 class TokenStream:
-    """A request in flight and the indexes of its tokens; None ends them early."""
+    """A request in flight and a queue of its output token indexes; None in the queue ends the stream early."""
 
     request: EngineRequest
     tokens: asyncio.Queue[int | None] = field(default_factory=asyncio.Queue)
@@ -40,18 +40,18 @@
     def __init__(self, name: str, weights: dict[str, str], profile: EngineProfile | None = None) -> None:
         self.name = name
         self.weights = dict(weights)
-        """Loaded version of each model."""
+        """Loaded weights version of each model."""
         self.profile = profile or EngineProfile()
         self.faults = FaultControl()
         self.state = wire.EngineState.SERVING
         self.weight_load_s = WEIGHT_LOAD_S
         self.journal: list[str] = []
-        """Ids of all requests that were begun."""
+        """Ids of all submitted requests."""
         self.cache_salt_violations: list[str] = []
-        """Uses of one cache salt with several versions of weights."""
+        """Descriptions of requests that used a cache salt with a second weights version."""
         self.highest_fence = 0
         self.on_crash: Callable[[], None] = lambda: None
-        """Called when the process loses its connections."""
+        """Called on a crash to reset connections."""
         self._streams: dict[str, TokenStream] = {}
         self._weights_by_salt: dict[int, str] = {}
         self._load_task: asyncio.Task[None] | None = None
@@ -63,7 +63,7 @@
         self.model = EngineModel(self.profile)
 
     def crash(self) -> None:
-        """Lose everything: reset all connections and begin a new, empty incarnation."""
+        """Emulate a crash: reset all connections and begin a new incarnation with an empty cache."""
         for stream in self._streams.values():
             stream.tokens.put_nowait(None)
         self._streams.clear()
@@ -82,7 +82,7 @@
             await asyncio.sleep(result.duration_s)
             while self.faults.switches.paused:
                 await asyncio.sleep(_PAUSE_CHECK_INTERVAL_S)
-            if model is self.model:  # Otherwise the process has crashed meanwhile.
+            if model is self.model:  # Otherwise a crash has lost the tokens.
                 self._deliver_tokens(result)
 
     def _deliver_tokens(self, result: StepResult) -> None:
@@ -94,7 +94,7 @@
     # --- requests --------------------------------------------------------------------------------------
 
     def submit(self, request: EngineRequest, salt: int, model: str) -> TokenStream:
-        """Queue a request for ``model`` under a cache salt; returns its tokens to come."""
+        """Queue a request for ``model`` with a cache salt; return the stream of its tokens."""
         self._check_cache_salt(salt, model)
         stream = TokenStream(request)
         self._streams[request.request_id] = stream
@@ -104,20 +104,20 @@
         return stream
 
     def _check_cache_salt(self, salt: int, model: str) -> None:
-        """Hold the router to its cache keys: one salt serves one version of a model's weights only."""
+        """Record a violation if the router uses one salt with several versions of a model's weights."""
         version = self._weights_by_salt.setdefault(salt, self.weights.get(model, ""))
         if version != self.weights.get(model, ""):
             self.cache_salt_violations.append(
-                f"{self.name}: salt of weights {version} used with {self.weights[model]}"
+                f"{self.name}: cache salt of weights {version} used with {self.weights[model]}"
             )
 
     def remove_request(self, request_id: str) -> None:
-        """Forget a request whose answer has ended, whole or not."""
+        """Remove a request whose response has ended, complete or not."""
         self._streams.pop(request_id, None)
         self.model.cancel(request_id)
 
     def cancel(self, request_id: str) -> wire.CancelState:
-        """Stop a request; returns what is known of it."""
+        """Stop a request; return whether it had started, or is unknown."""
         started = self.model.cancel(request_id)
         stream = self._streams.pop(request_id, None)
         if stream is not None:
@@ -129,7 +129,7 @@
     # --- weights ---------------------------------------------------------------------------------------
 
     def start_weights_load(self, order: wire.EngineLoadOrder) -> bool:
-        """Begin to load weights; returns False for the order of an earlier lease holder or while not serving."""
+        """Start loading weights; return False if the order is from an earlier lease holder or while not serving."""
         if order.fence < self.highest_fence or self.state is not wire.EngineState.SERVING:
             return False
         self.highest_fence = order.fence
@@ -138,7 +138,7 @@
         return True
 
     async def _load_weights(self, order: wire.EngineLoadOrder) -> None:
-        """Finish what runs, load, and serve the new weights with an empty cache."""
+        """Wait for all requests to finish, load the weights and serve them with an empty cache."""
         while not self.model.idle:
             await asyncio.sleep(_IDLE_CHECK_INTERVAL_S)
         await asyncio.sleep(self.weight_load_s)
@@ -149,7 +149,7 @@
     # --- reports ---------------------------------------------------------------------------------------
 
     def status_line(self) -> wire.StatusLine:
-        """Return the status that readers of the events get whenever it changes."""
+        """Return the status, which event readers receive whenever it changes."""
         return wire.StatusLine(
             engine=self.name,
             incarnation=self.incarnation,
@@ -161,7 +161,7 @@
         )
 
     def load_line(self, age_s: float) -> wire.LoadLine:
-        """Return the load as it is now, declared ``age_s`` old."""
+        """Return the current load with a stated age of ``age_s``."""
         report = self.model.load_report(0.0)
         return wire.LoadLine(
             sequence=self.model.last_sequence,
--- a/src/wallwell/emulator/engine_server.py
+++ b/src/wallwell/emulator/engine_server.py
@@ -1,7 +1,7 @@
-"""Stand-in for a model engine over HTTP: requests, cancels, orders and switches for tests.
+"""Emulated inference engine over HTTP: generations, cancellation, load orders and control endpoints for tests.
 
-Owns the HTTP interface and its refusals. What runs stands in :mod:`.engine_process`, reports in
-:mod:`.engine_feed`, the texts of what is sent in :mod:`.engine_output`.
+Owns the HTTP interface and the refusals. :mod:`.engine_process` runs requests, :mod:`.engine_feed` sends reports,
+:mod:`.engine_output` formats what is sent.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 from wallwell.standalone.routing.blocks import hash_chain
 
 MAX_BODY_BYTES = 16 * 1024 * 1024
-"""Bytes of a request's body: above what a router accepts."""
+"""Maximum size of a request body: above what a router accepts."""
 REQUEST_ID_BYTES = 8
-"""Random bytes of the id of a request that comes without one."""
+"""Random bytes in the id assigned to a request that has none."""
 _CUT_DELAY_S = 0.02
-"""Seconds from the last chunk to the close of a stream that is cut."""
+"""Seconds between the last chunk and the close of a stream ended by ``cut_streams_after``."""
 _STALL_CHECK_INTERVAL_S = 0.02
 """Seconds between two checks whether a stall is over."""
-_UNAVAILABLE_REASONS = (wire.RefusalReason.LEAVING, wire.RefusalReason.LOADING)
-"""Refusals because of the engine's state (503); the others are of what the router expected (412)."""
+_STATE_REFUSALS = (wire.RefusalReason.LEAVING, wire.RefusalReason.LOADING)
+"""Refusals because of the engine's state (503); the others are failed expectations of the router (412)."""
 
 
 class EngineServer(EngineProcess):
@@ -47,7 +47,7 @@
     ) -> None:
         super().__init__(name, weights, profile)
         self.refused = 0
-        """Requests refused before anything ran."""
+        """Number of requests refused before anything ran."""
         self._feed = EngineFeed(self, event_delay_s, load_lag_s)
         self.on_crash = self._feed.reset_connections
         self._run_task: asyncio.Task[None] | None = None
@@ -82,9 +82,7 @@
         reason = self._refusal_reason(request, body.model)
         if reason is not None:
             self.refused += 1
-            status = (
-                HTTPStatus.SERVICE_UNAVAILABLE if reason in _UNAVAILABLE_REASONS else HTTPStatus.PRECONDITION_FAILED
-            )
+            status = HTTPStatus.SERVICE_UNAVAILABLE if reason in _STATE_REFUSALS else HTTPStatus.PRECONDITION_FAILED
             return web.Response(status=status, body=msgspec.json.encode(wire.Refusal(reason)))
         request_id = request.headers.get(wire.REQUEST_ID, secrets.token_hex(REQUEST_ID_BYTES))
         salt = int(request.headers.get(wire.CACHE_SALT, "0"), 16)
@@ -151,7 +149,7 @@
         first_index: int,
         response_id: str,
     ) -> bool:
-        """Send every token and the end; returns False if the connection was closed before."""
+        """Send every token and the end event; return False if the connection was closed before that."""
         prompt = render_prompt(body)
         index: int | None = first_index
         sent_chunks = 0
@@ -174,10 +172,10 @@
         return False
 
     async def _apply_stream_faults(self, request: web.Request, sent_chunks: int) -> bool:
-        """Apply the faults of streams after ``sent`` chunks; returns whether the connection was closed."""
+        """Apply the stream faults due after ``sent_chunks``; return whether the connection was closed."""
         switches = self.faults.switches
         if switches.cut_streams_after and sent_chunks >= switches.cut_streams_after:
-            # The HTTP client drops chunks it has not handed on when a close follows at once.
+            # The HTTP client drops chunks that it has not delivered yet if the close follows immediately.
             await asyncio.sleep(_CUT_DELAY_S)
             close_connection(request)
             return True
@@ -193,7 +191,7 @@
         body = msgspec.json.decode(await request.read(), type=wire.CancelRequest)
         return web.Response(body=msgspec.json.encode(wire.CancelAnswer(self.cancel(body.request_id))))
 
-    # --- orders and switches ---------------------------------------------------------------------------
+    # --- orders and control ----------------------------------------------------------------------------
 
     async def _handle_load_order(self, request: web.Request) -> web.Response:
         order = msgspec.json.decode(await request.read(), type=wire.EngineLoadOrder)
--- a/src/wallwell/emulator/faults.py
+++ b/src/wallwell/emulator/faults.py
@@ -1,6 +1,6 @@
-"""Fault switches shared by every stand-in, as an aiohttp middleware and one control endpoint.
+"""Fault switches shared by all emulators, as an aiohttp middleware and one control endpoint.
 
-Owns the switches; a stand-in asks for those that concern its own answers. All are off at start.
+Owns the switches; each emulator reads those that affect its own responses. All are off at start.
 """
 
 from __future__ import annotations
@@ -14,52 +14,52 @@
 from wallwell.events import Event, emit
 
 FAULTS_PATH = "/_faults"
-"""Takes a JSON object of switches to change; the others stay."""
+"""Endpoint that accepts a JSON object of switches to change; the others keep their values."""
 PAUSE_CHECK_INTERVAL_S = 0.02
 """Seconds between two checks whether a pause is over."""
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 class FaultSwitches(msgspec.Struct, forbid_unknown_fields=True):
-    """Faults of a stand-in. All are off at start."""
+    """Fault switches of an emulator. All are off at start."""
 
     down: bool = False
-    """Reset every connection before doing anything."""
+    """Reset the connection of every request before handling it."""
     slow_s: float = 0.0
-    """Wait this long before doing anything."""
+    """Seconds to wait before handling a request."""
     lose_answers: int = 0
-    """Take effect, then reset the connection instead of answering, this many times."""
+    """Number of requests to carry out and then answer with a connection reset."""
     foreign_answers: int = 0
-    """Answer with another request's id, this many times."""
+    """Number of responses to send with another request's id."""
     drop_event_ratio: float = 0.0
     """Fraction of cache events that are never published."""
     cut_streams_after: int = 0
-    """Close each stream's connection after this many chunks; 0 leaves streams whole."""
+    """Close each stream's connection after this many chunks; 0 disables the fault."""
     stall_streams_after: int = 0
-    """Stop sending after this many chunks without closing; 0 leaves streams whole."""
+    """Stop sending after this many chunks without closing; 0 disables the fault."""
     duplicate_chunks: bool = False
     """Send every chunk twice."""
     paused: bool = False
-    """Do nothing until switched off."""
+    """Hold all requests, and an engine's generation, until switched off."""
     crash_on: str = ""
-    """End as a killed process does when a request's body holds this text, if the stand-in's owner can do that."""
+    """Crash like a killed process when a request's body contains this text, if ``on_crash`` is set."""
 
 
 class FaultControl:
-    """Holds the switches of one stand-in and applies those that concern every request."""
+    """Holds the switches of one emulator and applies those that affect every request."""
 
     def __init__(self) -> None:
         self.switches = FaultSwitches()
         self.on_crash: Callable[[], None] | None = None
-        """Set by the owner of the listener."""
+        """Emulates a crash; set by the owner of the listener."""
 
     def set(self, **changes: object) -> None:
-        """Replace single switches."""
+        """Change the given switches and log them."""
         self.switches = msgspec.structs.replace(self.switches, **changes)
         emit(Event.EMULATOR_FAULT, **{key: str(value) for key, value in changes.items()})
 
     def consume(self, counter: str) -> bool:
-        """Use up one of a counted fault; returns whether there was one left."""
+        """Decrement the counter of a fault; return False if it was already 0."""
         remaining = getattr(self.switches, counter)
         if remaining <= 0:
             return False
@@ -79,7 +79,7 @@
 
     @web.middleware
     async def middleware(self, request: web.Request, handler: Handler) -> web.StreamResponse:
-        """Apply ``down``, ``paused``, ``slow_s`` and ``lose_answers``."""
+        """Apply ``down``, ``paused``, ``slow_s``, ``crash_on`` and ``lose_answers``."""
         if request.path == FAULTS_PATH:
             return await handler(request)
         if self.switches.down:
@@ -98,7 +98,7 @@
 
 
 def abort_listener(runner: web.BaseRunner) -> None:
-    """Close a listener and reset its connections, as the end of a killed process does."""
+    """Close a listener and reset its connections, as when its process is killed."""
     for site in runner.sites:
         assert isinstance(site, web.TCPSite)
         site._server.close()  # type: ignore[union-attr]
@@ -109,14 +109,14 @@
 
 
 def close_connection(request: web.Request) -> web.Response:
-    """Close after what was written has left; a reset could destroy chunks the peer has not read yet."""
+    """Close once written data is sent; a reset could destroy unread chunks. The returned response is never sent."""
     if request.transport is not None:
         request.transport.close()
     return web.Response()
 
 
 def reset_connection(request: web.Request) -> web.Response:
-    """Abort the connection; the response returned is never sent."""
+    """Abort the connection; the returned response is never sent."""
     if request.transport is not None:
         request.transport.abort()
     return web.Response()
--- a/src/wallwell/emulator/platform_server.py
+++ b/src/wallwell/emulator/platform_server.py
@@ -1,7 +1,6 @@
-"""Stand-in for the services that a router without the platform's store needs: table, objects, weights, machine
-list.
+"""Emulator of the platform services that a standalone router needs: table, objects, weights, machine list.
 
-Owns rows, objects and the machine list; everything is lost when the process ends.
+Owns rows, objects and the machine list, and keeps them in memory only.
 """
 
 from __future__ import annotations
@@ -20,13 +19,13 @@
 from wallwell.storage.table import Row, Scan, Transaction
 
 CALLS_PER_S = 500.0
-"""Calls a second that are served; more get 429: far above what three routers make."""
+"""Calls per second above which calls get 429; far more than three routers make."""
 WEIGHT_LOAD_S = 0.2
 """Seconds that one engine needs to load weights."""
 WEIGHT_SLOTS = 2
-"""Engines that load side by side without slowing each other down."""
+"""Number of engines that can load at the same time without slowing each other down."""
 MAX_BODY_BYTES = 64 * 1024 * 1024
-"""Largest object, in bytes."""
+"""Maximum size of an object."""
 
 
 class ConditionFailed(Exception):
@@ -34,14 +33,14 @@
 
 
 class TableModel:
-    """Rows and commit numbers; pure."""
+    """Versioned rows and the number of the last commit; does no I/O."""
 
     def __init__(self) -> None:
         self.commit = 0
         self.rows: dict[str, Row] = {}
 
     def transact(self, transaction: Transaction) -> int:
-        """Apply a transaction. Raises :class:`ConditionFailed` with the failing key."""
+        """Apply a transaction; return its commit number. Raises :class:`ConditionFailed` with the failing key."""
         for condition in transaction.conditions:
             row = self.rows.get(condition.key)
             if (row.version if row else 0) != condition.version:
@@ -54,7 +53,7 @@
         return self.commit
 
     def scan(self, prefix: str, after_version: int) -> Scan:
-        """Return rows under ``prefix`` with a version above ``after_version``."""
+        """Return the rows under ``prefix`` with a version above ``after_version``, ordered by version."""
         rows = [row for key, row in self.rows.items() if key.startswith(prefix) and row.version > after_version]
         return Scan(self.commit, tuple(sorted(rows, key=lambda row: row.version)))
 
@@ -119,7 +118,7 @@
         return _json_response([Machine(address, state) for address, state in self.machines.items()])
 
     async def _handle_weights(self, request: web.Request) -> web.Response:
-        """Slow down when more readers load at once than the store carries well."""
+        """Slow down in proportion to the concurrent readers once they exceed ``weight_slots``."""
         self._weight_readers += 1
         try:
             slowdown = max(1.0, self._weight_readers / self._weight_slots)
--- a/src/wallwell/emulator/platform_store.py
+++ b/src/wallwell/emulator/platform_store.py
@@ -1,6 +1,6 @@
-"""Stand-in for the platform's store over HTTP: rows, conditions, a feed of changes, and fault switches.
+"""Emulator of the platform's store over HTTP: rows, conditional transactions, a change feed and fault switches.
 
-Relies on the names and the transaction's form of :mod:`wallwell.platform`; rows and their order are its own.
+Uses the names and the transaction format of :mod:`wallwell.platform`, but stores and orders rows itself.
 """
 
 from __future__ import annotations
@@ -23,47 +23,47 @@
 from wallwell.platform.store_wire import TransactBody
 
 MAX_PAGE_ROWS = 500
-"""Rows of one answer: the most that the store's protocol allows."""
+"""Maximum number of rows per response that the store's protocol allows."""
 MS_PER_S = 1000
-"""The store's protocol gives times in milliseconds."""
+"""The store's protocol states times in milliseconds."""
 CONFLICT = HTTPStatus.PRECONDITION_FAILED.value
 HISTORY_GONE = HTTPStatus.GONE.value
 FORBIDDEN = HTTPStatus.FORBIDDEN.value
 UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE.value
 SHUTDOWN_TIMEOUT_S = 0.01
-"""Seconds for which handlers are waited for: a stand-in has nothing to finish."""
+"""Seconds to wait for handlers at shutdown: short, since an emulator has nothing to finish."""
 _SILENCE_S = 3600.0
-"""Seconds for which a silent store answers nothing: longer than any caller waits."""
+"""Seconds for which a silent store delays each call: longer than any caller waits."""
 
 
 @dataclass
 class StoreSwitches:
-    """Faults of a store. All are off at start."""
+    """Fault switches of a store. All are off at start."""
 
     refuse_status: int = 0
-    """Answer every call with this status and do nothing."""
+    """Answer every call with this status without carrying it out; 0 disables the fault."""
     silent: bool = False
     """Accept calls and never answer them."""
     slow_s: float = 0.0
-    """Wait this long before doing anything."""
+    """Seconds to wait before handling a call."""
     lose_writes: int = 0
-    """Do a write, then reset the connection, this many times."""
+    """Number of writes to carry out and then answer with a connection reset."""
     late_writes: int = 0
-    """Reset the connection of a write and do it ``late_s`` later if its conditions still hold, this many times."""
+    """Number of writes to answer with a reset and carry out ``late_s`` later if their conditions still hold."""
     late_s: float = 1.0
     refused_listeners: tuple[str, ...] = ()
-    """Local addresses at which every call gets 503: each caller has an address of its own."""
+    """Local addresses at which every call gets 503; each caller connects to an address of its own."""
 
 
 class StoreCopy(NamedTuple):
-    """What a store holds at one moment."""
+    """Contents of a store at one point in time."""
 
     rows: dict[tuple[str, str], tuple[str, int]]
     version: int
 
 
 class PlatformStoreEmulator(StoreSwitches):
-    """One store. ``page_rows`` bounds the rows of one answer; ``read_only_tables`` refuse writes of callers."""
+    """One store. ``page_rows`` limits the rows of one response; callers cannot write ``read_only_tables``."""
 
     def __init__(self, page_rows: int = MAX_PAGE_ROWS, read_only_tables: frozenset[str] = frozenset()) -> None:
         super().__init__()
@@ -71,8 +71,9 @@
         self.history: list[tuple[int, str, str, bool]] = []
         self.version = 0
         self.forgotten_version = 0
+        """Feed requests from an older version get 410."""
         self.era = 0
-        """Rises with each :meth:`restore`; 0 is not stated."""
+        """Incremented by each :meth:`restore`; 0 is not sent to callers."""
         self.calls = 0
         self.addresses: tuple[str, ...] = ()
         self._page_rows = page_rows
@@ -95,7 +96,7 @@
         return app
 
     async def start(self, hosts: Iterable[str] = ("127.0.0.1",)) -> None:
-        """Listen on a port of the system's choice of every host."""
+        """Listen at every host, each on a port that the operating system chooses."""
         self._runner = web.AppRunner(self.app(), shutdown_timeout=SHUTDOWN_TIMEOUT_S, access_log=None)
         await self._runner.setup()
         for host in hosts:
@@ -109,7 +110,7 @@
     # --- rows ------------------------------------------------------------------------------------------
 
     def put(self, table: str, key: str, value: object | None) -> None:
-        """Write a row; ``value`` is JSON-encoded unless it is text, or None, which deletes."""
+        """Write a row, or delete it if ``value`` is None. A value that is not a string is JSON-encoded."""
         self.version += 1
         self._write_row(table, key, value)
 
@@ -124,21 +125,21 @@
         self._changed = asyncio.Event()
 
     def value(self, table: str, key: str) -> str | None:
-        """Return a row's text, None if there is no such row."""
+        """Return a row's text, or None if there is no such row."""
         stored = self.rows.get((table, key))
         return base64.b64decode(stored[0]).decode() if stored else None
 
     def forget_history(self) -> None:
-        """Answer 410 to all that would continue from before now."""
+        """Discard the change history; feed requests from before the current version get 410."""
         self.forgotten_version = self.version
         self.history.clear()
 
     def copy(self) -> StoreCopy:
-        """Return what the store holds now, to be restored later."""
+        """Return a copy of the current contents for :meth:`restore`."""
         return StoreCopy(dict(self.rows), self.version)
 
     def restore(self, copy: StoreCopy) -> None:
-        """Come back from a copy: later writes are lost, and their versions are given out again."""
+        """Restore a copy: later writes are lost, and their version numbers are assigned again."""
         self.rows = dict(copy.rows)
         self.version = copy.version
         self.era += 1
@@ -153,7 +154,7 @@
             response.headers[names.STORE_ERA] = str(self.era)
 
     async def _apply_call_faults(self, request: web.Request) -> web.Response | None:
-        """Count a call and apply the switches of all calls; returns the answer if the call is refused."""
+        """Count a call and apply the faults common to all calls; return the response if the call is refused."""
         self.calls += 1
         if self.silent:
             await asyncio.sleep(_SILENCE_S)
@@ -199,7 +200,7 @@
         return self._rows_response([self._row_body(table, key) for table, key in found], status=CONFLICT)
 
     def _apply(self, body: TransactBody) -> bool:
-        """Do the whole transaction if its conditions hold; returns whether they did."""
+        """Apply the whole transaction if its conditions hold; return whether they did."""
         for condition in body.expect_rev:
             if self.rows.get((condition.table, condition.key), ("", 0))[1] != condition.ver:
                 return False
@@ -238,9 +239,9 @@
         return {"key": key, "gone": True, "ver": self.version} if gone else self._row_body(table, key)
 
     async def _wait_for_changes(self, table: str, after: int, wait_s: float) -> dict[str, bool] | None:
-        """Return the keys that changed after a version, and whether each is gone; none of them after ``wait_s``.
+        """Return the keys changed since version ``after`` and whether each was deleted; empty after ``wait_s``.
 
-        Returns None if the history from that version on is no longer known, or the version never was given out.
+        Returns None if the history since ``after`` was discarded or ``after`` is above the store's version.
         """
         deadline_s = asyncio.get_running_loop().time() + wait_s
         while self.forgotten_version <= after <= self.version:
@@ -253,7 +254,7 @@
 
 
 def _local_address(request: web.Request) -> str:
-    """Return the local address that a call came in at."""
+    """Return the local address at which a call arrived."""
     if request.transport is None:
         return ""
     return str(request.transport.get_extra_info("sockname")[0])
--- a/src/wallwell/emulator/platform_worker.py
+++ b/src/wallwell/emulator/platform_worker.py
@@ -1,4 +1,4 @@
-"""Stand-in for a worker of the platform over HTTP: entry, reports and orders; a subclass serves requests."""
+"""Emulator of a platform worker over HTTP: store entry, reports and orders; a subclass serves requests."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from wallwell.platform import names
 
 ACCEPTED = HTTPStatus.ACCEPTED.value
-"""Status of an order that is being carried out."""
+"""HTTP status that accepts an order to be carried out."""
 SHUTDOWN_TIMEOUT_S = 0.01
-"""Seconds for which handlers are waited for: a stand-in has nothing to finish."""
+"""Seconds to wait for handlers at shutdown: short, since an emulator has nothing to finish."""
 
 
 class PlatformWorkerEmulator:
@@ -30,18 +30,18 @@
         self.version = 1
         """Weights version of ``model``."""
         self.draining = False
-        """Whether its entry says that it leaves."""
+        """Whether the store entry states that the worker is draining."""
         self.leaving = False
-        """Whether its answers say so."""
+        """Whether responses state that the worker is leaving."""
         self.limit_per_s: float | None = None
-        """Requests a second from all nodes together that its answers name; None if they name none."""
+        """Limit stated in responses, in requests per second from all nodes together; None if not stated."""
         self.busy = False
         """Whether an order is being carried out."""
         self.orders: list[dict[str, Any]] = []
         self.address = ""
 
     async def start(self, host: str = "127.0.0.1") -> None:
-        """Listen on a port of the system's choice."""
+        """Listen on a port that the operating system chooses."""
         server = web.Server(self._handle, handler_cancellation=True, auto_decompress=False, access_log=None)
         self._runner = web.ServerRunner(server, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
         await self._runner.setup()
@@ -53,8 +53,7 @@
         await self._runner.cleanup()
 
     def crash(self) -> None:
-        """End as a killed process does: every connection is reset, and nothing listens at the address from then
-        on."""
+        """Emulate a killed process: reset every connection and stop listening for good."""
         abort_listener(self._runner)
 
     def entry(self) -> dict[str, Any]:
@@ -71,18 +70,18 @@
         }
 
     def headers(self, request: web.BaseRequest, **more: str) -> dict[str, str]:
-        """Return the headers of every answer to a request."""
+        """Return the headers of a response to ``request``, with ``more`` added."""
         identity = {names.REQUEST_ID: request.headers[names.REQUEST_ID], names.SEAL: f"seal-{self.incarnation}"}
         leaving = {names.LEAVING: "1"} if self.leaving else {}
         limit = {names.REQUEST_LIMIT: f"{self.limit_per_s:g}"} if self.limit_per_s is not None else {}
         return {**identity, **leaving, **limit, **more}
 
     async def serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Answer one request; subclasses override this."""
         raise NotImplementedError
 
     async def handle_order(self, order: dict[str, Any]) -> web.Response:
-        """Do an order at once."""
+        """Carry out an order immediately by setting the weights version."""
         self.version = order["version"]
         return web.Response(status=ACCEPTED)
 
--- a/src/wallwell/emulator/service_server.py
+++ b/src/wallwell/emulator/service_server.py
@@ -1,6 +1,6 @@
-"""Stand-in for a service that runs calls.
+"""Emulated service instance that runs calls.
 
-Owns a journal of everything it ran, which tests compare with what was sent.
+Owns a journal of every call that ran, which tests compare with what was sent.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 IDEMPOTENCY_KEY = "Idempotency-Key"
 REFUSED_HEADER = "X-Not-Run"
-"""Header of an answer that states that the call did not run."""
+"""Response header that states that the call did not run."""
 WORK_S = 0.005
 """Seconds that a call takes."""
 
@@ -33,7 +33,7 @@
 
 
 class ServiceServer:
-    """One instance. Every call that reaches the handler runs once and is written to the journal."""
+    """One instance. Every call that reaches the handler and is not refused runs once and enters the journal."""
 
     def __init__(self, name: str, work_s: float = WORK_S) -> None:
         self.name = name
@@ -41,9 +41,9 @@
         self.faults = FaultControl()
         self.leaving = False
         self.backoff_s = 0.0
-        """Seconds for which it asks to be left alone; it refuses every call while that is not 0."""
+        """Backoff in seconds that refusals request in ``Retry-After``; every call is refused unless this is 0."""
         self.refused = 0
-        """Calls refused so."""
+        """Number of calls refused because of ``backoff_s``."""
         self._work_s = work_s
 
     def app(self) -> web.Application:
--- a/src/wallwell/emulator/settings.py
+++ b/src/wallwell/emulator/settings.py
@@ -1,4 +1,4 @@
-"""Settings files of the stand-ins, and the applications that they describe. Used by the command line."""
+"""Settings files of the emulators, and the applications that they describe. Used by the command line."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 def emulated_apps(kind: str, path: Path) -> list[tuple[web.Application, Listener]]:
-    """Return the applications that a settings file of ``kind`` describes, with their listeners."""
+    """Return the applications and listeners of a settings file of ``kind``. Raises :class:`SettingsError`."""
     if kind == "engine":
         engines = load_document(path, EnginesSettings, SettingsError).engines
         return [(_emulated_engine(entry).app(), entry.listener) for entry in engines]
