--- a/src/wallwell/emulator/engine_model.py
+++ b/src/wallwell/emulator/engine_model.py
@@ -205,10 +205,10 @@
         """Run one step; the caller waits ``duration_s`` before it delivers the tokens."""
         profile = self.profile
         decoding = list(self.running)
-        prefilled_tokens, prefilled = self._prefill()
+        prefill_tokens, prefilled = self._prefill()
         duration = profile.step_base_s
         duration += len(decoding) * profile.decode_s_per_request
-        duration += prefilled_tokens * profile.prefill_s_per_token
+        duration += prefill_tokens * profile.prefill_s_per_token
         result = StepResult(duration)
         for request in decoding + prefilled:
             index = request.first_index + request.produced_tokens
@@ -222,7 +222,7 @@
 
     def _prefill(self) -> tuple[int, list[EngineRequest]]:
         budget = self.profile.max_prefill_tokens
-        prefilled_tokens = 0
+        prefill_tokens = 0
         prefilled: list[EngineRequest] = []
         while self.waiting and budget > 0 and len(self.running) < self.profile.max_batch:
             request = self.waiting[0]
@@ -232,15 +232,15 @@
             request.prefilled_tokens += tokens
             request.computed_tokens += tokens
             budget -= tokens
-            prefilled_tokens += tokens
+            prefill_tokens += tokens
             if request.remaining_prefill_tokens > 0:
                 break
             self.waiting.pop(0)
             self._cache_chain(request.chain)
             self.running.append(request)
             prefilled.append(request)
-        self.prefill_tokens_total += prefilled_tokens
-        return prefilled_tokens, prefilled
+        self.prefill_tokens_total += prefill_tokens
+        return prefill_tokens, prefilled
 
     def _start_prefill(self, request: EngineRequest) -> None:
         request.started = True
