--- a/src/wallwell/emulator/deployment.py
+++ b/src/wallwell/emulator/deployment.py
@@ -78,7 +78,7 @@
         assert self._runner is not None
         self.crashes += 1
         abort_listener(self._runner)
-        self._restarts.begin(self._restart())
+        self._restarts.start(self._restart())
 
     async def _restart(self) -> None:
         await self.stop()
--- a/src/wallwell/emulator/platform_store.py
+++ b/src/wallwell/emulator/platform_store.py
@@ -186,7 +186,7 @@
             return web.Response(status=FORBIDDEN)
         if self.late_writes:
             self.late_writes -= 1
-            self._late_tasks.begin(self._apply_late(body))
+            self._late_tasks.start(self._apply_late(body))
             return reset_connection(request)
         if not self._apply(body):
             return self._conflict_response(body)
