--- a/src/wallwell/emulator/engine_process.py
+++ b/src/wallwell/emulator/engine_process.py
@@ -1,7 +1,7 @@
-"""One process of a stand-in engine: drives :class:`EngineModel` in real time, and what a process can lose.
+"""Process of an emulated engine: runs :class:`EngineModel` in real time and emulates crashes.
 
-Owns the incarnation, the loaded weights, the requests in flight and the records that tests read. Knows no HTTP:
-:mod:`.engine_server` serves requests, :mod:`.engine_feed` the cache events and load reports.
+Owns the incarnation, the loaded weights, the requests in flight and the records that tests read. Contains no HTTP
+code: :mod:`.engine_server` serves requests, :mod:`.engine_feed` sends cache events and load reports.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 WEIGHT_LOAD_S = 0.3
 """Seconds that new weights take to load: short, so that tests need not wait."""
 INCARNATION_BYTES = 4
-"""Random bytes of the name of an incarnation."""
-_STALL_CHECK_S = 0.02
+"""Random bytes in the identifier of an incarnation."""
+_PAUSE_CHECK_INTERVAL_S = 0.02
 """Seconds between two checks whether a pause is over."""
-_IDLE_CHECK_S = 0.01
+_IDLE_CHECK_INTERVAL_S = 0.01
 """Seconds between two checks whether the running requests have ended."""
 
 
 @dataclass
 class TokenStream:
-    """A request in flight and the indexes of its tokens; None ends them early."""
+    """A request in flight and a queue of its output token indexes; None in the queue ends the stream early."""
 
     request: EngineRequest
     tokens: asyncio.Queue[int | None] = field(default_factory=asyncio.Queue)
@@ -40,20 +40,20 @@
     def __init__(self, name: str, weights: dict[str, str], profile: EngineProfile | None = None) -> None:
         self.name = name
         self.weights = dict(weights)
-        """Loaded version of each model."""
+        """Loaded weights version of each model."""
         self.profile = profile or EngineProfile()
         self.faults = FaultControl()
         self.state = wire.EngineState.SERVING
         self.weight_load_s = WEIGHT_LOAD_S
         self.journal: list[str] = []
-        """Ids of all requests that were begun."""
-        self.validity_violations: list[str] = []
-        """Uses of one cache salt with several versions of weights."""
+        """Ids of all submitted requests."""
+        self.cache_salt_violations: list[str] = []
+        """Descriptions of requests that used a cache salt with a second weights version."""
         self.highest_fence = 0
         self.on_crash: Callable[[], None] = lambda: None
-        """Called when the process loses its connections."""
+        """Called on a crash to reset connections."""
         self._streams: dict[str, TokenStream] = {}
-        self._weights_of_salt: dict[int, str] = {}
+        self._weights_by_salt: dict[int, str] = {}
         self._load_task: asyncio.Task[None] | None = None
         self._wake = asyncio.Event()
         self._begin_incarnation()
@@ -63,7 +63,7 @@
         self.model = EngineModel(self.profile)
 
     def crash(self) -> None:
-        """Lose everything: reset all connections and begin a new, empty incarnation."""
+        """Emulate a crash: reset all connections and begin a new incarnation with an empty cache."""
         for stream in self._streams.values():
             stream.tokens.put_nowait(None)
         self._streams.clear()
@@ -81,11 +81,11 @@
             result = model.step()
             await asyncio.sleep(result.duration_s)
             while self.faults.switches.paused:
-                await asyncio.sleep(_STALL_CHECK_S)
-            if model is self.model:  # Otherwise the process has crashed meanwhile.
-                self._hand_out(result)
+                await asyncio.sleep(_PAUSE_CHECK_INTERVAL_S)
+            if model is self.model:  # Otherwise a crash has lost the tokens.
+                self._deliver_tokens(result)
 
-    def _hand_out(self, result: StepResult) -> None:
+    def _deliver_tokens(self, result: StepResult) -> None:
         for request, index in result.tokens:
             stream = self._streams.get(request.request_id)
             if stream is not None:
@@ -94,8 +94,8 @@
     # --- requests --------------------------------------------------------------------------------------
 
     def submit(self, request: EngineRequest, salt: int, model: str) -> TokenStream:
-        """Queue a request for ``model`` under a cache salt; returns its tokens to come."""
-        self._check_validity(salt, model)
+        """Queue a request for ``model`` with a cache salt; return the stream of its tokens."""
+        self._check_cache_salt(salt, model)
         stream = TokenStream(request)
         self._streams[request.request_id] = stream
         self.journal.append(request.request_id)
@@ -103,21 +103,21 @@
         self._wake.set()
         return stream
 
-    def _check_validity(self, salt: int, model: str) -> None:
-        """Hold the router to its cache keys: one salt serves one version of a model's weights only."""
-        version = self._weights_of_salt.setdefault(salt, self.weights.get(model, ""))
+    def _check_cache_salt(self, salt: int, model: str) -> None:
+        """Record a violation if the router uses one salt with several versions of a model's weights."""
+        version = self._weights_by_salt.setdefault(salt, self.weights.get(model, ""))
         if version != self.weights.get(model, ""):
-            self.validity_violations.append(
-                f"{self.name}: salt of weights {version} used with {self.weights[model]}"
+            self.cache_salt_violations.append(
+                f"{self.name}: cache salt of weights {version} used with {self.weights[model]}"
             )
 
-    def end(self, request_id: str) -> None:
-        """Forget a request whose answer has ended, whole or not."""
+    def remove_request(self, request_id: str) -> None:
+        """Remove a request whose response has ended, complete or not."""
         self._streams.pop(request_id, None)
         self.model.cancel(request_id)
 
     def cancel(self, request_id: str) -> wire.CancelState:
-        """Stop a request; returns what is known of it."""
+        """Stop a request; return whether it had started, or is unknown."""
         started = self.model.cancel(request_id)
         stream = self._streams.pop(request_id, None)
         if stream is not None:
@@ -128,8 +128,8 @@
 
     # --- weights ---------------------------------------------------------------------------------------
 
-    def take_order(self, order: wire.EngineLoadOrder) -> bool:
-        """Begin to load weights; returns False for the order of an earlier lease holder or while not serving."""
+    def start_weights_load(self, order: wire.EngineLoadOrder) -> bool:
+        """Start loading weights; return False if the order is from an earlier lease holder or while not serving."""
         if order.fence < self.highest_fence or self.state is not wire.EngineState.SERVING:
             return False
         self.highest_fence = order.fence
@@ -138,9 +138,9 @@
         return True
 
     async def _load_weights(self, order: wire.EngineLoadOrder) -> None:
-        """Finish what runs, load, and serve the new weights with an empty cache."""
+        """Wait for all requests to finish, load the weights and serve them with an empty cache."""
         while not self.model.idle:
-            await asyncio.sleep(_IDLE_CHECK_S)
+            await asyncio.sleep(_IDLE_CHECK_INTERVAL_S)
         await asyncio.sleep(self.weight_load_s)
         self.weights[order.model] = order.weights_version
         self._begin_incarnation()
@@ -148,8 +148,8 @@
 
     # --- reports ---------------------------------------------------------------------------------------
 
-    def status(self) -> wire.StatusLine:
-        """Return the status that readers of the events get whenever it changes."""
+    def status_line(self) -> wire.StatusLine:
+        """Return the status, which event readers receive whenever it changes."""
         return wire.StatusLine(
             engine=self.name,
             incarnation=self.incarnation,
@@ -160,14 +160,14 @@
             cache_blocks=self.profile.cache_blocks,
         )
 
-    def load(self, age_s: float) -> wire.LoadLine:
-        """Return the load as it is now, declared ``age_s`` old."""
-        load = self.model.load_report(0.0)
+    def load_line(self, age_s: float) -> wire.LoadLine:
+        """Return the current load with a stated age of ``age_s``."""
+        report = self.model.load_report(0.0)
         return wire.LoadLine(
             sequence=self.model.last_sequence,
-            running=load.running,
-            waiting=load.waiting,
-            waiting_prefill_tokens=load.waiting_prefill_tokens,
-            cache_used_blocks=load.cache_used_blocks,
+            running=report.running,
+            waiting=report.waiting,
+            waiting_prefill_tokens=report.waiting_prefill_tokens,
+            cache_used_blocks=report.cache_used_blocks,
             age_s=age_s,
         )
--- a/src/wallwell/emulator/platform_server.py
+++ b/src/wallwell/emulator/platform_server.py
@@ -1,7 +1,6 @@
-"""Stand-in for the services that a router without the platform's store needs: table, objects, weights, machine
-list.
+"""Emulator of the platform services that a standalone router needs: table, objects, weights, machine list.
 
-Owns rows, objects and the machine list; everything is lost when the process ends.
+Owns rows, objects and the machine list, and keeps them in memory only.
 """
 
 from __future__ import annotations
@@ -20,13 +19,13 @@
 from wallwell.storage.table import Row, Scan, Transaction
 
 CALLS_PER_S = 500.0
-"""Calls a second that are served; more get 429: far above what three routers make."""
+"""Calls per second above which calls get 429; far more than three routers make."""
 WEIGHT_LOAD_S = 0.2
 """Seconds that one engine needs to load weights."""
 WEIGHT_SLOTS = 2
-"""Engines that load side by side without slowing each other down."""
+"""Number of engines that can load at the same time without slowing each other down."""
 MAX_BODY_BYTES = 64 * 1024 * 1024
-"""Largest object, in bytes."""
+"""Maximum size of an object."""
 
 
 class ConditionFailed(Exception):
@@ -34,14 +33,14 @@
 
 
 class TableModel:
-    """Rows and commit numbers; pure."""
+    """Versioned rows and the number of the last commit; does no I/O."""
 
     def __init__(self) -> None:
         self.commit = 0
         self.rows: dict[str, Row] = {}
 
     def transact(self, transaction: Transaction) -> int:
-        """Apply a transaction. Raises :class:`ConditionFailed` with the failing key."""
+        """Apply a transaction; return its commit number. Raises :class:`ConditionFailed` with the failing key."""
         for condition in transaction.conditions:
             row = self.rows.get(condition.key)
             if (row.version if row else 0) != condition.version:
@@ -54,7 +53,7 @@
         return self.commit
 
     def scan(self, prefix: str, after_version: int) -> Scan:
-        """Return rows under ``prefix`` with a version above ``after_version``."""
+        """Return the rows under ``prefix`` with a version above ``after_version``, ordered by version."""
         rows = [row for key, row in self.rows.items() if key.startswith(prefix) and row.version > after_version]
         return Scan(self.commit, tuple(sorted(rows, key=lambda row: row.version)))
 
@@ -83,13 +82,13 @@
         app = web.Application(client_max_size=MAX_BODY_BYTES)
         self.faults.install(app)
         app.middlewares.append(self._rate_limit)
-        app.router.add_post("/transact", self._transact)
-        app.router.add_get("/row", self._row)
-        app.router.add_get("/scan", self._scan)
-        app.router.add_get("/machines", self._machines)
-        app.router.add_get("/weights/{model}/{version}", self._weights)
-        app.router.add_put("/objects/{name:.+}", self._put_object)
-        app.router.add_get("/objects/{name:.+}", self._get_object)
+        app.router.add_post("/transact", self._handle_transact)
+        app.router.add_get("/row", self._handle_row)
+        app.router.add_get("/scan", self._handle_scan)
+        app.router.add_get("/machines", self._handle_machines)
+        app.router.add_get("/weights/{model}/{version}", self._handle_weights)
+        app.router.add_put("/objects/{name:.+}", self._handle_put_object)
+        app.router.add_get("/objects/{name:.+}", self._handle_get_object)
         return app
 
     @web.middleware
@@ -100,7 +99,7 @@
                 return web.Response(status=HTTPStatus.TOO_MANY_REQUESTS)
         return await handler(request)  # type: ignore[operator, no-any-return]
 
-    async def _transact(self, request: web.Request) -> web.Response:
+    async def _handle_transact(self, request: web.Request) -> web.Response:
         transaction = msgspec.json.decode(await request.read(), type=Transaction)
         try:
             commit = self.table.transact(transaction)
@@ -108,31 +107,31 @@
             return web.Response(status=HTTPStatus.CONFLICT, text=str(failed))
         return _json_response(Commit(commit))
 
-    async def _row(self, request: web.Request) -> web.Response:
+    async def _handle_row(self, request: web.Request) -> web.Response:
         row = self.table.rows.get(request.query["key"])
         return _json_response(row) if row else web.Response(status=HTTPStatus.NOT_FOUND)
 
-    async def _scan(self, request: web.Request) -> web.Response:
+    async def _handle_scan(self, request: web.Request) -> web.Response:
         return _json_response(self.table.scan(request.query["prefix"], int(request.query["after"])))
 
-    async def _machines(self, request: web.Request) -> web.Response:
+    async def _handle_machines(self, request: web.Request) -> web.Response:
         return _json_response([Machine(address, state) for address, state in self.machines.items()])
 
-    async def _weights(self, request: web.Request) -> web.Response:
-        """Slow down when more readers load at once than the store carries well."""
+    async def _handle_weights(self, request: web.Request) -> web.Response:
+        """Slow down in proportion to the concurrent readers once they exceed ``weight_slots``."""
         self._weight_readers += 1
         try:
-            crowding = max(1.0, self._weight_readers / self._weight_slots)
-            await asyncio.sleep(self._weight_load_s * crowding)
+            slowdown = max(1.0, self._weight_readers / self._weight_slots)
+            await asyncio.sleep(self._weight_load_s * slowdown)
         finally:
             self._weight_readers -= 1
         return web.Response(body=b"weights")
 
-    async def _put_object(self, request: web.Request) -> web.Response:
+    async def _handle_put_object(self, request: web.Request) -> web.Response:
         self.objects[request.match_info["name"]] = await request.read()
         return web.Response(status=HTTPStatus.CREATED)
 
-    async def _get_object(self, request: web.Request) -> web.Response:
+    async def _handle_get_object(self, request: web.Request) -> web.Response:
         body = self.objects.get(request.match_info["name"])
         return web.Response(body=body) if body is not None else web.Response(status=HTTPStatus.NOT_FOUND)
 
