--- a/src/wallwell/emulator/engine_output.py
+++ b/src/wallwell/emulator/engine_output.py
@@ -27,7 +27,7 @@
 
 def snapshot_entry(block: int, position: BlockPosition) -> wire.SnapshotEntry:
     """Return a cached block as it travels in a snapshot."""
-    return wire.SnapshotEntry(wire.hash_text(position.root), position.depth, wire.pack_hashes([block]))
+    return wire.SnapshotEntry(wire.format_hash(position.root), position.depth, wire.pack_hashes([block]))
 
 
 def cache_line(event: CacheEvent) -> wire.CacheLine:
@@ -35,7 +35,7 @@
     return wire.CacheLine(
         sequence=event.sequence,
         stored=event.stored,
-        root=wire.hash_text(event.root),
+        root=wire.format_hash(event.root),
         depth=event.depth,
         blocks=wire.pack_hashes(event.blocks),
     )
--- a/src/wallwell/standalone/backends/engine_client.py
+++ b/src/wallwell/standalone/backends/engine_client.py
@@ -30,7 +30,7 @@
 """Seconds for a list of everything an engine has cached."""
 MAX_EVENT_BYTES = 256 * 1024
 """Largest stream event: bounds what one broken stream can make a node hold."""
-_READ_BYTES = 64 * 1024
+_READ_BUFFER_BYTES = 64 * 1024
 """Read buffer of a connection to an engine: what a node holds of a stream whose caller reads slowly."""
 
 _REFUSAL_EVENTS = {
@@ -57,9 +57,9 @@
     first_token_timeout_s: float
     """Seconds after which the engine is late with its first token."""
     stall_timeout_s: float
-    longest_first_token_wait_s: float = 0.0
+    max_first_token_wait_s: float = 0.0
     """Seconds after which a late attempt ends in any case; at least the time-out."""
-    may_end_late: Callable[[], bool] = lambda: True
+    may_abandon: Callable[[], bool] = lambda: True
     """Asked each time the time-out has passed: whether a late attempt ends before that, for another one."""
 
 
@@ -101,30 +101,30 @@
         headers = {
             "Content-Type": "application/json",
             wire.REQUEST_ID: call.attempt_id,
-            wire.CACHE_SALT: wire.hash_text(call.cache_salt),
+            wire.CACHE_SALT: wire.format_hash(call.cache_salt),
             wire.EXPECT_INCARNATION: call.incarnation,
             wire.EXPECT_WEIGHTS: call.weights_version,
             wire.PRIORITY_RANK: str(call.rank),
         }
-        response = await self._answer_head(call, headers)
+        response = await self._receive_head(call, headers)
         if response.status != HTTPStatus.OK:
             await self._raise_refusal(response)
         return response
 
-    async def _answer_head(self, call: GenerationCall, headers: dict[str, str]) -> aiohttp.ClientResponse:
+    async def _receive_head(self, call: GenerationCall, headers: dict[str, str]) -> aiohttp.ClientResponse:
         """Send and wait for the answer's head, which comes with the first token."""
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
-        sending = asyncio.ensure_future(
+        pending_response = asyncio.ensure_future(
             self._session.post(self._base + call.path, data=call.body, headers=headers, timeout=timeout)
         )
         try:
-            if not await is_answered(sending, call):
+            if not await wait_for_response_head(pending_response, call):
                 # The cancel goes first: closing the connection would stop the work, but not prove whether it ran.
                 state = await self.cancel(call.attempt_id)
                 if state is wire.CancelState.NEVER_STARTED:
                     raise AttemptFailed(TransportEvent.CANCELLED_NEVER_STARTED, "no first token in time")
                 raise AttemptFailed(TransportEvent.ANSWER_TIMEOUT, "no first token in time")
-            return sending.result()
+            return pending_response.result()
         except aiohttp.ClientConnectorError as error:
             raise AttemptFailed(TransportEvent.CONNECT_REFUSED, str(error)) from error
         except aiohttp.ConnectionTimeoutError as error:
@@ -132,8 +132,8 @@
         except (aiohttp.ClientError, OSError) as error:
             raise AttemptFailed(TransportEvent.RESET_AFTER_SEND, type(error).__name__) from error
         finally:
-            if not sending.done():
-                sending.cancel()
+            if not pending_response.done():
+                pending_response.cancel()
 
     async def _raise_refusal(self, response: aiohttp.ClientResponse) -> None:
         async with response:
@@ -152,24 +152,24 @@
 
     async def _ordered_events(self, response: aiohttp.ClientResponse, call: GenerationCall) -> AsyncIterator[bytes]:
         expected = call.first_index
-        async for event in self._events(response, call.stall_timeout_s):
+        async for event in self._split_events(response, call.stall_timeout_s):
             if event.startswith(wire.DONE_EVENT):
                 return
             try:
-                identity = wire.parse_event_id(event)
+                event_id = wire.parse_event_id(event)
             except ValueError as error:
                 raise AttemptFailed(TransportEvent.FOREIGN_ANSWER, "undecodable event id") from error
-            if identity is None or identity.request_id != call.attempt_id:
+            if event_id is None or event_id.request_id != call.attempt_id:
                 raise AttemptFailed(TransportEvent.FOREIGN_ANSWER, "event of another request")
-            if identity.token_index < expected:
+            if event_id.token_index < expected:
                 continue
-            if identity.token_index > expected:
-                raise AttemptFailed(TransportEvent.RESET_AFTER_SEND, f"gap before token {identity.token_index}")
+            if event_id.token_index > expected:
+                raise AttemptFailed(TransportEvent.RESET_AFTER_SEND, f"gap before token {event_id.token_index}")
             expected += 1
             yield event
         raise AttemptFailed(TransportEvent.RESET_AFTER_SEND, "stream ended without its terminal marker")
 
-    async def _events(self, response: aiohttp.ClientResponse, stall_timeout_s: float) -> AsyncIterator[bytes]:
+    async def _split_events(self, response: aiohttp.ClientResponse, stall_timeout_s: float) -> AsyncIterator[bytes]:
         """Split the body at blank lines."""
         buffer = b""
         while True:
@@ -221,7 +221,7 @@
         async with self._session.get(self._base + "/snapshot", timeout=timeout) as response:
             return msgspec.json.decode(await response.read(), type=wire.CacheSnapshot)
 
-    async def order(self, order: wire.EngineLoadOrder, timeout_s: float) -> int:
+    async def send_load_order(self, order: wire.EngineLoadOrder, timeout_s: float) -> int:
         """Send a fenced order; returns the HTTP status, 0 if there was no answer."""
         timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=CONNECT_TIMEOUT_S)
         try:
@@ -245,20 +245,20 @@
     session = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0, limit_per_host=limit_per_host),
         auto_decompress=False,
-        read_bufsize=_READ_BYTES,
+        read_bufsize=_READ_BUFFER_BYTES,
     )
     session._retry_connection = False
     return session
 
 
-async def is_answered(sending: asyncio.Future[Any], call: GenerationCall) -> bool:
+async def wait_for_response_head(pending_response: asyncio.Future[Any], call: GenerationCall) -> bool:
     """Wait for an answer's head; returns False once the attempt is to end without it."""
-    left_s = max(call.longest_first_token_wait_s, call.first_token_timeout_s)
-    while left_s > 0:
-        wait_s = min(call.first_token_timeout_s, left_s)
-        if await is_done_within(sending, wait_s):
+    remaining_s = max(call.max_first_token_wait_s, call.first_token_timeout_s)
+    while remaining_s > 0:
+        wait_s = min(call.first_token_timeout_s, remaining_s)
+        if await is_done_within(pending_response, wait_s):
             return True
-        left_s -= wait_s
-        if call.may_end_late():
+        remaining_s -= wait_s
+        if call.may_abandon():
             return False
     return False
--- a/src/wallwell/standalone/backends/engine_protocol.py
+++ b/src/wallwell/standalone/backends/engine_protocol.py
@@ -160,7 +160,7 @@
     return values.tolist()
 
 
-def hash_text(value: int) -> str:
+def format_hash(value: int) -> str:
     """Return a 64-bit hash as hexadecimal text."""
     return f"{value:016x}"
 
--- a/src/wallwell/standalone/backends/engine_watch.py
+++ b/src/wallwell/standalone/backends/engine_watch.py
@@ -31,11 +31,11 @@
 EVENTS_IDLE_TIMEOUT_S = 3.0
 """Seconds without a line after which an engine's event stream counts as broken: six times the interval
 at which the emulated engines report their load (0.5 s)."""
-RECONNECT_S = 0.5
+RECONNECT_DELAY_S = 0.5
 """Mean pause before an event stream is opened again, spread so that nodes do not reconnect together."""
-RECONNECT_SPREAD = (0.5, 1.5)
+RECONNECT_JITTER = (0.5, 1.5)
 """Multiples of that pause, of which one is drawn each time."""
-SNAPSHOT_INTERVAL_S = 2.0
+MIN_SNAPSHOT_INTERVAL_S = 2.0
 """Least seconds between two snapshots of one engine after lost events: a snapshot lists its whole cache."""
 PEER_REPORT_AGE_S = 1.0
 """Assumed age of a load that came through another node: it is published and passed on by gossip first."""
@@ -90,56 +90,56 @@
     def _publish(self, engines: dict[str, Engine]) -> None:
         """Put incarnations and waiting times into this node's gossip state."""
         now_s = boot_time_s()
-        reading = sorted(name for name in self.status if name in engines)
-        serving = [name for name in reading if self.status[name].state is wire.EngineState.SERVING]
-        news = tuple(
+        read_engines = sorted(name for name in self.status if name in engines)
+        serving = [name for name in read_engines if self.status[name].state is wire.EngineState.SERVING]
+        records = tuple(
             EngineRecord(name, self.status[name].incarnation, tuple(sorted(self.status[name].weights.items())))
             for name in serving
         )
         waiting = tuple(self._waiting_ms(name, now_s) for name in serving)
-        for name in reading:
-            self._note_leaving(engines[name], self.status[name].state is wire.EngineState.LEAVING)
-        self._node.publish_engines(news, waiting)
-        self._learn_from_peers(now_s)
+        for name in read_engines:
+            self._update_leaving(engines[name], self.status[name].state is wire.EngineState.LEAVING)
+        self._node.publish_engines(records, waiting)
+        self._update_from_peers(now_s)
 
     def _waiting_ms(self, engine: str, now_s: float) -> tuple[int, int]:
         load = self._selector.load_of(engine)
         interactive = load.wait_s(now_s, MAX_INTERACTIVE_RANK)
         return (round(interactive * 1000), round(load.wait_s(now_s) * 1000))
 
-    def _learn_from_peers(self, now_s: float) -> None:
+    def _update_from_peers(self, now_s: float) -> None:
         """Take over the waiting times that other nodes publish of the engines they read."""
-        for engine, interactive_ms, any_ms, version in self._node.peer_waiting_ms():
+        for engine, interactive_ms, total_ms, version in self._node.peer_waiting_ms():
             if self._peer_versions.get(engine) == version:
                 continue
             self._peer_versions[engine] = version
             load = self._selector.load_of(engine)
             rate = load.prefill_tokens_per_s / 1000
             interactive = round(interactive_ms * rate)
-            waiting = ((MAX_INTERACTIVE_RANK, interactive), (MAX_RANK, round(any_ms * rate) - interactive))
+            waiting = ((MAX_INTERACTIVE_RANK, interactive), (MAX_RANK, round(total_ms * rate) - interactive))
             load.on_report(LoadReport(0, 0, waiting, 0, 0, now_s - PEER_REPORT_AGE_S))
 
-    def _note_leaving(self, engine: Engine, leaving: bool) -> None:
+    def _update_leaving(self, engine: Engine, is_leaving: bool) -> None:
         """Note whether the engine reports that it is leaving; one that serves again at its address is used
         again."""
-        known = self._node.leaving_by_engine_status
-        if leaving and engine.address not in known:
+        leaving_addresses = self._node.leaving_by_engine_status
+        if is_leaving and engine.address not in leaving_addresses:
             emit(Event.BACKEND_LEAVING, backend=engine.name)
-            known.add(engine.address)
-        elif not leaving:
-            known.discard(engine.address)
+            leaving_addresses.add(engine.address)
+        elif not is_leaving:
+            leaving_addresses.discard(engine.address)
 
     async def _read_forever(self, engine: Engine) -> None:
         client = EngineClient(engine.address, self._session)
         while True:
             try:
-                await self._read(engine.name, client)
+                await self._read_events(engine.name, client)
             except (TimeoutError, aiohttp.ClientError, OSError, ValueError, msgspec.DecodeError) as error:
                 emit(Event.ENGINE_UNREACHABLE, engine=engine.name, reason=type(error).__name__)
             self.status.pop(engine.name, None)
-            await asyncio.sleep(RECONNECT_S * self._rng.uniform(*RECONNECT_SPREAD))
+            await asyncio.sleep(RECONNECT_DELAY_S * self._rng.uniform(*RECONNECT_JITTER))
 
-    async def _read(self, engine: str, client: EngineClient) -> None:
+    async def _read_events(self, engine: str, client: EngineClient) -> None:
         reader = self._node.readers.get(engine)
         after = reader.sequence if reader is not None else 0
         incarnation = reader.incarnation if reader is not None else ""
@@ -182,7 +182,7 @@
     async def _resynchronise(self, engine: str, client: EngineClient) -> None:
         """Replace what is known by a snapshot, at most once per interval and engine."""
         now_s = boot_time_s()
-        if now_s - self._snapshot_at_s.get(engine, float("-inf")) < SNAPSHOT_INTERVAL_S:
+        if now_s - self._snapshot_at_s.get(engine, float("-inf")) < MIN_SNAPSHOT_INTERVAL_S:
             return
         self._snapshot_at_s[engine] = now_s
         emit(Event.ENGINE_EVENTS_GAP, engine=engine)
--- a/src/wallwell/standalone/backends/service_client.py
+++ b/src/wallwell/standalone/backends/service_client.py
@@ -81,9 +81,9 @@
             raise AttemptFailed(TransportEvent.ANSWER_TIMEOUT) from error
         except (aiohttp.ClientError, OSError) as error:
             raise AttemptFailed(TransportEvent.RESET_AFTER_SEND, type(error).__name__) from error
-        return self._checked(response, body, call)
+        return self._check_response(response, body, call)
 
-    def _checked(self, response: aiohttp.ClientResponse, body: bytes, call: ServiceCall) -> ServiceAnswer:
+    def _check_response(self, response: aiohttp.ClientResponse, body: bytes, call: ServiceCall) -> ServiceAnswer:
         backoff_s = _requested_backoff_s(response)
         if response.status == HTTPStatus.SERVICE_UNAVAILABLE and NOT_RUN_HEADER in response.headers:
             detail = response.headers[NOT_RUN_HEADER]
@@ -102,7 +102,7 @@
     logged."""
     if response.status != HTTPStatus.SERVICE_UNAVAILABLE:
         return 0.0
-    stated = parse_retry_after(response.headers.getall("Retry-After", ()))
-    for text in stated.unreadable:
+    retry_after = parse_retry_after(response.headers.getall("Retry-After", ()))
+    for text in retry_after.unreadable:
         emit(Event.BACKEND_NOTICE_UNREADABLE, backend=str(response.url.authority), retry_after=text)
-    return min(stated.seconds, MAX_BACKOFF_S)
+    return min(retry_after.seconds, MAX_BACKOFF_S)
--- a/src/wallwell/standalone/callers/engine_attempt.py
+++ b/src/wallwell/standalone/callers/engine_attempt.py
@@ -119,8 +119,8 @@
             first_index=len(run.events),
             first_token_timeout_s=timeout_s,
             stall_timeout_s=STALL_TIMEOUT_S,
-            longest_first_token_wait_s=max(timeout_s, remaining_s),
-            may_end_late=self._reserve_retry,
+            max_first_token_wait_s=max(timeout_s, remaining_s),
+            may_abandon=self._reserve_retry,
         )
 
     def _reserve_retry(self) -> bool:
--- a/src/wallwell/standalone/placement/controller.py
+++ b/src/wallwell/standalone/placement/controller.py
@@ -107,7 +107,7 @@
     async def _send_order(self, model: str, spec: ModelSpec, name: str, address: str, fence: int) -> None:
         self._order_sent_at_s[(model, name)] = boot_time_s()
         order = EngineLoadOrder(fence, model, spec.weights_version)
-        status = await EngineClient(address, self._context.session).order(order, ORDER_TIMEOUT_S)
+        status = await EngineClient(address, self._context.session).send_load_order(order, ORDER_TIMEOUT_S)
         event = Event.ORDER_REFUSED if status == HTTPStatus.CONFLICT else Event.ORDER_SENT
         emit(event, engine=name, model=model, version=spec.weights_version, fence=fence, status=status)
         if status == HTTPStatus.CONFLICT:
--- a/tests/contract/test_placement.py
+++ b/tests/contract/test_placement.py
@@ -61,10 +61,10 @@
         backend.server.weight_load_s = 0.0
         async with aiohttp.ClientSession() as session:
             client = EngineClient(address, session)
-            first = await client.order(EngineLoadOrder(7, "m", "2"), 2.0)
+            first = await client.send_load_order(EngineLoadOrder(7, "m", "2"), 2.0)
             while backend.server.state is EngineState.LOADING:
                 await asyncio.sleep(0.01)
-            paused = await client.order(EngineLoadOrder(5, "m", "1"), 2.0)
+            paused = await client.send_load_order(EngineLoadOrder(5, "m", "1"), 2.0)
         await backend.stop()
         return first, paused, backend.server.weights
 
--- a/tests/unit/standalone/callers/test_late_first_token.py
+++ b/tests/unit/standalone/callers/test_late_first_token.py
@@ -8,7 +8,7 @@
 
 from tests.virtual_time import run_virtual
 from wallwell.clock import boot_time_s
-from wallwell.standalone.backends.engine_client import GenerationCall, is_answered
+from wallwell.standalone.backends.engine_client import GenerationCall, wait_for_response_head
 from wallwell.standalone.routing.retry import RetryBudget
 from wallwell.standalone.routing.retry_decision import MAX_GENERATION_ATTEMPTS, GenerationProgress, reserve_retry
 
@@ -34,7 +34,7 @@
         sending = asyncio.ensure_future(asyncio.sleep(answers_s))
         begun_s = boot_time_s()
         call = GenerationCall("/", "r", b"", 0, "", "", 0, 0, TIMEOUT_S, 2.0, LONGEST_S, lambda: asked.pop(0))
-        got = await is_answered(sending, call)
+        got = await wait_for_response_head(sending, call)
         return got, round(boot_time_s() - begun_s, 3)
 
     assert run_virtual(work()) == (answered, ends_s)
--- a/tests/wire_subjects.py
+++ b/tests/wire_subjects.py
@@ -898,7 +898,7 @@
             client = EngineClient(address, session)
             events = [event.decode() async for event in client.generate(call, head)]
             await client.cancel("r1.1")
-            await client.order(engine_protocol.EngineLoadOrder(8, "m", "w3"), 2.0)
+            await client.send_load_order(engine_protocol.EngineLoadOrder(8, "m", "w3"), 2.0)
             for reading in (client.snapshot, lambda: anext(client.events(17, "inc-1", 2.0))):
                 try:
                     await reading()  # type: ignore[operator]
