--- a/src/wallwell/standalone/backends/__init__.py
+++ b/src/wallwell/standalone/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the standalone router's engines and services, and their protocol."""
+"""The standalone router's clients for engines and services, and the wire format of the engines."""
--- a/src/wallwell/standalone/backends/attempt.py
+++ b/src/wallwell/standalone/backends/attempt.py
@@ -1,6 +1,6 @@
-"""How the clients of engines and services report a failed attempt: typed by what the transport saw.
+"""The exception by which the clients for engines and services report a failed attempt.
 
-What an event proves of the attempt stands in :mod:`wallwell.routing.retry.attempt_outcome`.
+:mod:`wallwell.routing.retry.attempt_outcome` decides from its transport event whether the attempt may have run.
 """
 
 from __future__ import annotations
@@ -9,15 +9,15 @@
 
 
 class AttemptFailed(Exception):
-    """An attempt ended without its whole answer.
+    """An attempt failed: there was no complete answer, or the answer is an error or belongs to another request.
 
-    ``status`` and ``body`` are those of an error answer, 0 and empty if there was none.
+    ``status`` and ``body`` are those of an error answer, or 0 and empty if there was none.
     """
 
     def __init__(
         self, event: TransportEvent, detail: str = "", status: int = 0, body: bytes = b"", backoff_s: float = 0.0
     ) -> None:
-        """``backoff_s`` is for how long the back end wants nothing from this router, 0 if it does not say."""
+        """``backoff_s`` is the back-off in seconds that the back end requested of this router, 0 if none."""
         super().__init__(f"{event.value}: {detail}")
         self.backoff_s = backoff_s
         self.event = event
--- a/src/wallwell/standalone/backends/engine_client.py
+++ b/src/wallwell/standalone/backends/engine_client.py
@@ -1,7 +1,7 @@
-"""Client of one model engine: generation streams, cancel, status and cache events, orders to load weights.
+"""Client of one model engine: generation streams, cancellation, status and cache events, orders to load weights.
 
-Owns what each end of an attempt is taken for, and that a stream's events are yielded once and in order. Sends
-nothing a second time: retries are decided by the callers' handlers. The format is in ``engine_protocol``.
+Maps each way an attempt can end to a transport event, and yields the events of a stream once and in order. Never
+resends a request: the request handlers decide on retries. ``engine_protocol`` defines the wire format.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 from wallwell.task_wait import is_done_within
 
 CONNECT_TIMEOUT_S = 1.0
-"""Seconds for a connection to come up."""
+"""Seconds to wait for a connection to be established."""
 CANCEL_TIMEOUT_S = 1.0
-"""Seconds to wait for an engine to confirm a cancellation; without it the attempt may have run."""
+"""Seconds to wait for an engine to confirm a cancellation. An unconfirmed attempt may have run."""
 SNAPSHOT_TIMEOUT_S = 10.0
-"""Seconds for a list of everything an engine has cached."""
+"""Seconds to wait for the complete list of an engine's cached blocks."""
 MAX_EVENT_BYTES = 256 * 1024
-"""Largest stream event: bounds what one broken stream can make a node hold."""
+"""Maximum size of an incomplete stream event; bounds the memory that one broken stream can use."""
 _READ_BUFFER_BYTES = 64 * 1024
-"""Read buffer of a connection to an engine: what a node holds of a stream whose caller reads slowly."""
+"""Read buffer of a connection to an engine; bounds what is buffered of a stream whose caller reads slowly."""
 
 _REFUSAL_EVENTS = {
     wire.RefusalReason.INCARNATION: TransportEvent.PRECONDITION_REFUSED,
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class GenerationCall:
-    """One attempt at a generation. ``first_index`` is the index of the first token that is still to come."""
+    """One attempt at a generation. ``first_index`` is the index of the first token not received yet."""
 
     path: str
     attempt_id: str
@@ -55,17 +55,17 @@
     rank: int
     first_index: int
     first_token_timeout_s: float
-    """Seconds after which the engine is late with its first token."""
+    """Seconds without a first token after which the attempt counts as late."""
     stall_timeout_s: float
     max_first_token_wait_s: float = 0.0
-    """Seconds after which a late attempt ends in any case; at least the time-out."""
+    """Seconds after which a late attempt is always abandoned; values below the timeout are raised to it."""
     may_abandon: Callable[[], bool] = lambda: True
-    """Asked each time the time-out has passed: whether a late attempt ends before that, for another one."""
+    """Called each time the timeout has passed again; returns whether to abandon the late attempt for a retry."""
 
 
 @dataclass
 class GenerationHead:
-    """What the engine reported of the prompt in the head of its answer, which comes with the first token."""
+    """Token counts of the prompt and the engine's incarnation, as stated in the response headers."""
 
     cached_tokens: int = 0
     prompt_tokens: int = 0
@@ -73,7 +73,7 @@
 
 
 class EngineClient:
-    """Talks to the engine at ``address``."""
+    """HTTP client for the engine at ``address``."""
 
     def __init__(self, address: str, session: aiohttp.ClientSession) -> None:
         self._base = f"http://{address}"
@@ -82,8 +82,8 @@
     async def generate(self, call: GenerationCall, head: GenerationHead) -> AsyncGenerator[bytes, None]:
         """Yield the stream's events in order, each once, without the terminal marker.
 
-        ``head`` is filled in before the first event. Returns after the engine's own terminal marker; raises
-        :class:`AttemptFailed` in every other case. Events already received (a lower index) are dropped.
+        Sets the fields of ``head`` before the first event. Returns after the engine's terminal marker; raises
+        :class:`AttemptFailed` if the stream ends in any other way. Drops events below ``call.first_index``.
         """
         response = await self._open(call)
         try:
@@ -94,7 +94,7 @@
             async for event in self._ordered_events(response, call):
                 yield event
         finally:
-            # An unread remainder closes the connection, so it is never reused by another request.
+            # If unread data remains, this closes the connection, so that no other request reuses it.
             response.close()
 
     async def _open(self, call: GenerationCall) -> aiohttp.ClientResponse:
@@ -112,14 +112,14 @@
         return response
 
     async def _receive_head(self, call: GenerationCall, headers: dict[str, str]) -> aiohttp.ClientResponse:
-        """Send and wait for the answer's head, which comes with the first token."""
+        """Send the request and wait for the response head, which the engine sends with the first token."""
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
         pending_response = asyncio.ensure_future(
             self._session.post(self._base + call.path, data=call.body, headers=headers, timeout=timeout)
         )
         try:
             if not await wait_for_response_head(pending_response, call):
-                # The cancel goes first: closing the connection would stop the work, but not prove whether it ran.
+                # Cancel before closing: closing would also stop the work, but not tell whether it had started.
                 state = await self.cancel(call.attempt_id)
                 if state is wire.CancelState.NEVER_STARTED:
                     raise AttemptFailed(TransportEvent.CANCELLED_NEVER_STARTED, "no first token in time")
@@ -158,9 +158,9 @@
             try:
                 event_id = wire.parse_event_id(event)
             except ValueError as error:
-                raise AttemptFailed(TransportEvent.FOREIGN_ANSWER, "undecodable event id") from error
+                raise AttemptFailed(TransportEvent.FOREIGN_ANSWER, "invalid event id") from error
             if event_id is None or event_id.request_id != call.attempt_id:
-                raise AttemptFailed(TransportEvent.FOREIGN_ANSWER, "event of another request")
+                raise AttemptFailed(TransportEvent.FOREIGN_ANSWER, "event without an id or of another request")
             if event_id.token_index < expected:
                 continue
             if event_id.token_index > expected:
@@ -170,7 +170,7 @@
         raise AttemptFailed(TransportEvent.RESET_AFTER_SEND, "stream ended without its terminal marker")
 
     async def _split_events(self, response: aiohttp.ClientResponse, stall_timeout_s: float) -> AsyncIterator[bytes]:
-        """Split the body at blank lines."""
+        """Yield the body's events, which end with a blank line."""
         buffer = b""
         while True:
             try:
@@ -189,7 +189,7 @@
                 yield event + b"\n\n"
 
     async def cancel(self, request_id: str) -> wire.CancelState | None:
-        """Stop a generation; None if the engine did not confirm."""
+        """Cancel a generation; returns how far it had come, None if the engine did not confirm."""
         body = msgspec.json.encode(wire.CancelRequest(request_id))
         timeout = aiohttp.ClientTimeout(total=CANCEL_TIMEOUT_S)
         try:
@@ -201,9 +201,10 @@
             return None
 
     async def events(self, after: int, incarnation: str, idle_timeout_s: float) -> AsyncIterator[wire.EventLine]:
-        """Yield status and cache events until the connection ends; the first line is a status.
+        """Yield status, load and cache events until the connection ends; the first line is a status.
 
-        ``after`` counts only if the engine still is ``incarnation``. Raises aiohttp and timeout errors.
+        ``after`` is the sequence number of the last event received from ``incarnation``; an engine of another
+        incarnation ignores it. Raises aiohttp, timeout and decoding errors.
         """
         decoder: msgspec.json.Decoder[wire.EventLine] = msgspec.json.Decoder(wire.EventLine)
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S, sock_read=idle_timeout_s)
@@ -216,13 +217,13 @@
                     yield decoder.decode(line)
 
     async def snapshot(self) -> wire.CacheSnapshot:
-        """Return everything the engine has cached. Raises aiohttp and timeout errors."""
+        """Return all blocks the engine has cached. Raises aiohttp, timeout and decoding errors."""
         timeout = aiohttp.ClientTimeout(total=SNAPSHOT_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S)
         async with self._session.get(self._base + "/snapshot", timeout=timeout) as response:
             return msgspec.json.decode(await response.read(), type=wire.CacheSnapshot)
 
     async def send_load_order(self, order: wire.EngineLoadOrder, timeout_s: float) -> int:
-        """Send a fenced order; returns the HTTP status, 0 if there was no answer."""
+        """Send an order to load weights; returns the HTTP status, 0 if there was no answer."""
         timeout = aiohttp.ClientTimeout(total=timeout_s, sock_connect=CONNECT_TIMEOUT_S)
         try:
             async with self._session.post(
@@ -236,11 +237,11 @@
 
 
 def client_session(limit_per_host: int = 0) -> aiohttp.ClientSession:
-    """Return a session that never sends a request again by itself.
+    """Return an HTTP session that never resends a request on its own.
 
-    aiohttp sends idempotent methods a second time when a kept-alive connection turns out to be closed. That
-    would break "at most once" for services that use PUT or DELETE, so it is switched off; the contract test of
-    service calls holds this.
+    aiohttp resends idempotent methods when a kept-alive connection turns out to be closed. This would break the
+    at-most-once guarantee for services that use PUT or DELETE, so it is disabled; the contract test of service
+    calls checks this.
     """
     session = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0, limit_per_host=limit_per_host),
@@ -252,7 +253,7 @@
 
 
 async def wait_for_response_head(pending_response: asyncio.Future[Any], call: GenerationCall) -> bool:
-    """Wait for an answer's head; returns False once the attempt is to end without it."""
+    """Wait for the response head; returns False if the attempt is to be abandoned before the head arrives."""
     remaining_s = max(call.max_first_token_wait_s, call.first_token_timeout_s)
     while remaining_s > 0:
         wait_s = min(call.first_token_timeout_s, remaining_s)
--- a/src/wallwell/standalone/backends/engine_protocol.py
+++ b/src/wallwell/standalone/backends/engine_protocol.py
@@ -1,9 +1,9 @@
 """Wire format between routers and model engines.
 
-Generation is an OpenAI-style completion with extra headers; each server-sent event carries
-``id: <request id>/<token index>``, so that order and ownership are checked without parsing the payload. Cache
-events and status come as JSON lines on one long-lived response. Owns the names of headers and fields; the
-standalone router and the emulated engines import it.
+A generation is an OpenAI-style completion with extra headers. Each server-sent event has the line
+``id: <request id>/<token index>``, so that the router checks order and ownership without parsing the payload.
+Engines send status, load and cache events as JSON lines on one long-lived response. The standalone router and the
+emulated engines share these names of headers and fields.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class EngineState(enum.StrEnum):
-    """What an engine reports of its own readiness."""
+    """Readiness that an engine reports."""
 
     SERVING = "serving"
     LOADING = "loading"
@@ -36,7 +36,7 @@
 
 
 class RefusalReason(enum.StrEnum):
-    """Why an engine refused before running anything (status 412 or 503)."""
+    """Why an engine refused a request without running any of it (status 412 or 503)."""
 
     INCARNATION = "incarnation"
     WEIGHTS = "weights"
@@ -46,13 +46,13 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Body of a refusal; the engine ran nothing."""
+    """Body of a refusal. The engine ran no part of the request."""
 
     reason: RefusalReason
 
 
 class StatusLine(msgspec.Struct, frozen=True, array_like=True, tag="status"):
-    """Identity and readiness; the first line of a stream, and sent again when anything in it changes."""
+    """Identity and readiness of an engine: first line of an event stream, sent again whenever a field changes."""
 
     engine: str
     incarnation: str
@@ -64,9 +64,9 @@
 
 
 class LoadLine(msgspec.Struct, frozen=True, array_like=True, tag="load"):
-    """Periodic load, taken ``age_s`` before the line was sent, and the newest event's sequence number.
+    """Periodic load, measured ``age_s`` before the line was sent, and the newest cache event's sequence number.
 
-    ``waiting_prefill_tokens`` pairs priority ranks with tokens waiting to be computed.
+    ``waiting_prefill_tokens`` pairs each priority rank with its prompt tokens that are still to be computed.
     """
 
     sequence: int
@@ -78,7 +78,7 @@
 
 
 class CacheLine(msgspec.Struct, frozen=True, array_like=True, tag="cache"):
-    """One cache event. ``blocks`` is base64 of little-endian 64-bit hashes (10.7 bytes a block)."""
+    """Blocks stored or removed. ``blocks`` holds little-endian 64-bit hashes as base64 (10.7 bytes per block)."""
 
     sequence: int
     stored: bool
@@ -91,7 +91,7 @@
 
 
 class SnapshotEntry(msgspec.Struct, frozen=True, array_like=True):
-    """Consecutive or single blocks of one chain in a cache snapshot."""
+    """One block, or several consecutive blocks, of one chain in a cache snapshot."""
 
     root: str
     depth: int
@@ -99,7 +99,7 @@
 
 
 class CacheSnapshot(msgspec.Struct, frozen=True):
-    """Everything cached at one event sequence number."""
+    """All blocks an engine has cached after the cache event numbered ``sequence``."""
 
     incarnation: str
     sequence: int
@@ -107,20 +107,20 @@
 
 
 class Resume(msgspec.Struct, frozen=True):
-    """Continue a generation: the text so far and the index of the next token."""
+    """Where to continue a generation: the text generated so far and the index of the next token."""
 
     next_index: int
     text: str
 
 
 class CancelRequest(msgspec.Struct, frozen=True):
-    """Stop a generation."""
+    """Request to cancel a generation."""
 
     request_id: str
 
 
 class CancelState(enum.StrEnum):
-    """What a cancel found."""
+    """State of a generation when its cancellation arrived."""
 
     NEVER_STARTED = "never_started"
     STOPPED = "stopped"
@@ -128,13 +128,13 @@
 
 
 class CancelAnswer(msgspec.Struct, frozen=True):
-    """Answer to a cancel."""
+    """Answer to a :class:`CancelRequest`."""
 
     state: CancelState
 
 
 class EngineLoadOrder(msgspec.Struct, frozen=True):
-    """Fenced order to load weights; refused when a higher fence was seen."""
+    """Order to load weights; an engine that has accepted an order with a higher fence refuses it."""
 
     fence: int
     model: str
@@ -142,31 +142,31 @@
 
 
 class EventId(NamedTuple):
-    """Identity of one streamed event."""
+    """Request and token index of one streamed event."""
 
     request_id: str
     token_index: int
 
 
 def pack_hashes(hashes: Iterable[int]) -> str:
-    """Encode 64-bit hashes."""
+    """Return 64-bit hashes as base64 text."""
     return base64.b64encode(array("Q", hashes).tobytes()).decode()
 
 
 def unpack_hashes(text: str) -> list[int]:
-    """Inverse of :func:`pack_hashes`. Raises ValueError."""
+    """Return the hashes of a text made by :func:`pack_hashes`. Raises ValueError if the text is malformed."""
     values = array("Q")
     values.frombytes(base64.b64decode(text, validate=True))
     return values.tolist()
 
 
 def format_hash(value: int) -> str:
-    """Return a 64-bit hash as hexadecimal text."""
+    """Return a 64-bit hash as 16 hexadecimal digits."""
     return f"{value:016x}"
 
 
 def parse_event_id(event: bytes) -> EventId | None:
-    """Read the ``id:`` line of a server-sent event; None if it has none. Raises ValueError."""
+    """Return the id of a server-sent event, None if there is no ``id:`` line. Raises ValueError if malformed."""
     if not event.startswith(b"id: "):
         return None
     line, _, _ = event[4:].partition(b"\n")
--- a/src/wallwell/standalone/backends/engine_watch.py
+++ b/src/wallwell/standalone/backends/engine_watch.py
@@ -1,9 +1,9 @@
-"""Reads status, load and cache events of the engines that this node is responsible for.
+"""Reads the status, load and cache events of the engines that are assigned to this node.
 
-Each engine of a region is read by one node, chosen by rendezvous over the live members; when membership changes,
-each node finds out by itself which engines it reads now. A reader publishes incarnation and waiting time through
-gossip and reports checkpoints to the shards' owners. Owns the reading tasks and their reconnection; relies on
-``ClusterNode`` for membership and gossip, and on the selector to keep the loads.
+Each engine of a region is read by one node, chosen by rendezvous hashing over the live members; when the
+membership changes, each node computes its own assignment anew. The reading node publishes the engine's incarnation
+and waiting time through gossip and reports checkpoints to the shard owners. This module runs and reconnects the
+reading tasks; ``ClusterNode`` provides membership and gossip, and the selector stores the loads.
 """
 
 from __future__ import annotations
@@ -27,22 +27,22 @@
 from wallwell.standalone.routing.selector import EngineSelector
 
 RECONCILE_INTERVAL_S = 0.5
-"""Seconds between two checks of which engines this node reads: how late a new engine is read."""
+"""Seconds between two checks of which engines this node reads; bounds the delay until a new engine is read."""
 EVENTS_IDLE_TIMEOUT_S = 3.0
-"""Seconds without a line after which an engine's event stream counts as broken: six times the interval
+"""Seconds without data after which an engine's event stream counts as broken: six times the interval
 at which the emulated engines report their load (0.5 s)."""
 RECONNECT_DELAY_S = 0.5
-"""Mean pause before an event stream is opened again, spread so that nodes do not reconnect together."""
+"""Mean delay before an event stream is reopened; randomized so that nodes do not reconnect all at once."""
 RECONNECT_JITTER = (0.5, 1.5)
-"""Multiples of that pause, of which one is drawn each time."""
+"""Range of the random factor by which ``RECONNECT_DELAY_S`` is multiplied each time."""
 MIN_SNAPSHOT_INTERVAL_S = 2.0
-"""Least seconds between two snapshots of one engine after lost events: a snapshot lists its whole cache."""
+"""Minimum seconds between two snapshots of an engine after lost events, as each lists its whole cache."""
 PEER_REPORT_AGE_S = 1.0
-"""Assumed age of a load that came through another node: it is published and passed on by gossip first."""
+"""Assumed age of a load that another node has read, for the time until gossip delivers it here."""
 
 
 class EngineWatch:
-    """Keeps one reading task per engine this node is the reader of."""
+    """Runs one reading task for each engine assigned to this node."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self.received_bytes = 0
 
     async def run(self) -> None:
-        """Reconcile reading tasks with the engines this node should read, until cancelled."""
+        """Start and stop reading tasks as engines are assigned to this node, until cancelled."""
         try:
             while True:
                 self._reconcile()
@@ -81,14 +81,14 @@
             self._node.readers.pop(name, None)
             self.status.pop(name, None)
             if name in engines:
-                # Its next reader reports whether it is still leaving.
+                # The node that reads this engine next reports whether the engine is still leaving.
                 self._node.leaving_by_engine_status.discard(engines[name].address)
         for name in assigned - self._tasks.keys():
             self._tasks[name] = asyncio.create_task(self._read_forever(engines[name]))
         self._publish(engines)
 
     def _publish(self, engines: dict[str, Engine]) -> None:
-        """Put incarnations and waiting times into this node's gossip state."""
+        """Publish the engines' incarnations, weights and waiting times in this node's gossip state."""
         now_s = boot_time_s()
         read_engines = sorted(name for name in self.status if name in engines)
         serving = [name for name in read_engines if self.status[name].state is wire.EngineState.SERVING]
@@ -108,7 +108,7 @@
         return (round(interactive * 1000), round(load.wait_s(now_s) * 1000))
 
     def _update_from_peers(self, now_s: float) -> None:
-        """Take over the waiting times that other nodes publish of the engines they read."""
+        """Apply the waiting times that other nodes have published for the engines they read."""
         for engine, interactive_ms, total_ms, version in self._node.peer_waiting_ms():
             if self._peer_versions.get(engine) == version:
                 continue
@@ -120,8 +120,7 @@
             load.on_report(LoadReport(0, 0, waiting, 0, 0, now_s - PEER_REPORT_AGE_S))
 
     def _update_leaving(self, engine: Engine, is_leaving: bool) -> None:
-        """Note whether the engine reports that it is leaving; one that serves again at its address is used
-        again."""
+        """Record whether the engine reports that it is leaving; any other state makes its address usable again."""
         leaving_addresses = self._node.leaving_by_engine_status
         if is_leaving and engine.address not in leaving_addresses:
             emit(Event.BACKEND_LEAVING, backend=engine.name)
@@ -165,7 +164,7 @@
         self.status[engine] = line
 
     def _on_load(self, engine: str, reader: EngineReader, line: wire.LoadLine) -> None:
-        # Everything up to the previous load line should have arrived by now.
+        # All cache events up to the previous load line should have arrived; if not, events were lost.
         reader.needs_snapshot |= reader.sequence < reader.last_load_sequence
         reader.last_load_sequence = line.sequence
         now_s = boot_time_s()
@@ -180,7 +179,7 @@
         self._selector.load_of(engine).on_report(report)
 
     async def _resynchronise(self, engine: str, client: EngineClient) -> None:
-        """Replace what is known by a snapshot, at most once per interval and engine."""
+        """Replace the recorded cache content by a snapshot, at most once per ``MIN_SNAPSHOT_INTERVAL_S``."""
         now_s = boot_time_s()
         if now_s - self._snapshot_at_s.get(engine, float("-inf")) < MIN_SNAPSHOT_INTERVAL_S:
             return
--- a/src/wallwell/standalone/backends/service_client.py
+++ b/src/wallwell/standalone/backends/service_client.py
@@ -1,7 +1,7 @@
 """Client of the declared services, such as orders and bookings: one call, one attempt.
 
-Owns what each end of an attempt is taken for; a call that may have run is never reported as one that did not. It
-sends nothing a second time: retries are decided by the callers' handlers.
+Maps each way an attempt can end to a transport event; a call that may have run is never reported as not run.
+Never resends a call: the request handlers decide on retries.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from wallwell.standalone.backends.engine_protocol import REQUEST_ID
 
 CONNECT_TIMEOUT_S = 1.0
-"""Seconds for a connection to come up; the same as for engines."""
+"""Seconds to wait for a connection to be established; the same as for engines."""
 NOT_RUN_HEADER = "X-Not-Run"
-"""Set by a service on a refusal that ran nothing."""
+"""Header by which a service states that it refused a call without running any of it."""
 
 
 @dataclass(frozen=True)
 class ServiceCall:
-    """One attempt at a service call; ``timeout_s`` bounds it from connecting to the last byte."""
+    """One attempt at a service call; ``timeout_s`` covers the time from connecting to the last byte received."""
 
     method: str
     path: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class ServiceAnswer:
-    """A service's whole answer."""
+    """A service's complete answer."""
 
     status: int
     body: bytes
@@ -46,9 +46,9 @@
 
 
 class ServiceClient:
-    """Sends calls; each on a fresh connection, so that no answer to an earlier call can be taken for its own.
+    """Sends each call on a new connection, so that it cannot receive the answer to an earlier call.
 
-    On a kept-alive connection that the service has just closed, a call that never ran would also be reported as
+    Also, on a kept-alive connection that the service has just closed, a call that never ran would be reported as
     one that may have run.
     """
 
@@ -56,15 +56,15 @@
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0, force_close=True), auto_decompress=False
         )
-        # aiohttp would send idempotent methods again by itself; see ``engine_client.client_session``.
+        # Keeps aiohttp from resending idempotent methods; see ``engine_client.client_session``.
         self._session._retry_connection = False
 
     async def close(self) -> None:
-        """Close the session."""
+        """Close the HTTP session."""
         await self._session.close()
 
     async def call(self, address: str, call: ServiceCall) -> ServiceAnswer:
-        """Send once. Raises :class:`AttemptFailed`."""
+        """Send once and return the answer. Raises :class:`AttemptFailed` on any failure and on a 5xx status."""
         headers = {**call.headers, REQUEST_ID: call.attempt_id}
         timeout = aiohttp.ClientTimeout(total=call.timeout_s, sock_connect=CONNECT_TIMEOUT_S)
         url = f"http://{address}/{call.path}"
@@ -98,8 +98,8 @@
 
 
 def _requested_backoff_s(response: aiohttp.ClientResponse) -> float:
-    """Return for how long a refusing instance wants nothing, 0 if it does not say; what cannot be understood is
-    logged."""
+    """Return the back-off in seconds that a refusing instance requests, 0 if none; logs each unreadable
+    ``Retry-After`` header."""
     if response.status != HTTPStatus.SERVICE_UNAVAILABLE:
         return 0.0
     retry_after = parse_retry_after(response.headers.getall("Retry-After", ()))
