--- a/src/wallwell/standalone/backends/service_client.py
+++ b/src/wallwell/standalone/backends/service_client.py
@@ -102,7 +102,7 @@
     ``Retry-After`` header."""
     if response.status != HTTPStatus.SERVICE_UNAVAILABLE:
         return 0.0
-    retry_after = parse_retry_after(response.headers.getall("Retry-After", ()))
-    for text in retry_after.unreadable:
+    requested = parse_retry_after(response.headers.getall("Retry-After", ()))
+    for text in requested.unreadable:
         emit(Event.BACKEND_NOTICE_UNREADABLE, backend=str(response.url.authority), retry_after=text)
-    return min(retry_after.seconds, MAX_BACKOFF_S)
+    return min(requested.seconds, MAX_BACKOFF_S)
