--- a/src/wallwell/standalone/backends/engine_watch.py
+++ b/src/wallwell/standalone/backends/engine_watch.py
@@ -1,9 +1,9 @@
-"""Reads status, load and cache events of the engines that this node is responsible for.
+"""Reads the status, load and cache events of the engines that are assigned to this node.
 
-Each engine of a region is read by one node, chosen by rendezvous over the live members; when membership changes,
-each node finds out by itself which engines it reads now. A reader publishes incarnation and waiting time through
-gossip and reports checkpoints to the shards' owners. Owns the reading tasks and their reconnection; relies on
-``ClusterNode`` for membership and gossip, and on the selector to keep the loads.
+Each engine of a region is read by one node, chosen by rendezvous hashing over the live members; when the
+membership changes, each node computes its own assignment anew. The reading node publishes the engine's incarnation
+and waiting time through gossip and reports checkpoints to the shard owners. This module runs and reconnects the
+reading tasks; ``ClusterNode`` provides membership and gossip, and the selector stores the loads.
 """
 
 from __future__ import annotations
@@ -27,22 +27,22 @@
 from wallwell.standalone.routing.selector import EngineSelector
 
 RECONCILE_INTERVAL_S = 0.5
-"""Seconds between two checks of which engines this node reads: how late a new engine is read."""
+"""Seconds between two checks of which engines this node reads; bounds the delay until a new engine is read."""
 EVENTS_IDLE_TIMEOUT_S = 3.0
-"""Seconds without a line after which an engine's event stream counts as broken: six times the interval
+"""Seconds without data after which an engine's event stream counts as broken: six times the interval
 at which the emulated engines report their load (0.5 s)."""
-RECONNECT_S = 0.5
-"""Mean pause before an event stream is opened again, spread so that nodes do not reconnect together."""
-RECONNECT_SPREAD = (0.5, 1.5)
-"""Multiples of that pause, of which one is drawn each time."""
-SNAPSHOT_INTERVAL_S = 2.0
-"""Least seconds between two snapshots of one engine after lost events: a snapshot lists its whole cache."""
+RECONNECT_DELAY_S = 0.5
+"""Mean delay before an event stream is reopened; randomized so that nodes do not reconnect all at once."""
+RECONNECT_JITTER = (0.5, 1.5)
+"""Range of the random factor by which ``RECONNECT_DELAY_S`` is multiplied each time."""
+MIN_SNAPSHOT_INTERVAL_S = 2.0
+"""Minimum seconds between two snapshots of an engine after lost events, as each lists its whole cache."""
 PEER_REPORT_AGE_S = 1.0
-"""Assumed age of a load that came through another node: it is published and passed on by gossip first."""
+"""Assumed age of a load that another node has read, for the time until gossip delivers it here."""
 
 
 class EngineWatch:
-    """Keeps one reading task per engine this node is the reader of."""
+    """Runs one reading task for each engine assigned to this node."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         self.received_bytes = 0
 
     async def run(self) -> None:
-        """Reconcile reading tasks with the engines this node should read, until cancelled."""
+        """Start and stop reading tasks as engines are assigned to this node, until cancelled."""
         try:
             while True:
                 self._reconcile()
@@ -81,65 +81,64 @@
             self._node.readers.pop(name, None)
             self.status.pop(name, None)
             if name in engines:
-                # Its next reader reports whether it is still leaving.
+                # The node that reads this engine next reports whether the engine is still leaving.
                 self._node.leaving_by_engine_status.discard(engines[name].address)
         for name in assigned - self._tasks.keys():
             self._tasks[name] = asyncio.create_task(self._read_forever(engines[name]))
         self._publish(engines)
 
     def _publish(self, engines: dict[str, Engine]) -> None:
-        """Put incarnations and waiting times into this node's gossip state."""
+        """Publish the engines' incarnations, weights and waiting times in this node's gossip state."""
         now_s = boot_time_s()
-        reading = sorted(name for name in self.status if name in engines)
-        serving = [name for name in reading if self.status[name].state is wire.EngineState.SERVING]
-        news = tuple(
+        read_engines = sorted(name for name in self.status if name in engines)
+        serving = [name for name in read_engines if self.status[name].state is wire.EngineState.SERVING]
+        records = tuple(
             EngineRecord(name, self.status[name].incarnation, tuple(sorted(self.status[name].weights.items())))
             for name in serving
         )
         waiting = tuple(self._waiting_ms(name, now_s) for name in serving)
-        for name in reading:
-            self._note_leaving(engines[name], self.status[name].state is wire.EngineState.LEAVING)
-        self._node.publish_engines(news, waiting)
-        self._learn_from_peers(now_s)
+        for name in read_engines:
+            self._update_leaving(engines[name], self.status[name].state is wire.EngineState.LEAVING)
+        self._node.publish_engines(records, waiting)
+        self._update_from_peers(now_s)
 
     def _waiting_ms(self, engine: str, now_s: float) -> tuple[int, int]:
         load = self._selector.load_of(engine)
         interactive = load.wait_s(now_s, MAX_INTERACTIVE_RANK)
         return (round(interactive * 1000), round(load.wait_s(now_s) * 1000))
 
-    def _learn_from_peers(self, now_s: float) -> None:
-        """Take over the waiting times that other nodes publish of the engines they read."""
-        for engine, interactive_ms, any_ms, version in self._node.peer_waiting_ms():
+    def _update_from_peers(self, now_s: float) -> None:
+        """Apply the waiting times that other nodes have published for the engines they read."""
+        for engine, interactive_ms, total_ms, version in self._node.peer_waiting_ms():
             if self._peer_versions.get(engine) == version:
                 continue
             self._peer_versions[engine] = version
             load = self._selector.load_of(engine)
             rate = load.prefill_tokens_per_s / 1000
             interactive = round(interactive_ms * rate)
-            waiting = ((MAX_INTERACTIVE_RANK, interactive), (MAX_RANK, round(any_ms * rate) - interactive))
+            waiting = ((MAX_INTERACTIVE_RANK, interactive), (MAX_RANK, round(total_ms * rate) - interactive))
             load.on_report(LoadReport(0, 0, waiting, 0, 0, now_s - PEER_REPORT_AGE_S))
 
-    def _note_leaving(self, engine: Engine, leaving: bool) -> None:
-        """Note whether the engine reports that it is leaving; one that serves again at its address is used
-        again."""
-        known = self._node.leaving_by_engine_status
-        if leaving and engine.address not in known:
+    def _update_leaving(self, engine: Engine, is_leaving: bool) -> None:
+        """Record whether the engine reports that it is leaving; any other state makes its address usable again."""
+        leaving_addresses = self._node.leaving_by_engine_status
+        if is_leaving and engine.address not in leaving_addresses:
             emit(Event.BACKEND_LEAVING, backend=engine.name)
-            known.add(engine.address)
-        elif not leaving:
-            known.discard(engine.address)
+            leaving_addresses.add(engine.address)
+        elif not is_leaving:
+            leaving_addresses.discard(engine.address)
 
     async def _read_forever(self, engine: Engine) -> None:
         client = EngineClient(engine.address, self._session)
         while True:
             try:
-                await self._read(engine.name, client)
+                await self._read_events(engine.name, client)
             except (TimeoutError, aiohttp.ClientError, OSError, ValueError, msgspec.DecodeError) as error:
                 emit(Event.ENGINE_UNREACHABLE, engine=engine.name, reason=type(error).__name__)
             self.status.pop(engine.name, None)
-            await asyncio.sleep(RECONNECT_S * self._rng.uniform(*RECONNECT_SPREAD))
+            await asyncio.sleep(RECONNECT_DELAY_S * self._rng.uniform(*RECONNECT_JITTER))
 
-    async def _read(self, engine: str, client: EngineClient) -> None:
+    async def _read_events(self, engine: str, client: EngineClient) -> None:
         reader = self._node.readers.get(engine)
         after = reader.sequence if reader is not None else 0
         incarnation = reader.incarnation if reader is not None else ""
@@ -165,7 +164,7 @@
         self.status[engine] = line
 
     def _on_load(self, engine: str, reader: EngineReader, line: wire.LoadLine) -> None:
-        # Everything up to the previous load line should have arrived by now.
+        # All cache events up to the previous load line should have arrived; if not, events were lost.
         reader.needs_snapshot |= reader.sequence < reader.last_load_sequence
         reader.last_load_sequence = line.sequence
         now_s = boot_time_s()
@@ -180,9 +179,9 @@
         self._selector.load_of(engine).on_report(report)
 
     async def _resynchronise(self, engine: str, client: EngineClient) -> None:
-        """Replace what is known by a snapshot, at most once per interval and engine."""
+        """Replace the recorded cache content by a snapshot, at most once per ``MIN_SNAPSHOT_INTERVAL_S``."""
         now_s = boot_time_s()
-        if now_s - self._snapshot_at_s.get(engine, float("-inf")) < SNAPSHOT_INTERVAL_S:
+        if now_s - self._snapshot_at_s.get(engine, float("-inf")) < MIN_SNAPSHOT_INTERVAL_S:
             return
         self._snapshot_at_s[engine] = now_s
         emit(Event.ENGINE_EVENTS_GAP, engine=engine)
