--- a/src/wallwell/standalone/config/commit.py
+++ b/src/wallwell/standalone/config/commit.py
@@ -28,7 +28,7 @@
     ConfigFile,
     check_references,
     parse_file,
-    references_to,
+    removal_problems,
     settings_without_effect,
 )
 from wallwell.standalone.config.schema import FileKey
@@ -41,7 +41,7 @@
 FILE_PREFIX = "config/file/"
 APPLY_PREFIX = "apply/"
 TEXT_PREFIX = "config-text/"
-_TRIES = 6
+_MAX_TRIES = 6
 """Tries to commit one change: each conflict with another change or lost answer costs one."""
 
 
@@ -75,12 +75,12 @@
 
 @dataclass
 class _Change:
-    """One change over all its tries. ``base`` is fixed by the first try that reads the table, if not before."""
+    """One change over all its tries. The first try that reads the table sets ``base_revision`` if None."""
 
     request: ApplyRequest
     key: FileKey
     file: ConfigFile | None
-    base: int | None
+    base_revision: int | None
 
     def is_in_force(self, current: FileRevision | None) -> bool:
         """Whether the file's text is the one in force; ``spec`` is empty after a removal."""
@@ -92,10 +92,10 @@
 class ConfigCommitter:
     """Reads and writes the configuration in the table service for one node."""
 
-    def __init__(self, table: TableService, store: ConfigStore, adopt: Callable[[ConfigDelta], bool]) -> None:
+    def __init__(self, table: TableService, store: ConfigStore, apply_delta: Callable[[ConfigDelta], bool]) -> None:
         self._table = table
         self._store = store
-        self._adopt = adopt
+        self._apply_delta = apply_delta
         self._scanned_version = 0
         self._scanned_head = 0
         self._head_version = 0
@@ -106,12 +106,12 @@
         Raises :class:`PlatformUnavailableError`.
         """
         scan = await self._table.scan(CONFIG_PREFIX, self._scanned_version)
-        delta = self._delta_of(scan)
-        moved = self._adopt(delta) if delta is not None else False
+        delta = self._read_delta(scan)
+        moved = self._apply_delta(delta) if delta is not None else False
         self._scanned_version = max(self._scanned_version, scan.commit)
         return moved
 
-    def _delta_of(self, scan: Scan) -> ConfigDelta | None:
+    def _read_delta(self, scan: Scan) -> ConfigDelta | None:
         files = []
         head = None
         for row in scan.rows:
@@ -135,14 +135,14 @@
         file = _parse_or_raise(request) if request.body else None
         key = file.key if file is not None else FileKey.parse(request.key)
         change = _Change(request, key, file, request.base_revision)
-        for _ in range(_TRIES):
+        for _ in range(_MAX_TRIES):
             try:
                 answer = await self._try_apply(change)
             except (TableConflictError, PlatformUnavailableError) as error:
                 emit(Event.CONFIG_WRITE_RETRIED, file=str(key), reason=str(error))
             else:
                 if file is not None:
-                    _warn_of_settings_without_effect(file)
+                    _log_settings_without_effect(file)
                 return answer
         raise ConfigUnavailableError(f"{key}: the table service did not confirm the change; apply it again")
 
@@ -150,21 +150,21 @@
         # The apply id is looked up after the refresh: an earlier try that takes effect between the two
         # is then found by its id and not mistaken for another operator's change.
         await self.refresh()
-        settled = await self._resolve(change.request, change.key)
-        if settled is not None:
-            return settled
+        earlier_answer = await self._find_earlier_answer(change.request, change.key)
+        if earlier_answer is not None:
+            return earlier_answer
         current = self._store.revision_of(change.key)
         revision = current.revision if current is not None else 0
-        if change.base is None:
-            change.base = revision
-        if revision != change.base:
-            raise _conflict(change.key, current, change.base)
+        if change.base_revision is None:
+            change.base_revision = revision
+        if revision != change.base_revision:
+            raise _conflict_error(change.key, current, change.base_revision)
         if change.is_in_force(current):
             return ApplyAnswer(str(change.key), revision, changed=False)
         self._check(change.key, change.file)
         return await self._commit(change.request, change.key, change.file)
 
-    async def _resolve(self, request: ApplyRequest, key: FileKey) -> ApplyAnswer | None:
+    async def _find_earlier_answer(self, request: ApplyRequest, key: FileKey) -> ApplyAnswer | None:
         """Return the result of an earlier try of this apply id whose answer was lost."""
         row = await self._table.get(APPLY_PREFIX + request.apply_id)
         if row is None:
@@ -176,12 +176,12 @@
         if file is None:
             if key not in self._store.files:
                 raise ConfigNotFoundError(str(key))
-            problems = references_to(key, self._store.files)
+            problems = removal_problems(key, self._store.files)
         else:
             merged = {**self._store.files, key: file}
             problems = check_references(merged)
         if problems:
-            raise ConfigInvalidError(_listed(str(key), problems))
+            raise ConfigInvalidError(_format_problems(str(key), problems))
 
     async def _commit(self, request: ApplyRequest, key: FileKey, file: ConfigFile | None) -> ApplyAnswer:
         revision = self._scanned_head + 1
@@ -204,7 +204,7 @@
         )
         version = await self._table.transact(transaction)
         # Commits are serial on the head row, so nothing lies between the head compared and this commit.
-        self._adopt(ConfigDelta(revision - 1, revision, (entry,)))
+        self._apply_delta(ConfigDelta(revision - 1, revision, (entry,)))
         self._head_version = version
         self._scanned_head = revision
         return ApplyAnswer(str(key), revision, changed=True)
@@ -213,15 +213,15 @@
 def _parse_or_raise(request: ApplyRequest) -> ConfigFile:
     file, problems = parse_file(request.body)
     if file is None:
-        raise ConfigInvalidError(_listed("file", problems))
+        raise ConfigInvalidError(_format_problems("file", problems))
     return file
 
 
-def _listed(name: str, problems: list[Problem]) -> str:
+def _format_problems(name: str, problems: list[Problem]) -> str:
     return "\n".join(f"{name}: {problem}" for problem in problems)
 
 
-def _conflict(key: FileKey, current: FileRevision | None, base: int) -> ConfigConflictError:
+def _conflict_error(key: FileKey, current: FileRevision | None, base: int) -> ConfigConflictError:
     if current is None:
         return ConfigConflictError(f"{key}: based on revision {base}, but no such file is in force")
     return ConfigConflictError(
@@ -229,7 +229,7 @@
     )
 
 
-def _warn_of_settings_without_effect(file: ConfigFile) -> None:
+def _log_settings_without_effect(file: ConfigFile) -> None:
     """Tell an operator, in the log, of settings in an accepted file that change nothing."""
     settings = settings_without_effect(file)
     if settings:
--- a/src/wallwell/standalone/config/compiled.py
+++ b/src/wallwell/standalone/config/compiled.py
@@ -25,7 +25,7 @@
     ZoneSpec,
 )
 
-T = TypeVar("T")
+SpecT = TypeVar("SpecT")
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,12 +64,12 @@
 
     def is_repeatable(self, service: str, method: str, path: str) -> bool:
         """Whether a call may run more than once; calls no operation covers may not."""
-        best = ""
+        longest_path = ""
         repeatable = False
         for operation in self.services[service].operations:
             matches = operation.method == method and path.startswith(operation.path)
-            if matches and len(operation.path) >= len(best):
-                best = operation.path
+            if matches and len(operation.path) >= len(longest_path):
+                longest_path = operation.path
                 repeatable = operation.repeatable
         return repeatable
 
@@ -94,35 +94,35 @@
     kinds = set(Kind) if previous is None else set(changed)
     tables: dict[str, Mapping[str, Any]] = {}
     for kind in kinds:
-        tables.update(_tables_of(kind, files, base))
+        tables.update(_build_tables(kind, files, base))
     return dataclasses.replace(base, revision=revision, **tables)
 
 
-def _tables_of(
+def _build_tables(
     kind: Kind, files: Mapping[FileKey, ConfigFile], previous: CompiledConfig
 ) -> dict[str, Mapping[str, Any]]:
     """Return the tables that the files of one kind determine, by their names in :class:`CompiledConfig`."""
     match kind:
         case Kind.ZONE:
-            return {"zones": _specs(files, kind, ZoneSpec)}
+            return {"zones": _specs_by_name(files, kind, ZoneSpec)}
         case Kind.PRIORITY:
-            return {"priorities": _specs(files, kind, PrioritySpec)}
+            return {"priorities": _specs_by_name(files, kind, PrioritySpec)}
         case Kind.MODEL:
-            return {"models": _specs(files, kind, ModelSpec)}
+            return {"models": _specs_by_name(files, kind, ModelSpec)}
         case Kind.SERVICE:
-            return {"services": _specs(files, kind, ServiceSpec)}
+            return {"services": _specs_by_name(files, kind, ServiceSpec)}
         case Kind.ENGINE_POOL:
-            return {"engines": _engines_of_pools(files)}
+            return {"engines": _engines_by_name(files)}
         case Kind.TENANT:
             tenants = _tenants_by_name(files, previous)
-            return {"tenants": tenants, "tenant_by_token": _by_token(tenants)}
+            return {"tenants": tenants, "tenant_by_token": _tenants_by_token(tenants)}
 
 
-def _by_token(tenants: Mapping[str, Tenant]) -> dict[str, Tenant]:
+def _tenants_by_token(tenants: Mapping[str, Tenant]) -> dict[str, Tenant]:
     return {token: tenant for tenant in tenants.values() for token in tenant.spec.token_sha256}
 
 
-def _specs(files: Mapping[FileKey, ConfigFile], kind: Kind, spec_type: type[T]) -> dict[str, T]:
+def _specs_by_name(files: Mapping[FileKey, ConfigFile], kind: Kind, spec_type: type[SpecT]) -> dict[str, SpecT]:
     return {
         key.name: file.spec for key, file in files.items() if key.kind is kind and isinstance(file.spec, spec_type)
     }
@@ -131,22 +131,22 @@
 def _tenants_by_name(files: Mapping[FileKey, ConfigFile], previous: CompiledConfig) -> dict[str, Tenant]:
     """Return all tenants; one whose file has not changed stays the same object."""
     tenants: dict[str, Tenant] = {}
-    for name, spec in _specs(files, Kind.TENANT, TenantSpec).items():
-        known = previous.tenants.get(name)
-        tenants[name] = known if known is not None and known.spec is spec else Tenant(name, spec)
+    for name, spec in _specs_by_name(files, Kind.TENANT, TenantSpec).items():
+        earlier = previous.tenants.get(name)
+        tenants[name] = earlier if earlier is not None and earlier.spec is spec else Tenant(name, spec)
     return tenants
 
 
-def _engines_of_pools(files: Mapping[FileKey, ConfigFile]) -> dict[str, Engine]:
+def _engines_by_name(files: Mapping[FileKey, ConfigFile]) -> dict[str, Engine]:
     engines: dict[str, Engine] = {}
-    for pool, spec in _specs(files, Kind.ENGINE_POOL, EnginePoolSpec).items():
+    for pool, spec in _specs_by_name(files, Kind.ENGINE_POOL, EnginePoolSpec).items():
         models = frozenset(spec.models)
         for entry in spec.engines:
-            engines[entry.name] = _pool_engine(pool, spec, models, entry)
+            engines[entry.name] = _build_engine(pool, spec, models, entry)
     return engines
 
 
-def _pool_engine(pool: str, spec: EnginePoolSpec, models: frozenset[str], entry: EngineSpec) -> Engine:
+def _build_engine(pool: str, spec: EnginePoolSpec, models: frozenset[str], entry: EngineSpec) -> Engine:
     return Engine(
         name=entry.name,
         address=entry.address,
--- a/src/wallwell/standalone/config/parse.py
+++ b/src/wallwell/standalone/config/parse.py
@@ -15,8 +15,8 @@
 
 from wallwell.errors import DocumentSyntaxError
 from wallwell.standalone.config.schema import (
+    SETTINGS_WITHOUT_EFFECT,
     SPEC_TYPES,
-    WITHOUT_EFFECT,
     EnginePoolSpec,
     FileKey,
     Kind,
@@ -78,8 +78,8 @@
 
 def settings_without_effect(file: ConfigFile) -> list[str]:
     """Return the settings that a file's text names although no decision reads them."""
-    unread = WITHOUT_EFFECT.get(file.key.kind, ())
-    return [name for name in unread if ("spec", name) in file.lines]
+    without_effect = SETTINGS_WITHOUT_EFFECT.get(file.key.kind, ())
+    return [name for name in without_effect if ("spec", name) in file.lines]
 
 
 def _parse_key(value: Any, problems: ProblemList) -> FileKey | None:
@@ -105,16 +105,16 @@
 def check_references(files: Mapping[FileKey, ConfigFile], only: Iterable[FileKey] | None = None) -> list[Problem]:
     """Check references between files; problems are reported of the files in ``only``, or of all."""
     found: list[Problem] = []
-    uses = _FirstUses(_first_use_of_addresses(files), _first_use_of_tokens(files))
+    uses = _FirstUses(_first_use_of_backends(files), _first_use_of_tokens(files))
     for key in only if only is not None else files:
         if key in files:
-            check = _FileCheck(files[key], files, uses)
+            check = _ReferenceCheck(files[key], files, uses)
             check.run()
             found.extend(check.problems.problems)
     return found
 
 
-def references_to(key: FileKey, files: Mapping[FileKey, ConfigFile]) -> list[Problem]:
+def removal_problems(key: FileKey, files: Mapping[FileKey, ConfigFile]) -> list[Problem]:
     """Return the problems that removing ``key`` would cause in the other files."""
     remaining = {other: file for other, file in files.items() if other != key}
     return check_references(remaining)
@@ -123,13 +123,15 @@
 def _backend_entries(file: ConfigFile) -> list[tuple[Path, str, str]]:
     """Return ``(path, name, address)`` of each back end the file describes."""
     if isinstance(file.spec, EnginePoolSpec):
-        return [(("spec", "engines", i), e.name, e.address) for i, e in enumerate(file.spec.engines)]
+        return [(("spec", "engines", i), entry.name, entry.address) for i, entry in enumerate(file.spec.engines)]
     if isinstance(file.spec, ServiceSpec):
-        return [(("spec", "instances", i), e.name, e.address) for i, e in enumerate(file.spec.instances)]
+        return [
+            (("spec", "instances", i), entry.name, entry.address) for i, entry in enumerate(file.spec.instances)
+        ]
     return []
 
 
-def _first_use_of_addresses(files: Mapping[FileKey, ConfigFile]) -> dict[str, tuple[FileKey, Path]]:
+def _first_use_of_backends(files: Mapping[FileKey, ConfigFile]) -> dict[str, tuple[FileKey, Path]]:
     """Map each back end's name and address to the place that uses it first."""
     used: dict[str, tuple[FileKey, Path]] = {}
     for key in sorted(files):
@@ -157,7 +159,7 @@
     tokens: Mapping[str, FileKey]
 
 
-class _FileCheck:
+class _ReferenceCheck:
     """Check of one file against all files."""
 
     def __init__(self, file: ConfigFile, files: Mapping[FileKey, ConfigFile], uses: _FirstUses) -> None:
@@ -178,17 +180,17 @@
         self._check_backends()
 
     def _check_pool(self, spec: EnginePoolSpec) -> None:
-        self._require_all(Kind.MODEL, "models", spec.models)
+        self._require_files(Kind.MODEL, "models", spec.models)
         self._check_zones("engines", [engine.zone for engine in spec.engines])
 
     def _check_zones(self, field: str, zones: Iterable[str]) -> None:
         for index, zone in enumerate(zones):
-            self._require(Kind.ZONE, zone, ("spec", field, index, "zone"))
+            self._require_file(Kind.ZONE, zone, ("spec", field, index, "zone"))
 
     def _check_tenant(self, spec: TenantSpec) -> None:
-        self._require_all(Kind.MODEL, "models", spec.models)
-        self._require_all(Kind.SERVICE, "services", spec.services)
-        self._require_all(Kind.PRIORITY, "priorities", spec.priorities)
+        self._require_files(Kind.MODEL, "models", spec.models)
+        self._require_files(Kind.SERVICE, "services", spec.services)
+        self._require_files(Kind.PRIORITY, "priorities", spec.priorities)
         if spec.default_priority is not None and spec.default_priority not in spec.priorities:
             self.problems.add(REFERENCE, ("spec", "default_priority"), "must be one of the tenant's priorities")
         for index, token in enumerate(spec.token_sha256):
@@ -204,10 +206,10 @@
                 if first != (self._file.key, path):
                     self.problems.add(DUPLICATE, path, f"`{used}` is used by {first[0]} too")
 
-    def _require_all(self, kind: Kind, field: str, names: Iterable[str]) -> None:
+    def _require_files(self, kind: Kind, field: str, names: Iterable[str]) -> None:
         for index, name in enumerate(names):
-            self._require(kind, name, ("spec", field, index))
+            self._require_file(kind, name, ("spec", field, index))
 
-    def _require(self, kind: Kind, name: str, path: Path) -> None:
+    def _require_file(self, kind: Kind, name: str, path: Path) -> None:
         if FileKey(kind, name) not in self._files:
             self.problems.add(REFERENCE, path, f"no {kind.value} named `{name}`")
--- a/src/wallwell/standalone/config/schema.py
+++ b/src/wallwell/standalone/config/schema.py
@@ -139,7 +139,7 @@
     Kind.TENANT: TenantSpec,
 }
 
-WITHOUT_EFFECT: dict[Kind, tuple[str, ...]] = {
+SETTINGS_WITHOUT_EFFECT: dict[Kind, tuple[str, ...]] = {
     Kind.PRIORITY: ("ageing_s",),
     Kind.MODEL: ("warm_prefixes",),
     Kind.TENANT: ("weight",),
--- a/src/wallwell/standalone/config/store.py
+++ b/src/wallwell/standalone/config/store.py
@@ -66,13 +66,13 @@
         for entry in delta.files:
             current = self._revisions.get(entry.key)
             if current is None or entry.revision > current.revision:
-                self._adopt(entry)
+                self._store_revision(entry)
                 changed.add(entry.key.kind)
         self.head = delta.head
         self.compiled = compile_config(self._parsed, self.head, self.compiled, changed)
         return True
 
-    def _adopt(self, entry: FileRevision) -> None:
+    def _store_revision(self, entry: FileRevision) -> None:
         self._revisions[entry.key] = entry
         self._parsed.pop(entry.key, None)
         if entry.spec:
--- a/tests/unit/standalone/config/test_references.py
+++ b/tests/unit/standalone/config/test_references.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wallwell.standalone.config.compiled import compile_config
-from wallwell.standalone.config.parse import check_references, parse_file, references_to
+from wallwell.standalone.config.parse import check_references, parse_file, removal_problems
 from wallwell.standalone.config.schema import Kind
 
 TOKEN = "a" * 64
@@ -32,12 +32,12 @@
     return {file.key: file for file in files}
 
 
-def found(files):
+def reference_problems(files):
     return [(problem.code, problem.path) for problem in check_references(files)]
 
 
 def test_files_that_name_what_exists_have_no_problems():
-    assert found(parsed(*ALL)) == []
+    assert reference_problems(parsed(*ALL)) == []
 
 
 @pytest.mark.parametrize(
@@ -53,8 +53,8 @@
     files = parsed(*ALL)
     removed = parse_file(missing)[0].key
     expected = [("unknown_reference", path) for path in paths]
-    assert [(each.code, each.path) for each in references_to(removed, files)] == expected
-    assert found({key: file for key, file in files.items() if key != removed}) == expected
+    assert [(each.code, each.path) for each in removal_problems(removed, files)] == expected
+    assert reference_problems({key: file for key, file in files.items() if key != removed}) == expected
 
 
 @pytest.mark.parametrize(
@@ -67,7 +67,7 @@
     ],
 )
 def test_addresses_names_and_credentials_are_used_once_and_a_default_is_allowed(body, paths):
-    assert [path for _, path in found(parsed(*ALL, body))] == paths
+    assert [path for _, path in reference_problems(parsed(*ALL, body))] == paths
 
 
 @pytest.mark.parametrize("kind", list(Kind))
