--- a/src/wallwell/standalone/config/__init__.py
+++ b/src/wallwell/standalone/config/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' files: schema, checks, commit by revision, and what is in force on a node."""
+"""Operators' configuration files: schema, validation, revisioned commits and each node's copy."""
--- a/src/wallwell/standalone/config/commit.py
+++ b/src/wallwell/standalone/config/commit.py
@@ -1,10 +1,10 @@
-"""Accepting operators' changes: one transaction in the table service per file.
+"""Commits operators' changes to the table service, one transaction per file.
 
-The transaction compares the head revision, so of two racing operators one wins and the other gets an error that
-names the winner. A lost answer is resolved by the row the transaction writes under the apply id.
+The transaction compares the head revision, so of two operators who change one file at once, one gets an error that
+names the other. It also writes a row under the apply id, which shows after a lost response that it was committed.
 
-Owns the rows of the configuration and what of them this node has read; relies on the table service for their
-atomic change, and on :class:`.store.ConfigStore` for what is in force here.
+Writes the configuration rows and records how far this node has read them. Relies on the table service for atomic
+transactions, and on :class:`.store.ConfigStore` for the configuration in force on this node.
 """
 
 from __future__ import annotations
@@ -42,20 +42,20 @@
 APPLY_PREFIX = "apply/"
 TEXT_PREFIX = "config-text/"
 _MAX_TRIES = 6
-"""Tries to commit one change: each conflict with another change or lost answer costs one."""
+"""Limit of tries to commit one change; a conflict with another change or a lost response uses up one try."""
 
 
 class HeadBody(msgspec.Struct, frozen=True):
-    """Contents of the head row."""
+    """Contents of the row that holds the latest revision of the configuration."""
 
     revision: int
 
 
 class ApplyRequest(msgspec.Struct, frozen=True):
-    """One file to put in force; an empty ``body`` with a ``key`` removes the file.
+    """A request to create or replace the file in ``body``, or, if ``body`` is empty, to remove the file ``key``.
 
-    ``base_revision`` is the file's revision the change was made from (0: the file is new; None: whatever is in
-    force when the node starts on it).
+    ``base_revision`` is the file revision that the operator edited (0: the file is new; None: the revision in
+    force when the node first tries to apply the request).
     """
 
     apply_id: str
@@ -66,7 +66,7 @@
 
 
 class ApplyAnswer(msgspec.Struct, frozen=True):
-    """The revision at which the file is in force."""
+    """The revision of the file after the request; ``changed`` is False if its text was already in force."""
 
     key: str
     revision: int
@@ -75,7 +75,7 @@
 
 @dataclass
 class _Change:
-    """One change over all its tries. The first try that reads the table sets ``base_revision`` if None."""
+    """A change during all its tries. A ``base_revision`` of None is set by the first try that reads the table."""
 
     request: ApplyRequest
     key: FileKey
@@ -83,7 +83,7 @@
     base_revision: int | None
 
     def is_in_force(self, current: FileRevision | None) -> bool:
-        """Whether the file's text is the one in force; ``spec`` is empty after a removal."""
+        """Whether the requested text is already in force; an empty ``current.spec`` means the file was removed."""
         if self.file is None or current is None:
             return False
         return current.digest == self.file.digest and bool(current.spec)
@@ -101,9 +101,9 @@
         self._head_version = 0
 
     async def refresh(self) -> bool:
-        """Read what changed in the table since the last read; returns whether this node moved up.
+        """Apply the rows changed in the table since the last read; returns whether this node's revision rose.
 
-        Raises :class:`PlatformUnavailableError`.
+        Raises :class:`PlatformUnavailableError` if the table service cannot be read.
         """
         scan = await self._table.scan(CONFIG_PREFIX, self._scanned_version)
         delta = self._read_delta(scan)
@@ -129,8 +129,8 @@
     async def apply(self, request: ApplyRequest) -> ApplyAnswer:
         """Check and commit one change.
 
-        Raises :class:`ConfigInvalidError`, :class:`ConfigConflictError`, :class:`ConfigNotFoundError` or
-        :class:`ConfigUnavailableError`.
+        Raises :class:`ConfigInvalidError`, :class:`ConfigConflictError`, :class:`ConfigNotFoundError` (no such file
+        to remove) or :class:`ConfigUnavailableError` (the table service confirmed none of the tries).
         """
         file = _parse_or_raise(request) if request.body else None
         key = file.key if file is not None else FileKey.parse(request.key)
@@ -147,7 +147,7 @@
         raise ConfigUnavailableError(f"{key}: the table service did not confirm the change; apply it again")
 
     async def _try_apply(self, change: _Change) -> ApplyAnswer:
-        # The apply id is looked up after the refresh: an earlier try that takes effect between the two
+        # Look up the apply id after the refresh: an earlier try that is committed between the two reads
         # is then found by its id and not mistaken for another operator's change.
         await self.refresh()
         earlier_answer = await self._find_earlier_answer(change.request, change.key)
@@ -165,7 +165,7 @@
         return await self._commit(change.request, change.key, change.file)
 
     async def _find_earlier_answer(self, request: ApplyRequest, key: FileKey) -> ApplyAnswer | None:
-        """Return the result of an earlier try of this apply id whose answer was lost."""
+        """Return the answer of an earlier try with this apply id that was committed, or None."""
         row = await self._table.get(APPLY_PREFIX + request.apply_id)
         if row is None:
             return None
@@ -203,7 +203,7 @@
             ),
         )
         version = await self._table.transact(transaction)
-        # Commits are serial on the head row, so nothing lies between the head compared and this commit.
+        # Every commit compares the head row, so no other revision lies between the one compared and this one.
         self._apply_delta(ConfigDelta(revision - 1, revision, (entry,)))
         self._head_version = version
         self._scanned_head = revision
@@ -230,7 +230,7 @@
 
 
 def _log_settings_without_effect(file: ConfigFile) -> None:
-    """Tell an operator, in the log, of settings in an accepted file that change nothing."""
+    """Log a warning that names the settings in an accepted file that are never used."""
     settings = settings_without_effect(file)
     if settings:
         emit(Event.CONFIG_WITHOUT_EFFECT, file=str(file.key), settings=settings)
--- a/src/wallwell/standalone/config/compiled.py
+++ b/src/wallwell/standalone/config/compiled.py
@@ -1,6 +1,6 @@
-"""Look-up tables derived from the files in force; immutable once built.
+"""Immutable look-up tables built from the configuration files in force.
 
-Pure. Owns the types that the request path reads; relies on the files having been checked by :mod:`.parse`.
+Does no I/O. Defines the types that the request path reads; requires files already checked by :mod:`.parse`.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """One engine with what its pool declares."""
+    """An engine with the models and load limit of its pool."""
 
     name: str
     address: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Tenant:
-    """A tenant's name and file."""
+    """A tenant's name and the contents of its file."""
 
     name: str
     spec: TenantSpec
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class CompiledConfig:
-    """Everything the request path reads of the configuration."""
+    """The configuration as the request path reads it, at one revision."""
 
     revision: int
     zones: Mapping[str, ZoneSpec] = field(default_factory=dict)
@@ -63,7 +63,7 @@
     tenant_by_token: Mapping[str, Tenant] = field(default_factory=dict)
 
     def is_repeatable(self, service: str, method: str, path: str) -> bool:
-        """Whether a call may run more than once; calls no operation covers may not."""
+        """Whether a call may run more than once, by the longest matching operation; False if none matches."""
         longest_path = ""
         repeatable = False
         for operation in self.services[service].operations:
@@ -74,7 +74,7 @@
         return repeatable
 
     def serving_instances(self, service: str) -> list[ServiceInstance]:
-        """Instances that operators have not declared leaving."""
+        """Return the service's instances whose declared state is ``SERVING``."""
         spec = self.services[service]
         return [instance for instance in spec.instances if instance.state is BackendState.SERVING]
 
@@ -87,8 +87,8 @@
 ) -> CompiledConfig:
     """Build the tables from the parsed ``files``.
 
-    Tables of kinds not in ``changed`` are taken over from ``previous``: a change of one tenant must not cost
-    time for every engine of the fleet.
+    Tables of kinds not in ``changed`` are reused from ``previous``, so that a change to one tenant does not
+    rebuild the table of all engines in the fleet. Without ``previous``, all tables are built.
     """
     base = previous or CompiledConfig(revision)
     kinds = set(Kind) if previous is None else set(changed)
@@ -101,7 +101,7 @@
 def _build_tables(
     kind: Kind, files: Mapping[FileKey, ConfigFile], previous: CompiledConfig
 ) -> dict[str, Mapping[str, Any]]:
-    """Return the tables that the files of one kind determine, by their names in :class:`CompiledConfig`."""
+    """Return the tables built from the files of one kind, keyed by field name of :class:`CompiledConfig`."""
     match kind:
         case Kind.ZONE:
             return {"zones": _specs_by_name(files, kind, ZoneSpec)}
@@ -129,7 +129,7 @@
 
 
 def _tenants_by_name(files: Mapping[FileKey, ConfigFile], previous: CompiledConfig) -> dict[str, Tenant]:
-    """Return all tenants; one whose file has not changed stays the same object."""
+    """Return all tenants by name; a tenant whose file has not changed keeps its object from ``previous``."""
     tenants: dict[str, Tenant] = {}
     for name, spec in _specs_by_name(files, Kind.TENANT, TenantSpec).items():
         earlier = previous.tenants.get(name)
--- a/src/wallwell/standalone/config/parse.py
+++ b/src/wallwell/standalone/config/parse.py
@@ -1,7 +1,7 @@
-"""Parsing and checking of operators' files, on their own and against each other.
+"""Parses operators' configuration files and checks the references between them.
 
-Pure. Owns the rules between files: what is named exists, and no address, name or credential is used twice. Types
-and ranges within one file are those of :mod:`.schema`. Every problem is reported at once, with its line.
+Does no I/O. Defines the rules between files: each referenced file exists, and no back end's address or name and no
+credential is used twice. :mod:`.schema` defines types and ranges. All problems are reported together, with lines.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class ConfigFile(msgspec.Struct, frozen=True):
-    """A parsed operators' file."""
+    """A parsed configuration file; ``lines`` maps each path in it to its line number."""
 
     key: FileKey
     spec: Spec
@@ -51,7 +51,7 @@
 
     @property
     def spec_json(self) -> str:
-        """The checked content as JSON, as revisions carry it."""
+        """The checked content as JSON, the form stored in :class:`.store.FileRevision`."""
         return msgspec.json.encode(self.spec).decode()
 
     @property
@@ -61,7 +61,7 @@
 
 
 def parse_file(body: str) -> tuple[ConfigFile | None, list[Problem]]:
-    """Parse one file. Returns the file, or None with every problem found."""
+    """Parse and validate one YAML file. Returns the file and no problems, or None and every problem found."""
     try:
         value, lines = load_yaml(body)
     except DocumentSyntaxError as error:
@@ -77,7 +77,7 @@
 
 
 def settings_without_effect(file: ConfigFile) -> list[str]:
-    """Return the settings that a file's text names although no decision reads them."""
+    """Return the names of the settings in a file's text that are accepted but never used."""
     without_effect = SETTINGS_WITHOUT_EFFECT.get(file.key.kind, ())
     return [name for name in without_effect if ("spec", name) in file.lines]
 
@@ -103,7 +103,7 @@
 
 
 def check_references(files: Mapping[FileKey, ConfigFile], only: Iterable[FileKey] | None = None) -> list[Problem]:
-    """Check references between files; problems are reported of the files in ``only``, or of all."""
+    """Check references between ``files``; returns the problems of the files in ``only``, or of all files."""
     found: list[Problem] = []
     uses = _FirstUses(_first_use_of_backends(files), _first_use_of_tokens(files))
     for key in only if only is not None else files:
@@ -115,24 +115,22 @@
 
 
 def removal_problems(key: FileKey, files: Mapping[FileKey, ConfigFile]) -> list[Problem]:
-    """Return the problems that removing ``key`` would cause in the other files."""
+    """Return the problems that the other files would have if the file ``key`` were removed."""
     remaining = {other: file for other, file in files.items() if other != key}
     return check_references(remaining)
 
 
 def _backend_entries(file: ConfigFile) -> list[tuple[Path, str, str]]:
-    """Return ``(path, name, address)`` of each back end the file describes."""
+    """Return ``(path, name, address)`` of each engine or service instance in the file."""
     if isinstance(file.spec, EnginePoolSpec):
-        return [(("spec", "engines", i), entry.name, entry.address) for i, entry in enumerate(file.spec.engines)]
+        return [(("spec", "engines", i), e.name, e.address) for i, e in enumerate(file.spec.engines)]
     if isinstance(file.spec, ServiceSpec):
-        return [
-            (("spec", "instances", i), entry.name, entry.address) for i, entry in enumerate(file.spec.instances)
-        ]
+        return [(("spec", "instances", i), e.name, e.address) for i, e in enumerate(file.spec.instances)]
     return []
 
 
 def _first_use_of_backends(files: Mapping[FileKey, ConfigFile]) -> dict[str, tuple[FileKey, Path]]:
-    """Map each back end's name and address to the place that uses it first."""
+    """Map each back end's name and address to the first file, in key order, and path that use it."""
     used: dict[str, tuple[FileKey, Path]] = {}
     for key in sorted(files):
         for path, name, address in _backend_entries(files[key]):
@@ -153,14 +151,14 @@
 
 @dataclass(frozen=True)
 class _FirstUses:
-    """Which file uses each back end's name and address, and each credential, first."""
+    """The first use of each back end name, address and credential; any other use is a duplicate."""
 
     backends: Mapping[str, tuple[FileKey, Path]]
     tokens: Mapping[str, FileKey]
 
 
 class _ReferenceCheck:
-    """Check of one file against all files."""
+    """Checks one file's references and the uniqueness of its names, addresses and credentials."""
 
     def __init__(self, file: ConfigFile, files: Mapping[FileKey, ConfigFile], uses: _FirstUses) -> None:
         self.problems = ProblemList(file.lines)
@@ -169,7 +167,7 @@
         self._uses = uses
 
     def run(self) -> None:
-        """Collect the file's problems."""
+        """Check the file and add what is wrong to ``problems``."""
         match self._file.spec:
             case EnginePoolSpec() as pool:
                 self._check_pool(pool)
--- a/src/wallwell/standalone/config/schema.py
+++ b/src/wallwell/standalone/config/schema.py
@@ -1,6 +1,6 @@
-"""Typed contents of operators' files. One file is one document: ``kind``, ``name``, ``spec``.
+"""Schema of operators' configuration files. Each file is one YAML document with ``kind``, ``name`` and ``spec``.
 
-Owns the fields, their ranges and defaults. References between files are checked in :mod:`.parse`.
+Defines the fields, their ranges and defaults. References between files are checked in :mod:`.parse`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Kind(enum.StrEnum):
-    """The kinds of operators' files, in the order in which a directory is applied."""
+    """The kinds of configuration files, in the order in which the files of a directory are applied."""
 
     ZONE = "zone"
     PRIORITY = "priority"
@@ -30,27 +30,27 @@
 
 
 class BackendState(enum.StrEnum):
-    """What operators declare of one back end."""
+    """The state that operators declare for a back end."""
 
     SERVING = "serving"
     LEAVING = "leaving"
 
 
 class ZoneSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A zone: machines that fail together."""
+    """A zone: a group of machines in one region that can fail together."""
 
     region: Name
 
 
 class Objective(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How a priority weighs the two costs of a choice of engine, both in seconds."""
+    """Weights of the two costs, both in seconds, by which an engine is selected for a priority's requests."""
 
     first_token: Weight = 1.0
     recompute: Weight = 0.2
 
 
 class PrioritySpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A priority. A lower ``rank`` is served first."""
+    """A priority of requests. Requests of a lower ``rank`` are served first."""
 
     rank: Annotated[int, msgspec.Meta(ge=0, le=15)]
     objective: Objective = Objective()
@@ -59,9 +59,9 @@
 
 
 class ModelSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A model and the versions in force. ``adapters`` maps an adapter's name to its version.
+    """A model and its current versions. ``adapters`` maps an adapter's name to its version.
 
-    ``block_tokens`` and ``bytes_per_token`` must be what the model's engines report.
+    ``block_tokens`` and ``bytes_per_token`` must equal the values that the model's engines report.
     """
 
     weights_version: str
@@ -73,7 +73,7 @@
 
 
 class EngineSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One engine's address and zone."""
+    """An engine of a pool: its address, zone and declared state."""
 
     name: Name
     address: Address
@@ -82,7 +82,7 @@
 
 
 class EnginePoolSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Engines that serve the same models."""
+    """A pool of engines that serve the same models."""
 
     models: tuple[Name, ...]
     engines: tuple[EngineSpec, ...]
@@ -90,7 +90,7 @@
 
 
 class Operation(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One kind of call of a service. ``path`` is a prefix; calls not listed run at most once."""
+    """Calls of a service with one method and path prefix. A call that no operation matches runs at most once."""
 
     method: str
     path: str
@@ -98,7 +98,7 @@
 
 
 class ServiceInstance(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One worker of a service."""
+    """An instance of a service: its address, zone and declared state."""
 
     name: Name
     address: Address
@@ -107,7 +107,7 @@
 
 
 class ServiceSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A service reached as ``/{service}/{path}``."""
+    """A service that callers reach at ``/{service}/{path}``."""
 
     instances: tuple[ServiceInstance, ...]
     operations: tuple[Operation, ...] = ()
@@ -115,7 +115,7 @@
 
 
 class TenantSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A tenant: credentials (SHA-256 of bearer tokens), permissions and limits."""
+    """A tenant: its credentials (SHA-256 of bearer tokens), permissions and limits."""
 
     token_sha256: tuple[Sha256Hex, ...]
     models: tuple[Name, ...] = ()
@@ -144,11 +144,11 @@
     Kind.MODEL: ("warm_prefixes",),
     Kind.TENANT: ("weight",),
 }
-"""Settings that are checked and stored, but that no decision reads. Files that have them stay valid."""
+"""Settings that are validated and stored but never used. Files that contain them remain valid."""
 
 
 class FileKey(msgspec.Struct, frozen=True, order=True):
-    """Identity of one operators' file."""
+    """Kind and name that identify a configuration file."""
 
     kind: Kind
     name: str
@@ -158,6 +158,6 @@
 
     @classmethod
     def parse(cls, text: str) -> FileKey:
-        """Inverse of ``str``. Raises ValueError."""
+        """Parse ``kind/name``, the form ``str`` returns. Raises ValueError if the kind is unknown."""
         kind, _, name = text.partition("/")
         return cls(Kind(kind), name)
--- a/src/wallwell/standalone/config/store.py
+++ b/src/wallwell/standalone/config/store.py
@@ -1,12 +1,11 @@
-"""The configuration in force on one node: revisions only rise, and a delta is applied whole.
+"""The configuration in force on one node: its revision never decreases, and each delta is applied as a whole.
 
-State per file: its latest revision, digest and body. A delta from a peer or the platform carries the head it
-was read at and every file whose revision lies in ``(after, head]``, so applying it moves this node from
-``after`` to ``head`` in one step. A delta that starts above this node's head, or ends at or below it, changes
-nothing: that is what keeps a stale source from reverting anything.
+The store holds the latest revision of each file. A delta from a peer or the table service carries the head
+revision of its source and every file whose latest revision lies in ``(after, head]``, so applying a delta moves
+this node to ``head`` in one step. A delta that starts above this node's head would skip revisions, and one
+that ends at or below it is stale; both are ignored, so a stale source cannot revert a change.
 
-Owns what is in force on this node. Relies on its sources for whole deltas: :mod:`.commit` reads them from the
-table, peers send theirs.
+Deltas must be complete: :mod:`.commit` reads them from the table, and peers send them.
 """
 
 from __future__ import annotations
@@ -24,8 +23,8 @@
 class FileRevision(msgspec.Struct, frozen=True):
     """One accepted revision of one file.
 
-    ``spec`` is the checked content as JSON, so that nodes decode it without parsing YAML again; empty records a
-    removal. ``digest`` is that of the operators' text, which stays in the table.
+    ``spec`` is the checked content as JSON, so that nodes need not parse YAML again; an empty ``spec`` means that
+    the file was removed. ``digest`` is the SHA-256 of the operators' text, which is stored only in the table.
     """
 
     key: FileKey
@@ -37,7 +36,7 @@
 
 
 class ConfigDelta(msgspec.Struct, frozen=True):
-    """Every file whose latest revision lies in ``(after, head]``."""
+    """The files whose latest revision lies in ``(after, head]``, including removed files."""
 
     after: int
     head: int
@@ -45,7 +44,7 @@
 
 
 class ConfigStore:
-    """Files in force on this node, with their revisions and the compiled whole."""
+    """The files in force on this node, their revisions and the look-up tables compiled from them."""
 
     def __init__(self) -> None:
         self.head = 0
@@ -54,12 +53,12 @@
         self.compiled: CompiledConfig = compile_config({}, 0)
 
     def delta_after(self, after: int) -> ConfigDelta:
-        """Return what a node at revision ``after`` lacks."""
+        """Return the delta that brings a node at revision ``after`` to this node's head."""
         files = tuple(entry for entry in self._revisions.values() if entry.revision > after)
         return ConfigDelta(after, self.head, files)
 
     def apply(self, delta: ConfigDelta) -> bool:
-        """Move to ``delta.head`` if that is higher and no revision is skipped; returns whether it moved."""
+        """Apply ``delta`` if its head is higher and no revision is skipped; returns whether it was applied."""
         if delta.head <= self.head or delta.after > self.head:
             return False
         changed: set[Kind] = set()
@@ -80,15 +79,15 @@
             self._parsed[entry.key] = ConfigFile(entry.key, cast("Spec", spec), body="", lines={})
 
     def revision_of(self, key: FileKey) -> FileRevision | None:
-        """Return the latest revision of ``key``, removals included."""
+        """Return the latest revision of the file ``key``, also if that is its removal; None if never accepted."""
         return self._revisions.get(key)
 
     @property
     def files(self) -> Mapping[FileKey, ConfigFile]:
-        """Parsed files in force."""
+        """The parsed files in force, by key."""
         return self._parsed
 
     @property
     def revisions(self) -> Mapping[FileKey, FileRevision]:
-        """Latest revision of every file ever accepted."""
+        """The latest revision of every file ever accepted, by key; includes removed files."""
         return self._revisions
--- a/tests/unit/standalone/config/test_commit_and_store.py
+++ b/tests/unit/standalone/config/test_commit_and_store.py
@@ -1,4 +1,4 @@
-"""Configuration: files whole or not at all, racing operators, lost answers, revisions that only rise."""
+"""Tests atomic commits of configuration files, concurrent operators, lost responses and rising revisions."""
 
 import itertools
 
@@ -29,7 +29,7 @@
 """
 
 
-def node(table):
+def new_committer(table):
     store = ConfigStore()
     return ConfigCommitter(table, store, store.apply), store
 
@@ -41,10 +41,10 @@
 @pytest.mark.parametrize(
     "script", list(itertools.product([OK, REQUEST_LOST, REPLY_LOST, REQUEST_DELAYED], repeat=4))
 )
-def test_an_accepted_change_is_in_force_once_and_an_unconfirmed_one_can_be_repeated(script, run_async):
+def test_a_change_is_applied_once_and_an_unconfirmed_change_can_be_repeated(script, run_async):
     async def scenario():
         table = FaultyTable(faults=script)
-        committer, store = node(table)
+        committer, store = new_committer(table)
         request = ApplyRequest("apply-1", "op", zone())
         try:
             answer = await committer.apply(request)
@@ -56,10 +56,10 @@
     assert run_async(scenario()) == (1, '{"revision":1}')
 
 
-def test_of_two_racing_operators_one_wins_and_the_other_learns_who(run_async):
+def test_a_change_from_an_outdated_revision_is_refused_with_the_other_operators_name(run_async):
     async def scenario():
         table = FaultyTable()
-        (first, _), (second, store) = node(table), node(table)
+        (first, _), (second, store) = new_committer(table), new_committer(table)
         await first.apply(ApplyRequest("a0", "anna", zone()))
         await first.apply(ApplyRequest("a1", "anna", zone("north"), base_revision=1))
         with pytest.raises(ConfigConflictError, match=r"revision 2 by anna won"):
@@ -69,10 +69,10 @@
     assert run_async(scenario()) == "north"
 
 
-def test_a_race_inside_the_commit_is_told_as_a_conflict(run_async):
+def test_a_change_committed_between_read_and_commit_is_reported_as_a_conflict(run_async):
     async def scenario():
         table = FaultyTable()
-        (first, _), (second, _) = node(table), node(table)
+        (first, _), (second, _) = new_committer(table), new_committer(table)
         other = first.apply(ApplyRequest("a", "anna", zone("north")))
 
         def interfere():
@@ -90,7 +90,7 @@
 def test_changes_to_different_files_do_not_conflict(run_async):
     async def scenario():
         table = FaultyTable()
-        (first, _), (second, _) = node(table), node(table)
+        (first, _), (second, _) = new_committer(table), new_committer(table)
         await first.apply(ApplyRequest("a", "anna", zone()))
         answer = await second.apply(ApplyRequest("b", "bert", zone().replace("name: a", "name: b")))
         return answer.revision
@@ -98,26 +98,28 @@
     assert run_async(scenario()) == 2
 
 
-def test_all_problems_are_listed_with_path_line_and_code_and_nothing_changes(run_async):
+def test_a_refused_file_lists_every_problem_and_changes_nothing(run_async):
     table = FaultyTable()
-    committer, store = node(table)
+    committer, store = new_committer(table)
     with pytest.raises(ConfigInvalidError) as error:
         run_async(committer.apply(ApplyRequest("a", "op", POOL)))
     text = str(error.value)
     assert "spec.engines[1].colour (line 7): unknown_key" in text
     assert "spec.max_concurrent_loads (line 8): wrong_type" in text
-    whole = POOL.replace(", colour: red", "").replace("max_concurrent_loads: 0", "max_concurrent_loads: 1")
+    with_valid_types = POOL.replace(", colour: red", "").replace(
+        "max_concurrent_loads: 0", "max_concurrent_loads: 1"
+    )
     with pytest.raises(ConfigInvalidError) as error:
-        run_async(committer.apply(ApplyRequest("b", "op", whole)))
+        run_async(committer.apply(ApplyRequest("b", "op", with_valid_types)))
     text = str(error.value)
     for expected in ("spec.models[0] (line 4): unknown_reference", "spec.engines[0].zone", "duplicate"):
         assert expected in text
     assert (store.head, table.model.rows) == (0, {})
 
 
-def test_removal_checks_references_and_is_a_revision(run_async):
+def test_a_removal_needs_an_existing_file_and_is_a_revision(run_async):
     async def scenario():
-        committer, store = node(FaultyTable())
+        committer, store = new_committer(FaultyTable())
         await committer.apply(ApplyRequest("1", "op", zone()))
         with pytest.raises(ConfigNotFoundError):
             await committer.apply(ApplyRequest("2", "op", key="zone/none"))
--- a/tests/unit/standalone/config/test_references.py
+++ b/tests/unit/standalone/config/test_references.py
@@ -1,4 +1,4 @@
-"""References between operators' files, and look-up tables of kinds that did not change."""
+"""Tests the reference checks between configuration files, and the reuse of look-up tables of unchanged kinds."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     return [(problem.code, problem.path) for problem in check_references(files)]
 
 
-def test_files_that_name_what_exists_have_no_problems():
+def test_files_with_valid_references_have_no_problems():
     assert reference_problems(parsed(*ALL)) == []
 
 
@@ -49,7 +49,7 @@
         (PRIORITY, ["spec.priorities[0]"]),
     ],
 )
-def test_what_a_file_names_must_exist(missing, paths):
+def test_a_reference_to_a_missing_file_is_a_problem(missing, paths):
     files = parsed(*ALL)
     removed = parse_file(missing)[0].key
     expected = [("unknown_reference", path) for path in paths]
@@ -66,12 +66,12 @@
         (TENANT.replace("default_priority: p1", "default_priority: p2"), ["spec.default_priority"]),
     ],
 )
-def test_addresses_names_and_credentials_are_used_once_and_a_default_is_allowed(body, paths):
+def test_duplicates_and_a_default_priority_not_listed_are_problems(body, paths):
     assert [path for _, path in reference_problems(parsed(*ALL, body))] == paths
 
 
 @pytest.mark.parametrize("kind", list(Kind))
-def test_tables_of_other_kinds_are_taken_over(kind):
+def test_tables_of_unchanged_kinds_are_reused(kind):
     tables = {
         "zones": Kind.ZONE,
         "priorities": Kind.PRIORITY,
--- a/tests/unit/standalone/config/test_settings_without_effect.py
+++ b/tests/unit/standalone/config/test_settings_without_effect.py
@@ -1,4 +1,4 @@
-"""Settings that nothing acts on: files that name them stay valid, and applying one is logged."""
+"""Settings that are accepted but never used: files that contain them are valid, and applying one logs a warning."""
 
 import pytest
 from loguru import logger
@@ -33,8 +33,8 @@
         ("", "", []),
     ],
 )
-def test_an_applied_file_that_names_one_is_valid_and_logged(body, file, settings, logged, run_async):
-    """An empty body stands for the removal of a file, which has no settings."""
+def test_applying_a_file_with_unused_settings_logs_a_warning(body, file, settings, logged, run_async):
+    """An empty ``body`` is the case of removing a file: a removal has no settings to warn of."""
 
     async def scenario():
         store = ConfigStore()
