--- a/src/wallwell/standalone/config/commit.py
+++ b/src/wallwell/standalone/config/commit.py
@@ -107,9 +107,9 @@
         """
         scan = await self._table.scan(CONFIG_PREFIX, self._scanned_version)
         delta = self._read_delta(scan)
-        moved = self._apply_delta(delta) if delta is not None else False
+        applied = self._apply_delta(delta) if delta is not None else False
         self._scanned_version = max(self._scanned_version, scan.commit)
-        return moved
+        return applied
 
     def _read_delta(self, scan: Scan) -> ConfigDelta | None:
         files = []
--- a/src/wallwell/standalone/config/parse.py
+++ b/src/wallwell/standalone/config/parse.py
@@ -104,14 +104,14 @@
 
 def check_references(files: Mapping[FileKey, ConfigFile], only: Iterable[FileKey] | None = None) -> list[Problem]:
     """Check references between ``files``; returns the problems of the files in ``only``, or of all files."""
-    found: list[Problem] = []
+    problems: list[Problem] = []
     uses = _FirstUses(_first_use_of_backends(files), _first_use_of_tokens(files))
     for key in only if only is not None else files:
         if key in files:
             check = _ReferenceCheck(files[key], files, uses)
             check.run()
-            found.extend(check.problems.problems)
-    return found
+            problems.extend(check.problems.problems)
+    return problems
 
 
 def removal_problems(key: FileKey, files: Mapping[FileKey, ConfigFile]) -> list[Problem]:
@@ -199,10 +199,10 @@
 
     def _check_backends(self) -> None:
         for path, name, address in _backend_entries(self._file):
-            for used in (name, address):
-                first = self._uses.backends[used]
+            for identifier in (name, address):
+                first = self._uses.backends[identifier]
                 if first != (self._file.key, path):
-                    self.problems.add(DUPLICATE, path, f"`{used}` is used by {first[0]} too")
+                    self.problems.add(DUPLICATE, path, f"`{identifier}` is used by {first[0]} too")
 
     def _require_files(self, kind: Kind, field: str, names: Iterable[str]) -> None:
         for index, name in enumerate(names):
