--- a/src/wallwell/standalone/config/commit.py
+++ b/src/wallwell/standalone/config/commit.py
@@ -1,7 +1,8 @@
 """Commits operators' changes to the table service, one transaction per file.
 
 The transaction compares the head revision, so of two operators who change one file at once, one gets an error that
-names the other. It also writes a row under the apply id, which shows after a lost response that it was committed.
+names the other. A row that the transaction writes under the apply id shows, if its response is lost, that it was
+committed.
 
 Writes the configuration rows and records how far this node has read them. Relies on the table service for atomic
 transactions, and on :class:`.store.ConfigStore` for the configuration in force on this node.
@@ -165,7 +166,7 @@
         return await self._commit(change.request, change.key, change.file)
 
     async def _find_earlier_answer(self, request: ApplyRequest, key: FileKey) -> ApplyAnswer | None:
-        """Return the answer of an earlier try with this apply id that was committed, or None."""
+        """Return the answer of an earlier committed try of this apply id whose response was lost, or None."""
         row = await self._table.get(APPLY_PREFIX + request.apply_id)
         if row is None:
             return None
