--- a/src/wallwell/standalone/config/compiled.py
+++ b/src/wallwell/standalone/config/compiled.py
@@ -1,6 +1,6 @@
-"""Look-up tables derived from the files in force; immutable once built.
+"""Immutable look-up tables built from the configuration files in force.
 
-Pure. Owns the types that the request path reads; relies on the files having been checked by :mod:`.parse`.
+Does no I/O. Defines the types that the request path reads; requires files already checked by :mod:`.parse`.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
     ZoneSpec,
 )
 
-T = TypeVar("T")
+SpecT = TypeVar("SpecT")
 
 
 @dataclass(frozen=True, slots=True)
 class Engine:
-    """One engine with what its pool declares."""
+    """An engine with the models and load limit of its pool."""
 
     name: str
     address: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Tenant:
-    """A tenant's name and file."""
+    """A tenant's name and the contents of its file."""
 
     name: str
     spec: TenantSpec
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class CompiledConfig:
-    """Everything the request path reads of the configuration."""
+    """The configuration as the request path reads it, at one revision."""
 
     revision: int
     zones: Mapping[str, ZoneSpec] = field(default_factory=dict)
@@ -63,18 +63,18 @@
     tenant_by_token: Mapping[str, Tenant] = field(default_factory=dict)
 
     def is_repeatable(self, service: str, method: str, path: str) -> bool:
-        """Whether a call may run more than once; calls no operation covers may not."""
-        best = ""
+        """Whether a call may run more than once, by the longest matching operation; False if none matches."""
+        longest_path = ""
         repeatable = False
         for operation in self.services[service].operations:
             matches = operation.method == method and path.startswith(operation.path)
-            if matches and len(operation.path) >= len(best):
-                best = operation.path
+            if matches and len(operation.path) >= len(longest_path):
+                longest_path = operation.path
                 repeatable = operation.repeatable
         return repeatable
 
     def serving_instances(self, service: str) -> list[ServiceInstance]:
-        """Instances that operators have not declared leaving."""
+        """Return the service's instances whose declared state is ``SERVING``."""
         spec = self.services[service]
         return [instance for instance in spec.instances if instance.state is BackendState.SERVING]
 
@@ -87,66 +87,66 @@
 ) -> CompiledConfig:
     """Build the tables from the parsed ``files``.
 
-    Tables of kinds not in ``changed`` are taken over from ``previous``: a change of one tenant must not cost
-    time for every engine of the fleet.
+    Tables of kinds not in ``changed`` are reused from ``previous``, so that a change to one tenant does not
+    rebuild the table of all engines in the fleet. Without ``previous``, all tables are built.
     """
     base = previous or CompiledConfig(revision)
     kinds = set(Kind) if previous is None else set(changed)
     tables: dict[str, Mapping[str, Any]] = {}
     for kind in kinds:
-        tables.update(_tables_of(kind, files, base))
+        tables.update(_build_tables(kind, files, base))
     return dataclasses.replace(base, revision=revision, **tables)
 
 
-def _tables_of(
+def _build_tables(
     kind: Kind, files: Mapping[FileKey, ConfigFile], previous: CompiledConfig
 ) -> dict[str, Mapping[str, Any]]:
-    """Return the tables that the files of one kind determine, by their names in :class:`CompiledConfig`."""
+    """Return the tables built from the files of one kind, keyed by field name of :class:`CompiledConfig`."""
     match kind:
         case Kind.ZONE:
-            return {"zones": _specs(files, kind, ZoneSpec)}
+            return {"zones": _specs_by_name(files, kind, ZoneSpec)}
         case Kind.PRIORITY:
-            return {"priorities": _specs(files, kind, PrioritySpec)}
+            return {"priorities": _specs_by_name(files, kind, PrioritySpec)}
         case Kind.MODEL:
-            return {"models": _specs(files, kind, ModelSpec)}
+            return {"models": _specs_by_name(files, kind, ModelSpec)}
         case Kind.SERVICE:
-            return {"services": _specs(files, kind, ServiceSpec)}
+            return {"services": _specs_by_name(files, kind, ServiceSpec)}
         case Kind.ENGINE_POOL:
-            return {"engines": _engines_of_pools(files)}
+            return {"engines": _engines_by_name(files)}
         case Kind.TENANT:
             tenants = _tenants_by_name(files, previous)
-            return {"tenants": tenants, "tenant_by_token": _by_token(tenants)}
+            return {"tenants": tenants, "tenant_by_token": _tenants_by_token(tenants)}
 
 
-def _by_token(tenants: Mapping[str, Tenant]) -> dict[str, Tenant]:
+def _tenants_by_token(tenants: Mapping[str, Tenant]) -> dict[str, Tenant]:
     return {token: tenant for tenant in tenants.values() for token in tenant.spec.token_sha256}
 
 
-def _specs(files: Mapping[FileKey, ConfigFile], kind: Kind, spec_type: type[T]) -> dict[str, T]:
+def _specs_by_name(files: Mapping[FileKey, ConfigFile], kind: Kind, spec_type: type[SpecT]) -> dict[str, SpecT]:
     return {
         key.name: file.spec for key, file in files.items() if key.kind is kind and isinstance(file.spec, spec_type)
     }
 
 
 def _tenants_by_name(files: Mapping[FileKey, ConfigFile], previous: CompiledConfig) -> dict[str, Tenant]:
-    """Return all tenants; one whose file has not changed stays the same object."""
+    """Return all tenants by name; a tenant whose file has not changed keeps its object from ``previous``."""
     tenants: dict[str, Tenant] = {}
-    for name, spec in _specs(files, Kind.TENANT, TenantSpec).items():
-        known = previous.tenants.get(name)
-        tenants[name] = known if known is not None and known.spec is spec else Tenant(name, spec)
+    for name, spec in _specs_by_name(files, Kind.TENANT, TenantSpec).items():
+        earlier = previous.tenants.get(name)
+        tenants[name] = earlier if earlier is not None and earlier.spec is spec else Tenant(name, spec)
     return tenants
 
 
-def _engines_of_pools(files: Mapping[FileKey, ConfigFile]) -> dict[str, Engine]:
+def _engines_by_name(files: Mapping[FileKey, ConfigFile]) -> dict[str, Engine]:
     engines: dict[str, Engine] = {}
-    for pool, spec in _specs(files, Kind.ENGINE_POOL, EnginePoolSpec).items():
+    for pool, spec in _specs_by_name(files, Kind.ENGINE_POOL, EnginePoolSpec).items():
         models = frozenset(spec.models)
         for entry in spec.engines:
-            engines[entry.name] = _pool_engine(pool, spec, models, entry)
+            engines[entry.name] = _build_engine(pool, spec, models, entry)
     return engines
 
 
-def _pool_engine(pool: str, spec: EnginePoolSpec, models: frozenset[str], entry: EngineSpec) -> Engine:
+def _build_engine(pool: str, spec: EnginePoolSpec, models: frozenset[str], entry: EngineSpec) -> Engine:
     return Engine(
         name=entry.name,
         address=entry.address,
