--- a/src/wallwell/routing/health/backend.py
+++ b/src/wallwell/routing/health/backend.py
@@ -20,10 +20,8 @@
 
 @dataclass(frozen=True)
 class ExpectedWeightsLoad:
-    """A weights load announced for an engine, expected until the version is in place or ``until_s`` has passed.
-
-    The engine accepts requests until ``from_s``, when it receives the order to load.
-    """
+    """A weights load announced for an engine, expected until the version is in place or ``until_s`` has passed. The
+    engine accepts requests until ``from_s``, when it receives the order to load."""
 
     model: str
     version: int
@@ -33,10 +31,8 @@
 
 @dataclass(eq=False)
 class Backend:
-    """A listed back end and this node's own observations of it. Times are on this node's clock.
-
-    Compared by identity, for speed: each choice of an engine makes some thousand membership tests in lists.
-    """
+    """A listed back end and this node's own observations of it. Times are on this node's clock. Compared by
+    identity, for speed: each choice of an engine makes some thousand membership tests in lists."""
 
     record: BackendRecord
     in_flight: int = 0
@@ -175,9 +171,7 @@
 
     def on_refused(self, now_s: float) -> bool:
         """Record a request refused because the back end was full; returns True if this suspends the back end.
-
-        Refusals during a suspension are not counted: those requests were sent before it.
-        """
+        Refusals during a suspension are not counted: those requests were sent before it."""
         if now_s < self.suspended_until_s:
             return False
         self.consecutive_refusals += 1
--- a/src/wallwell/routing/health/backend_registry.py
+++ b/src/wallwell/routing/health/backend_registry.py
@@ -69,11 +69,9 @@
             backend.peers_load = None
 
     def upsert(self, record: BackendRecord) -> Backend:
-        """Apply a new or changed entry and return its back end; observations of the same start are kept.
-
-        A later start under the same incarnation is a new back end without observations. An entry of an earlier
-        start is ignored.
-        """
+        """Apply a new or changed entry and return its back end; observations of the same start are kept. A later
+        start under the same incarnation is a new back end without observations. An entry of an earlier start is
+        ignored."""
         backend = self._by_incarnation.get(record.incarnation)
         if backend is not None and backend.record.is_later_start_than(record):
             return backend
@@ -109,10 +107,8 @@
         return backend
 
     def on_leaving(self, backend: Backend, now_s: float) -> bool:
-        """Record that a back end announced, by entry or answer, that it is leaving; False if known before.
-
-        Its service gets a new list, as after any change of an entry, so that rollouts form their groups again.
-        """
+        """Record that a back end announced, by entry or answer, that it is leaving; False if known before. Its
+        service gets a new list, as after any change of an entry, so that rollouts form their groups again."""
         if backend.leaving_since_s is not None:
             return False
         backend.leaving_since_s = now_s
@@ -124,10 +120,8 @@
         return True
 
     def _supersede_at(self, address: str) -> None:
-        """Mark the back ends listed at an address as superseded, because a new incarnation is listed there.
-
-        The entry of a crashed back end remains for some heartbeats, and its successor refuses requests for it.
-        """
+        """Mark the back ends listed at an address as superseded, because a new incarnation is listed there. The
+        entry of a crashed back end remains for some heartbeats, and its successor refuses requests for it."""
         for each in self._by_address.get(address, ()):
             if not each.superseded:
                 each.superseded = True
@@ -136,11 +130,9 @@
             del self._superseded[next(iter(self._superseded))]
 
     def _restore_superseded_at(self, address: str) -> None:
-        """After the removal of an entry, restore those at its address if all of them are superseded.
-
-        The removed back end did not succeed them after all. A node that starts can order two incarnations only by
-        the times at which their entries were written.
-        """
+        """After the removal of an entry, restore those at its address if all of them are superseded. The removed
+        back end did not succeed them after all. A node that starts can order two incarnations only by the times at
+        which their entries were written."""
         remaining = self._by_address.get(address, [])
         if all(each.superseded for each in remaining):
             for each in remaining:
--- a/src/wallwell/routing/health/request_limit.py
+++ b/src/wallwell/routing/health/request_limit.py
@@ -31,10 +31,8 @@
 
 
 def parse_limit_headers(headers: Sequence[str]) -> float | None:
-    """Return the lowest limit in an answer's headers, in requests per second; None if one of them is not valid.
-
-    A valid limit is a finite number of at least 0. Returns ``NO_LIMIT_PER_S`` if there are no headers.
-    """
+    """Return the lowest limit in an answer's headers, in requests per second; None if one of them is not valid. A
+    valid limit is a finite number of at least 0. Returns ``NO_LIMIT_PER_S`` if there are no headers."""
     lowest_per_s = NO_LIMIT_PER_S
     for header in headers:
         try:
--- a/src/wallwell/routing/health/suspension.py
+++ b/src/wallwell/routing/health/suspension.py
@@ -43,9 +43,7 @@
 
 def failure_suspension_end_s(consecutive_failures: int, unreachable: bool, now_s: float) -> float | None:
     """Return until when a back end that failed now is suspended; None if it is not suspended.
-
-    ``consecutive_failures`` counts this failure and those before it since the last answer.
-    """
+    ``consecutive_failures`` counts this failure and those before it since the last answer."""
     threshold = UNREACHABLE_FAILURES_TO_SUSPEND if unreachable else FAILURES_TO_SUSPEND
     if consecutive_failures < threshold:
         return None
@@ -54,9 +52,7 @@
 
 def refusal_suspension_end_s(consecutive_refusals: int, now_s: float) -> float | None:
     """Return until when a back end that refused a request now is suspended; None if it is not suspended.
-
-    ``consecutive_refusals`` counts this refusal and those before it since the last request that was accepted.
-    """
+    ``consecutive_refusals`` counts this refusal and those before it since the last request that was accepted."""
     if consecutive_refusals < REFUSALS_TO_SUSPEND:
         return None
     refusals_before = consecutive_refusals - REFUSALS_TO_SUSPEND
--- a/src/wallwell/routing/health/zone_suspicion.py
+++ b/src/wallwell/routing/health/zone_suspicion.py
@@ -71,10 +71,8 @@
         return self.suspected or len(self.recent_timeouts(now_s)) >= TIMEOUTS_TO_PROBE
 
     def probe_candidates(self, not_leaving: list[Backend], now_s: float) -> list[Backend]:
-        """Return the back ends of the zone one of which should be probed, out of those that are not leaving.
-
-        Back ends without a recent timeout are preferred, since those that timed out may have lost power.
-        """
+        """Return the back ends of the zone one of which should be probed, out of those that are not leaving. Back
+        ends without a recent timeout are preferred, since those that timed out may have lost power."""
         recent = self.recent_timeouts(now_s)
         others = [each for each in not_leaving if each.incarnation not in recent]
         return others or (not_leaving if self.suspected else [])
--- a/src/wallwell/routing/selection/call_choice.py
+++ b/src/wallwell/routing/selection/call_choice.py
@@ -18,18 +18,15 @@
 from wallwell.routing.health.backend import Backend
 
 MIN_COUNTED_FREE_SLOTS = 0.25
-"""Free slots assumed of a full back end, so that one is chosen even if all are full.
-
-Next to a back end with one free slot, a full one gets one call in 17."""
+"""Free slots assumed of a full back end, so that one is chosen even if all are full. Next to a back end with one
+free slot, a full one gets one call in 17."""
 MIN_FREE_REGION_FRACTION = 0.25
-"""Fraction of the own region's slots that must be free for calls to stay in the region.
-
-Calls that the fleet sends while loads are out of date (0.1 to 0.2 s) occupy some slots. With fewer free slots, a
-call waits longer than the round trip to another region takes (40 ms)."""
+"""Fraction of the own region's slots that must be free for calls to stay in the region. Calls that the fleet sends
+while loads are out of date (0.1 to 0.2 s) occupy some slots. With fewer free slots, a call waits longer than the
+round trip to another region takes (40 ms)."""
 MAX_OWN_ZONE_LOAD_FRACTION = 0.5
-"""Fraction of a back end's slots in use below which calls from its own zone go to it.
-
-The other half is for what other nodes send while loads are out of date."""
+"""Fraction of a back end's slots in use below which calls from its own zone go to it. The other half is for what
+other nodes send while loads are out of date."""
 
 
 def choose_backend_for_call(
--- a/src/wallwell/routing/selection/candidates.py
+++ b/src/wallwell/routing/selection/candidates.py
@@ -26,18 +26,15 @@
 from wallwell.routing.health.backend import Backend
 
 LAST_RESORT_FRACTION = 0.93
-"""Fraction of the operators' bound up to which older weights are used if no engine has newer ones.
-
-With the default bound of 8 s, 0.56 s remain, about twice ``BEGIN_MARGIN_S``."""
+"""Fraction of the operators' bound up to which older weights are used if no engine has newer ones. With the default
+bound of 8 s, 0.56 s remain, about twice ``BEGIN_MARGIN_S``."""
 BEGIN_MARGIN_S = 0.25
-"""Seconds before the end of the operators' bound by which a generation on older weights must have begun.
-
-A request begins some time after it was sent, and nodes learn of a named version at different times."""
+"""Seconds before the end of the operators' bound by which a generation on older weights must have begun. A request
+begins some time after it was sent, and nodes learn of a named version at different times."""
 LEAVING_GRACE_S = 1.0
-"""Seconds for which a back end known to be leaving is still used if all others are leaving as well.
-
-Half of 2 s, the shortest time in any deployment after which a leaving back end must get nothing more. The back end
-may have told the store that it is leaving before this node learned of it."""
+"""Seconds for which a back end known to be leaving is still used if all others are leaving as well. Half of 2 s,
+the shortest time in any deployment after which a leaving back end must get nothing more. The back end may have told
+the store that it is leaving before this node learned of it."""
 
 
 class Candidates(NamedTuple):
@@ -64,9 +61,8 @@
     excluded: Collection[Backend] = (),
 ) -> list[Backend]:
     """Return the listed back ends that may get a request now; last resorts only if there are no others.
-
-    ``requirement`` is None for calls, which need no weights. The ``excluded`` back ends have used up their limits.
-    """
+    ``requirement`` is None for calls, which need no weights. The ``excluded`` back ends have used up their
+    limits."""
     if excluded:
         listed = [each for each in listed if each not in excluded]
     usable = [each for each in listed if each.is_open(now_s)] or _last_resort_backends(listed, now_s)
@@ -80,20 +76,16 @@
 
 
 def _last_resort_backends(listed: Sequence[Backend], now_s: float) -> list[Backend]:
-    """Return the back ends to use while none is open: those that may have recovered or that still serve.
-
-    Back ends that have asked for back-off are left out, since they would refuse the request.
-    """
+    """Return the back ends to use while none is open: those that may have recovered or that still serve. Back ends
+    that have asked for back-off are left out, since they would refuse the request."""
     not_leaving = [each for each in listed if not each.is_leaving(now_s)]
     candidates = not_leaving or [each for each in listed if each.is_within_leaving_grace(LEAVING_GRACE_S, now_s)]
     return [each for each in candidates if not each.backoff.is_in_force(now_s)]
 
 
 def earliest_backoff_end_s(listed: Sequence[Backend], now_s: float) -> float | None:
-    """Return when the first back-off ends; None unless every back end that is not leaving has asked for one.
-
-    None if all back ends are leaving.
-    """
+    """Return when the first back-off ends; None unless every back end that is not leaving has asked for one. None
+    if all back ends are leaving."""
     not_leaving = [each for each in listed if not each.is_leaving(now_s)]
     if not not_leaving or any(not each.backoff.is_in_force(now_s) for each in not_leaving):
         return None
@@ -106,11 +98,9 @@
     now_s: float,
     excluded: Collection[Backend] = (),
 ) -> Candidates:
-    """Return the candidates of the first tier that can serve the request. ``tiers`` must not be empty.
-
-    A tier is a group of back ends that a rollout prefers to the later groups. The first tier with an open and
-    usable back end is chosen; if there is none, the first with a last resort.
-    """
+    """Return the candidates of the first tier that can serve the request. ``tiers`` must not be empty. A tier is a
+    group of back ends that a rollout prefers to the later groups. The first tier with an open and usable back end
+    is chosen; if there is none, the first with a last resort."""
     for tier in tiers:
         if any(each.is_open(now_s) and each not in excluded for each in tier):
             usable = usable_backends(tier, requirement, now_s, excluded)
@@ -122,10 +112,8 @@
 
 
 def begin_by_s(backend: Backend, requirement: WeightsRequirement) -> float:
-    """Return until when a generation may begin at a back end on the weights it is believed to have.
-
-    The time is on this node's clock; infinity if no newer weights version has been named.
-    """
+    """Return until when a generation may begin at a back end on the weights it is believed to have. The time is on
+    this node's clock; infinity if no newer weights version has been named."""
     allowance_s = requirement.allowance_s - BEGIN_MARGIN_S
     version = backend.believed_version(requirement.model)
     return requirement.targets.requests_allowed_until_s(requirement.model, version, allowance_s)
@@ -135,10 +123,8 @@
     candidates: Sequence[Backend], unresponsive_zones: Collection[str], own_zone: str
 ) -> Sequence[Backend]:
     """Return the candidates outside zones into which this request's connections timed out, or all if none remain.
-
     Each time-out costs the request the connect timeout (0.25 s on the platform). So after the first one, back ends
-    of the node's own zone go first, since that zone is the least likely to be cut off.
-    """
+    of the node's own zone go first, since that zone is the least likely to be cut off."""
     if not unresponsive_zones:
         return candidates
     responsive = [each for each in candidates if each.record.zone not in unresponsive_zones]
--- a/src/wallwell/routing/selection/engine_choice.py
+++ b/src/wallwell/routing/selection/engine_choice.py
@@ -25,29 +25,23 @@
 from wallwell.routing.selection.prefix_home import engine_pool_of_all_regions, is_long_prompt, prefill_region
 
 REGION_ROUND_TRIP_S = 0.04
-"""Seconds that the round trip to an engine of another region adds to the time to the first token.
-
-Calculated: twice the 20 ms of one way between regions."""
+"""Seconds that the round trip to an engine of another region adds to the time to the first token. Calculated: twice
+the 20 ms of one way between regions."""
 OTHER_REGION_SLOTS_FRACTION = 0.75
-"""Fraction of another region's slots that prompts from this region may fill.
-
-The rest is reserved for prompts of that region, because its loads arrive here only a few times a second."""
+"""Fraction of another region's slots that prompts from this region may fill. The rest is reserved for prompts of
+that region, because its loads arrive here only a few times a second."""
 TIER_HEADROOM_DIVISOR = 3
-"""A tier is used if at least one engine in this many has headroom.
-
-With fewer, all nodes would send their requests to the same few engines, since all have the same outdated loads."""
+"""A tier is used if at least one engine in this many has headroom. With fewer, all nodes would send their requests
+to the same few engines, since all have the same outdated loads."""
 MIN_LOAD_BOUND = 3
-"""Requests in flight below which an engine is never skipped.
-
-In an idle fleet, a second request at the same home does not justify prefilling its prefix on another engine."""
+"""Requests in flight below which an engine is never skipped. In an idle fleet, a second request at the same home
+does not justify prefilling its prefix on another engine."""
 LOAD_BOUND_FACTOR = 1.5
-"""Load, as a multiple of the mean load plus one, from which an engine is skipped for the next in the key's order.
-
-A larger factor keeps more prefixes at their homes, a smaller one balances load better."""
+"""Load, as a multiple of the mean load plus one, from which an engine is skipped for the next in the key's order. A
+larger factor keeps more prefixes at their homes, a smaller one balances load better."""
 REGION_SWITCH_LOAD_RATIO = 1.25
-"""Ratio of mean engine loads from which prompts move to the other regions if no region has headroom.
-
-Below this ratio, a move would cost more in round trips and lost KV cache than it gains."""
+"""Ratio of mean engine loads from which prompts move to the other regions if no region has headroom. Below this
+ratio, a move would cost more in round trips and lost KV cache than it gains."""
 RENDEZVOUS_SCORE_COUNT = 2**64
 """Number of possible rendezvous scores, which are uniformly distributed."""
 
@@ -124,10 +118,8 @@
 
 def _load_limits(prompt: Prompt, prefill_rate: PrefillRate) -> tuple[float, float]:
     """Return the loads up to which engines begin a prompt within its objective, in the preferred and other regions.
-
     Short prompts have no limit. A long prompt that would miss its objective in its pool goes to other engines, at
-    the cost of longer gaps between the tokens of their short prompts.
-    """
+    the cost of longer gaps between the tokens of their short prompts."""
     if not is_long_prompt(prompt.tokens):
         return math.inf, math.inf
     other_region_objective_s = max(0.0, prompt.objective_s - REGION_ROUND_TRIP_S)
@@ -160,12 +152,10 @@
     load_limit: float = math.inf,
     slots_fraction: float = 1.0,
 ) -> Backend | None:
-    """Return an engine of the first tier in which enough engines have headroom; None if there is no such tier.
-
-    An engine has headroom while its load from all nodes is below ``slots_fraction`` of its slots and below
+    """Return an engine of the first tier in which enough engines have headroom; None if there is no such tier. An
+    engine has headroom while its load from all nodes is below ``slots_fraction`` of its slots and below
     ``load_limit``. Loads of other nodes are some hundred milliseconds old and the same on all nodes. If all nodes
-    chose among the few engines that look idle, these would get all requests of the fleet until the next report.
-    """
+    chose among the few engines that look idle, these would get all requests of the fleet until the next report."""
     for tier in tiers:
         with_headroom = [
             each
@@ -180,10 +170,8 @@
 def choose_from_tiers(
     tiers: Sequence[Sequence[Backend]], placement_key: int, node_count: int, load_limit: float = math.inf
 ) -> Backend | None:
-    """Return an engine of the first tier in which enough engines have headroom.
-
-    If there is no such tier, return one of the last tier by the key; None if the last tier is empty.
-    """
+    """Return an engine of the first tier in which enough engines have headroom. If there is no such tier, return
+    one of the last tier by the key; None if the last tier is empty."""
     return find_engine_with_headroom(tiers, placement_key, node_count, load_limit) or choose_engine_by_key(
         tiers[-1], placement_key, node_count
     )
@@ -192,11 +180,9 @@
 def should_switch_region(
     preferred: Sequence[Backend], others: Sequence[Backend], placement_key: int, node_count: int = 1
 ) -> bool:
-    """Whether a prompt leaves its preferred region while no region has headroom.
-
-    The fraction of keys that leave grows with the difference of the mean loads, so that outdated loads do not make
-    all prompts alternate between regions. A prefix leaves while the score of its key is within that fraction.
-    """
+    """Whether a prompt leaves its preferred region while no region has headroom. The fraction of keys that leave
+    grows with the difference of the mean loads, so that outdated loads do not make all prompts alternate between
+    regions. A prefix leaves while the score of its key is within that fraction."""
     preferred_load = _mean_load(preferred, node_count)
     other_load = _mean_load(others, node_count)
     excess = preferred_load - other_load * REGION_SWITCH_LOAD_RATIO
--- a/src/wallwell/routing/selection/kv_store_choice.py
+++ b/src/wallwell/routing/selection/kv_store_choice.py
@@ -22,19 +22,16 @@
 from wallwell.routing.selection.prefix_home import PromptPart, shared_parts
 
 MAX_CONFIRMATION_AGE_S = 2.0
-"""Seconds after the last confirmation by the platform's store from which on nothing is saved.
-
-A weights roll of which this node has not read may be in progress by then."""
+"""Seconds after the last confirmation by the platform's store from which on nothing is saved. A weights roll of
+which this node has not read may be in progress by then."""
 MIN_FETCH_TOKENS = 1024
-"""Shared tokens from which a prompt's parts are fetched even while the fleet misses its objectives.
-
-Engines prefill fewer tokens than this in about 25 ms (38 to 57 tokens per ms, depending on the deployment), but a
-transfer may queue for 2 s. In a deployment of 195 nodes, prompts of 800 tokens queued so long to transfer 200."""
+"""Shared tokens from which a prompt's parts are fetched even while the fleet misses its objectives. Engines prefill
+fewer tokens than this in about 25 ms (38 to 57 tokens per ms, depending on the deployment), but a transfer may
+queue for 2 s. In a deployment of 195 nodes, prompts of 800 tokens queued so long to transfer 200."""
 DISTANCE_WEIGHTS = {Distance.SAME_ZONE: 1.0, Distance.SAME_REGION: 0.95, Distance.OTHER_REGION: 0.5}
-"""Weight of a held token by the distance between store and engine.
-
-A transfer takes twice as long from another zone and ten times as long from another region. The latter takes longer
-than a second prefill but, unlike a prefill, costs no engine time."""
+"""Weight of a held token by the distance between store and engine. A transfer takes twice as long from another zone
+and ten times as long from another region. The latter takes longer than a second prefill but, unlike a prefill,
+costs no engine time."""
 
 
 class KvStores(NamedTuple):
@@ -47,10 +44,8 @@
 
 
 def home_store_address(stores: KvStores, placement_key: int, engine_zone: str) -> str:
-    """Return the address of the store where prompts with a placement key are saved; empty if there is none.
-
-    The store is in the region of the engine, whichever node sends the prompt to the engine.
-    """
+    """Return the address of the store where prompts with a placement key are saved; empty if there is none. The
+    store is in the region of the engine, whichever node sends the prompt to the engine."""
     between = stores.topology.distance_between
     addresses = [
         store.kv_store_address
@@ -67,10 +62,8 @@
 
 
 def is_worth_fetching(parts: Sequence[PromptPart], delays: FirstTokenDelays, now_s: float) -> bool:
-    """Whether fetching a prompt's shared parts is expected to be faster than prefilling them.
-
-    Transfers queue while the fleet misses its objectives; only parts with many tokens are worth a fetch then.
-    """
+    """Whether fetching a prompt's shared parts is expected to be faster than prefilling them. Transfers queue while
+    the fleet misses its objectives; only parts with many tokens are worth a fetch then."""
     if sum(part.tokens for part in shared_parts(parts)) >= MIN_FETCH_TOKENS:
         return True
     return not delays.is_fleet_behind(now_s)
@@ -102,19 +95,15 @@
 
 def may_save(has_pending_weights_load: bool, confirmed_at_s: float, now_s: float) -> bool:
     """Whether KV cache that an engine computes now certainly belongs to the weights version it is believed to have.
-
-    ``confirmed_at_s`` is when the platform's store last confirmed this node's view. Both times are on one clock.
-    """
+    ``confirmed_at_s`` is when the platform's store last confirmed this node's view. Both times are on one clock."""
     return not has_pending_weights_load and now_s - confirmed_at_s <= MAX_CONFIRMATION_AGE_S
 
 
 def begin_store_save_if_needed(
     stores: KvStores, address: str, scope: str, parts: Sequence[PromptPart], now_s: float
 ) -> bool:
-    """Return whether shared parts should be saved to a store now; if so, record the save as pending.
-
-    True if the store lacks parts that this node is not already saving, or if its index has not been read yet.
-    """
+    """Return whether shared parts should be saved to a store now; if so, record the save as pending. True if the
+    store lacks parts that this node is not already saving, or if its index has not been read yet."""
     contents = stores.contents.get(address)
     if contents is None or not contents.has_been_read:
         return True
--- a/src/wallwell/routing/selection/prefix_home.py
+++ b/src/wallwell/routing/selection/prefix_home.py
@@ -26,10 +26,9 @@
 """Engines from which on pools are formed: with fewer, a pool would have at most one engine."""
 _SHORT_POOL_KEY = rendezvous_key("short prompts")
 MIN_SHARED_TOKENS_FOR_COMMON_HOME = 1024
-"""Shared tokens from which a prompt has a single home for all regions.
-
-Separates short prompts (about 200 shared tokens) from long ones. Those share 6,300 tokens, which take 67 ms to
-prefill at the 94 tokens per ms of the deployment with two regions; a round trip between its regions takes 40 ms."""
+"""Shared tokens from which a prompt has a single home for all regions. Separates short prompts (about 200 shared
+tokens) from long ones. Those share 6,300 tokens, which take 67 ms to prefill at the 94 tokens per ms of the
+deployment with two regions; a round trip between its regions takes 40 ms."""
 
 
 class PromptPart(msgspec.Struct, frozen=True):
@@ -50,12 +49,10 @@
 
 
 def engine_pool(engines: Sequence[Backend], prompt_tokens: int) -> list[Backend]:
-    """Return the engines reserved for prompts of this length; all engines if there are too few to divide.
-
-    An engine prefills a long prompt in chunks between the tokens of its other streams, so each chunk lengthens
-    the gaps between those tokens. Long prompts are therefore kept away from the engines with short prompts. All
-    nodes form the same pools.
-    """
+    """Return the engines reserved for prompts of this length; all engines if there are too few to divide. An engine
+    prefills a long prompt in chunks between the tokens of its other streams, so each chunk lengthens the gaps
+    between those tokens. Long prompts are therefore kept away from the engines with short prompts. All nodes form
+    the same pools."""
     if len(engines) < MIN_ENGINES_FOR_POOLS:
         return list(engines)
     ordered = sorted(engines, key=lambda engine: rendezvous_score(engine.incarnation, _SHORT_POOL_KEY))
@@ -65,9 +62,7 @@
 
 def engine_pool_of_all_regions(engines: Sequence[Backend], prompt_tokens: int, topology: Topology) -> list[Backend]:
     """Return the engines of all regions reserved for prompts of this length. Each region forms its own pools.
-
-    Regions alternate in the list, so that any leading slice of it is spread over them.
-    """
+    Regions alternate in the list, so that any leading slice of it is spread over them."""
     if not topology.has_other_regions:
         return engine_pool(engines, prompt_tokens)
     by_region: dict[str, list[Backend]] = {}
@@ -79,11 +74,9 @@
 
 
 def prefill_region(placement_key: int, shared_tokens: int, pool: Sequence[Backend], topology: Topology) -> str:
-    """Return the region preferred for a prompt: the node's own, or its home's if it shares many tokens.
-
-    Prefilling many tokens again takes longer than the round trip to the other region, and the stores of each region
-    need not hold what all callers share. ``pool`` contains the engines of all regions for the prompt's length.
-    """
+    """Return the region preferred for a prompt: the node's own, or its home's if it shares many tokens. Prefilling
+    many tokens again takes longer than the round trip to the other region, and the stores of each region need not
+    hold what all callers share. ``pool`` contains the engines of all regions for the prompt's length."""
     if shared_tokens < MIN_SHARED_TOKENS_FOR_COMMON_HOME or not pool:
         return topology.own_region
     home_engine = max(pool, key=lambda engine: rendezvous_score(engine.incarnation, placement_key))
