--- a/src/wallwell/rollout/bad_answers.py
+++ b/src/wallwell/rollout/bad_answers.py
@@ -56,11 +56,9 @@
     start: Totals | None, measure: Measure, baselines: list[RouteBaseline], null_rates: list[float]
 ) -> list[BadAnswers]:
     """Return the target version's bad and all answers since ``start``, one entry for each of ``baselines``.
-
     ``null_rates`` are the allowed rates, by route. If enough back ends answered, the rate of the one with the
     largest excess is capped at the rate of the others. Lowering a count keeps the test valid; leaving the back end
-    out would lose a third of the answers if there are three.
-    """
+    out would lose a third of the answers if there are three."""
     backend_counts = [
         baseline.backend_counts
         if start is None
--- a/src/wallwell/rollout/driver.py
+++ b/src/wallwell/rollout/driver.py
@@ -41,7 +41,6 @@
 """Report intervals for which a new holder makes no decision: by then every node's totals have arrived."""
 MIN_LEASE_TO_COMPLETE_S = 2.0
 """Seconds for which a node must have held the lease before it completes a rollout.
-
 A new holder lacks the counts of dead nodes, and no node compared answers while there was no holder; so it first
 waits for some seconds of answers. A late completion costs little."""
 
--- a/src/wallwell/rollout/evidence.py
+++ b/src/wallwell/rollout/evidence.py
@@ -4,7 +4,6 @@
 by route and over all routes. Each test covers the answers since the order or since a later start, so that good
 answers of the past do not hide a version that turns bad. All tests share one probability of a false alarm: each has
 a weight, and the weights add up to at most 1.
-
 Inputs: totals of answers and the seconds since the order. Owns past totals, which are the starts of later tests.
 """
 
--- a/src/wallwell/rollout/likelihood.py
+++ b/src/wallwell/rollout/likelihood.py
@@ -33,12 +33,10 @@
 
 
 def log_evidence(events: float, answers: int, null_rate: float) -> float:
-    """Return the natural logarithm of the mixture's likelihood ratio, approximated by its greatest term.
-
-    The result is ``-inf`` if the observed rate is not above the null rate. Answers of several routes may be summed
-    and tested against the mean of their null rates: the mean of a product of factors ``1 + rate x step`` is
-    greatest if all rates are equal.
-    """
+    """Return the natural logarithm of the mixture's likelihood ratio, approximated by its greatest term. The result
+    is ``-inf`` if the observed rate is not above the null rate. Answers of several routes may be summed and tested
+    against the mean of their null rates: the mean of a product of factors ``1 + rate x step`` is greatest if all
+    rates are equal."""
     null = max(null_rate, MIN_NULL_RATE)
     if null >= 1.0 or events <= null * answers:
         return -math.inf
--- a/src/wallwell/rollout/measures.py
+++ b/src/wallwell/rollout/measures.py
@@ -25,9 +25,7 @@
 
 class Measure(msgspec.Struct, frozen=True):
     """One kind of bad answer: a failure, or a delay more than ``buckets_above_usual`` buckets above the usual one.
-
-    ``cold_cache_buckets`` are added for generations while the service switches to back ends with empty caches.
-    """
+    ``cold_cache_buckets`` are added for generations while the service switches to back ends with empty caches."""
 
     name: str
     delay_field: str
@@ -53,11 +51,9 @@
 
 
 class VersionEvidence(msgspec.Struct, frozen=True):
-    """The strongest evidence, of all tests, that the target version is bad.
-
-    ``log_evidence`` is the logarithm of a likelihood ratio, weighted by the number of tests. ``excess`` is the
-    number of the target version's bad answers above the allowed number in that test.
-    """
+    """The strongest evidence, of all tests, that the target version is bad. ``log_evidence`` is the logarithm of a
+    likelihood ratio, weighted by the number of tests. ``excess`` is the number of the target version's bad answers
+    above the allowed number in that test."""
 
     log_evidence: float = -math.inf
     measure: str = ""
--- a/src/wallwell/rollout/planner.py
+++ b/src/wallwell/rollout/planner.py
@@ -3,9 +3,8 @@
 The lease holder calls :meth:`RolloutPlanner.decide` several times a second and writes the decision into the record.
 Inputs: the record, all nodes' counts, the slots of both versions and the store's time. Owns rates and past totals
 of each order. Everything that must outlive the holder is in the record, so that a new holder can continue with less
-history. Decisions are logged as ``ROLLOUT_DECIDED`` (7008) with their inputs.
-
-The combined effect of the thresholds is described in ``docs/design/rollouts.md``.
+history. Decisions are logged as ``ROLLOUT_DECIDED`` (7008) with their inputs. The combined effect of the thresholds
+is described in ``docs/design/rollouts.md``.
 """
 
 from __future__ import annotations
@@ -197,11 +196,9 @@
 
 
 def _rollback_evidence(history: _OrderHistory, inputs: _DecisionInputs) -> VersionEvidence | None:
-    """Return the evidence by which the version is rolled back; None if it is not sufficient.
-
-    Slowness during the switch may be caused by an overload or by cold caches. So it must last, and it is discarded
-    one time if newer answers show no slowness.
-    """
+    """Return the evidence by which the version is rolled back; None if it is not sufficient. Slowness during the
+    switch may be caused by an overload or by cold caches. So it must last, and it is discarded one time if newer
+    answers show no slowness."""
     if _justifies_rollback(inputs.failures):
         return inputs.failures
     if not _justifies_rollback(inputs.slowness):
--- a/src/wallwell/rollout/records.py
+++ b/src/wallwell/rollout/records.py
@@ -79,10 +79,8 @@
 
     def on_order(self, order: RolloutOrder, seen_at_s: float, effective_from_s: float = float("-inf")) -> bool:
         """Apply an operator's order; return False if it is not newer than the accepted one or takes effect later.
-
         An order of a later era with other parameters may be older than the accepted one, if the copy from which the
-        store was restored lacks the accepted one. Such an order takes effect at ``effective_from_s``.
-        """
+        store was restored lacks the accepted one. Such an order takes effect at ``effective_from_s``."""
         accepted = self.orders.get(order.service)
         position = self._order_positions.get(order.service)
         if accepted is not None and position is not None:
@@ -116,11 +114,9 @@
         self._unconfirmed.update(self._records)
 
     def on_record(self, record: RolloutRecord, position: StorePosition, record_written_s: float) -> bool:
-        """Apply a record that was read from the store; return whether the phase or order has changed.
-
-        ``position`` is the era and version of its row; a record older than the applied one is ignored.
-        ``record_written_s`` is when it was written, on this node's clock.
-        """
+        """Apply a record that was read from the store; return whether the phase or order has changed. ``position``
+        is the era and version of its row; a record older than the applied one is ignored. ``record_written_s`` is
+        when it was written, on this node's clock."""
         applied = self._records.get(record.service)
         applied_position = self._positions.get(record.service, position)
         if position < applied_position:
@@ -233,11 +229,9 @@
 
 
 def _is_outdated(record: RolloutRecord, applied: RolloutRecord) -> bool:
-    """Whether a record read after the store was restored from a copy is older than the applied one.
-
-    It is older if it was written earlier by the store's steady clock. An ended rollout stays ended, even if a lease
-    holder that has only the copy's record continues it: a version that was rolled back is not tried again.
-    """
+    """Whether a record read after the store was restored from a copy is older than the applied one. It is older if
+    it was written earlier by the store's steady clock. An ended rollout stays ended, even if a lease holder that
+    has only the copy's record continues it: a version that was rolled back is not tried again."""
     if record.written_at_s < applied.written_at_s:
         return True
     return applied.phase.is_final and not record.phase.is_final and record.parameters == applied.parameters
--- a/src/wallwell/rollout/reporter.py
+++ b/src/wallwell/rollout/reporter.py
@@ -44,8 +44,7 @@
         holder: Callable[[], str],
         members: Callable[[], Mapping[str, NodeRecord]],
     ) -> None:
-        """``fleet`` stores all received counts; ``holder`` returns the lease holder's name, empty if there is
-        none."""
+        """``fleet`` stores all received counts; ``holder`` returns the lease holder's name, empty if none."""
         self._node = node
         self._node_incarnation = secrets.randbits(NODE_INCARNATION_BITS)
         self._tally = tally
--- a/src/wallwell/rollout/reports.py
+++ b/src/wallwell/rollout/reports.py
@@ -3,7 +3,6 @@
 A report contains a node's totals without the sources that have not changed since the holder received them. So its
 size grows with the node's answers, not with the number of back ends. The holder stores totals by node and
 incarnation, also after the node's death.
-
 :class:`AcknowledgedCounts` belongs to a reporting node, :class:`FleetCounts` to the lease holder.
 """
 
--- a/src/wallwell/rollout/service_rollout.py
+++ b/src/wallwell/rollout/service_rollout.py
@@ -23,17 +23,14 @@
 version."""
 RECORD_VALID_FRACTION = 0.5
 """Fraction of ``rollback_s`` for which a record is valid after it was written. A node whose record is older sends
-nothing to the target version, since possibly no node compares its answers.
-
-The rest of ``rollback_s`` is for sending counts, the decision, and sending the record to every node."""
+nothing to the target version, since possibly no node compares its answers. The rest of ``rollback_s`` is for
+sending counts, the decision, and sending the record to every node."""
 
 
 class BackendGroups(msgspec.Struct, frozen=True):
-    """Listed back ends of a service, by the role of their version. Those of excluded versions are in no group.
-
-    Once the rollout is complete, all back ends that may get requests are in ``target``: a version that is listed
-    later without an order is used like any other.
-    """
+    """Listed back ends of a service, by the role of their version. Those of excluded versions are in no group. Once
+    the rollout is complete, all back ends that may get requests are in ``target``: a version that is listed later
+    without an order is used like any other."""
 
     current: list[Backend]
     target: list[Backend]
@@ -94,8 +91,7 @@
         return now_s - self.record_written_s < self.record_valid_s
 
     def draws_target(self, rng: random.Random, now_s: float) -> bool:
-        """Choose a new request's version; True for the target. Calls ``rng`` once in the canary phase, else
-        never."""
+        """Choose a new request's version; True for the target. Calls ``rng`` only in the canary phase, once."""
         record = self.record
         if record is None or record.phase is Phase.ROLLED_BACK:
             return False
@@ -142,21 +138,16 @@
 
 
 def _is_last_resort(groups: BackendGroups, now_s: float) -> bool:
-    """Whether there are back ends of unannounced versions and all others are leaving.
-
-    If all back ends are replaced at once without a rollout, the service must not be without any while the new ones
-    wait to be announced.
-    """
+    """Whether there are back ends of unannounced versions and all others are leaving. If all back ends are replaced
+    at once without a rollout, the service must not be without any while the new ones wait to be announced."""
     if not groups.unannounced:
         return False
     return all(each.is_leaving(now_s) for each in (*groups.current, *groups.target))
 
 
 def canary_backends(service: str, target: Sequence[Backend], current_count: int, share: float) -> list[Backend]:
-    """Return the target back ends that get the canary's share of requests: so few that each has a usual load.
-
-    All nodes choose the same back ends, by rendezvous hashing.
-    """
+    """Return the target back ends that get the canary's share of requests: so few that each has a usual load. All
+    nodes choose the same back ends, by rendezvous hashing."""
     if share <= 0 or not target:
         return []
     count = max(MIN_CANARY_BACKENDS, math.ceil(share * current_count))
--- a/src/wallwell/rollout/store.py
+++ b/src/wallwell/rollout/store.py
@@ -33,9 +33,7 @@
 
     async def write(self, record: RolloutRecord, seen: StoredRollout, lease_version: int) -> StoredRollout:
         """Write the record, and the status if it has changed, in one transaction and return the rows then stored.
-
         Nothing is written unless both rows still have the versions in ``seen`` and the row of the rollout lease has
         ``lease_version``. Raises :class:`TableConflictError` (nothing written) or :class:`PlatformUnavailableError`
-        (unknown whether written; read before the next write).
-        """
+        (unknown whether written; read before the next write)."""
         ...
